--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -8,10 +8,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/placement"
 )
 
-// BenchmarkToldUnderLoad is one VM's news to a scheduler of 120 engines that all read,
-// while 300 streams of 70 VMs wait.
-func BenchmarkToldUnderLoad(b *testing.B) {
-	s, now := book(40), time.Unix(0, 0)
+// BenchmarkReportUnderLoad measures one VM's report to a scheduler of 120 engines that
+// all prefill a prompt, while 300 streams of 70 VMs wait.
+func BenchmarkReportUnderLoad(b *testing.B) {
+	s, now := newTestScheduler(40), time.Unix(0, 0)
 	use := map[string]placement.Use{}
 	for id := range s.servers {
 		use[id] = placement.Use{Requests: 1, Prompt: 8000, Tokens: 8600}
@@ -30,9 +30,9 @@
 	}
 }
 
-// BenchmarkGrant is a stream that asks and is granted an engine of 120.
+// BenchmarkGrant measures a stream that is enqueued and gets one of 120 engines.
 func BenchmarkGrant(b *testing.B) {
-	s, now := book(40), time.Unix(0, 0)
+	s, now := newTestScheduler(40), time.Unix(0, 0)
 	b.ReportAllocs()
 	for i := range b.N {
 		st := stream(fmt.Sprint(i), now)
--- a/internal/scheduler/fair.go
+++ b/internal/scheduler/fair.go
@@ -5,71 +5,74 @@
 	"time"
 )
 
-// Workspaces that press.
+// Surging workspaces.
 //
-// The load pattern: one workspace's program loops, or its campaign starts, and it sends
-// ten times what it usually does. In one order of due times its streams are most of those
-// that wait, and every other workspace is late with it, though it sends no more than on
-// any day. Equal shares are no answer: a few workspaces are large, and at an overload of
-// all alike they would be held to what the small ones send.
+// The overload. A program of one workspace loops, or its campaign starts, and it sends
+// ten times its usual load. If streams are ordered by due time alone, most of those that
+// wait belong to this workspace, and the streams of every other workspace are late
+// although their load has not changed. Equal shares do not solve it: a few workspaces are
+// large, and in an overload by all of them they would be restricted to what the small
+// ones send.
 //
-// So a workspace is compared with itself. While it sends far more than it usually does
-// and streams wait, its streams go behind those of the others that can be in time. Where
-// all send more alike, all press alike, and the order is as before.
+// A workspace is therefore compared with its own past. While it sends far more than usual
+// and streams wait, its streams are served after those of other workspaces that can be in
+// time. If all workspaces send proportionally more, all of them surge, and the order does
+// not change.
 
 const (
-	// recently is the time over which a workspace's present rate is taken: some prompts'
-	// reading, so that single callers do not make a rate.
-	recently = 2 * time.Second
-	// usually is the same for what it is compared with: long against a burst, and short
-	// enough that growth through a day is no press.
-	usually = 60 * time.Second
-	// pressFactor times the usual number of streams within recently is a press, beyond
-	// what chance would give: pressChance standard deviations, and pressLeast streams.
-	pressFactor = 2.0
-	pressChance = 2.0
-	pressLeast  = 3.0
+	// surgeWindow is the time constant of a workspace's present rate. It spans several
+	// prefills, so that a few callers do not dominate the rate.
+	surgeWindow = 2 * time.Second
+	// baselineWindow is the time constant of the rate that it is compared with. It is
+	// long compared with a burst, and short enough that growth over a day is no surge.
+	baselineWindow = 60 * time.Second
+	// A workspace surges if its recent streams exceed surgeFactor times the expected
+	// number by more than chance explains: surgeDeviations standard deviations plus
+	// surgeMinStreams.
+	surgeFactor     = 2.0
+	surgeDeviations = 2.0
+	surgeMinStreams = 3.0
 )
 
-// flow counts the streams of one workspace, each fading with its age.
+// flow counts the streams of one workspace with exponential decay.
 type flow struct {
-	first, at    time.Time
-	recent, long float64
+	createdAt, updatedAt time.Time
+	recent, baseline     float64
 }
 
 func (f *flow) fade(now time.Time) {
-	if f.first.IsZero() {
-		f.first, f.at = now, now
+	if f.createdAt.IsZero() {
+		f.createdAt, f.updatedAt = now, now
 	}
-	age := now.Sub(f.at).Seconds()
-	f.recent *= math.Exp(-age / recently.Seconds())
-	f.long *= math.Exp(-age / usually.Seconds())
-	f.at = now
+	age := now.Sub(f.updatedAt).Seconds()
+	f.recent *= math.Exp(-age / surgeWindow.Seconds())
+	f.baseline *= math.Exp(-age / baselineWindow.Seconds())
+	f.updatedAt = now
 }
 
-func (f *flow) note(now time.Time) {
+func (f *flow) add(now time.Time) {
 	f.fade(now)
 	f.recent++
-	f.long++
+	f.baseline++
 }
 
-// presses reports whether far more came recently than usually comes.
-func (f *flow) presses(now time.Time) bool {
+// surges reports whether far more streams arrived recently than usual.
+func (f *flow) surges(now time.Time) bool {
 	f.fade(now)
-	// A count that began lately has not reached its level yet.
-	seen := 1 - math.Exp(-now.Sub(f.first).Seconds()/usually.Seconds())
-	expected := f.long * recently.Seconds() / usually.Seconds() / math.Max(seen, recently.Seconds()/usually.Seconds())
-	return f.recent > pressFactor*expected+pressChance*math.Sqrt(expected)+pressLeast
+	// A baseline that started recently has not reached its steady state yet.
+	coverage := 1 - math.Exp(-now.Sub(f.createdAt).Seconds()/baselineWindow.Seconds())
+	expected := f.baseline * surgeWindow.Seconds() / baselineWindow.Seconds() / math.Max(coverage, surgeWindow.Seconds()/baselineWindow.Seconds())
+	return f.recent > surgeFactor*expected+surgeDeviations*math.Sqrt(expected)+surgeMinStreams
 }
 
-// mostFlows bounds the workspaces that are remembered.
-const mostFlows = 1 << 14
+// maxFlows bounds the number of workspaces that are tracked.
+const maxFlows = 1 << 14
 
-func (v *service) noteFlow(workspace string, now time.Time) {
+func (v *service) recordArrival(workspace string, now time.Time) {
 	f := v.flows[workspace]
 	if f == nil {
-		if len(v.flows) >= mostFlows {
-			clear(v.flows) // what is usual is learnt anew
+		if len(v.flows) >= maxFlows {
+			clear(v.flows) // the baselines are learned again
 		}
 		if v.flows == nil {
 			v.flows = map[string]*flow{}
@@ -77,14 +80,14 @@
 		f = &flow{}
 		v.flows[workspace] = f
 	}
-	f.note(now)
+	f.add(now)
 }
 
-// pressing are the workspaces that press, of those whose streams wait.
-func (v *service) pressing(now time.Time) map[string]bool {
+// surging returns the surging workspaces among those whose streams wait.
+func (v *service) surging(now time.Time) map[string]bool {
 	var out map[string]bool
 	for _, w := range v.waiting {
-		if f := v.flows[w.Workspace]; f != nil && !out[w.Workspace] && f.presses(now) {
+		if f := v.flows[w.Workspace]; f != nil && !out[w.Workspace] && f.surges(now) {
 			if out == nil {
 				out = map[string]bool{}
 			}
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -7,83 +7,85 @@
 
 // Which engines may be used.
 //
-// The load pattern. A zone's engines die together, and each VM that sees two of them
-// go takes the zone for lost, since the others would draw every prompt for as long as
-// the list names them. Where a quarter of all engines goes dark, two in each zone, the
-// same rule takes all zones for lost: seven of 24 engines are used for three seconds
-// while eleven more stand idle, just when all are needed.
+// The failure. The engines of a zone fail together. Each VM that sees two of them fail
+// therefore suspects the whole zone, since the remaining engines would draw every prompt
+// for as long as they are listed. If a quarter of all engines fails, two in each zone,
+// the same rule makes VMs suspect all zones: seven of 24 engines are used for three
+// seconds while eleven more are idle, just when all are needed.
 //
-// So a doubt by neighbourhood holds only until some VM has heard the engine after it.
-// What a VM found itself, a connection refused or a question without an answer, holds
-// for its own streams, and for all once a second VM found the same: one VM alone may
-// have lost its own link.
+// A suspicion by neighborhood therefore holds only until some VM has heard from the
+// engine after it. What a VM found itself (a refused connection or an unanswered query)
+// applies to its own streams. It applies to all streams once a second VM has found the
+// same, since one VM alone may have lost its own link.
 
 const (
-	// witnesses are how many VMs must find or doubt an engine before that counts for all.
-	witnesses = 2
-	// opinionFor is how long a VM's word counts: until the list of backend servers has
-	// caught up.
-	opinionFor = 1200 * time.Millisecond
-	// aliveDelay is how old news of an engine may be that a VM says it heard just now.
-	aliveDelay = 300 * time.Millisecond
+	// suspicionQuorum is how many VMs must avoid or suspect an engine before it counts as
+	// lost for all.
+	suspicionQuorum = 2
+	// reportTTL is how long a VM's suspicions count: until the list of backend servers
+	// has been updated.
+	reportTTL = 1200 * time.Millisecond
+	// maxAliveDelay is how old the observation behind an Alive entry may be.
+	maxAliveDelay = 300 * time.Millisecond
 )
 
-// opinions are what the VMs whose word counts think of an engine. They are kept as VMs
-// tell them: to go through the words of hundreds of VMs about a zone's engines at each
-// message would take the VM that decides longer than messages are apart, just when a
-// zone is lost.
-type opinions struct {
-	avoid, doubt int // VMs
-	// doubtedAt is when it was first doubted by VMs that still do.
-	doubtedAt time.Time
+// suspicionCounts counts the VMs whose current reports avoid or suspect an engine. The
+// counts are updated with each report. Summing the reports of hundreds of VMs about a
+// zone's engines at each message would take longer than the interval between messages,
+// just when a zone is lost.
+type suspicionCounts struct {
+	avoiding, suspecting int // number of VMs
+	// suspectedAt is when the number of suspecting VMs last rose from zero.
+	suspectedAt time.Time
 }
 
-// opinionsOf returns what is thought of an engine, listed or not.
-func (s *Scheduler) opinionsOf(id string) *opinions {
-	o := s.opinions[id]
+// suspicionsOf returns the counts of an engine, listed or not.
+func (s *Scheduler) suspicionsOf(id string) *suspicionCounts {
+	o := s.suspicions[id]
 	if o == nil {
-		o = &opinions{}
-		s.opinions[id] = o
+		o = &suspicionCounts{}
+		s.suspicions[id] = o
 	}
 	return o
 }
 
-// countOpinions adds a VM's word, or takes it off again.
-func (s *Scheduler) countOpinions(r *Report, by int, now time.Time) {
+// countSuspicions adds a report to the counts (by = 1) or removes it (by = -1).
+func (s *Scheduler) countSuspicions(r *Report, by int, now time.Time) {
 	for _, id := range r.Avoid {
-		s.opinionsOf(id).avoid += by
+		s.suspicionsOf(id).avoiding += by
 	}
 	for _, id := range r.Doubt {
-		o := s.opinionsOf(id)
-		if o.doubt == 0 {
-			o.doubtedAt = now
+		o := s.suspicionsOf(id)
+		if o.suspecting == 0 {
+			o.suspectedAt = now
 		}
-		o.doubt += by
+		o.suspecting += by
 	}
 }
 
-// dropWord takes a VM's word off, if it counts.
-func (s *Scheduler) dropWord(v *vm, now time.Time) {
-	if v.counts {
-		s.countOpinions(&v.report, -1, now)
-		v.counts = false
+// uncountReport removes the report of a VM from the counts if it is included.
+func (s *Scheduler) uncountReport(v *vm, now time.Time) {
+	if v.counted {
+		s.countSuspicions(&v.report, -1, now)
+		v.counted = false
 	}
 }
 
-// health is what all VMs together think of the engines.
-type health struct{ witnesses int }
+// health combines the reports of all VMs into a verdict on each engine. quorum is
+// suspicionQuorum, bounded by the number of VMs.
+type health struct{ quorum int }
 
 func (s *Scheduler) health(now time.Time) health {
 	for _, v := range s.vms {
-		if now.Sub(v.at) > opinionFor {
-			s.dropWord(v, now)
+		if now.Sub(v.at) > reportTTL {
+			s.uncountReport(v, now)
 		}
 	}
-	return health{witnesses: max(1, min(witnesses, len(s.vms)))}
+	return health{quorum: max(1, min(suspicionQuorum, len(s.vms)))}
 }
 
-// noteAlive takes a VM's word that it heard engines just now.
-func (s *Scheduler) noteAlive(ids []string, now time.Time) {
+// recordAlive records that a VM heard from these engines just now.
+func (s *Scheduler) recordAlive(ids []string, now time.Time) {
 	for _, id := range ids {
 		if e := s.servers[id]; e != nil {
 			e.aliveAt = now
@@ -91,14 +93,15 @@
 	}
 }
 
-// lost reports whether an engine is not to be used by anybody.
+// lost reports whether no stream may use an engine.
 func (h health) lost(e *server) bool {
-	o := e.opinions
-	cleared := e.aliveAt.After(o.doubtedAt.Add(aliveDelay))
-	return o.avoid >= h.witnesses || o.avoid+o.doubt >= h.witnesses && !cleared
+	o := e.suspicions
+	cleared := e.aliveAt.After(o.suspectedAt.Add(maxAliveDelay))
+	return o.avoiding >= h.quorum || o.avoiding+o.suspecting >= h.quorum && !cleared
 }
 
-// avoids reports whether a stream should not go to an engine, while there are others.
+// avoids reports whether a stream should not use an engine while other engines are
+// usable.
 func (r *round) avoids(w *waiter, e *server) bool {
 	if r.usable == 0 {
 		return false
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -8,10 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// Opinions are counted as VMs tell them and not summed at each decision: after any
-// order of words that are told, repeated, taken back, too old or of VMs that are gone,
-// and of engines that come and go, the counts are those of a sum.
-func TestOpinionsAreThoseOfASum(t *testing.T) {
+// The suspicion counts are updated with each report and not summed at each decision. They
+// must equal the sum over all current reports after any sequence of reports that are new,
+// repeated, withdrawn or too old, of VMs that are removed, and of engines that come and
+// go.
+func TestSuspicionCountsMatchRecount(t *testing.T) {
 	ids := []string{"e1", "e2", "e3", "e4"}
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := New(nil), time.Unix(0, 0)
@@ -36,33 +37,33 @@
 			}
 			s.health(now)
 			for _, id := range ids {
-				want := summed(s, id, now)
-				if got := *s.opinionsOf(id); got.avoid != want.avoid || got.doubt != want.doubt {
-					t.Fatalf("%s: %+v, the sum is %+v", id, got, want)
+				want := recount(s, id, now)
+				if got := *s.suspicionsOf(id); got.avoiding != want.avoiding || got.suspecting != want.suspecting {
+					t.Fatalf("counts of %s: got %+v, want %+v", id, got, want)
 				}
-				if e := s.servers[id]; e != nil && e.opinions != s.opinionsOf(id) {
-					t.Fatalf("%s is judged by opinions that nobody keeps", id)
+				if e := s.servers[id]; e != nil && e.suspicions != s.suspicionsOf(id) {
+					t.Fatalf("server %s refers to counts that are not updated", id)
 				}
 			}
 		}
 	})
 }
 
-// summed goes through the words of all VMs.
-func summed(s *Scheduler, id string, now time.Time) opinions {
-	var o opinions
+// recount sums the current reports of all VMs.
+func recount(s *Scheduler, id string, now time.Time) suspicionCounts {
+	var o suspicionCounts
 	for _, v := range s.vms {
-		if now.Sub(v.at) > opinionFor {
+		if now.Sub(v.at) > reportTTL {
 			continue
 		}
 		for _, other := range v.report.Avoid {
 			if other == id {
-				o.avoid++
+				o.avoiding++
 			}
 		}
 		for _, other := range v.report.Doubt {
 			if other == id {
-				o.doubt++
+				o.suspecting++
 			}
 		}
 	}
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// The order of waiting.
+// The order of waiting streams.
 //
-// The load pattern: more prompts arrive than the engines read, for seconds. First
-// come, first served, every stream waits for as long as the queue is, and soon all of
-// them are late. By the time that is left (earliest due first) each is begun at the
-// last moment that it can be in time, and what cannot be in time any more goes behind:
-// as many streams are in time as the engines can begin, and the late ones are served
-// as soon as there is room. They are not dropped: their callers wait for them.
+// The overload. For some seconds more prompts arrive than the engines can prefill. If the
+// first to arrive is served first, every stream waits for the length of the queue, and
+// soon all of them are late. With the earliest due time first, each stream starts at the
+// last moment at which it can be in time, and streams that can no longer be in time move
+// behind the others. As many streams are in time as the engines can start, and the late
+// ones are served as soon as there is room. They are not dropped, since their callers
+// wait for them.
 //
-// A stream that was interrupted goes first: its caller watches an answer stand still.
-// A lost zone interrupts dozens at once, which would push all new ones past their
-// objective, so every other grant is for a new one where both wait.
+// An interrupted stream is served first, since its caller sees the answer stall. A lost
+// zone interrupts dozens of streams at once, which would push all new ones past their
+// objective. Every other grant therefore goes to a new stream if both kinds wait.
 
-// class of a waiting stream, first to be served first.
+// class is the class of a waiting stream. Lower values are served first.
 type class uint8
 
 const (
@@ -28,36 +29,36 @@
 	late
 )
 
-// lateMemory is the share of an engine's memory that may be taken once a late stream
-// is begun there. What is left is for those that can be in time and come while it
-// runs, some seconds: a quarter is two or three runs.
-const lateMemory = 0.75
+// lateMemoryShare is the share of an engine's memory that may be taken once a late stream
+// starts there. The rest is for streams that can be in time and arrive during the seconds
+// for which it runs: a quarter of the memory is two or three runs.
+const lateMemoryShare = 0.75
 
 func (v *service) classOf(w *waiter, now time.Time) class {
 	switch {
 	case w.Interrupted:
 		return interrupted
-	case now.Add(v.pace.reading(w.Need.Prompt)).After(w.Due):
+	case now.Add(v.pace.prefillTime(w.Need.Prompt)).After(w.Due):
 		return late
 	}
 	return inTime
 }
 
-// order returns the waiting streams, first to be served first.
+// order returns the waiting streams in the order in which they are served.
 func (v *service) order(now time.Time) []*waiter {
 	for _, w := range v.waiting {
 		w.class = v.classOf(w, now)
 	}
-	pressing := v.pressing(now)
+	surging := v.surging(now)
 	out := slices.Clone(v.waiting)
 	slices.SortStableFunc(out, func(a, b *waiter) int {
 		return cmp.Or(
 			cmp.Compare(a.class, b.class), cmp.Compare(a.Priority, b.Priority),
-			compareBool(pressing[a.Workspace], pressing[b.Workspace]), compareDue(a, b),
+			compareBool(surging[a.Workspace], surging[b.Workspace]), compareDue(a, b),
 		)
 	})
-	if v.yields {
-		yieldOnce(out)
+	if v.newStreamNext {
+		moveFirstInTimeToFront(out)
 	}
 	return out
 }
@@ -73,7 +74,7 @@
 	return -1
 }
 
-// compareDue orders streams of one class.
+// compareDue orders the streams of one class: late ones by arrival, others by due time.
 func compareDue(a, b *waiter) int {
 	if a.class == late {
 		return a.since.Compare(b.since)
@@ -81,8 +82,8 @@
 	return a.Due.Compare(b.Due)
 }
 
-// yieldOnce moves the first new stream that can be in time to the front.
-func yieldOnce(out []*waiter) {
+// moveFirstInTimeToFront moves the first new stream that can be in time to the front.
+func moveFirstInTimeToFront(out []*waiter) {
 	i := slices.IndexFunc(out, func(w *waiter) bool { return w.class == inTime })
 	if i > 0 {
 		w := out[i]
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Pace is what is observed of a service's engines.
+// Pace holds the measured durations of a service's engines.
 type Pace struct {
-	// PerToken is how long an engine reads one token of a prompt; 0: not observed.
+	// PerToken is the prefill time of one prompt token; 0: not measured.
 	PerToken time.Duration `cbor:"1,keyasint,omitempty"`
-	// Run is how long a run takes from its first event to its end; 0: not observed.
+	// Run is the time from a run's first event to its end; 0: not measured.
 	Run time.Duration `cbor:"2,keyasint,omitempty"`
-	// Events is how many events a whole run has; 0: not observed.
+	// Events is the number of events of a complete run; 0: not measured.
 	Events float64 `cbor:"3,keyasint,omitempty"`
 }
 
 const (
-	// startPerToken stands in until a prompt was read: of a slow engine, so that nothing
-	// is taken for late, or refused, that is not.
-	startPerToken = 40 * time.Microsecond
-	// paceWeight of a VM's newest word in the mean of all.
+	// defaultPerToken is used until a prefill was measured. It is that of a slow engine,
+	// to avoid estimating that a stream is late, or refusing it, when it is not.
+	defaultPerToken = 40 * time.Microsecond
+	// paceWeight is the weight of one VM's newest report in the mean.
 	paceWeight = 0.1
-	// window over which arrivals and grants are counted: some reading times, and short
-	// enough to follow a burst.
-	window = 2 * time.Second
-	// mostCounted within the window bounds memory; rates beyond it are taken as this.
-	mostCounted = 4096
+	// rateWindow is the window over which arrivals and grants are counted. It spans
+	// several prefills and is short enough to follow a burst.
+	rateWindow = 2 * time.Second
+	// maxCounted bounds the number of times that are kept for a window, and so their
+	// memory. Higher rates are cut off at this value.
+	maxCounted = 4096
 )
 
-// Paces are what all VMs together observed of each service's engines.
+// Paces returns the mean measurements of all VMs for each service.
 func (s *Scheduler) Paces() map[string]Pace {
 	out := make(map[string]Pace, len(s.services))
 	for name, v := range s.services {
@@ -39,15 +40,16 @@
 	return out
 }
 
-// learn takes one VM's observation into the mean.
+// learn updates the mean with one VM's measurements.
 func (p *Pace) learn(o Pace) {
 	p.PerToken = Smooth(p.PerToken, o.PerToken, paceWeight)
 	p.Run = Smooth(p.Run, o.Run, paceWeight)
 	p.Events = Smooth(p.Events, o.Events, paceWeight)
 }
 
-// Smooth moves a mean towards what was seen, by a weight in (0, 1]. The first that was
-// seen begins the mean, and zero says that nothing was.
+// Smooth returns the exponentially weighted mean after a new observation, with weight in
+// (0, 1]. A mean of zero stands for no observation so far and is replaced by the first
+// one. An observation of zero is ignored.
 func Smooth[T time.Duration | float64](mean, seen T, weight float64) T {
 	switch {
 	case seen <= 0:
@@ -58,44 +60,45 @@
 	return mean + T(weight*float64(seen-mean))
 }
 
-// reading is how long an engine takes to read a number of tokens.
-func (p Pace) reading(tokens int) time.Duration {
+// prefillTime is how long an engine takes to prefill a number of tokens.
+func (p Pace) prefillTime(tokens int) time.Duration {
 	per := p.PerToken
 	if per <= 0 {
-		per = startPerToken
+		per = defaultPerToken
 	}
 	return time.Duration(tokens) * per
 }
 
-// Lasts is how long a stream takes whose run is so many times as long as the mean, and
-// whose caller has some events; 0: not known.
+// ExpectedDuration estimates how long a stream takes whose caller has received some
+// events, if its run takes the given multiple of the mean; 0: unknown.
 func (p Pace) Lasts(prompt, after int, times float64) time.Duration {
 	if p.Run <= 0 {
 		return 0
 	}
-	return p.reading(prompt) + time.Duration(times*p.rest(after)*float64(p.Run))
+	return p.prefillTime(prompt) + time.Duration(times*p.remainingShare(after)*float64(p.Run))
 }
 
-// rest is the share of a run that is still to be made where its caller has some events.
-func (p Pace) rest(after int) float64 {
+// remainingShare is the share of a run that is left after the events that the caller has
+// received.
+func (p Pace) remainingShare(after int) float64 {
 	if after == 0 || p.Events <= 0 {
 		return 1
 	}
-	return max(leastRest, 1-float64(after)/p.Events)
+	return max(minRemainingShare, 1-float64(after)/p.Events)
 }
 
-// leastRest is for runs that are longer than usual.
-const leastRest = 0.05
+// minRemainingShare applies to runs that are longer than usual.
+const minRemainingShare = 0.05
 
-// demand is how much memory arrives.
+// demand records the memory that arriving streams need.
 type demand struct {
 	at     []time.Time
 	tokens []int
 }
 
-func (d *demand) note(now time.Time, tokens int) {
+func (d *demand) add(now time.Time, tokens int) {
 	d.expire(now)
-	if len(d.at) >= mostCounted {
+	if len(d.at) >= maxCounted {
 		return
 	}
 	d.at, d.tokens = append(d.at, now), append(d.tokens, tokens)
@@ -103,15 +106,15 @@
 
 func (d *demand) expire(now time.Time) {
 	n := 0
-	for n < len(d.at) && now.Sub(d.at[n]) > window {
+	for n < len(d.at) && now.Sub(d.at[n]) > rateWindow {
 		n++
 	}
 	d.at, d.tokens = slices.Delete(d.at, 0, n), slices.Delete(d.tokens, 0, n)
 }
 
-// held is the memory that runs will hold at the present rate of arrivals, in tokens:
-// the rate times how long a run keeps its memory (Little's law).
-func (d *demand) held(now time.Time, p Pace) float64 {
+// expectedMemory is the memory in tokens that runs will hold at the present arrival rate:
+// the rate times how long a run holds its memory (Little's law).
+func (d *demand) expectedMemory(now time.Time, p Pace) float64 {
 	d.expire(now)
 	sum := 0
 	for _, n := range d.tokens {
@@ -120,44 +123,44 @@
 	if len(d.at) == 0 {
 		return 0
 	}
-	hold := p.reading(sum/len(d.at)) + p.Run
-	return float64(sum) / window.Seconds() * hold.Seconds()
+	hold := p.prefillTime(sum/len(d.at)) + p.Run
+	return float64(sum) / rateWindow.Seconds() * hold.Seconds()
 }
 
-// drain is how fast waiting streams are served.
-type drain struct{ at []time.Time }
+// eventTimes holds the times of the events within the last rateWindow.
+type eventTimes struct{ at []time.Time }
 
-func (d *drain) note(now time.Time) {
+func (d *eventTimes) add(now time.Time) {
 	d.expire(now)
-	if len(d.at) < mostCounted {
+	if len(d.at) < maxCounted {
 		d.at = append(d.at, now)
 	}
 }
 
-func (d *drain) expire(now time.Time) {
-	d.at = slices.DeleteFunc(d.at, func(t time.Time) bool { return now.Sub(t) > window })
+func (d *eventTimes) expire(now time.Time) {
+	d.at = slices.DeleteFunc(d.at, func(t time.Time) bool { return now.Sub(t) > rateWindow })
 }
 
-// rate is how many streams were served a second.
-func (d *drain) rate(now time.Time) float64 {
+// rate is the number of events per second.
+func (d *eventTimes) rate(now time.Time) float64 {
 	d.expire(now)
-	return float64(len(d.at)) / window.Seconds()
+	return float64(len(d.at)) / rateWindow.Seconds()
 }
 
-// Bounds of what a refused caller is told.
+// Bounds of RetryAfter.
 const (
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// retryShare of a caller's time is the latest that it may come again and still be
-	// served.
+	// retryShare is the share of the time to the deadline after which a retry can still
+	// be served.
 	retryShare = 1.0 / 3
 )
 
-// retryAfter is when a refused caller may come again: once those who wait are served.
-// Callers that were refused together are spread over as long again, or they would meet
-// once more.
+// retryAfter is when a refused caller may retry: once the waiting streams are served. A
+// random part of up to the same length spreads the retries of callers that were refused
+// together.
 func (r *round) retryAfter(w *waiter, rng func(int) int) time.Duration {
-	rate := max(r.v.drain.rate(r.now), leastRate)
+	rate := max(r.v.grantTimes.rate(r.now), minStartRate)
 	served := time.Duration(float64(len(r.v.waiting)) / rate * float64(time.Second))
 	most := min(maxRetryAfter, time.Duration(retryShare*float64(w.Deadline.Sub(r.now))))
 	from := max(minRetryAfter, min(served, most/2))
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -15,114 +15,114 @@
 	health  health
 	now     time.Time
 	v       *service
-	// reserved counts servers that are kept for a stream which is due before those tried
-	// later and finds no room yet: smaller ones behind it would else take all that is
-	// freed, and the largest prompts be late every time.
-	reserved int
-	ahead    int // streams that wait on, so far
-	usable   int // servers that are not avoided
-	begun    bool
-	idle     []*server
-	usual    time.Duration // reading of a token
-	allSlow  bool
-	fews     map[string]map[string]bool // by version
+	// reserved counts the servers that are kept free for a stream that finds no room yet
+	// and is due before the streams tried after it. Without it, smaller streams take all
+	// memory that is freed, and the largest prompts are late every time.
+	reserved       int
+	ahead          int // streams of this pass that keep waiting
+	usable         int // servers that are not lost
+	idleListed     bool
+	idle           []*server
+	median         time.Duration // prefill time of one token
+	allSlow        bool
+	versionSubsets map[string]map[string]bool // by version
 }
 
 func newRound(v *service, vms map[string]*vm, h health, now time.Time) *round {
 	r := &round{servers: v.servers, vms: vms, health: h, now: now, v: v}
-	r.usual, r.allSlow = v.usualSpeed(now), true
+	r.median, r.allSlow = v.cachedMedianPerToken(now), true
 	for _, e := range v.servers {
 		if !r.health.lost(e) {
 			r.usable++
-			r.allSlow = r.allSlow && r.slowness(e) > 1
+			r.allSlow = r.allSlow && r.slowdown(e) > 1
 		}
 	}
 	return r
 }
 
-// free lists the engines that could begin with a prompt at once. Under load these are
-// few of many, and each waiting stream looks at them alone.
+// free returns the engines that could start a prefill at once. Under load these are few,
+// and each waiting stream examines only them.
 func (r *round) free() []*server {
-	if r.begun {
+	if r.idleListed {
 		return r.idle
 	}
-	r.begun = true
+	r.idleListed = true
 	for _, e := range r.servers {
-		if r.mayBegin(e) {
+		if r.canBegin(e) {
 			r.idle = append(r.idle, e)
 		}
 	}
 	return r.idle
 }
 
-func (r *round) mayBegin(e *server) bool {
+func (r *round) canBegin(e *server) bool {
 	if r.usable > 0 && r.health.lost(e) || e.Slots > 0 && e.use.Requests >= e.Slots {
 		return false
 	}
-	return r.v.pace.reading(e.use.Prompt) <= openReading
+	return r.v.pace.prefillTime(e.use.Prompt) <= maxPrefillBacklog
 }
 
-// close takes an engine off those that could begin.
-func (r *round) close(e *server) {
+// markBusy removes an engine from those that could start a prefill.
+func (r *round) markBusy(e *server) {
 	r.idle = slices.DeleteFunc(r.idle, func(o *server) bool { return o == e })
 }
 
-// engine chooses for a stream among the engines that can begin with it at once; nil: it
-// waits.
+// engine chooses an engine that can start the stream at once. If there is none, it
+// returns nil and the stream waits.
 func (r *round) engine(w *waiter, rng func(int) int) *server {
 	if e := r.cached(w); e != nil {
 		return e
 	}
-	able, candidates := r.v.able[:0], r.v.candidates[:0]
+	eligible, candidates := r.v.eligible[:0], r.v.candidates[:0]
 	for _, e := range r.free() {
-		if r.takes(e, w) && r.fits(e, w) {
-			able, candidates = append(able, e), append(candidates, r.candidate(e, w))
+		if r.accepts(e, w) && r.fits(e, w) {
+			eligible, candidates = append(eligible, e), append(candidates, r.candidate(e, w))
 		}
 	}
-	r.v.able, r.v.candidates = able, candidates
+	r.v.eligible, r.v.candidates = eligible, candidates
 	i := placement.Engine(candidates, w.Need, rng)
 	if i < 0 {
 		r.reserve(w)
 		return nil
 	}
-	return able[i]
+	return eligible[i]
 }
 
-// cached is the engine that has kept the stream's prompt, if there is room for the run
-// there. That it reads another prompt is no matter: there is nothing to be read.
+// cached returns the engine that caches the stream's prompt, if it has room for the run.
+// It may be prefilling another prompt, since this one needs no prefill.
 func (r *round) cached(w *waiter) *server {
 	for _, e := range r.servers {
-		if e.ID == w.Cached && r.takes(e, w) && r.fits(e, w) {
+		if e.ID == w.Cached && r.accepts(e, w) && r.fits(e, w) {
 			return e
 		}
 	}
 	return nil
 }
 
-// any reports whether some engine may take a stream, however long it waits.
-func (r *round) any(w *waiter) bool {
-	return slices.ContainsFunc(r.servers, func(e *server) bool { return r.takes(e, w) })
+// anyAccepts reports whether some engine may run the stream, now or later.
+func (r *round) anyAccepts(w *waiter) bool {
+	return slices.ContainsFunc(r.servers, func(e *server) bool { return r.accepts(e, w) })
 }
 
-// takes reports whether an engine may have a stream at all, now or later.
-func (r *round) takes(e *server, w *waiter) bool {
-	return w.of(e) && !slices.Contains(w.Skip, e.ID) && !r.avoids(w, e) && (w.Part == 0 || r.few(w)[e.ID])
+// accepts reports whether an engine may run the stream at all, now or later.
+func (r *round) accepts(e *server, w *waiter) bool {
+	return w.matchesVersion(e) && !slices.Contains(w.Skip, e.ID) && !r.avoids(w, e) && (w.Part == 0 || r.versionSubset(w)[e.ID])
 }
 
-// of reports whether an engine is of the version that may have a stream.
-func (w *waiter) of(e *server) bool { return w.Version == "" || w.Version == e.Version }
+// matchesVersion reports whether an engine is of the version that the stream requires.
+func (w *waiter) matchesVersion(e *server) bool { return w.Version == "" || w.Version == e.Version }
 
-// few are the engines of a version of which a part has all streams. Those that are lost
-// are passed over.
-func (r *round) few(w *waiter) map[string]bool {
-	if out, ok := r.fews[w.Version]; ok {
+// versionSubset returns the IDs of the engines that run all streams of a version that is
+// restricted to a share of its engines. Lost engines are not counted.
+func (r *round) versionSubset(w *waiter) map[string]bool {
+	if out, ok := r.versionSubsets[w.Version]; ok {
 		return out
 	}
 	var ids []string
 	others := 0
 	for _, e := range r.servers {
 		switch {
-		case !w.of(e):
+		case !w.matchesVersion(e):
 			others++
 		case !r.avoids(w, e):
 			ids = append(ids, e.ID)
@@ -133,62 +133,64 @@
 	for _, id := range ids[:min(len(ids), rollout.Few(w.Part, others))] {
 		out[id] = true
 	}
-	if r.fews == nil {
-		r.fews = map[string]map[string]bool{}
+	if r.versionSubsets == nil {
+		r.versionSubsets = map[string]map[string]bool{}
 	}
-	r.fews[w.Version] = out
+	r.versionSubsets[w.Version] = out
 	return out
 }
 
-func (r *round) slowness(e *server) float64 { return e.slowness(r.usual, r.now) }
+func (r *round) slowdown(e *server) float64 { return e.slowdown(r.median, r.now) }
 
 func (r *round) candidate(e *server, w *waiter) placement.Candidate {
 	return placement.Candidate{
-		ID: e.ID, Zone: e.Zone, Slots: e.Slots, KVTokens: w.KVTokens, Use: e.use, Slow: r.slowness(e),
+		ID: e.ID, Zone: e.Zone, Slots: e.Slots, KVTokens: w.KVTokens, Use: e.use, Slow: r.slowdown(e),
 		Far: w.Zone != "" && w.Zone != e.Zone,
 	}
 }
 
-// fits reports whether an engine has memory for a stream's run, and is not so slow that
-// the stream would be late there while another engine may be free in a moment.
+// fits reports whether an engine has memory for the stream's run. It rejects an engine so
+// slow that the stream would be late there, since another may be free soon.
 func (r *round) fits(e *server, w *waiter) bool {
-	share := fullMemory
+	share := maxMemoryShare
 	if w.class == late {
-		share = lateMemory
-	} else if slow := r.slowness(e); slow > 1 && !r.allSlow && r.late(w, slow) {
+		share = lateMemoryShare
+	} else if slow := r.slowdown(e); slow > 1 && !r.allSlow && r.wouldBeLate(w, slow) {
 		return false
 	}
 	return w.KVTokens == 0 || float64(e.use.Tokens+w.Need.Tokens()) <= memoryLimit(share, w)
 }
 
-// memoryLimit is how much of an engine's memory may be taken with a stream's run. One
-// that needs more than the share by itself, and not more than there is, gets an engine
-// that is nearly empty: it would else wait until its time is over.
+// memoryLimit is how many tokens of an engine's memory may be taken once the stream runs
+// there. A run that by itself needs more than the share but not more than the engine has
+// gets an engine that is nearly empty. Otherwise it would wait until its deadline.
 func memoryLimit(share float64, w *waiter) float64 {
 	kv := float64(w.KVTokens)
-	alone := min(kv, float64(w.Need.Tokens())+nearlyEmpty*kv)
+	alone := min(kv, float64(w.Need.Tokens())+nearlyEmptyShare*kv)
 	return max(share*kv, alone)
 }
 
 const (
-	// openReading is how much of other prompts may be left to read on an engine that
-	// gets another: about what a grant and the news of a prompt's end take on their way,
-	// so that short prompts keep an engine busy.
-	openReading = 30 * time.Millisecond
-	// fullMemory is the share of an engine's memory that runs at their full length and
-	// copies may take. Beyond it the engine preempts runs in mid-stream.
-	fullMemory = 0.96
-	// nearlyEmpty is the share of an engine's memory that others may have taken where a
-	// run needs the rest: a copy or a short run.
-	nearlyEmpty = 0.1
-	// maxReserved servers are kept for streams that find no room.
+	// maxPrefillBacklog is how much prefill time may be left on an engine that gets
+	// another prompt. It is about the time that a grant and the report of a finished
+	// prefill take on the network, and keeps engines with short prompts busy.
+	maxPrefillBacklog = 30 * time.Millisecond
+	// maxMemoryShare is the share of an engine's memory that copies and runs at their
+	// full length may take. Beyond it the engine preempts running streams.
+	maxMemoryShare = 0.96
+	// nearlyEmptyShare is the share of an engine's memory that others may occupy if a run
+	// needs the rest: a copy or a short run.
+	nearlyEmptyShare = 0.1
+	// maxReserved is the number of servers that are kept free for streams that find no
+	// room.
 	maxReserved = 1
 )
 
-// late reports whether a stream would begin late on an engine that is slow.
-func (r *round) late(w *waiter, slow float64) bool {
-	took := time.Duration(slow * float64(r.v.pace.reading(w.Need.Prompt)))
-	return r.now.Add(took).After(w.Due)
+// wouldBeLate reports whether a stream would produce its first event late on an engine
+// with this slowdown.
+func (r *round) wouldBeLate(w *waiter, slow float64) bool {
+	prefill := time.Duration(slow * float64(r.v.pace.prefillTime(w.Need.Prompt)))
+	return r.now.Add(prefill).After(w.Due)
 }
 
 // reserve keeps the engine with the most free memory for a stream that finds no room.
@@ -198,65 +200,66 @@
 	}
 	var best *server
 	for _, e := range r.free() {
-		if w.of(e) && !r.avoids(w, e) && (best == nil || e.use.Tokens < best.use.Tokens) {
+		if w.matchesVersion(e) && !r.avoids(w, e) && (best == nil || e.use.Tokens < best.use.Tokens) {
 			best = e
 		}
 	}
 	if best != nil && w.class != late {
 		r.reserved++
-		r.close(best)
+		r.markBusy(best)
 	}
 }
 
-// fastest is the least time that a stream needs from the moment at which an engine
-// begins with it.
-func (r *round) fastest(w *waiter) time.Duration {
-	run := time.Duration(quickRun * r.v.pace.rest(w.After) * float64(r.v.pace.Run))
+// minDuration is the shortest time that a stream needs once an engine starts it.
+func (r *round) minDuration(w *waiter) time.Duration {
+	run := time.Duration(quickRunShare * r.v.pace.remainingShare(w.After) * float64(r.v.pace.Run))
 	if r.cached(w) != nil {
 		return run
 	}
-	return r.v.pace.reading(w.Need.Prompt) + run
+	return r.v.pace.prefillTime(w.Need.Prompt) + run
 }
 
-// hopeless reports whether a stream behind others cannot be served within its time any
-// more, even if the engines do as well as they can: a moment without engines is no
-// reason to refuse what can still be served after it.
-func (r *round) hopeless(w *waiter) bool {
-	wait := time.Duration(float64(r.ahead) / max(r.v.drain.rate(r.now), r.bestRate(w)) * float64(time.Second))
-	return r.now.Add(wait + r.fastest(w)).After(w.Deadline)
+// missesDeadline reports whether a stream cannot be served before its deadline behind the
+// streams ahead of it, even at the highest rate of the engines. It assumes that rate
+// since a short time without engines is no reason to refuse streams that can be served
+// afterwards.
+func (r *round) missesDeadline(w *waiter) bool {
+	wait := time.Duration(float64(r.ahead) / max(r.v.grantTimes.rate(r.now), r.maxStartRate(w)) * float64(time.Second))
+	return r.now.Add(wait + r.minDuration(w)).After(w.Deadline)
 }
 
-// count is how many engines may have a stream by their version.
-func (r *round) count(w *waiter) int {
+// engineCount is how many engines match the version that the stream requires.
+func (r *round) engineCount(w *waiter) int {
 	if w.Version == "" {
 		return len(r.servers)
 	}
 	n := 0
 	for _, e := range r.servers {
-		if w.of(e) {
+		if w.matchesVersion(e) {
 			n++
 		}
 	}
 	return n
 }
 
-// bestRate is how many streams like this one all engines together could begin in a
-// second: one after the other each, and no more than their memory holds.
-func (r *round) bestRate(w *waiter) float64 {
-	reading := r.v.pace.reading(max(1, w.Need.Prompt)).Seconds()
-	servers := r.count(w)
+// maxStartRate is how many streams like this one all engines together could start per
+// second. Each engine starts them one after the other, and only as many as its memory
+// holds.
+func (r *round) maxStartRate(w *waiter) float64 {
+	reading := r.v.pace.prefillTime(max(1, w.Need.Prompt)).Seconds()
+	servers := r.engineCount(w)
 	rate := float64(servers) / reading
 	if w.KVTokens > 0 {
-		hold := reading + quickRun*r.v.pace.Run.Seconds()
+		hold := reading + quickRunShare*r.v.pace.Run.Seconds()
 		rate = min(rate, float64(servers*w.KVTokens)/float64(max(1, w.Need.Tokens()))/hold)
 	}
-	return max(rate, leastRate)
+	return max(rate, minStartRate)
 }
 
 const (
-	// quickRun is the part of the mean time of a run that one takes on an engine that
-	// reads no other prompts meanwhile.
-	quickRun = 0.5
-	// leastRate a second keeps the estimate finite where nothing is known.
-	leastRate = 0.1
+	// quickRunShare is the share of the mean run time that a run takes on an engine that
+	// prefills no other prompts meanwhile.
+	quickRunShare = 0.5
+	// minStartRate, per second, keeps estimates finite while no rate is known.
+	minStartRate = 0.1
 )
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,23 +1,23 @@
-// Package scheduler decides which stream gets which engine next, who waits and who
-// is refused. It is pure: requests, news and the time come in, decisions go out.
+// Package scheduler decides which stream gets which engine next, which streams wait and
+// which are refused. It is pure: requests, reports and the time are inputs, and decisions
+// are outputs.
 //
-// The load pattern. An engine reads one prompt after the other, for a second or so
-// each, and its memory holds some ten runs. Past that a prompt waits in the engine,
-// where nobody can reorder it: those that could still be in time stand behind those
-// that are late already, and so become late as well. At three times the usual load
-// nearly every stream is answered, and nearly none in time. VMs that place without
-// asking one another make it worse: for the time that news takes, all of them turn to
-// the engine that was free.
+// The overload. An engine prefills one prompt after the other, for about a second each,
+// and its memory holds about ten runs. Any further prompt waits in the engine, where the
+// order cannot be changed: prompts that could still be in time wait behind prompts that
+// are already late, and become late as well. At three times the usual load nearly every
+// stream is answered, but nearly none in time. VMs that place streams independently make
+// it worse: until new reports arrive, all of them choose the engine that was free.
 //
-// So one VM at a time decides for all, on what the others told a few milliseconds ago.
-// A stream waits here, not in an engine, until an engine can begin with it at once: no
-// prompt is being read there, and there is memory for the whole run. Engines then never
-// hold a queue, and the order can change until the last moment: see order.go. A stream
-// that cannot be served within its time any more is refused as soon as that is known.
-// Copies get the memory that prompts do not need: see memory.go.
+// Therefore one VM at a time decides for all, based on reports that are a few
+// milliseconds old. A stream waits here and not in an engine until an engine can start it
+// at once: the engine prefills no other prompt and has memory for the whole run. Engines
+// never hold a queue, and the order can change until the last moment: see order.go. A
+// stream that can no longer be served before its deadline is refused as soon as that is
+// known. Backup copies get the memory that prompts do not need: see memory.go.
 //
-// Nothing here is needed for safety. Where two VMs decide at once, or none, streams
-// meet on an engine and wait there.
+// Safety does not depend on this package. If two VMs decide at the same time, or none
+// does, streams meet on an engine and wait there.
 package scheduler
 
 import (
@@ -29,153 +29,160 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/placement"
 )
 
-// Server is an engine as the list of backend servers names it.
+// Server is an engine from the list of backend servers.
 type Server struct {
 	ID      string
 	Service string
 	Zone    string
-	Slots   int // runs and copies at once; 0: not stated
+	Slots   int // concurrent runs and copies; 0: not stated
 	Version string
 }
 
-// Stream asks for an engine.
+// Stream is a stream's request for an engine.
 type Stream struct {
-	ID       string `cbor:"1,keyasint"` // of the request
+	ID       string `cbor:"1,keyasint"` // request ID
 	Service  string `cbor:"2,keyasint"`
-	KVTokens int    `cbor:"3,keyasint,omitempty"` // memory of an engine of the service; 0: not stated
-	// Workspace is whose stream it is.
+	KVTokens int    `cbor:"3,keyasint,omitempty"` // memory of one engine of the service; 0: not stated
+	// Workspace owns the stream.
 	Workspace string         `cbor:"4,keyasint,omitempty"`
 	Need      placement.Need `cbor:"5,keyasint"`
-	Priority  int            `cbor:"6,keyasint,omitempty"` // 0 is the first
-	// Interrupted: its caller has a part of the answer, and sees it stand still.
+	Priority  int            `cbor:"6,keyasint,omitempty"` // 0 is served first
+	// Interrupted is set if the caller has received a part of the answer and waits for
+	// the rest.
 	Interrupted bool     `cbor:"7,keyasint,omitempty"`
-	Skip        []string `cbor:"8,keyasint,omitempty"` // engines that refused it, or that it lost
-	// WantsCopy: a copy of the run's memory in another zone can be used.
+	Skip        []string `cbor:"8,keyasint,omitempty"` // engines that refused or lost it
+	// WantsCopy is set if a backup copy of the run's memory in another zone can be used.
 	WantsCopy bool `cbor:"9,keyasint,omitempty"`
-	// Cached is the engine that has probably kept the prompt; empty: none is known.
+	// CachedEngine probably still caches the prompt; empty: unknown.
 	Cached string `cbor:"10,keyasint,omitempty"`
-	// After is how many events its caller has.
+	// EventsReceived is how many events the caller has received.
 	After int `cbor:"11,keyasint,omitempty"`
-	// Version of the engines that may have it, and its copy; empty: any. Part of them, by
-	// id, has all such streams; 0: all of them.
+	// Version restricts the stream and its copy to engines of that version; empty: any
+	// version. VersionShare restricts all such streams to that share of these engines,
+	// chosen by ID; 0: all of them.
 	Version string  `cbor:"12,keyasint,omitempty"`
 	Part    float64 `cbor:"13,keyasint,omitempty"`
-	// Zone of the VM that carries it; empty: not stated.
+	// Zone is the zone of the VM that relays the stream; empty: not stated.
 	Zone string `cbor:"14,keyasint,omitempty"`
 
-	// Not encoded: a VM is known by its connection, and its clock is its own.
-	VM            string    `cbor:"-"` // that carries it
+	// Not encoded: a VM is identified by its connection, and deadlines are on the local
+	// clock.
+	VM            string    `cbor:"-"` // relays the stream
 	Due, Deadline time.Time `cbor:"-"`
 }
 
-// Outcome of a decision.
+// Outcome is the result of a decision.
 type Outcome uint8
 
-// Outcomes.
+// The outcomes.
 const (
 	Waiting  Outcome = iota
-	Granted          // the stream is to be sent to Server now
-	Refused          // it cannot be served within its time
-	NoServer         // no engine of the service is known that may take it
-	TooLarge         // no engine's memory holds it
+	Granted          // the stream must be sent to Server now
+	Refused          // it cannot be served before its deadline
+	NoServer         // no known engine of the service may take it
+	TooLarge         // it exceeds the memory of every engine
 )
 
-// Decision is what becomes of a stream.
+// Decision is the outcome for one waiting stream.
 type Decision struct {
 	Stream *Stream
 	Answer
 }
 
-// Answer is what a stream's VM is told of the decision.
+// Answer is the part of a Decision that is sent to the stream's VM.
 type Answer struct {
 	Outcome Outcome `cbor:"1,keyasint"`
-	// Number of a grant, growing; the VM names the last that it acted on.
+	// Number identifies a grant and increases with each grant. A VM reports the last
+	// number that it acted on.
 	Number uint64 `cbor:"2,keyasint,omitempty"`
 	Server string `cbor:"3,keyasint,omitempty"`
-	Keeper string `cbor:"4,keyasint,omitempty"` // of the copy; empty: none is to be kept now
-	// RetryAfter of a refusal.
+	Keeper string `cbor:"4,keyasint,omitempty"` // keeps the backup copy; empty: no copy for now
+	// RetryAfter is set with Refused.
 	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Report is what a VM tells of itself.
+// Report is what a VM reports about its own streams and about the engines.
 type Report struct {
-	Use map[string]placement.Use // of engines, all that it has running
-	// Taken is the number of the last grant that Use includes.
+	Use map[string]placement.Use // by engine, of everything that the VM runs
+	// LastGrant is the number of the last grant that Usage includes.
 	Taken uint64
-	// Avoid names engines that it cannot use now, as it found itself; Doubt those that
-	// it takes for lost with their neighbours; Alive those that it heard just now.
+	// Avoid lists engines that the VM found unusable itself. Suspected lists engines that
+	// it suspects because their neighbors failed. Alive lists engines that it heard from
+	// just now.
 	Avoid, Doubt, Alive []string
-	// Paces are what it observed of each service's engines.
+	// Paces holds what the VM measured on the engines of each service.
 	Paces map[string]Pace
 }
 
 const (
-	// grantFor is how long a grant counts that its VM has not told of. A VM tells at
-	// once; one that is gone must not hold an engine.
-	grantFor = 700 * time.Millisecond
-	// askedFor is how long a stream waits whose VM does not ask for it again.
-	askedFor = 2500 * time.Millisecond
-	// lookEvery is how often all streams that wait are gone through while no engine is
-	// free: only their time can run out. News of engines come hundreds of times a second.
-	lookEvery = 20 * time.Millisecond
-	// maxWaiting streams: beyond it they are refused. Several seconds of the most that
-	// the engines of a large deployment begin.
+	// grantTTL is how long a grant counts that its VM has not confirmed. A VM confirms at
+	// once, and one that has died must not occupy an engine.
+	grantTTL = 700 * time.Millisecond
+	// waiterTTL is how long a stream waits after its VM last asked for it.
+	waiterTTL = 2500 * time.Millisecond
+	// rescanInterval is how often all waiting streams are examined while no engine is
+	// free. Until then only their deadlines can pass, but reports about engines arrive
+	// hundreds of times a second.
+	rescanInterval = 20 * time.Millisecond
+	// maxWaiting is the number of waiting streams beyond which new ones are refused. It
+	// corresponds to several seconds of the highest start rate of a large deployment.
 	maxWaiting = 4096
 )
 
-// Scheduler is the state of one VM that decides. It is not safe for concurrent use.
+// Scheduler is the scheduling state of one VM. It is not safe for concurrent use.
 type Scheduler struct {
-	rng      func(n int) int
-	opinions map[string]*opinions // of engines, listed or not
-	servers  map[string]*server
-	services map[string]*service
-	vms      map[string]*vm
-	grants   []grant
-	number   uint64
+	rng        func(n int) int
+	suspicions map[string]*suspicionCounts // by engine, listed or not
+	servers    map[string]*server
+	services   map[string]*service
+	vms        map[string]*vm
+	grants     []grant
+	number     uint64
 }
 
 type server struct {
 	Server
-	use      placement.Use // of all VMs, grants that were not told of included
-	opinions *opinions
-	// aliveAt is when a VM last said that it had heard it.
+	use        placement.Use // of all VMs, including unconfirmed grants
+	suspicions *suspicionCounts
+	// aliveAt is when a VM last reported that it had heard from the engine.
 	aliveAt time.Time
 
-	reading reading
+	prefill prefill
 	speed   speed
 }
 
 type service struct {
 	servers []*server
 	waiting []*waiter
-	// kvTokens is the memory of an engine as the last stream stated it; 0: not known.
-	kvTokens int
-	pace     Pace
-	demand   demand
-	drain    drain
-	flows    map[string]*flow // by workspace
-	// usual is the median speed, kept for a moment.
-	usual speed
-	// able and candidates are kept from one choice to the next, for their memory.
-	able       []*server
+	// kvTokens is the memory of one engine as the last stream stated it; 0: unknown.
+	kvTokens   int
+	pace       Pace
+	demand     demand
+	grantTimes eventTimes
+	flows      map[string]*flow // by workspace
+	// median caches the median speed for medianTTL.
+	median speed
+	// eligible and candidates are reused between choices to avoid allocations.
+	eligible   []*server
 	candidates []placement.Candidate
-	// looked is when all that wait were last gone through.
-	looked time.Time
-	// yields: the last grant went to an interrupted stream, the next is for a new one.
-	yields bool
+	// rescannedAt is when all waiting streams were last examined.
+	rescannedAt time.Time
+	// newStreamNext is set after a grant to an interrupted stream: the next grant goes to
+	// a new stream.
+	newStreamNext bool
 }
 
 type vm struct {
-	report Report
-	at     time.Time
-	counts bool // its opinions
+	report  Report
+	at      time.Time
+	counted bool // its report is included in Scheduler.suspicions
 }
 
 type waiter struct {
 	Stream
 	since   time.Time
 	askedAt time.Time
-	class   class // as of the last time that those who wait were put in order
+	class   class // as of the last call of order
 }
 
 type grant struct {
@@ -190,12 +197,13 @@
 	use    placement.Use
 }
 
-// New returns a Scheduler that knows no servers. rng draws from [0, n).
+// New returns a Scheduler without servers. rng returns a random number in [0, n); nil
+// stands for rand.IntN.
 func New(rng func(n int) int) *Scheduler {
 	if rng == nil {
 		rng = rand.IntN
 	}
-	return &Scheduler{rng: rng, opinions: map[string]*opinions{}, servers: map[string]*server{}, services: map[string]*service{}, vms: map[string]*vm{}}
+	return &Scheduler{rng: rng, suspicions: map[string]*suspicionCounts{}, servers: map[string]*server{}, services: map[string]*service{}, vms: map[string]*vm{}}
 }
 
 func (s *Scheduler) service(name string) *service {
@@ -207,28 +215,29 @@
 	return v
 }
 
-// SetServers takes the servers that may get new work.
+// SetServers replaces the list of servers that may receive new work.
 func (s *Scheduler) SetServers(list []Server) {
 	former := s.servers
 	s.servers = make(map[string]*server, len(list))
 	for _, v := range s.services {
 		v.servers = v.servers[:0]
 	}
-	for _, row := range list {
-		known := former[row.ID]
+	for _, listed := range list {
+		known := former[listed.ID]
 		if known == nil {
-			known = &server{use: s.useOf(row.ID), opinions: s.opinionsOf(row.ID)}
+			known = &server{use: s.usageOf(listed.ID), suspicions: s.suspicionsOf(listed.ID)}
 		}
-		known.Server = row
-		s.servers[row.ID] = known
-		v := s.service(row.Service)
+		known.Server = listed
+		s.servers[listed.ID] = known
+		v := s.service(listed.Service)
 		v.servers = append(v.servers, known)
 	}
-	maps.DeleteFunc(s.opinions, func(id string, o *opinions) bool { return s.servers[id] == nil && o.avoid+o.doubt == 0 })
+	maps.DeleteFunc(s.suspicions, func(id string, o *suspicionCounts) bool { return s.servers[id] == nil && o.avoiding+o.suspecting == 0 })
 }
 
-// useOf sums what is known of a server that was not on the list.
-func (s *Scheduler) useOf(id string) placement.Use {
+// usageOf sums the reported usage and the unconfirmed grants of a server that was not
+// listed.
+func (s *Scheduler) usageOf(id string) placement.Use {
 	var sum placement.Use
 	for _, v := range s.vms {
 		sum = sum.Add(v.report.Use[id])
@@ -243,13 +252,13 @@
 	return sum
 }
 
-func (s *Scheduler) add(id string, u placement.Use) {
+func (s *Scheduler) addUsage(id string, u placement.Use) {
 	if v := s.servers[id]; v != nil {
 		v.use = v.use.Add(u)
 	}
 }
 
-// Told takes what a VM tells of itself in place of what it told before.
+// ReceiveReport replaces the previous report of a VM.
 func (s *Scheduler) Told(name string, r Report, now time.Time) {
 	v := s.vms[name]
 	if v == nil {
@@ -257,38 +266,39 @@
 		s.vms[name] = v
 	}
 	for id, u := range v.report.Use {
-		s.add(id, u.Negative())
+		s.addUsage(id, u.Negative())
 	}
 	for id, u := range r.Use {
-		s.add(id, u)
+		s.addUsage(id, u)
 	}
 	former := v.report.Use
-	// The new word first: an engine that is doubted before and after is doubted on.
-	s.countOpinions(&r, 1, now)
-	s.dropWord(v, now)
-	v.report, v.at, v.counts = r, now, true
-	s.noteAlive(r.Alive, now)
+	// The new report is counted before the old one is removed: an engine that both
+	// suspect keeps the time of its first suspicion.
+	s.countSuspicions(&r, 1, now)
+	s.uncountReport(v, now)
+	v.report, v.at, v.counted = r, now, true
+	s.recordAlive(r.Alive, now)
 	for name, p := range r.Paces {
 		s.service(name).pace.learn(p)
 	}
 	s.dropGrants(func(g *grant) bool { return g.vm == name && g.number <= r.Taken })
 	for id := range former {
 		if e := s.servers[id]; e != nil {
-			e.endReading(now)
+			e.endPrefill(now)
 		}
 	}
 }
 
-// Forget drops a VM that is not heard any more.
+// Forget removes a VM that is no longer heard from, with its grants and waiting streams.
 func (s *Scheduler) Forget(name string) {
 	v := s.vms[name]
 	if v == nil {
 		return
 	}
 	for id, u := range v.report.Use {
-		s.add(id, u.Negative())
+		s.addUsage(id, u.Negative())
 	}
-	s.dropWord(v, v.at)
+	s.uncountReport(v, v.at)
 	delete(s.vms, name)
 	s.dropGrants(func(g *grant) bool { return g.vm == name })
 	for _, v := range s.services {
@@ -305,13 +315,14 @@
 			continue
 		}
 		for _, u := range g.uses {
-			s.add(u.server, u.use.Negative())
+			s.addUsage(u.server, u.use.Negative())
 		}
 	}
 	s.grants = kept
 }
 
-// Ask has a stream wait for an engine. One that waits already keeps its place.
+// Enqueue adds a stream to those that wait for an engine. One that waits already is
+// renewed and keeps its position.
 func (s *Scheduler) Ask(st Stream, now time.Time) {
 	v := s.service(st.Service)
 	v.kvTokens = st.KVTokens
@@ -321,12 +332,12 @@
 			return
 		}
 	}
-	v.demand.note(now, st.Need.Tokens())
-	v.noteFlow(st.Workspace, now)
+	v.demand.add(now, st.Need.Tokens())
+	v.recordArrival(st.Workspace, now)
 	v.waiting = append(v.waiting, &waiter{Stream: st, since: now, askedAt: now})
 }
 
-// Waits reports whether streams wait.
+// HasWaiting reports whether any stream waits.
 func (s *Scheduler) Waits() bool {
 	for _, v := range s.services {
 		if len(v.waiting) > 0 {
@@ -336,13 +347,13 @@
 	return false
 }
 
-// Run decides about all streams that can be decided now.
+// Run returns a decision for each stream that can be granted or refused now.
 func (s *Scheduler) Run(now time.Time) []Decision {
-	s.dropGrants(func(g *grant) bool { return now.Sub(g.at) > grantFor })
+	s.dropGrants(func(g *grant) bool { return now.Sub(g.at) > grantTTL })
 	h := s.health(now)
 	var out []Decision
 	for _, v := range s.services {
-		v.waiting = slices.DeleteFunc(v.waiting, func(w *waiter) bool { return now.Sub(w.askedAt) > askedFor })
+		v.waiting = slices.DeleteFunc(v.waiting, func(w *waiter) bool { return now.Sub(w.askedAt) > waiterTTL })
 		if len(v.waiting) > 0 {
 			out = append(out, s.serve(v, h, now)...)
 		}
@@ -350,14 +361,14 @@
 	return out
 }
 
-// serve grants what can be granted of one service, in order, and refuses what cannot
-// be served any more.
+// serve grants engines to the waiting streams of one service in order, and refuses those
+// that can no longer be served.
 func (s *Scheduler) serve(v *service, h health, now time.Time) []Decision {
 	round := newRound(v, s.vms, h, now)
-	if len(round.free()) == 0 && now.Sub(v.looked) < lookEvery {
+	if len(round.free()) == 0 && now.Sub(v.rescannedAt) < rescanInterval {
 		return nil
 	}
-	v.looked = now
+	v.rescannedAt = now
 	var out []Decision
 	for _, w := range v.order(now) {
 		d := s.decide(w, round)
@@ -379,8 +390,8 @@
 		d.Outcome = TooLarge
 		return d
 	}
-	if left := w.Deadline.Sub(r.now); r.fastest(w) > left {
-		// Its caller's time is over before it is of any use to come again.
+	if left := w.Deadline.Sub(r.now); r.minDuration(w) > left {
+		// Its deadline passes before a retry could succeed.
 		d.Outcome, d.RetryAfter = Refused, min(max(left, minRetryAfter), maxRetryAfter)
 		return d
 	}
@@ -388,9 +399,9 @@
 	switch {
 	case e != nil:
 		s.grant(w, r, e, &d)
-	case !r.any(w):
+	case !r.anyAccepts(w):
 		d.Outcome = NoServer
-	case r.ahead >= maxWaiting || r.hopeless(w):
+	case r.ahead >= maxWaiting || r.missesDeadline(w):
 		d.Outcome, d.RetryAfter = Refused, r.retryAfter(w, s.rng)
 	default:
 		r.ahead++
@@ -398,26 +409,26 @@
 	return d
 }
 
-// grant gives a stream its engine and, where memory allows, a copy its keeper.
+// grant assigns an engine to a stream and, if memory allows, a backup engine to its copy.
 func (s *Scheduler) grant(w *waiter, r *round, e *server, d *Decision) {
 	s.number++
 	run := placement.Use{Requests: 1, Tokens: w.Need.Tokens(), Prompt: w.Need.Prompt}
 	g := grant{vm: w.VM, number: s.number, at: r.now, uses: []serverUse{{e.ID, run}}}
 	d.Outcome, d.Number, d.Server = Granted, s.number, e.ID
 	if w.WantsCopy {
-		if k := r.keeper(w, e, s.rng); k != nil {
+		if k := r.backupEngine(w, e, s.rng); k != nil {
 			d.Keeper = k.ID
 			g.uses = append(g.uses, serverUse{k.ID, placement.CopyUse(w.Need)})
 		}
 	}
-	e.beginReading(w.Need.Prompt, r.now)
+	e.beginPrefill(w.Need.Prompt, r.now)
 	for _, u := range g.uses {
-		s.add(u.server, u.use)
+		s.addUsage(u.server, u.use)
 	}
 	s.grants = append(s.grants, g)
-	if !r.mayBegin(e) {
-		r.close(e)
+	if !r.canBegin(e) {
+		r.markBusy(e)
 	}
-	r.v.drain.note(r.now)
-	r.v.yields = w.Interrupted
+	r.v.grantTimes.add(r.now)
+	r.v.newStreamNext = w.Interrupted
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -12,7 +12,7 @@
 var (
 	longPrompt = placement.Need{Prompt: 8000, Output: 600}
 	usualLoad  = load{6, 4 * time.Second}
-	// overload is nearly four times the usual load, for longer than a run takes.
+	// overload is nearly four times the usual load and lasts longer than a run.
 	overload = load{22, 25 * time.Second}
 )
 
@@ -21,10 +21,10 @@
 	deadline  = 25 * time.Second
 )
 
-// The callers of nearly four times the usual load see their first event late where each
-// VM places at once: prompts queue in the engines, in-time behind late ones. In order:
-// the load rises for 25 seconds; engines read as fast as they can; what cannot be in
-// time any more waits behind what can. So as many are in time as the engines can begin.
+// At nearly four times the usual load, prompts queue in the engines if each VM places its
+// streams at once, and those that could be in time wait behind late ones. With the
+// scheduler, streams that can no longer be in time wait behind those that can, and as
+// many are in time as the engines can start.
 func TestOverloadIsServedInTime(t *testing.T) {
 	seeds := uint64(3)
 	if testing.Short() {
@@ -36,16 +36,16 @@
 		waiting := newSim(seed, 8, 10, usualTraits).schedule()
 		waiting.play(longPrompt, objective, deadline, usualLoad, overload, usualLoad)
 		if a, w := atOnce.inTime(), waiting.inTime(); w < 0.75 || w < a+0.3 {
-			t.Errorf("seed %d: %.2f in time placed at once, %.2f scheduled", seed, a, w)
+			t.Errorf("seed %d: %.2f in time placed at once, %.2f scheduled; want 0.75 or more, and 0.3 above placed at once", seed, a, w)
 		}
 	}
 }
 
-// The load of a large deployment: 70 VMs that know one another's runs by news that is
-// half a second old send a burst to 120 engines within one round of it. At once, they
-// meet on the engines that were free; scheduled, no engine reads two prompts while
-// another reads none.
-func TestBurstWithinOneRoundOfNews(t *testing.T) {
+// In a large deployment, 70 VMs that know one another's runs from reports half a second
+// old send a burst to 120 engines within one report interval. Placed at once, their
+// streams meet on the engines that were free. With the scheduler, no engine prefills two
+// prompts while another is idle.
+func TestBurstWithinOneReportInterval(t *testing.T) {
 	burst := load{250, 300 * time.Millisecond}
 	quiet := load{30, 3 * time.Second}
 	atOnce := newSim(1, 40, 70, usualTraits)
@@ -53,19 +53,19 @@
 	scheduled := newSim(1, 40, 70, usualTraits).schedule()
 	scheduled.play(longPrompt, 2*time.Second, deadline, quiet, burst)
 	if a, w := atOnce.inTime(), scheduled.inTime(); w < 0.9 || w < a+0.05 {
-		t.Errorf("%.2f in time placed at once, %.2f scheduled", a, w)
+		t.Errorf("%.2f in time placed at once, %.2f scheduled; want 0.9 or more, and 0.05 above placed at once", a, w)
 	}
 }
 
-// Callers under overload pay for copies of others' runs with their own time.
-// In order: every run has a copy while memory is free; the load rises; no more copies
-// are made, and prompts get the memory. Almost as many are in time as without copies.
-func TestCopiesTakeWhatPromptsLeave(t *testing.T) {
+// Under overload, backup copies take memory that prompts need. Every run has a copy while
+// memory is free. Once the load rises, no more copies are made, and almost as many
+// streams are in time as without copies.
+func TestCopiesUseOnlySpareMemory(t *testing.T) {
 	calm := newSim(1, 8, 10, usualTraits).schedule()
 	calm.wantsCopy = true
 	calm.play(longPrompt, objective, deadline, load{6, 15 * time.Second})
 	if calm.copied < len(calm.runs) {
-		t.Errorf("%d of %d runs had a copy at the usual load", calm.copied, len(calm.runs))
+		t.Errorf("%d of %d runs had a copy at the usual load, want all", calm.copied, len(calm.runs))
 	}
 	full := newSim(1, 8, 10, usualTraits).schedule()
 	full.wantsCopy = true
@@ -73,12 +73,13 @@
 	without := newSim(1, 8, 10, usualTraits).schedule()
 	without.play(longPrompt, objective, deadline, usualLoad, overload, usualLoad)
 	if c, w := full.inTime(), without.inTime(); c < w-0.1 {
-		t.Errorf("%.2f in time with copies, %.2f without", c, w)
+		t.Errorf("%.2f in time with copies, %.2f without; want at most 0.1 less", c, w)
 	}
 }
 
-// What describes an engine is observed: engines four times as fast or slow, with a fifth
-// and five times the memory, serve a load that fills them equally well.
+// The properties of an engine are measured, not configured: engines four times as fast or
+// slow, or with a fifth or five times the memory, serve a load that fills them equally
+// well.
 func TestEnginesOfAnyPaceAndSize(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -104,14 +105,14 @@
 			s := newSim(1, 8, 10, traits).schedule()
 			s.play(need, time.Duration(float64(objective)/tt.pace), deadline, span(usualLoad, 1), span(overload, 0.6), span(usualLoad, 1))
 			if got := s.inTime(); got < tt.expected {
-				t.Errorf("%.2f in time", got)
+				t.Errorf("%.2f in time, want 0.8 or more", got)
 			}
 		})
 	}
 }
 
-// book is a Scheduler with engines in three zones.
-func book(perZone int) *Scheduler {
+// newTestScheduler returns a Scheduler with engines in three zones.
+func newTestScheduler(perZone int) *Scheduler {
 	s := New(func(int) int { return 0 })
 	var servers []Server
 	for _, zone := range []string{"a", "b", "c"} {
@@ -130,7 +131,7 @@
 	}
 }
 
-// decisions by request id.
+// decisions indexes decisions by request ID.
 func decisions(ds []Decision) map[string]Decision {
 	out := map[string]Decision{}
 	for _, d := range ds {
@@ -140,7 +141,7 @@
 }
 
 func TestEngineReadsOnePromptAtATime(t *testing.T) {
-	s, now := book(1), time.Unix(0, 0)
+	s, now := newTestScheduler(1), time.Unix(0, 0)
 	for _, id := range []string{"1", "2", "3", "4"} {
 		s.Ask(stream(id, now), now)
 	}
@@ -149,17 +150,17 @@
 	for _, d := range got {
 		used[d.Server] = true
 		if d.Keeper == "" || d.Keeper[0] == d.Server[0] {
-			t.Errorf("copy of a run on %s at %q", d.Server, d.Keeper)
+			t.Errorf("got the copy of a run on %s at %q, want an engine in another zone", d.Server, d.Keeper)
 		}
 	}
 	if len(got) != 3 || len(used) != 3 || !s.Waits() {
-		t.Fatalf("decided %v", got)
+		t.Fatalf("got decisions %v, want three streams on three engines and one waiting", got)
 	}
 	s.Told("vm", Report{Taken: 3, Use: map[string]placement.Use{
 		"a0": {Requests: 1, Tokens: 8600, Prompt: 8000}, "b0": {Requests: 1, Tokens: 8600}, "c0": {Requests: 1, Tokens: 8600, Prompt: 8000},
 	}}, now)
 	if got := decisions(s.Run(now)); got["4"].Server != "b0" {
-		t.Errorf("once b0 has read its prompt: %v", got)
+		t.Errorf("got %v once b0 has prefilled its prompt, want stream 4 on b0", got)
 	}
 }
 
@@ -177,7 +178,7 @@
 		at("urgent", func(st *Stream) { st.Due, st.Priority = now.Add(4*time.Second), -1 }),
 		at("interrupted", func(st *Stream) { st.Due, st.Interrupted = now.Add(-time.Second), true }),
 	}
-	s := book(0)
+	s := newTestScheduler(0)
 	for _, st := range streams {
 		s.Ask(st, now)
 	}
@@ -190,18 +191,19 @@
 	}
 	want := []string{"interrupted", "urgent", "due first", "due last", "late"}
 	if got := order(); !slices.Equal(got, want) {
-		t.Errorf("order %v", got)
+		t.Errorf("got order %v, want interrupted, urgent, due first, due last, late", got)
 	}
-	v.yields = true
+	v.newStreamNext = true
 	if got := order()[0]; got != "urgent" {
-		t.Errorf("after an interrupted one: %v", got)
+		t.Errorf("got %v after an interrupted stream, want urgent", got)
 	}
 }
 
-// A prompt that needs most of an engine's memory waits for room. Smaller ones that are
-// due later come all the time: were they let past, it would be late each time.
-func TestLargePromptIsNotPassedForever(t *testing.T) {
-	s, now := book(1), time.Unix(0, 0)
+// A prompt that needs most of an engine's memory waits for room, while smaller prompts
+// that are due later keep arriving. If they were served first, the large one would never
+// find room and always be late.
+func TestLargePromptIsNotStarved(t *testing.T) {
+	s, now := newTestScheduler(1), time.Unix(0, 0)
 	half := placement.Use{Requests: 4, Tokens: 50_000}
 	s.Told("other", Report{Use: map[string]placement.Use{"a0": {Requests: 3, Tokens: 40_000}, "b0": half, "c0": half}}, now)
 	large := stream("large", now)
@@ -216,7 +218,7 @@
 	large.Due = now.Add(30 * time.Second)
 	for _, d := range s.Run(now) {
 		if d.Server == "a0" {
-			t.Errorf("%s got the engine that is kept for the large prompt", d.Stream.ID)
+			t.Errorf("stream %s got the engine a0, want it kept for the large prompt", d.Stream.ID)
 		}
 	}
 }
@@ -230,21 +232,21 @@
 		use     placement.Use
 		want    Outcome
 	}{
-		{"free", 1, func(*Stream) {}, placement.Use{}, Granted},
-		{"none", 0, func(*Stream) {}, placement.Use{}, NoServer},
-		{"all skipped", 1, func(st *Stream) { st.Skip = []string{"a0", "b0", "c0"} }, placement.Use{}, NoServer},
+		{"free engine", 1, func(*Stream) {}, placement.Use{}, Granted},
+		{"no engine", 0, func(*Stream) {}, placement.Use{}, NoServer},
+		{"all engines excluded", 1, func(st *Stream) { st.Skip = []string{"a0", "b0", "c0"} }, placement.Use{}, NoServer},
 		{"larger than any engine", 1, func(st *Stream) { st.Need.Prompt = 90_000 }, placement.Use{}, TooLarge},
-		{"memory is taken", 1, func(*Stream) {}, placement.Use{Requests: 9, Tokens: 80_000}, Waiting},
-		{"no slot", 1, func(*Stream) {}, placement.Use{Requests: 64}, Waiting},
-		{"late, and little memory", 1, func(st *Stream) { st.Due = now }, placement.Use{Requests: 6, Tokens: 60_000}, Waiting},
-		{"late, and larger than late ones may be", 1, func(st *Stream) { st.Due, st.Need.Prompt = now, 75_000 }, placement.Use{Tokens: 8_000}, Granted},
-		{"nearly the whole memory", 1, func(st *Stream) { st.Need.Prompt = 87_000 }, placement.Use{}, Granted},
-		{"late, and memory", 1, func(st *Stream) { st.Due = now }, placement.Use{Requests: 4, Tokens: 40_000}, Granted},
-		{"no time left to be served", 1, func(st *Stream) { st.Deadline = now.Add(100 * time.Millisecond) }, placement.Use{Requests: 9, Tokens: 80_000}, Refused},
+		{"no memory left", 1, func(*Stream) {}, placement.Use{Requests: 9, Tokens: 80_000}, Waiting},
+		{"no free slot", 1, func(*Stream) {}, placement.Use{Requests: 64}, Waiting},
+		{"late, little memory left", 1, func(st *Stream) { st.Due = now }, placement.Use{Requests: 6, Tokens: 60_000}, Waiting},
+		{"late, larger than the share for late streams", 1, func(st *Stream) { st.Due, st.Need.Prompt = now, 75_000 }, placement.Use{Tokens: 8_000}, Granted},
+		{"needs nearly the whole memory", 1, func(st *Stream) { st.Need.Prompt = 87_000 }, placement.Use{}, Granted},
+		{"late, enough memory left", 1, func(st *Stream) { st.Due = now }, placement.Use{Requests: 4, Tokens: 40_000}, Granted},
+		{"deadline too close", 1, func(st *Stream) { st.Deadline = now.Add(100 * time.Millisecond) }, placement.Use{Requests: 9, Tokens: 80_000}, Refused},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := book(tt.servers)
+			s := newTestScheduler(tt.servers)
 			s.Told("other", Report{Use: map[string]placement.Use{"a0": tt.use, "b0": tt.use, "c0": tt.use}}, now)
 			st := stream("1", now)
 			tt.change(&st)
@@ -254,14 +256,14 @@
 				t.Errorf("outcome %d, want %d", d.Outcome, tt.want)
 			}
 			if d.Outcome == Refused && (d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter) {
-				t.Errorf("retry after %v", d.RetryAfter)
+				t.Errorf("got retry after %v, want 200ms to 10s", d.RetryAfter)
 			}
 		})
 	}
 }
 
-// A VM is told "granted" and dies before it sends anything. Its grant must not hold the
-// engine: it expires, and goes at once where the VM is known to be gone.
+// A VM gets a grant and dies before it sends anything. The grant must not occupy the
+// engine: it expires, and is removed at once when the VM is known to be gone.
 func TestGrantsOfLostVMs(t *testing.T) {
 	now := time.Unix(0, 0)
 	free := func(s *Scheduler, now time.Time) bool {
@@ -269,7 +271,7 @@
 		return decisions(s.Run(now))["next"].Outcome == Granted
 	}
 	grantAll := func() *Scheduler {
-		s := book(1)
+		s := newTestScheduler(1)
 		for _, id := range []string{"1", "2", "3"} {
 			s.Ask(stream(id, now), now)
 		}
@@ -277,24 +279,25 @@
 		return s
 	}
 	if s := grantAll(); free(s, now) {
-		t.Error("a granted engine was granted again")
+		t.Error("an engine was granted twice, want one unconfirmed grant to occupy it")
 	}
-	if s := grantAll(); !free(s, now.Add(grantFor+time.Millisecond)) {
-		t.Error("a grant that was never told of does not expire")
+	if s := grantAll(); !free(s, now.Add(grantTTL+time.Millisecond)) {
+		t.Error("an unconfirmed grant did not expire after its TTL")
 	}
 	s := grantAll()
 	s.Told("vm", Report{}, now)
 	s.Forget("vm")
 	if !free(s, now) {
-		t.Error("the grants of a VM that is gone are kept")
+		t.Error("the grants of a removed VM still occupy engines")
 	}
 }
 
-// A quarter of the engines goes dark, two in each zone, and each VM takes all zones for
-// lost. The engines that some VM hears are used again as soon as it says so; those of a
-// zone that is lost are not, though a VM heard them just before they died.
-func TestDoubtEndsWhereSomebodyHearsTheEngine(t *testing.T) {
-	s, now := book(2), time.Unix(0, 0)
+// A quarter of the engines fails, two in each zone, and each VM suspects all zones.
+// Engines that some VM hears from must be used again as soon as it reports them. The
+// engines of a lost zone must not be used, although a VM heard from them just before they
+// failed.
+func TestSuspicionEndsOnceAnyVMHearsTheEngine(t *testing.T) {
+	s, now := newTestScheduler(2), time.Unix(0, 0)
 	all := []string{"a0", "a1", "b0", "b1", "c0", "c1"}
 	usable := func(now time.Time) int {
 		v := s.services["models"]
@@ -303,69 +306,70 @@
 	s.Told("vm1", Report{Doubt: all}, now)
 	s.Told("vm2", Report{Doubt: all}, now)
 	if n := usable(now); n != 0 {
-		t.Errorf("%d usable while two VMs doubt them", n)
+		t.Errorf("got %d usable engines while two VMs suspect all, want 0", n)
 	}
-	s.Told("vm3", Report{Alive: []string{"a0"}}, now.Add(aliveDelay/2))
-	if n := usable(now.Add(aliveDelay / 2)); n != 0 {
-		t.Errorf("%d usable by news from before", n)
+	s.Told("vm3", Report{Alive: []string{"a0"}}, now.Add(maxAliveDelay/2))
+	if n := usable(now.Add(maxAliveDelay / 2)); n != 0 {
+		t.Errorf("got %d usable engines after an Alive report from before the suspicion, want 0", n)
 	}
-	later := now.Add(aliveDelay + time.Millisecond)
+	later := now.Add(maxAliveDelay + time.Millisecond)
 	s.Told("vm3", Report{Alive: []string{"a0", "b1"}}, later)
 	if n := usable(later); n != 2 {
-		t.Errorf("%d usable, two are heard", n)
+		t.Errorf("got %d usable engines after an Alive report of two, want 2", n)
 	}
 	s.Told("vm4", Report{Avoid: []string{"a0"}}, later)
 	s.Told("vm5", Report{Avoid: []string{"a0"}}, later)
 	if n := usable(later); n != 1 {
-		t.Errorf("%d usable once two VMs found one dead", n)
+		t.Errorf("got %d usable engines after two VMs avoid one of two, want 1", n)
 	}
 }
 
-// One VM has lost its own link to a zone. Its streams go elsewhere; the others' do not.
-func TestOneVMsLinkIsItsOwnMatter(t *testing.T) {
-	s, now := book(1), time.Unix(0, 0)
+// One VM has lost its own link to a zone. Its streams must use other engines, and the
+// streams of other VMs must not be affected.
+func TestLinkFailureOfOneVMAffectsOnlyItsStreams(t *testing.T) {
+	s, now := newTestScheduler(1), time.Unix(0, 0)
 	s.Told("cut off", Report{Avoid: []string{"a0", "b0"}}, now)
 	s.Told("vm", Report{}, now)
 	mine := stream("mine", now)
 	mine.VM = "cut off"
 	s.Ask(mine, now)
 	if d := decisions(s.Run(now))["mine"]; d.Server != "c0" {
-		t.Errorf("the VM's own stream went to %s", d.Server)
+		t.Errorf("the stream of the VM without a link went to %q, want c0", d.Server)
 	}
 	for _, id := range []string{"1", "2"} {
 		s.Ask(stream(id, now), now)
 	}
 	if n := len(s.Run(now)); n != 2 {
-		t.Errorf("%d of two streams of another VM placed", n)
+		t.Errorf("placed %d streams of another VM, want 2", n)
 	}
 }
 
-// All VMs lost power, and callers whose connections fell silent come back for the rest
-// of their streams just before their time is over, while engines are idle. One whose
-// rest cannot be made in that time is refused at once: an engine would read its prompt
-// for nothing, and its caller wait for an answer that is cut off.
-func TestStreamsWithoutTheTimeAreRefused(t *testing.T) {
+// After a power loss of all VMs, callers whose connections fell silent return for the
+// rest of their streams shortly before their deadlines, while engines are idle. A stream
+// whose rest cannot be generated in time must be refused at once. Otherwise an engine
+// prefills its prompt in vain, and the caller waits for an answer that is cut off.
+func TestStreamsThatCannotFinishInTimeAreRefused(t *testing.T) {
 	now := time.Unix(0, 0)
 	pace := Pace{PerToken: 125 * time.Microsecond, Run: 5 * time.Second, Events: 140}
 	tests := []struct {
 		name   string
-		after  int // events that the caller has
+		after  int // events that the caller has received
 		left   time.Duration
 		cached string
 		want   Outcome
 	}{
-		{"a new one with its usual time", 0, 25 * time.Second, "", Granted},
-		{"a new one with the time of a quick run", 0, 4 * time.Second, "", Granted},
-		{"a new one with half of that", 0, 2 * time.Second, "", Refused},
-		{"the last events", 130, 2 * time.Second, "", Granted},
-		{"more events than usual", 190, 1200 * time.Millisecond, "", Granted},
-		{"the last events, no time for the prompt", 130, 600 * time.Millisecond, "", Refused},
-		{"the last events, and the prompt is kept", 130, 600 * time.Millisecond, "a0", Granted},
-		{"half of the events", 70, 1500 * time.Millisecond, "", Refused},
+		{"new stream with the usual time", 0, 25 * time.Second, "", Granted},
+		{"new stream with the time of a fast run", 0, 4 * time.Second, "", Granted},
+		{"new stream with half the time of a fast run", 0, 2 * time.Second, "", Refused},
+		{"last events missing", 130, 2 * time.Second, "", Granted},
+		{"more events than usual received", 190, 1200 * time.Millisecond, "", Granted},
+		{"last events missing, no time for the prefill", 130, 600 * time.Millisecond, "", Refused},
+		{"last events missing, prompt cached", 130, 600 * time.Millisecond, "a0", Granted},
+		{"half of the events missing", 70, 1500 * time.Millisecond, "", Refused},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := book(1)
+			s := newTestScheduler(1)
 			s.Told("other", Report{Paces: map[string]Pace{"models": pace}}, now)
 			st := stream("1", now)
 			st.Need.Prompt, st.After, st.Interrupted, st.Cached = 8000, tt.after, tt.after > 0, tt.cached
@@ -376,16 +380,17 @@
 				t.Errorf("outcome %d, want %d", d.Outcome, tt.want)
 			}
 			if d.Outcome == Refused && d.RetryAfter < tt.left {
-				t.Errorf("its caller is told to come back after %v, with %v left", d.RetryAfter, tt.left)
+				t.Errorf("got retry after %v, want at least the %v to the deadline", d.RetryAfter, tt.left)
 			}
 		})
 	}
 }
 
-// Callers that are refused together come back spread out, within the time they have.
-func TestRefusedCallersComeBackSpread(t *testing.T) {
+// Callers that are refused together must get different retry times, all of them within
+// the time to their deadline.
+func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
 	now := time.Unix(0, 0)
-	s := book(1)
+	s := newTestScheduler(1)
 	rng := 0
 	s.rng = func(n int) int { rng += n / 7; return rng % n }
 	full := placement.Use{Requests: 9, Tokens: 84_000}
@@ -398,18 +403,19 @@
 		if d.Outcome == Refused {
 			after[d.RetryAfter] = true
 			if d.RetryAfter > deadline/3 {
-				t.Errorf("retry after %v of %v", d.RetryAfter, deadline)
+				t.Errorf("got retry after %v with a deadline in %v, want a third of it at most", d.RetryAfter, deadline)
 			}
 		}
 	}
 	if len(after) < 20 {
-		t.Errorf("refused callers come back at %d different times", len(after))
+		t.Errorf("got %d different retry times, want 20 or more", len(after))
 	}
 }
 
-// A caller comes for the rest of a stream whose copy is gone. The engine that read its
-// prompt reads another one now; it is the right one all the same, unless it has no room.
-func TestCallerComesBackToItsPrompt(t *testing.T) {
+// A caller resumes a stream whose backup copy is gone. The engine that caches its prompt
+// prefills another one now. It must get the stream all the same, unless it has no room or
+// has refused the stream.
+func TestResumedStreamReturnsToItsCachedPrompt(t *testing.T) {
 	now := time.Unix(0, 0)
 	for _, tt := range []struct {
 		name string
@@ -417,29 +423,30 @@
 		skip []string
 		want string
 	}{
-		{"it reads another prompt", placement.Use{Requests: 2, Tokens: 20_000, Prompt: 8000}, nil, "b0"},
-		{"it is full", placement.Use{Requests: 9, Tokens: 84_000}, nil, "a0"},
-		{"it has refused the stream", placement.Use{}, []string{"b0"}, "a0"},
+		{"prefills another prompt", placement.Use{Requests: 2, Tokens: 20_000, Prompt: 8000}, nil, "b0"},
+		{"full", placement.Use{Requests: 9, Tokens: 84_000}, nil, "a0"},
+		{"has refused the stream", placement.Use{}, []string{"b0"}, "a0"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := book(1)
+			s := newTestScheduler(1)
 			s.Told("other", Report{Use: map[string]placement.Use{"b0": tt.use, "c0": {Requests: 5}}}, now)
 			st := stream("1", now)
 			st.Cached, st.Skip, st.Interrupted = "b0", tt.skip, true
 			s.Ask(st, now)
 			if d := decisions(s.Run(now))["1"]; d.Server != tt.want {
-				t.Errorf("went to %q, want %q", d.Server, tt.want)
+				t.Errorf("got engine %q, want %q", d.Server, tt.want)
 			}
 		})
 	}
 }
 
-// A third of the engines turns three times slower. In order: a prompt is granted to one
-// of them before anybody knows; it takes three times as long, and from the moment that it
-// is overdue the engine counts as slow: prompts that would be late there go elsewhere, or
-// wait for another. What was seen of the engine fades, and it is tried again.
-func TestSlowEnginesAreKnown(t *testing.T) {
-	s, now := book(1), time.Unix(0, 0)
+// A third of the engines becomes three times slower. One of them gets a prompt before the
+// slowdown is known and takes three times as long. From the moment at which the prefill
+// is overdue the engine counts as slow, and prompts that would be late there use other
+// engines or wait. The observation loses weight with its age, and the engine is tried
+// again.
+func TestSlowEnginesAreDetected(t *testing.T) {
+	s, now := newTestScheduler(1), time.Unix(0, 0)
 	usual := 160 * time.Microsecond
 	pace := map[string]Pace{"models": {PerToken: usual, Run: 6 * time.Second}}
 	s.Told("vm", Report{Paces: pace}, now)
@@ -461,25 +468,25 @@
 	read("3", 1280*time.Millisecond, "a0", "b0")
 	slow := func() float64 {
 		v := s.services["models"]
-		return s.servers["a0"].slowness(v.medianSpeed(), now)
+		return s.servers["a0"].slowdown(v.medianPerToken(), now)
 	}
 	if f := slow(); f < 2 {
-		t.Fatalf("an engine that read three times slower counts as %.1f", f)
+		t.Fatalf("got slowdown %.1f of an engine that prefills three times slower, want 2 or more", f)
 	}
 	for i := range 4 {
 		if got := read(fmt.Sprint("next", i), 1280*time.Millisecond); got == "a0" {
-			t.Error("a prompt went to the slow engine while others are free")
+			t.Error("a prompt was granted the slow engine a0, want one of the free ones")
 		}
 	}
-	now = now.Add(5 * slowHalves) // nothing was sent there meanwhile
+	now = now.Add(5 * speedHalfLife) // no stream was sent there meanwhile
 	if f := slow(); f > 1 {
-		t.Errorf("long after, it still counts as %.1f", f)
+		t.Errorf("got slowdown %.1f after five half-lives, want 1", f)
 	}
 }
 
-// Every engine is slow: compared with the others none stands out, and none is avoided.
+// If every engine is slow, none stands out, and none is avoided.
 func TestAllEnginesSlow(t *testing.T) {
-	s, now := book(1), time.Unix(0, 0)
+	s, now := newTestScheduler(1), time.Unix(0, 0)
 	for _, e := range s.services["models"].servers {
 		e.speed = speed{800 * time.Microsecond, now}
 	}
@@ -488,6 +495,6 @@
 		s.Ask(stream(id, now), now)
 	}
 	if n := len(s.Run(now)); n != 3 {
-		t.Errorf("%d of three placed", n)
+		t.Errorf("placed %d streams, want 3", n)
 	}
 }
--- a/internal/scheduler/sim_test.go
+++ b/internal/scheduler/sim_test.go
@@ -8,23 +8,24 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/placement"
 )
 
-// A simulation of model engines that read prompts one after the other, in chunks
-// between the tokens of the runs beside them, and admit in order of arrival as memory
-// allows. Time goes in ticks; nothing sleeps.
+// A simulation of model engines that prefill prompts one after the other, in chunks
+// between the decoding steps of the other runs, and admit in order of arrival as memory
+// allows. Time advances in ticks; nothing sleeps.
 
 const simTick = 5 * time.Millisecond
 
 // simTraits describe the engines of a simulation.
 type simTraits struct {
-	perMS float64       // prompt tokens read in a ms
-	step  time.Duration // one token of every run
+	perMS float64       // prompt tokens prefilled per ms
+	step  time.Duration // duration of a decoding step
 	kv    int
 }
 
 var usualTraits = simTraits{perMS: 8, step: 7 * time.Millisecond, kv: 88_000}
 
-// chunk of a prompt that is read between two tokens.
-const chunk = 200
+// prefillChunk is the number of prompt tokens that are prefilled between two decoding
+// steps.
+const prefillChunk = 200
 
 type simRun struct {
 	id        string
@@ -34,8 +35,8 @@
 	arrived   time.Time
 	due       time.Time
 	first     time.Time // zero: no event yet
-	read      int
-	made      int
+	prefilled int
+	generated int
 	engine    *simEngine
 	keeper    *simEngine
 }
@@ -58,7 +59,7 @@
 	return n
 }
 
-// advance makes the steps that are due, and returns the runs that brought their first
+// advance runs the steps that are due. It returns the runs that produced their first
 // event or ended.
 func (e *simEngine) advance(now time.Time) (changed []*simRun) {
 	if e.dark {
@@ -79,32 +80,32 @@
 
 func (e *simEngine) makeStep() (changed []*simRun) {
 	took := e.traits.step
-	var going []*simRun
+	var remaining []*simRun
 	reading := false
 	for _, r := range e.running {
 		switch {
-		case r.read >= r.need.Prompt:
-			r.made++
-			if r.made == 1 {
+		case r.prefilled >= r.need.Prompt:
+			r.generated++
+			if r.generated == 1 {
 				r.first = e.next
 				changed = append(changed, r)
 			}
 		case !reading:
 			reading = true
-			r.read += chunk
-			took += time.Duration(chunk / e.traits.perMS * float64(time.Millisecond))
+			r.prefilled += prefillChunk
+			took += time.Duration(prefillChunk / e.traits.perMS * float64(time.Millisecond))
 		}
-		if r.made < r.need.Output {
-			going = append(going, r)
+		if r.generated < r.need.Output {
+			remaining = append(remaining, r)
 			continue
 		}
 		changed = append(changed, r)
 	}
-	e.running, e.next = going, e.next.Add(took)
+	e.running, e.next = remaining, e.next.Add(took)
 	return changed
 }
 
-// sim is a deployment under load.
+// sim simulates a deployment under load.
 type sim struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -115,26 +116,26 @@
 	live    map[string]*simRun
 	refused int
 
-	s         *Scheduler // nil: VMs place at once
+	scheduler *Scheduler // nil: each VM places its streams at once
 	taken     map[string]uint64
 	wantsCopy bool
 	copied    int
 
-	// newsAge is how old a VM's knowledge of the others is where nobody schedules.
-	newsAge time.Duration
-	news    map[string]placement.Use
-	newsAt  time.Time
+	// reportAge is the age at which reports are renewed if there is no scheduler.
+	reportAge     time.Duration
+	reportedUsage map[string]placement.Use
+	reportedAt    time.Time
 
-	askedAt time.Time
+	renewedAt time.Time
 
 	workspaces int
-	pressing   float64 // share of what comes that is the first workspace's
+	surgeShare float64 // share of arrivals that belong to the first workspace
 }
 
 func newSim(seed uint64, perZone, vms int, traits simTraits) *sim {
 	s := &sim{
 		now: time.Unix(0, 0), rng: rand.New(rand.NewPCG(seed, 1)), byID: map[string]*simEngine{}, vms: vms,
-		live: map[string]*simRun{}, taken: map[string]uint64{}, newsAge: 600 * time.Millisecond,
+		live: map[string]*simRun{}, taken: map[string]uint64{}, reportAge: 600 * time.Millisecond,
 	}
 	for _, zone := range []string{"a", "b", "c"} {
 		for i := range perZone {
@@ -146,14 +147,14 @@
 }
 
 func (s *sim) schedule() *sim {
-	s.s = New(s.rng.IntN)
-	s.list()
+	s.scheduler = New(s.rng.IntN)
+	s.updateServers()
 	return s
 }
 
-// list tells the scheduler of the engines that are there.
-func (s *sim) list() {
-	if s.s == nil {
+// updateServers passes the engines that are up to the scheduler.
+func (s *sim) updateServers() {
+	if s.scheduler == nil {
 		return
 	}
 	var servers []Server
@@ -162,16 +163,16 @@
 			servers = append(servers, e.Server)
 		}
 	}
-	s.s.SetServers(servers)
+	s.scheduler.SetServers(servers)
 }
 
-// load is how many streams arrive in a second, over a span.
+// load is a rate of arriving streams and how long it lasts.
 type load struct {
 	perSecond float64
 	span      time.Duration
 }
 
-// play has streams arrive, and runs on until all are answered.
+// play lets streams arrive and continues until all are answered.
 func (s *sim) play(mean placement.Need, objective, deadline time.Duration, loads ...load) {
 	for _, l := range loads {
 		end := s.now.Add(l.span)
@@ -196,34 +197,35 @@
 	if s.workspaces > 0 {
 		r.workspace = fmt.Sprint("w", s.rng.IntN(s.workspaces))
 	}
-	if s.rng.Float64() < s.pressing {
+	if s.rng.Float64() < s.surgeShare {
 		r.workspace = "w0"
 	}
 	s.runs = append(s.runs, r)
 	s.live[r.id] = r
-	if s.s == nil {
-		s.placeAtOnce(r)
+	if s.scheduler == nil {
+		s.placeImmediately(r)
 		return
 	}
-	s.s.Ask(Stream{
+	s.scheduler.Ask(Stream{
 		ID: r.id, VM: r.vm, Service: "models", Workspace: r.workspace, Need: r.need, KVTokens: s.engines[0].traits.kv, Due: r.due,
 		Deadline: s.now.Add(deadline), WantsCopy: s.wantsCopy,
 	}, s.now)
 }
 
-// placeAtOnce is what a VM does that knows its own runs, and the others' by old news.
-func (s *sim) placeAtOnce(r *simRun) {
+// placeImmediately places a run as a VM does that knows its own runs and has old reports
+// of the others'.
+func (s *sim) placeImmediately(r *simRun) {
 	own := s.use(func(o *simRun) bool { return o.vm == r.vm })
 	all := make([]placement.Candidate, len(s.engines))
 	for i, e := range s.engines {
-		all[i] = placement.Candidate{ID: e.ID, Zone: e.Zone, KVTokens: e.traits.kv, Use: own[e.ID].Add(s.news[e.ID]), Avoid: e.dark, Slow: 1}
+		all[i] = placement.Candidate{ID: e.ID, Zone: e.Zone, KVTokens: e.traits.kv, Use: own[e.ID].Add(s.reportedUsage[e.ID]), Avoid: e.dark, Slow: 1}
 	}
 	e := s.engines[placement.Engine(all, r.need, s.rng.IntN)]
 	r.engine = e
 	e.queue = append(e.queue, r)
 }
 
-// use sums the runs that are placed, by engine.
+// use sums the usage of the selected placed runs by engine.
 func (s *sim) use(which func(*simRun) bool) map[string]placement.Use {
 	out := map[string]placement.Use{}
 	for _, r := range s.live {
@@ -244,38 +246,38 @@
 
 func (s *sim) tick() {
 	s.now = s.now.Add(simTick)
-	told := map[string]bool{}
+	changed := map[string]bool{}
 	for _, e := range s.engines {
 		for _, r := range e.advance(s.now) {
-			told[r.vm] = true
-			if r.made >= r.need.Output {
+			changed[r.vm] = true
+			if r.generated >= r.need.Output {
 				s.end(r)
 			}
 		}
 	}
-	if s.s == nil {
-		if s.now.Sub(s.newsAt) >= s.newsAge {
-			s.newsAt, s.news = s.now, s.use(func(*simRun) bool { return true })
+	if s.scheduler == nil {
+		if s.now.Sub(s.reportedAt) >= s.reportAge {
+			s.reportedAt, s.reportedUsage = s.now, s.use(func(*simRun) bool { return true })
 		}
 		return
 	}
-	if s.now.Sub(s.askedAt) >= askedFor/3 {
-		s.askAgain()
+	if s.now.Sub(s.renewedAt) >= waiterTTL/3 {
+		s.renewRequests()
 	}
-	for vm := range told {
-		s.tell(vm)
+	for vm := range changed {
+		s.report(vm)
 	}
-	for _, d := range s.s.Run(s.now) {
-		s.decided(d)
+	for _, d := range s.scheduler.Run(s.now) {
+		s.apply(d)
 	}
 }
 
-// askAgain has each VM ask again for its streams that wait.
-func (s *sim) askAgain() {
-	s.askedAt = s.now
+// renewRequests lets each VM ask again for its waiting streams.
+func (s *sim) renewRequests() {
+	s.renewedAt = s.now
 	for _, r := range s.live {
 		if r.engine == nil {
-			s.s.Ask(Stream{ID: r.id, Service: "models", KVTokens: s.engines[0].traits.kv}, s.now)
+			s.scheduler.Ask(Stream{ID: r.id, Service: "models", KVTokens: s.engines[0].traits.kv}, s.now)
 		}
 	}
 }
@@ -287,21 +289,21 @@
 	}
 }
 
-func (s *sim) tell(vm string) {
-	s.s.Told(vm, Report{
+func (s *sim) report(vm string) {
+	s.scheduler.Told(vm, Report{
 		Use: s.use(func(r *simRun) bool { return r.vm == vm }), Taken: s.taken[vm],
 		Paces: map[string]Pace{"models": s.pace()},
 	}, s.now)
 }
 
-// pace is what the VMs would observe.
+// pace returns what the VMs would measure.
 func (s *sim) pace() Pace {
 	t := s.engines[0].traits
-	perChunk := time.Duration(chunk/t.perMS*float64(time.Millisecond)) + t.step
-	return Pace{PerToken: perChunk / chunk, Run: 6 * time.Second}
+	perChunk := time.Duration(prefillChunk/t.perMS*float64(time.Millisecond)) + t.step
+	return Pace{PerToken: perChunk / prefillChunk, Run: 6 * time.Second}
 }
 
-func (s *sim) decided(d Decision) {
+func (s *sim) apply(d Decision) {
 	r := s.live[d.Stream.ID]
 	if d.Outcome != Granted {
 		s.refused++
@@ -316,10 +318,10 @@
 		s.copied++
 	}
 	s.taken[r.vm] = max(s.taken[r.vm], d.Number)
-	s.tell(r.vm)
+	s.report(r.vm)
 }
 
-// inTime is the share of the streams that began within their objective.
+// inTime is the share of streams whose first event came within their objective.
 func (s *sim) inTime() float64 {
 	n := 0
 	for _, r := range s.runs {
--- a/internal/scheduler/slow.go
+++ b/internal/scheduler/slow.go
@@ -8,72 +8,74 @@
 
 // Slow engines.
 //
-// The load pattern: for some seconds a part of the engines works three to five times
-// slower, and answers every question. An engine that has few runs looks free; a prompt
-// that goes there takes longer than its whole objective, while others could have read it
-// a moment later. Compared with the mean, a third of slow engines moves the mark so far
-// that none of them stands out.
+// The failure. For some seconds a part of the engines works three to five times slower
+// but still answers every query. An engine with few runs looks free, but a prompt sent
+// there takes longer than its whole objective, while other engines could have prefilled
+// it a moment later. Comparing with the mean fails: if a third of the engines is slow,
+// the mean shifts so far that none of them stands out.
 //
-// So each engine's reading is timed, from a grant to the news that the prompt was read,
-// and compared with the median. A prompt that is still being read counts as soon as it
-// takes longer than usual. What is not observed any more fades: an engine that gets
-// nothing must be tried again.
+// Each prefill is therefore timed, from the grant to the report that the prompt was
+// prefilled, and compared with the median. A prefill in progress counts as soon as it
+// takes longer than usual. An observation loses weight with its age, since an engine that
+// gets no streams must be tried again.
 
 const (
-	// slowWeight of the newest prompt: an engine turns slow at once, and its next prompt
-	// should know.
-	slowWeight = 0.7
-	// slowHalves is the time in which what was seen of an engine fades to half: some
-	// prompts' reading, far below the seconds that engines stay slow.
-	slowHalves = 4 * time.Second
-	// slowMark is the factor below which a difference is chance: prompts that a run's
-	// tokens interrupt take up to half as long again.
-	slowMark = 1.7
-	// mostSlow bounds the factor of an engine that may never finish.
-	mostSlow = 20
+	// speedWeight is the weight of the newest prefill. An engine turns slow at once, and
+	// its next prompt should already be affected.
+	speedWeight = 0.7
+	// speedHalfLife is the time after which an observation has lost half of its weight:
+	// several prefills, and much less than the seconds for which engines stay slow.
+	speedHalfLife = 4 * time.Second
+	// minSlowdown is the factor below which a difference is regarded as noise: prefills
+	// interrupted by decoding steps of other runs take up to half as long again.
+	minSlowdown = 1.7
+	// maxSlowdown bounds the factor of an engine that may never finish.
+	maxSlowdown = 20
 )
 
-// reading is what an engine reads.
-type reading struct {
-	since  time.Time // of the grant; zero: it reads nothing that is timed
+// prefill is the prefill that is timed on an engine.
+type prefill struct {
+	since  time.Time // time of the grant; zero: none is timed
 	tokens int
 }
 
-// speed is how long an engine takes for a token of a prompt.
+// speed is an engine's prefill time per token, and when it was measured.
 type speed struct {
 	perToken time.Duration
 	at       time.Time
 }
 
-// beginReading times a prompt that an engine gets while it reads none.
-func (e *server) beginReading(tokens int, now time.Time) {
-	e.reading = reading{}
+// beginPrefill starts timing a prompt that is sent to an engine without pending prompts.
+func (e *server) beginPrefill(tokens int, now time.Time) {
+	e.prefill = prefill{}
 	if e.use.Prompt == 0 && tokens > 0 {
-		e.reading = reading{now, tokens}
+		e.prefill = prefill{now, tokens}
 	}
 }
 
-// endReading takes the news that an engine reads nothing any more.
-func (e *server) endReading(now time.Time) {
-	if e.reading.since.IsZero() || e.use.Prompt > 0 {
+// endPrefill records the duration of the timed prefill once the engine has no pending
+// prompts.
+func (e *server) endPrefill(now time.Time) {
+	if e.prefill.since.IsZero() || e.use.Prompt > 0 {
 		return
 	}
-	took := now.Sub(e.reading.since) / time.Duration(e.reading.tokens)
-	e.speed, e.reading = speed{Smooth(e.speed.perToken, took, slowWeight), now}, reading{}
+	took := now.Sub(e.prefill.since) / time.Duration(e.prefill.tokens)
+	e.speed, e.prefill = speed{Smooth(e.speed.perToken, took, speedWeight), now}, prefill{}
 }
 
-// usualFor is how long the median is kept: it moves with many prompts.
-const usualFor = 200 * time.Millisecond
+// medianTTL is how long the median is cached. Single prefills hardly move it.
+const medianTTL = 200 * time.Millisecond
 
-// usualSpeed is the median of a service's engines; 0: not known.
-func (v *service) usualSpeed(now time.Time) time.Duration {
-	if v.usual.perToken == 0 || now.Sub(v.usual.at) > usualFor {
-		v.usual = speed{v.medianSpeed(), now}
+// cachedMedianPerToken is the median prefill time per token of a service's engines; 0:
+// unknown.
+func (v *service) cachedMedianPerToken(now time.Time) time.Duration {
+	if v.median.perToken == 0 || now.Sub(v.median.at) > medianTTL {
+		v.median = speed{v.medianPerToken(), now}
 	}
-	return v.usual.perToken
+	return v.median.perToken
 }
 
-func (v *service) medianSpeed() time.Duration {
+func (v *service) medianPerToken() time.Duration {
 	var all []time.Duration
 	for _, e := range v.servers {
 		if e.speed.perToken > 0 {
@@ -87,22 +89,23 @@
 	return all[len(all)/2]
 }
 
-// slowness is how much longer an engine takes than the others; 1: it does not.
-func (e *server) slowness(usual time.Duration, now time.Time) float64 {
+// slowdown is how many times longer than the median a prefill takes on the engine; 1: not
+// notably longer.
+func (e *server) slowdown(usual time.Duration, now time.Time) float64 {
 	if usual <= 0 {
 		return 1
 	}
-	seen := 1.0
+	observed := 1.0
 	if e.speed.perToken > 0 {
-		faded := math.Exp2(-float64(now.Sub(e.speed.at)) / float64(slowHalves))
-		seen = 1 + (float64(e.speed.perToken)/float64(usual)-1)*faded
+		faded := math.Exp2(-float64(now.Sub(e.speed.at)) / float64(speedHalfLife))
+		observed = 1 + (float64(e.speed.perToken)/float64(usual)-1)*faded
 	}
-	if !e.reading.since.IsZero() {
-		expected := time.Duration(e.reading.tokens) * usual
-		seen = max(seen, float64(now.Sub(e.reading.since))/float64(max(expected, time.Millisecond)))
+	if !e.prefill.since.IsZero() {
+		expected := time.Duration(e.prefill.tokens) * usual
+		observed = max(observed, float64(now.Sub(e.prefill.since))/float64(max(expected, time.Millisecond)))
 	}
-	if seen < slowMark {
+	if observed < minSlowdown {
 		return 1
 	}
-	return min(seen, mostSlow)
+	return min(observed, maxSlowdown)
 }
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -6,16 +6,17 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/placement"
 )
 
-// State is what an operator is told of a service whose streams wait.
+// State describes a service whose streams wait, for an operator.
 type State struct {
 	Service string
-	// Interrupted, InTime and Late streams wait.
+	// Interrupted, InTime and Late count the waiting streams of each class.
 	Interrupted, InTime, Late int
-	// Servers are known, Usable of them not avoided, Reading busy with a prompt.
+	// Servers counts the listed engines, Usable those that are not lost, and Prefilling
+	// those that prefill a prompt.
 	Servers, Usable, Reading int
-	// Use is of all servers together.
+	// Usage is the sum over all servers.
 	Use placement.Use
-	// Rate is how many streams were begun a second of late.
+	// Rate is how many streams were started per second over the last rateWindow.
 	Rate float64
 	Pace Pace
 }
@@ -29,7 +30,7 @@
 			continue
 		}
 		r := newRound(v, s.vms, h, now)
-		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, Rate: v.drain.rate(now), Pace: v.pace}
+		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, Rate: v.grantTimes.rate(now), Pace: v.pace}
 		for _, e := range v.servers {
 			st.Use = st.Use.Add(e.use)
 			if e.use.Prompt > 0 {
