--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -5,66 +5,67 @@
 	"time"
 )
 
-// This file places calls.
+// Placement of calls.
 //
-// The load pattern. A call takes some tens of milliseconds, and many VMs send a few
-// calls a second each to a handful of servers. What they tell one another is half a
-// second old: the calls that it speaks of are over. Placed by it, all VMs turn to the
-// server that stood idle then, for as long as the news lasts, and some seconds of
-// work queue up there while its neighbours wait. Placed at random a call would wait
-// less.
+// The overload. A call takes some tens of milliseconds, and many VMs send a few calls per
+// second each to a handful of servers. Their reports about one another are half a second
+// old: the calls in them have already ended. Placed by these reports, the calls of all
+// VMs go to the server that was idle then until new reports arrive, and a backlog of some
+// seconds builds up there while its neighbors are idle. Random placement would give
+// shorter waits.
 //
-// So news counts for as long as what it speaks of lasts. What this VM has under way
-// is known exactly. What a server said in its last answer is worth the less the
-// older it is, measured in calls; behind it stands the server's even share of all
-// that is under way, which other VMs' old news states well enough.
+// A report therefore counts only for as long as the calls in it last. This VM's own calls
+// in flight are known exactly. What a server reported in its last answer loses weight
+// with its age, measured in call durations. It is replaced by the server's even share of
+// all calls in flight, for which even the old reports of other VMs are accurate enough.
 
-// CallCandidate is a server as a VM knows it at the moment of a call.
+// CallCandidate is a server as a VM knows it when it places a call.
 type CallCandidate struct {
 	Zone  string
 	Slots int
-	// Own and Others are the calls under way there, of this VM, and of the others
-	// as they last told.
+	// Own and Others count the calls in flight on the server: those of this VM, and those
+	// of the other VMs by their last reports.
 	Own, Others int
-	// Reported is what the server's last answer said of other VMs' calls, ReportAge
+	// Reported is the number of other VMs' calls by the server's last answer, ReportAge
 	// ago.
 	Reported  int
 	ReportAge time.Duration
-	// CallTime is how long a call takes there; 0: not known.
+	// CallTime is the duration of a call on the server; 0: unknown.
 	CallTime time.Duration
-	// Avoid and Slow are as a Candidate's.
+	// Avoid and Slowdown are as in Candidate.
 	Avoid bool
 	Slow  float64
 }
 
 const (
-	// evenShare of a server's slots: loads that differ by less are equal. A quarter
-	// of a call on six slots is far below what is known of them, and chance must
-	// decide there, or one old report would draw every call of a VM.
-	evenShare = 0.04
+	// equalLoadMargin is the difference in load, as a share of a server's slots, below
+	// which loads count as equal. A quarter of a call on six slots is well below the
+	// accuracy of the reports. The choice must then be random, or one old report would
+	// draw every call of a VM.
+	equalLoadMargin = 0.04
 )
 
-// Server chooses for a call the server with the least load that is to be expected
-// for its slots; among equals, one in the VM's own zone; -1: there is no candidate. load
-// is the part of its slots that is then taken.
+// ChooseServer returns the index of the server with the lowest expected load relative to
+// its slots, and among equals one in the VM's own zone; -1: there is no candidate. load
+// is the share of its slots that is taken once the call is there.
 func Server(all []CallCandidate, near string, rng func(n int) int) (i int, load float64) {
 	perSlot := othersPerSlot(all)
 	loads := make([]float64, len(all))
 	for i := range all {
 		loads[i] = expectedLoad(&all[i], perSlot)
 	}
-	i = pick(loads, evenShare, rng, func(i int) bool { return all[i].Zone == near })
+	i = pick(loads, equalLoadMargin, rng, func(i int) bool { return all[i].Zone == near })
 	if i < 0 {
 		return i, 0
 	}
 	load = loads[i]
 	if all[i].Avoid {
-		load -= avoidCost
+		load -= avoidCostMS
 	}
 	return i, load
 }
 
-// othersPerSlot is the even share of other VMs' calls.
+// othersPerSlot is the mean number of other VMs' calls per slot.
 func othersPerSlot(all []CallCandidate) float64 {
 	calls, slots := 0, 0
 	for i := range all {
@@ -74,20 +75,20 @@
 	return float64(calls) / float64(max(1, slots))
 }
 
-// expectedLoad is the part of a server's slots that is taken once the call is there.
+// expectedLoad is the share of a server's slots that is taken once the call is there.
 func expectedLoad(c *CallCandidate, perSlot float64) float64 {
 	slots := float64(max(1, c.Slots))
 	others := perSlot * slots
 	others += freshness(c) * (float64(c.Reported) - others)
 	load := (float64(c.Own) + others + 1) / slots * max(1, c.Slow)
 	if c.Avoid {
-		load += avoidCost
+		load += avoidCostMS
 	}
 	return load
 }
 
-// freshness is the part of the calls of a report that are still under way, where
-// their times are distributed exponentially.
+// freshness is the expected share of the reported calls that are still in flight, if
+// their durations are distributed exponentially.
 func freshness(c *CallCandidate) float64 {
 	if c.CallTime <= 0 {
 		return 0
--- a/internal/placement/call_test.go
+++ b/internal/placement/call_test.go
@@ -18,37 +18,36 @@
 		want int
 	}{
 		{"none", nil, -1},
-		{"the less used", []CallCandidate{{Slots: 6, Own: 3}, {Slots: 6, Own: 1}}, 1},
-		{"by its slots", []CallCandidate{{Slots: 6, Own: 2}, {Slots: 60, Own: 8}}, 1},
-		{"near, among equals", []CallCandidate{{Slots: 6, Zone: "b"}, {Slots: 6, Zone: "a"}}, 1},
-		{"load before nearness", []CallCandidate{{Slots: 6, Zone: "b"}, {Slots: 6, Zone: "a", Own: 1}}, 0},
-		{"not the slow one", []CallCandidate{{Slots: 6, Zone: "a", Slow: 5}, {Slots: 6, Zone: "b", Slow: 1, Own: 1}}, 1},
-		{"not the suspect", []CallCandidate{{Slots: 6, Zone: "a", Avoid: true}, {Slots: 6, Zone: "b", Own: 5}}, 1},
-		{"a suspect if alone", []CallCandidate{{Slots: 6, Avoid: true}}, 0},
-		{"a fresh report counts", []CallCandidate{{Slots: 6, Zone: "a", Reported: 6, CallTime: call}, {Slots: 6, Zone: "b", CallTime: call}}, 1},
-		{"an old one does not", []CallCandidate{{Slots: 6, Zone: "a", Reported: 6, ReportAge: 6 * call, CallTime: call}, {Slots: 6, Zone: "b", CallTime: call}}, 0},
-		{"old news of one server does not", []CallCandidate{{Slots: 6, Zone: "a", Others: 6}, {Slots: 6, Zone: "b"}}, 0},
-		{"a report of an idle server draws while it is fresh", []CallCandidate{{Slots: 6, Zone: "a", Others: 4}, {Slots: 6, Zone: "b", Others: 4, CallTime: call}}, 1},
+		{"less used server preferred", []CallCandidate{{Slots: 6, Own: 3}, {Slots: 6, Own: 1}}, 1},
+		{"load relative to slots", []CallCandidate{{Slots: 6, Own: 2}, {Slots: 60, Own: 8}}, 1},
+		{"own zone preferred among equals", []CallCandidate{{Slots: 6, Zone: "b"}, {Slots: 6, Zone: "a"}}, 1},
+		{"load before own zone", []CallCandidate{{Slots: 6, Zone: "b"}, {Slots: 6, Zone: "a", Own: 1}}, 0},
+		{"slow server avoided", []CallCandidate{{Slots: 6, Zone: "a", Slow: 5}, {Slots: 6, Zone: "b", Slow: 1, Own: 1}}, 1},
+		{"suspected server avoided", []CallCandidate{{Slots: 6, Zone: "a", Avoid: true}, {Slots: 6, Zone: "b", Own: 5}}, 1},
+		{"suspected server alone", []CallCandidate{{Slots: 6, Avoid: true}}, 0},
+		{"fresh report counts", []CallCandidate{{Slots: 6, Zone: "a", Reported: 6, CallTime: call}, {Slots: 6, Zone: "b", CallTime: call}}, 1},
+		{"old report does not count", []CallCandidate{{Slots: 6, Zone: "a", Reported: 6, ReportAge: 6 * call, CallTime: call}, {Slots: 6, Zone: "b", CallTime: call}}, 0},
+		{"old peer report about one server does not count", []CallCandidate{{Slots: 6, Zone: "a", Others: 6}, {Slots: 6, Zone: "b"}}, 0},
+		{"fresh report of an idle server counts", []CallCandidate{{Slots: 6, Zone: "a", Others: 4}, {Slots: 6, Zone: "b", Others: 4, CallTime: call}}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got, _ := Server(tt.all, "a", func(int) int { return 0 }); got != tt.want {
-				t.Errorf("chose %d, want %d", got, tt.want)
+				t.Errorf("got candidate %d, want %d", got, tt.want)
 			}
 		})
 	}
 }
 
-// The load of many VMs before few servers: each VM sends a few calls a second, and
-// hears each 400 ms what the others had under way. Placed by that news as if it
-// were current, all turn to the server that stood idle, and calls wait in line there
-// while other servers are free.
-func TestCallsDoNotFollowOldNews(t *testing.T) {
+// Many VMs send a few calls a second each to few servers, and receive one another's
+// reports of calls in flight every 400 ms. If a VM treats these reports as current, all
+// calls go to the server that was idle, and they wait there while other servers are free.
+func TestCallsDoNotFollowStaleReports(t *testing.T) {
 	tests := []struct {
 		name       string
 		load       callLoad
-		most       time.Duration // mean wait
-		mostByNews time.Duration // a bound that placing by news does not keep
+		most       time.Duration // bound of the mean wait
+		mostByNews time.Duration // least mean wait of placement by old reports
 	}{
 		{"67 VMs, 7 servers, half used", callLoad{vms: 67, servers: 7, perSecond: 372, work: 60}, 2 * time.Millisecond, 40 * time.Millisecond},
 		{"67 VMs, 7 servers, four fifths used", callLoad{vms: 67, servers: 7, perSecond: 560, work: 60}, 15 * time.Millisecond, 200 * time.Millisecond},
@@ -61,22 +60,22 @@
 				i, _ := Server(vm.candidates(), vm.zone, rng.IntN)
 				return i
 			})
-			byNews := tt.load.meanWait(placeByNews)
+			byNews := tt.load.meanWait(placeByReports)
 			random := tt.load.meanWait(func(vm *callVM, rng *rand.Rand) int { return rng.IntN(len(vm.known)) })
-			t.Logf("mean wait: placed %v, by news %v, at random %v", placed, byNews, random)
+			t.Logf("mean wait: placed %v, by reports %v, at random %v", placed, byNews, random)
 			if placed > tt.most || byNews < tt.mostByNews {
-				t.Errorf("mean wait: placed %v, want %v at most; by news %v", placed, tt.most, byNews)
+				t.Errorf("mean wait: placed %v, want %v at most; by reports %v", placed, tt.most, byNews)
 			}
 			if random < placed {
-				t.Errorf("at random a call waits %v, placed %v", random, placed)
+				t.Errorf("mean wait: at random %v, placed %v; want placed to be shorter", random, placed)
 			}
 		})
 	}
 }
 
-// placeByNews takes what others and the servers last told for what is, whichever is
-// more.
-func placeByNews(vm *callVM, rng *rand.Rand) int {
+// placeByReports treats the last reports of the other VMs and of the servers as current,
+// and uses the higher load of the two.
+func placeByReports(vm *callVM, rng *rand.Rand) int {
 	const reportFor = 300 * time.Millisecond
 	known := vm.candidates()
 	load := func(s int) int {
@@ -100,33 +99,33 @@
 	return best
 }
 
-// callLoad is a load of calls on servers of six slots, in three zones.
+// callLoad is a load of calls on servers with six slots in three zones.
 type callLoad struct {
 	vms, servers int
 	perSecond    float64 // calls
-	work         float64 // of a call, mean, ms
+	work         float64 // mean duration of a call in ms
 }
 
 const (
-	simSlots  = 6
-	simLength = 60 * time.Second
-	simNews   = 400 * time.Millisecond
-	simLink   = 2 * time.Millisecond
+	simSlots       = 6
+	simLength      = 60 * time.Second
+	reportInterval = 400 * time.Millisecond
+	linkDelay      = 2 * time.Millisecond
 )
 
 // callVM is what one VM knows.
 type callVM struct {
-	zone   string
-	known  []CallCandidate
-	told   []time.Time // when a server last answered
-	queue  *virtualtime.Queue
-	spoken []int // what the others were last told of its calls
+	zone       string
+	known      []CallCandidate
+	answeredAt []time.Time // by server, time of its last answer
+	queue      *virtualtime.Queue
+	published  []int // by server, the calls in its last report to the others
 }
 
 func (vm *callVM) candidates() []CallCandidate {
 	out := slices.Clone(vm.known)
 	for s := range out {
-		out[s].ReportAge = vm.queue.Now().Sub(vm.told[s])
+		out[s].ReportAge = vm.queue.Now().Sub(vm.answeredAt[s])
 	}
 	return out
 }
@@ -136,8 +135,8 @@
 	waiting []func()
 }
 
-// callWorld plays one load.
-type callWorld struct {
+// callSim simulates one load.
+type callSim struct {
 	load    callLoad
 	queue   *virtualtime.Queue
 	rng     *rand.Rand
@@ -147,48 +146,49 @@
 	calls   int
 }
 
-// meanWait plays the load and returns how long a call waits for a slot.
+// meanWait simulates the load and returns the mean time that a call waits for a slot.
 func (l callLoad) meanWait(place func(vm *callVM, rng *rand.Rand) int) time.Duration {
-	w := &callWorld{load: l, queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2))}
+	w := &callSim{load: l, queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2))}
 	zones := []string{"a", "b", "c"}
 	for range l.servers {
 		w.servers = append(w.servers, &callServer{})
 	}
 	for i := range l.vms {
-		vm := &callVM{zone: zones[i%3], queue: w.queue, told: make([]time.Time, l.servers), spoken: make([]int, l.servers)}
+		vm := &callVM{zone: zones[i%3], queue: w.queue, answeredAt: make([]time.Time, l.servers), published: make([]int, l.servers)}
 		for s := range l.servers {
 			vm.known = append(vm.known, CallCandidate{Zone: zones[s%3], Slots: simSlots})
 		}
 		w.vms = append(w.vms, vm)
-		w.queue.After(time.Duration(w.rng.Int64N(int64(simNews))), func() { w.news(vm) })
+		w.queue.After(time.Duration(w.rng.Int64N(int64(reportInterval))), func() { w.exchangeReports(vm) })
 	}
 	w.queue.After(0, func() { w.arrive(place) })
 	w.queue.Run(time.Unix(0, 0).Add(simLength))
 	return w.waited / time.Duration(w.calls)
 }
 
-// news tells what a VM has under way and what the others last told.
-func (w *callWorld) news(vm *callVM) {
+// exchangeReports publishes a VM's calls in flight and reads the last reports of the
+// others.
+func (w *callSim) exchangeReports(vm *callVM) {
 	for s := range w.servers {
-		vm.spoken[s] = vm.known[s].Own
-		vm.known[s].Others = -vm.spoken[s]
+		vm.published[s] = vm.known[s].Own
+		vm.known[s].Others = -vm.published[s]
 		for _, other := range w.vms {
-			vm.known[s].Others += other.spoken[s]
+			vm.known[s].Others += other.published[s]
 		}
 	}
-	w.queue.After(simNews, func() { w.news(vm) })
+	w.queue.After(reportInterval, func() { w.exchangeReports(vm) })
 }
 
-func (w *callWorld) arrive(place func(vm *callVM, rng *rand.Rand) int) {
+func (w *callSim) arrive(place func(vm *callVM, rng *rand.Rand) int) {
 	next := w.rng.ExpFloat64() / w.load.perSecond
 	w.queue.After(time.Duration(next*float64(time.Second)), func() { w.arrive(place) })
 	vm := w.vms[w.rng.IntN(len(w.vms))]
 	s := place(vm, w.rng)
 	vm.known[s].Own++
-	w.queue.After(simLink, func() { w.serve(vm, s) })
+	w.queue.After(linkDelay, func() { w.serve(vm, s) })
 }
 
-func (w *callWorld) serve(vm *callVM, s int) {
+func (w *callSim) serve(vm *callVM, s int) {
 	server, sent := w.servers[s], w.queue.Now()
 	begin := func() {
 		server.running++
@@ -203,8 +203,9 @@
 	server.waiting = append(server.waiting, begin)
 }
 
-// work draws a call's time: log-normal, and one in a hundred takes five times as long.
-func (w *callWorld) work() time.Duration {
+// work returns a random call duration: log-normal, and five times as long for one call in
+// a hundred.
+func (w *callSim) work() time.Duration {
 	const spread = 0.5
 	ms := w.load.work * math.Exp(spread*w.rng.NormFloat64()-spread*spread/2)
 	if w.rng.IntN(100) == 0 {
@@ -213,7 +214,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func (w *callWorld) end(vm *callVM, s int, sent time.Time) {
+func (w *callSim) end(vm *callVM, s int, sent time.Time) {
 	server := w.servers[s]
 	server.running--
 	load := server.running + len(server.waiting)
@@ -222,10 +223,10 @@
 		server.waiting = server.waiting[1:]
 		next()
 	}
-	w.queue.After(simLink, func() {
+	w.queue.After(linkDelay, func() {
 		k := &vm.known[s]
 		k.Own--
-		k.Reported, vm.told[s] = max(0, load-k.Own), w.queue.Now()
+		k.Reported, vm.answeredAt[s] = max(0, load-k.Own), w.queue.Now()
 		k.CallTime = w.queue.Now().Sub(sent)
 	})
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,171 +1,178 @@
-// Package placement decides where a request runs. It is pure: what is known of
-// the backend servers comes in, a choice goes out.
+// Package placement decides where a request runs. It is pure: what is known of the
+// backend servers is the input, and a choice is the output.
 //
-// The load pattern. Long prompts arrive in clumps at many VMs that place without
-// asking one another. An engine reads one prompt after the other, for about a
-// second each, and its memory holds some nine runs; a zone's engines die
-// together, several times a minute, and the runs there go on from copies in
-// other zones, all at once. Placed at random, two or three prompts meet on one
-// engine while its neighbours stand idle: the first event comes seconds late, and
-// a zone's loss finds the engines with the copies full.
+// The overload. Long prompts arrive in bursts at many VMs that place them independently.
+// An engine prefills one prompt after the other, for about a second each, and its memory
+// holds about nine runs. The engines of a zone fail together, several times a minute, and
+// their runs resume from copies in other zones, all at once. Placed at random, two or
+// three prompts meet on one engine while its neighbors are idle: the first event comes
+// seconds late, and when a zone is lost, the engines with the copies are full.
 //
-// VMs that know the same choose the same: the one idle engine would get the prompts
-// of all of them within the time that their news of one another takes. So each
-// engine has a line of VMs (rendezvous hashing). The first is at home there; the
-// further back a VM stands, the more its nearer engines must be taken before it
-// goes there. Of a hundred VMs two or three meet on a fresh engine, not all.
+// VMs with the same reports make the same choice: until new reports arrive, the only idle
+// engine would get the prompts of all of them. Each engine therefore has a rendezvous
+// order of VMs (highest random weight hashing). The first in it is the preferred VM. The
+// higher a VM's rank, the more its lower-ranked engines must be loaded before it uses the
+// engine. Of a hundred VMs two or three meet on a newly started engine, not all.
 //
-// So a stream goes where the fewest prompt tokens wait and the least memory is
-// taken, counting copies like runs, and its copy to another zone by the same
-// measure. Calls are placed by other means, since news of them is older than they
-// last: see call.go.
+// A stream runs where the fewest prompt tokens wait for prefill and the least memory is
+// taken, with copies counted like runs. Its copy is placed in another zone by memory.
+// Calls are placed by other rules, since they are shorter than the age of the reports
+// about them: see call.go.
 package placement
 
 import "math"
 
-// Use is what runs on a backend server.
+// Usage is the work on a backend server.
 type Use struct {
-	Requests int `cbor:"1,keyasint,omitempty"` // under way
-	Tokens   int `cbor:"2,keyasint,omitempty"` // memory, of runs and copies
-	Prompt   int `cbor:"3,keyasint,omitempty"` // prompt tokens that wait to be read
-	Copies   int `cbor:"4,keyasint,omitempty"` // of Tokens, those of copies
+	Requests int `cbor:"1,keyasint,omitempty"` // in flight
+	Tokens   int `cbor:"2,keyasint,omitempty"` // memory of runs and copies
+	Prompt   int `cbor:"3,keyasint,omitempty"` // prompt tokens not yet prefilled
+	Copies   int `cbor:"4,keyasint,omitempty"` // the part of Tokens that belongs to copies
 }
 
-// Add returns the sum.
+// Add returns the sum of u and o.
 func (u Use) Add(o Use) Use {
 	return Use{u.Requests + o.Requests, u.Tokens + o.Tokens, u.Prompt + o.Prompt, u.Copies + o.Copies}
 }
 
-// Negative returns what takes u off a sum.
+// Negated returns u with all fields negated. Adding it to a sum subtracts u.
 func (u Use) Negative() Use { return Use{-u.Requests, -u.Tokens, -u.Prompt, -u.Copies} }
 
-// CopyUse is what the copy of a run takes of the engine that keeps it.
+// CopyUsage is the usage of a run's copy on the engine that keeps it.
 func CopyUse(n Need) Use { return Use{Tokens: n.Tokens(), Copies: n.Tokens()} }
 
-// Candidate is a backend server as a VM knows it at the moment of a choice.
+// Candidate is a backend server as a VM knows it when it chooses.
 type Candidate struct {
 	ID       string
 	Zone     string
 	Slots    int
-	KVTokens int // memory; 0: no model engine
+	KVTokens int // memory; 0: not a model engine
 	Use      Use
-	// Avoid: suspected, failing or known to be full. It is taken only where
-	// nothing else is left.
+	// Avoid marks a server that is suspected, failing or known to be full. It is chosen
+	// only if there is no other.
 	Avoid bool
-	// Turn is this VM's place in the line of those that may turn to the server; 0:
-	// it is at home there.
+	// RendezvousRank is this VM's rank in the server's rendezvous order; 0: it is the
+	// preferred VM.
 	Turn int
-	// Far: it is in another zone than the VM that carries the request.
+	// OtherZone marks a server that is not in the zone of the VM that relays the request.
 	Far bool
-	// Slow is how much longer its work takes than its neighbours'; 1 is usual.
+	// Slowdown is how many times longer its work takes than that of comparable servers;
+	// 1: usual.
 	Slow float64
 }
 
-// Need is what a request will take of an engine.
+// Need is what a request needs of an engine.
 type Need struct {
-	Prompt int // tokens to read
-	Output int // tokens at most
+	Prompt int // prompt tokens
+	Output int // maximum number of generated tokens
 }
 
-// Tokens is the memory that a run takes at its end.
+// Tokens is the memory, in tokens, that the run takes at its end.
 func (n Need) Tokens() int { return n.Prompt + n.Output }
 
-// Figures of the cost, in milliseconds of a first event's delay.
+// Constants of the cost, in milliseconds of delay of the first event.
 const (
-	// promptPerMS is how many prompt tokens an engine reads in a millisecond. The
-	// order of the costs depends little on it.
-	promptPerMS = 8.0
-	// perRequest: each further run lengthens every step of the batch; over a run
-	// of a thousand tokens this adds up to some 80 ms.
-	perRequest = 80.0
-	// fullShare of the memory: beyond it an engine preempts runs in mid-stream, which
-	// costs their prompts once more, or lets them wait for others to end. A run
-	// takes some 15 s, so a whole memory's worth of runs ahead is a wait as long;
-	// prompts read again weigh more than as much. The cost rises from the mark on:
-	// with a cliff there, the last engine below it draws every VM's runs.
-	fullShare = 0.92
-	fullCost  = 40_000.0
-	// awayCost is what a VM's own engines may be dearer before it turns to one where
-	// it is next in line, and so on for each further place: five runs more, and less
-	// than half of a second prompt.
-	awayCost = 400.0
-	// farCost is what an engine in the VM's own zone may be dearer than one elsewhere. A
-	// link between zones that loses packets delays every stream that crosses it by some
-	// tenths of a second at an event in twenty; an engine's next run delays none by much.
-	farCost = 120.0
-	// tieMS: costs that differ by less are equal, and chance decides, so that VMs
-	// with the same reports do not all choose the same engine.
-	tieMS = 40.0
-	// avoidCost goes before every other cost.
-	avoidCost = 1e6
+	// prefillTokensPerMS is how many prompt tokens an engine prefills per millisecond.
+	// The order of the costs depends little on it.
+	prefillTokensPerMS = 8.0
+	// requestCostMS is the cost of each run on the engine, since a run lengthens every
+	// step of the batch: over a run of a thousand tokens this adds up to some 80 ms.
+	requestCostMS = 80.0
+	// memoryPressureShare is the share of the memory beyond which an engine preempts
+	// running streams, which costs a second prefill, or lets them wait until others end.
+	// A run takes some 15 s, so a backlog that fills the memory once means a wait of that
+	// length, and repeated prefills cost even more. Beyond the share the cost rises
+	// linearly by memoryPressureCostMS per memory: with a step, the last engine below the
+	// share would draw the runs of every VM.
+	memoryPressureShare  = 0.92
+	memoryPressureCostMS = 40_000.0
+	// rankCostMS is how much cheaper an engine must be per rendezvous rank before a VM
+	// prefers it to an engine of a lower rank: five more runs, and less than half of a
+	// second prompt.
+	rankCostMS = 400.0
+	// otherZoneCostMS is how much cheaper an engine in another zone must be than one in
+	// the VM's own zone. A link between zones that loses packets delays one event in
+	// twenty by some tenths of a second for every stream that crosses it. One more run on
+	// an engine delays none by much.
+	otherZoneCostMS = 120.0
+	// equalCostMarginMS is the difference below which costs count as equal. The choice
+	// among them is random, to keep VMs with the same reports from choosing the same
+	// engine.
+	equalCostMarginMS = 40.0
+	// avoidCostMS exceeds every other cost.
+	avoidCostMS = 1e6
 )
 
-// streamCost is the delay that a stream meets, and brings about, at a candidate.
+// streamCost is the delay that a stream would meet and cause on a candidate.
 func streamCost(c *Candidate, n Need) float64 {
-	cost := float64(c.Use.Prompt)/promptPerMS + perRequest*float64(c.Use.Requests)
+	cost := float64(c.Use.Prompt)/prefillTokensPerMS + requestCostMS*float64(c.Use.Requests)
 	if c.Slow > 1 {
-		cost = (cost + float64(n.Prompt)/promptPerMS) * c.Slow
+		cost = (cost + float64(n.Prompt)/prefillTokensPerMS) * c.Slow
 	}
-	cost += memoryCost(c, n) + awayCost*float64(c.Turn)
+	cost += memoryCost(c, n) + rankCostMS*float64(c.Turn)
 	if c.Far {
-		cost += farCost
+		cost += otherZoneCostMS
 	}
 	if c.Avoid {
-		cost += avoidCost
+		cost += avoidCostMS
 	}
 	return cost
 }
 
-// memoryCost is the delay by memory that is taken.
+// memoryCost is the delay caused by memory pressure.
 func memoryCost(c *Candidate, n Need) float64 {
 	if c.KVTokens == 0 {
 		return 0
 	}
 	taken := float64(c.Use.Tokens + n.Tokens())
-	return fullCost * max(0, taken/float64(c.KVTokens)-fullShare)
+	return memoryPressureCostMS * max(0, taken/float64(c.KVTokens)-memoryPressureShare)
 }
 
-// Engine chooses for a stream; -1: there is no candidate.
+// ChooseEngine returns the index of the candidate with the lowest cost for a stream; -1:
+// there is no candidate.
 func Engine(all []Candidate, n Need, rng func(n int) int) int {
 	return cheapest(all, rng, func(c *Candidate) (float64, bool) { return streamCost(c, n), true })
 }
 
-// copyShare is how much of an engine's memory may be taken after a copy: what
-// is left is for the runs that resume there.
-const copyShare = 0.85
+// copyMemoryShare is the share of an engine's memory that may be taken once a copy is
+// placed there. The rest is for runs that resume there.
+const copyMemoryShare = 0.85
 
-// Copy chooses the engine that keeps a copy of a run: in another zone than the
-// run, since a zone's engines die together. -1: none has room.
+// ChooseBackupEngine returns the index of the engine that keeps the copy of a run in the
+// given zone; -1: none has room. It is in another zone than the run, since the engines of
+// a zone fail together.
 func Copy(all []Candidate, zone string, n Need, rng func(n int) int) int {
 	return cheapest(all, rng, func(c *Candidate) (float64, bool) {
-		room := float64(c.Use.Tokens+n.Tokens()) <= copyShare*float64(c.KVTokens)
+		room := float64(c.Use.Tokens+n.Tokens()) <= copyMemoryShare*float64(c.KVTokens)
 		ok := c.Zone != zone && !c.Avoid && room
 		cost := 1000 * float64(c.Use.Tokens) / float64(max(1, c.KVTokens))
 		if c.Turn > 0 {
-			cost += awayCost / 2
+			cost += rankCostMS / 2
 		}
 		return cost, ok
 	})
 }
 
-// cheapest chooses by a cost in ms; candidates for which it reports false are out.
+// cheapest returns the index of the candidate with the lowest cost in ms. Candidates for
+// which cost reports false are excluded.
 func cheapest(all []Candidate, rng func(n int) int, cost func(*Candidate) (float64, bool)) int {
 	costs := make([]float64, len(all))
 	for i := range all {
 		c, ok := cost(&all[i])
 		if !ok {
-			c = out
+			c = excluded
 		}
 		costs[i] = c
 	}
-	return pick(costs, tieMS, rng, func(int) bool { return false })
+	return pick(costs, equalCostMarginMS, rng, func(int) bool { return false })
 }
 
-// out stands for the cost of a candidate that must not be chosen.
-const out = -1
+// excluded is the cost of a candidate that must not be chosen.
+const excluded = -1
 
-// pick returns one of the least costs, by chance among those that differ by less than
-// tie, and among these one that is preferred if there is any; -1: all are out.
+// pick returns the index of the lowest cost. Among costs within tie of the lowest it
+// prefers those for which preferred reports true, and chooses at random; -1: all are
+// excluded.
 func pick(costs []float64, tie float64, rng func(n int) int, preferred func(i int) bool) int {
 	least := math.Inf(1)
 	for _, c := range costs {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -16,10 +16,10 @@
 	return out
 }
 
-// The load of a clump: as many prompts as engines arrive at once. Placed at
-// random, three meet on one engine, whose last first event comes after three
-// seconds; by cost no engine gets a second one while another has none.
-func TestClumpOfPromptsSpreads(t *testing.T) {
+// As many prompts as engines arrive at once. Placed at random, three meet on one engine,
+// whose last first event comes after three seconds. Placed by cost, no engine gets a
+// second prompt while another has none.
+func TestSimultaneousPromptsSpread(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	all := engines(12)
 	need := Need{Prompt: 8000, Output: 1000}
@@ -35,12 +35,12 @@
 		mostRandom = max(mostRandom, random[k])
 	}
 	if most != 1 || mostRandom < 3 {
-		t.Errorf("most prompts on one engine: %d by cost, %d at random", most, mostRandom)
+		t.Errorf("most prompts on one engine: got %d by cost and %d at random, want 1 and 3 or more", most, mostRandom)
 	}
 }
 
-// A lost zone finds the copies of its runs in other zones, and on engines with
-// room to take them up.
+// When a zone is lost, the copies of its runs must be in other zones, on engines with
+// room to resume them.
 func TestCopiesAreInOtherZones(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	all := engines(12)
@@ -51,19 +51,19 @@
 		all[i].Use = all[i].Use.Add(Use{Requests: 1, Tokens: need.Tokens()})
 		k := Copy(all, all[i].Zone, need, rng.IntN)
 		if k < 0 || all[k].Zone == all[i].Zone {
-			t.Fatalf("copy of a run in zone %s at %d", all[i].Zone, k)
+			t.Fatalf("the copy of a run in zone %s is on engine %d, want one in another zone", all[i].Zone, k)
 		}
 		all[k].Use = all[k].Use.Add(Use{Tokens: need.Tokens()})
 		kept[all[k].Zone]++
 	}
 	for i := range all {
 		if all[i].Use.Tokens > 6*need.Tokens() {
-			t.Errorf("engine %d holds %d tokens", i, all[i].Use.Tokens)
+			t.Errorf("engine %d holds %d tokens, want six runs or less", i, all[i].Use.Tokens)
 		}
 	}
 	for zone, n := range kept {
 		if n < 15 {
-			t.Errorf("zone %s keeps %d of 70 copies", zone, n)
+			t.Errorf("zone %s keeps %d of 70 copies, want 15 or more", zone, n)
 		}
 	}
 }
@@ -76,31 +76,31 @@
 		want int
 	}{
 		{"none", nil, -1},
-		{"the one without a prompt", []Candidate{{KVTokens: 88_000, Use: Use{Prompt: 8000}}, {KVTokens: 88_000, Use: Use{Requests: 3}}}, 1},
-		{"the one with room", []Candidate{{KVTokens: 88_000, Use: Use{Tokens: 85_000}}, {KVTokens: 88_000, Use: Use{Requests: 9}}}, 1},
-		{"a suspect only if alone", []Candidate{{KVTokens: 88_000, Avoid: true}, {KVTokens: 88_000, Use: Use{Tokens: 85_000, Requests: 9}}}, 1},
-		{"alone", []Candidate{{KVTokens: 88_000, Avoid: true}}, 0},
-		{"not the slow one", []Candidate{{KVTokens: 88_000, Slow: 4}, {KVTokens: 88_000, Slow: 1, Use: Use{Requests: 2}}}, 1},
+		{"no pending prompt preferred", []Candidate{{KVTokens: 88_000, Use: Use{Prompt: 8000}}, {KVTokens: 88_000, Use: Use{Requests: 3}}}, 1},
+		{"free memory preferred", []Candidate{{KVTokens: 88_000, Use: Use{Tokens: 85_000}}, {KVTokens: 88_000, Use: Use{Requests: 9}}}, 1},
+		{"suspected engine avoided", []Candidate{{KVTokens: 88_000, Avoid: true}, {KVTokens: 88_000, Use: Use{Tokens: 85_000, Requests: 9}}}, 1},
+		{"suspected engine alone", []Candidate{{KVTokens: 88_000, Avoid: true}}, 0},
+		{"slow engine avoided", []Candidate{{KVTokens: 88_000, Slow: 4}, {KVTokens: 88_000, Slow: 1, Use: Use{Requests: 2}}}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := Engine(tt.all, need, func(int) int { return 0 }); got != tt.want {
-				t.Errorf("chose %d, want %d", got, tt.want)
+				t.Errorf("got candidate %d, want %d", got, tt.want)
 			}
 		})
 	}
 }
 
-// The load of a lost zone: nine VMs place two prompts each in the same moment,
-// before any hears of another's. Alike, all choose the engines that look idle, and
-// one engine reads five prompts while others read none; each at home first, seldom
-// two meet.
-func TestVMsThatKnowTheSameDoNotMeet(t *testing.T) {
+// After a zone is lost, nine VMs place two prompts each at the same moment, before any
+// knows of the others' choices. Without a rendezvous order all choose the engines that
+// look idle, and one engine prefills five prompts while others have none. With it, two
+// VMs rarely choose the same engine.
+func TestVMsWithEqualReportsSpreadTheirPrompts(t *testing.T) {
 	var vms []string
 	for i := range 9 {
 		vms = append(vms, fmt.Sprint("10.0.0.", i, ":7340"))
 	}
-	meet := func(homes bool) int {
+	mostOnOneEngine := func(ranked bool) int {
 		rng := rand.New(rand.NewPCG(1, 2))
 		need := Need{Prompt: 8000, Output: 1000}
 		prompts := map[int]int{}
@@ -108,7 +108,7 @@
 			all := engines(8)
 			for i := range all {
 				all[i].Use.Requests = 2 + i%2
-				if homes {
+				if ranked {
 					all[i].Turn = Turn(fmt.Sprint("i-", i), vm, vms)
 				}
 			}
@@ -125,15 +125,15 @@
 		}
 		return most
 	}
-	if alike, home := meet(false), meet(true); home > 3 || alike < 8 {
-		t.Errorf("most prompts on one engine: %d alike, %d at home first", alike, home)
+	if unranked, ranked := mostOnOneEngine(false), mostOnOneEngine(true); ranked > 3 || unranked < 8 {
+		t.Errorf("most prompts on one engine: got %d without ranks and %d with ranks, want 8 or more and 3 or less", unranked, ranked)
 	}
 }
 
-// The load of a burst: memory is nearly taken everywhere, and eleven VMs place one
-// run each before any hears of another's. A cliff at the full mark sends all of
-// them to the one engine below it, where five wait for the others to end while
-// its neighbours could begin theirs at once.
+// In a burst, memory is nearly taken everywhere, and eleven VMs place one run each before
+// any knows of the others' choices. If the memory cost rises in one step, all of them
+// choose the one engine below it, and five runs wait there for others to end while its
+// neighbors could start theirs at once.
 func TestNearlyFullEnginesShareABurst(t *testing.T) {
 	const vms = 11
 	need := Need{Prompt: 8000, Output: 1500}
@@ -153,20 +153,20 @@
 		most = max(most, n)
 	}
 	if most > 2 {
-		t.Errorf("%d of %d runs went to one engine", most, vms)
+		t.Errorf("got %d of %d runs on one engine, want 2 or less", most, vms)
 	}
 }
 
-// The load of a large deployment: every engine reads a prompt but three that have
-// just started, and each of 66 VMs places one run before any hears of another's.
-// Were all of them alike to an engine that is not their own, the three would get
-// 22 prompts each and read them for 20 s; in line, four VMs find one worth it.
+// In a large deployment, every engine prefills a prompt except for three that have just
+// started, and each of 66 VMs places one run before any knows of the others' choices. If
+// all ranks but the first cost the same, the three get 22 prompts each and prefill them
+// for 20 s. With the cost rising by rank, only four VMs choose the same engine.
 func TestFreshEnginesAreNotOverrun(t *testing.T) {
 	var vms []string
 	for i := range 66 {
 		vms = append(vms, fmt.Sprint("10.0.0.", i, ":7340"))
 	}
-	most := func(alike bool) int {
+	mostOnFreshEngine := func(flatRanks bool) int {
 		rng := rand.New(rand.NewPCG(1, 2))
 		need := Need{Prompt: 8000, Output: 1500}
 		prompts := map[int]int{}
@@ -175,7 +175,7 @@
 			for i := range all {
 				all[i].Use = Use{Requests: 3, Tokens: 30_000, Prompt: 8000}
 				all[i].Turn = Turn(fmt.Sprint("i-", i), vm, vms)
-				if alike {
+				if flatRanks {
 					all[i].Turn = min(1, all[i].Turn)
 				}
 			}
@@ -188,13 +188,13 @@
 		}
 		return n
 	}
-	if line, alike := most(false), most(true); line > 5 || alike < 15 {
-		t.Errorf("most prompts on a fresh engine: %d in line, %d alike", line, alike)
+	if ranked, flat := mostOnFreshEngine(false), mostOnFreshEngine(true); ranked > 5 || flat < 15 {
+		t.Errorf("most prompts on a newly started engine: got %d by rank and %d with equal ranks, want 5 or less and 15 or more", ranked, flat)
 	}
 }
 
-// Guards against streams that cross to another zone while engines of their own have room,
-// and against a zone that fills its own engines while others stand idle.
+// Guards against streams that cross to another zone while engines of their own zone have
+// room, and against a zone that fills its own engines while others are idle.
 func TestStreamsStayInTheirZone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	all := engines(12)
@@ -216,13 +216,13 @@
 		}
 	}
 	if crossed > 0 {
-		t.Errorf("%d of 24 streams crossed to another zone", crossed)
+		t.Errorf("got %d of 24 streams in another zone, want 0", crossed)
 	}
 	load := map[string]int{}
 	for range 36 {
 		load[place("a", need.Prompt)]++
 	}
 	if load["a"] > 14 || load["b"] < 9 || load["c"] < 9 {
-		t.Errorf("a burst of one zone was placed %v", load)
+		t.Errorf("got a burst of 36 prompts in zone a placed as %v, want 14 or less in a and 9 or more in b and c", load)
 	}
 }
