--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -2,57 +2,59 @@
 
 import "time"
 
-// This file admits calls.
+// Admission of calls.
 //
-// The load pattern: five times the usual calls, a little more than the servers can
-// answer. A server queues what it has no slot for and sheds beyond that; a call that is
-// shed is tried at the next, which sheds it too. Each server so works on a full queue:
-// every call waits for as long as its objective allows, and most come late, though the
-// servers could answer nearly all of them in time. A tenth less is all that is needed.
+// The overload. Five times the usual calls arrive, a little more than the servers can
+// answer. A server queues calls beyond its slots and sheds those beyond its queue, and a
+// call that is shed is retried at the next server, which sheds it too. Every server then
+// works on a full queue: each call waits as long as its objective allows, and most
+// answers come late, although the servers could answer nearly all calls in time. A tenth
+// less load would be enough.
 //
-// So a call is sent only where it can be expected in time. Otherwise it is held for a
-// moment, in which a slot may become free, and then refused, with the time after which
-// the queue is short enough: its caller comes back while it still can be served.
+// A call is therefore sent only if its answer can be expected in time. Otherwise it is
+// held briefly, since a slot may become free, and then refused with the time after which
+// the queue is short enough. Its caller can then retry while it can still be served.
 
 const (
-	// sendShare of the objective is the longest that an answer may be expected to take:
-	// the rest is for the way and for what others send meanwhile.
+	// sendShare is the share of the objective within which an answer must be expected.
+	// The rest is for the network and for calls that other VMs send meanwhile.
 	sendShare = 0.8
-	// holdShare of the objective is the longest that a call is held.
+	// holdShare is the share of the objective for which a call is held at most.
 	holdShare = 0.125
-	// leastCallRetry and mostCallRetry bound what a refused caller is told: a server's
-	// queue moves in some tens of ms, and is a second long at most.
-	leastCallRetry = 50 * time.Millisecond
-	mostCallRetry  = 1 * time.Second
+	// minCallRetry and maxCallRetry bound RetryAfter: a server's queue advances in some
+	// tens of ms and is at most a second long.
+	minCallRetry = 50 * time.Millisecond
+	maxCallRetry = 1 * time.Second
 )
 
-// CallWait is what a call meets at the server with the least load.
+// CallWait describes what a call would meet at the server with the lowest load.
 type CallWait struct {
-	// Load is the part of the server's slots that is taken once the call is there; above
-	// 1 it waits.
+	// Load is the share of the server's slots that is taken once the call is there. Above
+	// 1 the call waits.
 	Load float64
-	// Work is how long a call takes there without waiting; 0: not known.
+	// ServiceTime is how long a call takes there without waiting; 0: unknown.
 	Work      time.Duration
-	Objective time.Duration // 0: none is stated
-	Held      time.Duration // so far, at this VM
+	Objective time.Duration // 0: not stated
+	Held      time.Duration // time held so far at this VM
 }
 
-// CallVerdict is what to do with a call.
+// CallVerdict states what to do with a call.
 type CallVerdict uint8
 
-// Call verdicts.
+// The call verdicts.
 const (
 	SendCall CallVerdict = iota
 	HoldCall
 	RefuseCall
 )
 
-// Expected is how long the answer will take.
+// Expected returns the expected time to the answer.
 func (c CallWait) Expected() time.Duration {
 	return time.Duration(max(1, c.Load) * float64(c.Work))
 }
 
-// Decide is the whole policy. While a server has a free slot every call is sent.
+// Decide returns the verdict for the call. While a server has a free slot, every call is
+// sent.
 func (c CallWait) Decide() CallVerdict {
 	inTime := time.Duration(sendShare * float64(c.Objective))
 	switch {
@@ -64,10 +66,11 @@
 	return RefuseCall
 }
 
-// RetryAfter is when a refused caller may come back: once the queue is short enough, and
-// spread over as long again, draw being from [0, 1).
+// RetryAfter returns the time after which a refused caller may retry: once the queue is
+// short enough, plus a random part of up to the same length. draw is a random number in
+// [0, 1).
 func (c CallWait) RetryAfter(draw float64) time.Duration {
 	excess := c.Expected() - time.Duration(sendShare*float64(c.Objective)) + c.Work
-	d := min(max(excess, leastCallRetry), mostCallRetry)
+	d := min(max(excess, minCallRetry), maxCallRetry)
 	return d + time.Duration(draw*float64(d))
 }
--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -17,28 +17,29 @@
 		wait admission.CallWait
 		want admission.CallVerdict
 	}{
-		{"a free slot", admission.CallWait{Load: 1, Work: 60 * ms, Objective: 300 * ms}, admission.SendCall},
-		{"a free slot for work that is late anyhow", admission.CallWait{Load: 0.9, Work: 900 * ms, Objective: 300 * ms}, admission.SendCall},
-		{"a queue that moves in time", admission.CallWait{Load: 3, Work: 60 * ms, Objective: 300 * ms}, admission.SendCall},
-		{"a queue that does not", admission.CallWait{Load: 5, Work: 60 * ms, Objective: 300 * ms}, admission.HoldCall},
-		{"the same, held for long", admission.CallWait{Load: 5, Work: 60 * ms, Objective: 300 * ms, Held: 40 * ms}, admission.RefuseCall},
-		{"nothing known of the work", admission.CallWait{Load: 9, Objective: 300 * ms}, admission.SendCall},
+		{"free slot", admission.CallWait{Load: 1, Work: 60 * ms, Objective: 300 * ms}, admission.SendCall},
+		{"free slot, work longer than the objective", admission.CallWait{Load: 0.9, Work: 900 * ms, Objective: 300 * ms}, admission.SendCall},
+		{"queue that is short enough", admission.CallWait{Load: 3, Work: 60 * ms, Objective: 300 * ms}, admission.SendCall},
+		{"queue that is too long", admission.CallWait{Load: 5, Work: 60 * ms, Objective: 300 * ms}, admission.HoldCall},
+		{"queue that is too long, held for the maximum", admission.CallWait{Load: 5, Work: 60 * ms, Objective: 300 * ms, Held: 40 * ms}, admission.RefuseCall},
+		{"service time unknown", admission.CallWait{Load: 9, Objective: 300 * ms}, admission.SendCall},
 		{"no objective", admission.CallWait{Load: 9, Work: 60 * ms}, admission.SendCall},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := tt.wait.Decide(); got != tt.want {
-				t.Errorf("verdict %d, want %d", got, tt.want)
+				t.Errorf("got verdict %d, want %d", got, tt.want)
 			}
 			low, high := tt.wait.RetryAfter(0), tt.wait.RetryAfter(0.999)
 			if low < 50*ms || high > 2*time.Second || high < low+low/2 {
-				t.Errorf("retry after %v to %v", low, high)
+				t.Errorf("got retry after %v to %v, want 50ms or more, 2s or less, and a spread of half the lower bound", low, high)
 			}
 		})
 	}
 }
 
-// callServers answer calls with a number of slots each, queue some more, and shed the rest.
+// callServers answer calls with a number of slots each, queue some more, and shed the
+// rest.
 type callServers struct {
 	busy  [3][]callInWork
 	queue [3][]*simCall
@@ -52,7 +53,7 @@
 
 type simCall struct {
 	vm, came, tries, again int // ms
-	answered               int // ms; 0: not
+	answered               int // ms; 0: not answered
 	refused                bool
 	server, sent           int
 }
@@ -66,7 +67,7 @@
 
 func (s *callServers) there(i int) int { return len(s.busy[i]) + len(s.queue[i]) }
 
-// send reports false where the server sheds the call.
+// send reports false if the server sheds the call.
 func (s *callServers) send(now, i int, c *simCall) bool {
 	if s.there(i) >= callSlots+callQueue {
 		s.sheds++
@@ -79,41 +80,41 @@
 
 func (s *callServers) tick(now int, rng *rand.Rand, answered func(*simCall)) {
 	for i := range s.busy {
-		var going []callInWork
+		var remaining []callInWork
 		for _, b := range s.busy[i] {
 			if b.ends > now {
-				going = append(going, b)
+				remaining = append(remaining, b)
 				continue
 			}
 			b.call.answered = now
 			answered(b.call)
 		}
-		for len(going) < callSlots && len(s.queue[i]) > 0 {
-			going = append(going, callInWork{s.queue[i][0], now + max(1, int(callWork*(0.5+rng.Float64())))})
+		for len(remaining) < callSlots && len(s.queue[i]) > 0 {
+			remaining = append(remaining, callInWork{s.queue[i][0], now + max(1, int(callWork*(0.5+rng.Float64())))})
 			s.queue[i] = s.queue[i][1:]
 		}
-		s.busy[i] = going
+		s.busy[i] = remaining
 	}
 }
 
-// overload plays calls from ten VMs beyond what the servers can answer, and
-// returns the share that is in time. VMs know the others' calls by news, and a server by
-// its last answer to them.
+// overload simulates calls from ten VMs beyond what the servers can answer, and returns
+// the share that is answered in time. VMs know the others' calls from peer reports, and a
+// server's load from its last answer to them.
 func overload(admit bool) (inTime float64, sheds int) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	var s callServers
 	const vms, perMS, span = 10, 0.36, 8000
 	var own [vms][3]int
-	var news [3]int
-	var reported, told [vms][3]int
+	var published [3]int
+	var reported, answeredAt [vms][3]int
 	var latency [vms]float64
 	var all, waiting []*simCall
 	place := func(now int, c *simCall) (int, float64) {
 		candidates := make([]placement.CallCandidate, 3)
 		for i := range candidates {
 			candidates[i] = placement.CallCandidate{
-				Slots: callSlots, Own: own[c.vm][i], Others: max(0, news[i]-own[c.vm][i]), Reported: reported[c.vm][i],
-				ReportAge: time.Duration(now-told[c.vm][i]) * time.Millisecond, CallTime: time.Duration(latency[c.vm] * float64(time.Millisecond)), Slow: 1,
+				Slots: callSlots, Own: own[c.vm][i], Others: max(0, published[i]-own[c.vm][i]), Reported: reported[c.vm][i],
+				ReportAge: time.Duration(now-answeredAt[c.vm][i]) * time.Millisecond, CallTime: time.Duration(latency[c.vm] * float64(time.Millisecond)), Slow: 1,
 			}
 		}
 		return placement.Server(candidates, "", rng.IntN)
@@ -145,14 +146,14 @@
 	}
 	for now := 1; now < span+2000; now++ {
 		if now%newsEvery == 0 {
-			for i := range news {
-				news[i] = s.there(i)
+			for i := range published {
+				published[i] = s.there(i)
 			}
 		}
 		s.tick(now, rng, func(c *simCall) {
 			own[c.vm][c.server]--
 			latency[c.vm] += 0.2 * (float64(now-c.sent) - latency[c.vm])
-			reported[c.vm][c.server], told[c.vm][c.server] = s.there(c.server)-own[c.vm][c.server], now
+			reported[c.vm][c.server], answeredAt[c.vm][c.server] = s.there(c.server)-own[c.vm][c.server], now
 		})
 		held := waiting
 		waiting = nil
@@ -180,16 +181,15 @@
 	return math.Round(100*float64(n)/float64(len(all))) / 100, s.sheds
 }
 
-// Callers of a service that gets a little more than it can answer wait for as long as
-// its queues are, and hear too late. In order: calls come at 1.2 times the servers' pace
-// for eight seconds; the queues fill, and each call that is shed is tried at the next
-// server. With calls sent only where they can be in time the queues stay short, and a few
-// are told to come back.
+// A service gets a little more than it can answer: calls arrive at 1.2 times the servers'
+// rate for eight seconds. The queues fill, each call that is shed is retried at the next
+// server, and answers come late. If calls are sent only when they can be in time, the
+// queues stay short, and a few callers are refused with a retry time.
 func TestCallsBeyondTheServersPace(t *testing.T) {
 	before, tried := overload(false)
 	after, sheds := overload(true)
-	const ceiling = 1 / 1.2 // of what comes can be answered at all
+	const ceiling = 1 / 1.2 // share of the calls that can be answered at all
 	if after < 0.75*ceiling || after < before+0.2 || sheds > tried/10 {
-		t.Errorf("%.2f in time and %d sheds where all are tried, %.2f and %d where they are admitted", before, tried, after, sheds)
+		t.Errorf("got %.2f in time and %d sheds without admission, %.2f and %d with it; want 0.75 of the capacity in time, 0.2 more than without, and a tenth of the sheds", before, tried, after, sheds)
 	}
 }
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// arrivals: while a request waits, others arrive whose turn comes before it; at
-// most about as much again as waits already, since the rest is refused.
-const arrivals = 2
+// arrivalFactor bounds the wait by requests that arrive later but are served first: at
+// most about as many as wait already, since further ones are refused.
+const arrivalFactor = 2
 
-// wait estimates the time in the queue of a request that enters now. The rate
-// is slots times the measured speed of one slot, so that it falls at once when
-// engines are lost. A flow gets at least its share of its class's share; when
-// the others run dry it gets more, up to the whole rate. A turn is a request of
-// typical cost: the request's own cost counts after its start, and a large one
-// was refused for it while slots came free every few milliseconds.
+// wait estimates the time in the queue of a request that enters now. The rate is the
+// number of slots times the measured rate of one slot, and falls at once when engines are
+// lost. A flow gets at least its share of its class's share, and up to the whole rate
+// when the other flows are empty. The request itself counts with the typical cost, since
+// its own cost is served after its start. With its own cost, large requests were refused
+// while slots became free every few milliseconds.
 func (q *Queue) wait(it *Item, f *flow) time.Duration {
 	free := q.capacity - q.running
 	if it.Class == Long {
@@ -28,18 +28,18 @@
 	if it.Class == Long {
 		rate = q.slotRate * float64(q.longLimit())
 	}
-	share := q.classShare(it.Class) * f.weight / (c.weight + q.absent(f))
-	turn := q.typical
-	if turn == 0 {
-		turn = it.Cost
+	share := q.classShare(it.Class) * f.weight / (c.weight + q.joiningWeight(f))
+	typical := q.typicalCost
+	if typical == 0 {
+		typical = it.Cost
 	}
-	own := (f.backlog + turn) / (rate * share)
-	all := (q.backlog() + turn) / rate
-	return seconds(min(own, arrivals*all))
+	own := (f.backlog + typical) / (rate * share)
+	all := (q.backlog() + typical) / rate
+	return seconds(min(own, arrivalFactor*all))
 }
 
-// absent is the weight that joins the class with f's first item.
-func (q *Queue) absent(f *flow) float64 {
+// joiningWeight is the weight that f adds to its class with its first item.
+func (q *Queue) joiningWeight(f *flow) float64 {
 	if f.pos < 0 {
 		return f.weight
 	}
@@ -68,15 +68,15 @@
 	return time.Duration(min(s, math.MaxInt32) * float64(time.Second))
 }
 
-// Wait estimates the wait of a request as Enter would.
+// Wait estimates the time in the queue as Enter does, without entering the request.
 func (q *Queue) Wait(it *Item) time.Duration { return q.wait(it, q.flow(it)) }
 
-// retryAfter tells a refused caller when to come back: when what waits now will
-// have been served; and spread, so that callers refused together do not come
-// back together. Told the excess over its deadline only, a caller meets the same
-// full queue until its tries are used up. Told more in proportion to the
-// overload, it comes back when the peak is over and keeps the queue full for
-// another minute.
+// retryAfter returns the time after which a refused caller should retry: when the
+// requests that wait now will have been served, with random spread to separate the
+// retries of callers that were refused together. If only the excess over its deadline
+// were returned, a caller would meet the same full queue until its retries are used up.
+// If more were returned in proportion to the overload, callers would return after the
+// peak and keep the queue full for another minute.
 func (q *Queue) retryAfter(wait time.Duration) time.Duration {
 	spread := 0.5 + q.rng.Float64()
 	d := time.Duration(float64(max(minRetry, wait)) * spread)
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -1,16 +1,16 @@
 package admission
 
-// flow is the queue of one workspace in one class, as a linked list so that a
-// request given up on leaves at once.
+// flow is the queue of one workspace in one class. It is a linked list, from which a
+// cancelled request is removed in constant time.
 type flow struct {
-	class       *class
-	workspace   string
-	first, last *Item
-	count       int
-	backlog     float64 // cost
-	weight      float64
-	tag         float64 // virtual start time of the first item
-	pos         int     // in the class's heap; -1: not there
+	class        *class
+	workspace    string
+	first, last  *Item
+	count        int
+	backlog      float64 // total cost of the waiting items
+	weight       float64
+	virtualStart float64 // virtual start time of the first item
+	pos          int     // index in the class's heap; -1: not in it
 }
 
 func (f *flow) push(it *Item) {
@@ -44,17 +44,17 @@
 	}
 }
 
-// class holds the flows of one class in a heap by virtual start time
-// (start-time fair queueing: a flow that was idle does not save up credit, one
-// that is served pays its cost over its weight).
+// class holds the flows of one class in a heap by virtual start time (start-time fair
+// queueing: an idle flow accumulates no credit, and a served flow pays its cost divided
+// by its weight).
 type class struct {
-	heap    []*flow
-	vtime   float64
-	weight  float64 // of the waiting flows
-	count   int
-	backlog float64
-	running int
-	tag     float64 // virtual time among classes
+	heap         []*flow
+	virtualTime  float64
+	weight       float64 // sum over the flows that wait
+	count        int
+	backlog      float64
+	running      int
+	virtualStart float64 // virtual start time among the classes
 }
 
 func (c *class) push(it *Item, f *flow) {
@@ -62,15 +62,15 @@
 	c.count++
 	c.backlog += it.Cost
 	if f.pos < 0 {
-		f.tag = max(f.tag, c.vtime)
+		f.virtualStart = max(f.virtualStart, c.virtualTime)
 		c.weight += f.weight
 		f.pos = len(c.heap)
 		c.heap = append(c.heap, f)
-		c.up(f.pos)
+		c.siftUp(f.pos)
 	}
 }
 
-// drop takes an item out; charged items move their flow's virtual time on.
+// drop removes an item. A charged item advances the virtual start time of its flow.
 func (c *class) drop(it *Item, charged bool) {
 	f := it.flow
 	f.remove(it)
@@ -80,23 +80,23 @@
 		c.backlog = 0
 	}
 	if charged {
-		c.vtime = max(c.vtime, f.tag)
-		f.tag += it.Cost / f.weight
-		c.down(f.pos)
+		c.virtualTime = max(c.virtualTime, f.virtualStart)
+		f.virtualStart += it.Cost / f.weight
+		c.siftDown(f.pos)
 	}
 	if f.count == 0 {
-		c.leave(f)
+		c.removeFlow(f)
 	}
 }
 
-func (c *class) leave(f *flow) {
+func (c *class) removeFlow(f *flow) {
 	i, end := f.pos, len(c.heap)-1
 	c.swap(i, end)
 	c.heap = c.heap[:end]
 	f.pos = -1
 	if i < end {
-		c.down(i)
-		c.up(i)
+		c.siftDown(i)
+		c.siftUp(i)
 	}
 	c.weight -= f.weight
 	if end == 0 {
@@ -109,10 +109,10 @@
 	c.heap[i].pos, c.heap[j].pos = i, j
 }
 
-func (c *class) up(i int) {
+func (c *class) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
-		if c.heap[parent].tag <= c.heap[i].tag {
+		if c.heap[parent].virtualStart <= c.heap[i].virtualStart {
 			return
 		}
 		c.swap(i, parent)
@@ -120,11 +120,11 @@
 	}
 }
 
-func (c *class) down(i int) {
+func (c *class) siftDown(i int) {
 	for {
 		least := i
 		for _, child := range [2]int{2*i + 1, 2*i + 2} {
-			if child < len(c.heap) && c.heap[child].tag < c.heap[least].tag {
+			if child < len(c.heap) && c.heap[child].virtualStart < c.heap[least].virtualStart {
 				least = child
 			}
 		}
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,94 +1,97 @@
 package admission
 
-// Figures of a Limiter.
+// Constants of a Limiter.
 const (
-	limitFloor   = 1
-	limitCeiling = 256
+	minLimit = 1
+	maxLimit = 256
 
-	// limitStart is shared by the routers that use the same server: eleven that
-	// each began with eight would fill a batch of 32 three times over.
-	limitStart    = 32
-	limitStartMin = 2
-	limitStartMax = 8
+	// initialTotalLimit is divided among the routers that use the same server. Eleven
+	// routers that each started with eight would fill a batch of 32 almost three times.
+	initialTotalLimit = 32
+	minInitialLimit   = 2
+	maxInitialLimit   = 8
 
-	// growth per report, also shared: together the routers add two streams
-	// between two reports. If each added one, a third of a batch would queue in
-	// the server before any of them saw it, and lookups behind it.
-	growth    = 2.0
-	growthMin = 0.1
+	// limitIncrease is the additive increase per report, also divided among the routers:
+	// together they add two streams between two reports. If each added one, a third of a
+	// batch would queue in the server before any router saw it, and lookups would wait
+	// behind it.
+	limitIncrease    = 2.0
+	minLimitIncrease = 0.1
 
-	// stepTolerance: a mean step this much longer than the best one means a batch
-	// that costs every stream in it. A full batch is some 1.8 times slower than an
-	// empty one and prefills beside it double that for moments: beyond three it is
-	// neither.
+	// stepTolerance is the multiple of the shortest step beyond which a mean step counts
+	// as congestion that slows every stream in the batch. A full batch is some 1.8 times
+	// slower than an empty one, and prefills in it double that for short times. Neither
+	// exceeds a factor of three for long.
 	stepTolerance = 3
-	stepSmooth    = 0.3 // of one report: single steps with a prefill are no news
+	stepGain      = 0.3 // weight of one report: single steps with a prefill must not count as congestion
 
-	// stepTargetMS: mean steps below it are no congestion however much longer than
-	// the best they are; 38 ms between tokens for 95 in 100 is the aim. A fast
-	// engine whose prompts are long would otherwise be kept nearly empty.
+	// stepTargetMS is the mean step below which a server is never congested, however much
+	// longer than the shortest step it is. The target is 38 ms between tokens at the 95th
+	// percentile. Without this bound, a fast engine with long prompts would be kept
+	// nearly empty.
 	stepTargetMS = 38
 
-	bestDrift  = 1.005 // the best step fades a little with each report
-	backoff    = 0.85  // of a congested engine's limit
-	fullEnough = 0.7   // of the limit in use before it grows
+	bestStepDrift  = 1.005 // growth of the shortest step per report, to forget old minima
+	backoff        = 0.85  // multiplicative decrease of the limit under congestion
+	minUtilization = 0.7   // share of the limit that must be in use before it grows
 )
 
-// Limiter adapts how much work one router keeps on one backend server, by
-// additive increase and multiplicative decrease on the server's reports. Several
-// routers that see the same congestion give way together and come to share it,
-// as the flows on one link do.
+// Limiter adapts how much work one router keeps on one backend server by additive
+// increase and multiplicative decrease, based on the server's reports. Routers that see
+// the same congestion reduce their limits together and converge to equal shares, as TCP
+// flows on one link do.
 type Limiter struct {
-	peers  float64
-	limit  float64
-	offset float64 // in [0, 1), for rounding
-	step   float64 // smoothed, ms
-	best   float64 // shortest step, ms
-	probed bool    // congestion was met: growth is additive from then on
+	peers           float64
+	limit           float64
+	offset          float64 // in [0, 1), added before rounding down
+	step            float64 // smoothed step time in ms
+	bestStep        float64 // shortest step time in ms
+	congestedBefore bool    // set at the first congestion: growth is additive from then on
 }
 
-// NewLimiter starts low and doubles until the first congestion. peers is the
-// number of routers that use the server. offset, random in [0, 1), decides how
-// the limit is rounded: eleven routers that all rounded 2.9 down would together
-// leave a third of a batch empty.
+// NewLimiter returns a Limiter that starts low and doubles its limit until the first
+// congestion. peers is the number of routers that use the server. offset, a random number
+// in [0, 1), decides how the limit is rounded: if eleven routers all rounded 2.9 down, a
+// third of a batch would stay empty.
 func NewLimiter(peers int, offset float64) *Limiter {
 	l := &Limiter{peers: float64(max(1, peers)), offset: offset}
 	l.Lost()
 	return l
 }
 
-// Limit is the work in flight that is allowed.
+// Limit returns the amount of work that may be in flight.
 func (l *Limiter) Limit() int { return int(l.limit + l.offset) }
 
-// Report takes one report: the server's step time, the length of its own queue
-// and this router's work in flight. For a plain service the latency of a call
-// stands for the step time.
+// Report adapts the limit to one report: the server's step time, the length of its own
+// queue and this router's work in flight. For a plain service the latency of a call is
+// used as the step time.
 func (l *Limiter) Report(stepMS float64, queued, inflight int) {
 	if stepMS > 0 {
-		l.step += stepSmooth * (stepMS - l.step)
-		l.best = min(l.best*bestDrift, stepMS)
-		if l.best == 0 {
-			l.best = stepMS
+		l.step += stepGain * (stepMS - l.step)
+		l.bestStep = min(l.bestStep*bestStepDrift, stepMS)
+		if l.bestStep == 0 {
+			l.bestStep = stepMS
 		}
 	}
 	switch {
 	case l.congested(queued):
-		l.probed = true
-		l.limit = max(limitFloor, l.limit*backoff)
-	case float64(inflight) < fullEnough*l.limit:
-		// Not used: its reports say nothing about a higher limit.
-	case !l.probed:
-		l.limit = min(limitCeiling, l.limit*2)
+		l.congestedBefore = true
+		l.limit = max(minLimit, l.limit*backoff)
+	case float64(inflight) < minUtilization*l.limit:
+		// The limit is not used up: the report says nothing about a higher one.
+	case !l.congestedBefore:
+		l.limit = min(maxLimit, l.limit*2)
 	default:
-		l.limit = min(limitCeiling, l.limit+max(growthMin, growth/l.peers))
+		l.limit = min(maxLimit, l.limit+max(minLimitIncrease, limitIncrease/l.peers))
 	}
 }
 
 func (l *Limiter) congested(queued int) bool {
-	return queued > 0 || l.step > max(stepTargetMS, stepTolerance*l.best)
+	return queued > 0 || l.step > max(stepTargetMS, stepTolerance*l.bestStep)
 }
 
-// Lost forgets what was learned: the server died and comes back empty.
+// Reset returns the Limiter to its initial state, for a server that died and comes back
+// empty.
 func (l *Limiter) Lost() {
-	*l = Limiter{peers: l.peers, offset: l.offset, limit: min(limitStartMax, max(limitStartMin, limitStart/l.peers))}
+	*l = Limiter{peers: l.peers, offset: l.offset, limit: min(maxInitialLimit, max(minInitialLimit, initialTotalLimit/l.peers))}
 }
--- a/internal/admission/main_test.go
+++ b/internal/admission/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The seed is pinned, so that CI gives the same verdict every run.
+// The seed is fixed to make CI results reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Queue is the admission queue of one pool of backend servers. It is not safe
-// for concurrent use.
+// Queue is the admission queue of one pool of backend servers. It is not safe for
+// concurrent use.
 type Queue struct {
 	bounds   Bounds
 	rng      *rand.Rand
 	onExpire func(*Item)
 
-	classes [classCount]class
-	flows   map[flowKey]*flow
-	byKey   map[string]*Item
-	vtime   float64 // among classes
-	count   int
-	bytes   int
-
-	capacity int // slots
-	running  int
-	recovery float64       // cost that recovery may still run ahead of fresh work
-	slotRate float64       // cost a slot serves in a second
-	typical  float64       // cost of a request
-	lead     time.Duration // usual time from start to first token
+	classes     [classCount]class
+	flows       map[flowKey]*flow
+	byKey       map[string]*Item
+	virtualTime float64 // virtual time among the classes
+	count       int
+	bytes       int
+
+	capacity         int // slots
+	running          int
+	recoveryBudget   float64       // cost that recovery may still run ahead of new work
+	slotRate         float64       // cost that a slot serves per second
+	typicalCost      float64       // smoothed cost of a request
+	timeToFirstToken time.Duration // smoothed time from start to first token
 }
 
 type flowKey struct {
@@ -32,14 +32,14 @@
 	workspace string
 }
 
-// maxIdleFlows bounds remembered flows without items.
+// maxIdleFlows is the number of flows from which idle ones are removed.
 const maxIdleFlows = 1 << 15
 
-// NewQueue returns an empty queue. onExpire is told of items that are found
-// expired while the next one is looked for.
+// NewQueue returns an empty queue. Next calls onExpire for each item that it finds
+// expired.
 func NewQueue(b Bounds, rng *rand.Rand, onExpire func(*Item)) *Queue {
 	return &Queue{
-		bounds: b, rng: rng, onExpire: onExpire, slotRate: slotRatePrior, recovery: recoveryBurst,
+		bounds: b, rng: rng, onExpire: onExpire, slotRate: slotRatePrior, recoveryBudget: recoveryBurst,
 		flows: map[flowKey]*flow{}, byKey: map[string]*Item{},
 	}
 }
@@ -47,26 +47,26 @@
 // SetCapacity sets how many requests may run at once.
 func (q *Queue) SetCapacity(slots int) { q.capacity = slots }
 
-// Len is the number of waiting requests, Running that of running ones.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.count }
 
-// Running is the number of running requests.
+// Running returns the number of running requests.
 func (q *Queue) Running() int { return q.running }
 
-// Capacity is the number of slots.
+// Capacity returns the number of slots.
 func (q *Queue) Capacity() int { return q.capacity }
 
-// Get returns the waiting or running item of a key: a resend attaches to it.
+// Get returns the waiting or running item with the key, to which a retry attaches.
 func (q *Queue) Get(key string) *Item { return q.byKey[key] }
 
-// Enter takes a request in or refuses it. A refusal costs two lookups and no
-// memory, so a storm of retries does not displace work.
+// Enter accepts or refuses a request. A refusal costs two lookups and stores no request,
+// which keeps a burst of retries from displacing work.
 func (q *Queue) Enter(it *Item, now time.Time) Decision {
 	if q.byKey[it.Key] != nil {
 		return Decision{Verdict: Attached}
 	}
 	f := q.flow(it)
-	d := q.judge(it, f, now)
+	d := q.decide(it, f, now)
 	if d.Refused() {
 		return d
 	}
@@ -74,7 +74,7 @@
 	q.byKey[it.Key] = it
 	c := &q.classes[it.Class]
 	if c.count == 0 {
-		c.tag = max(c.tag, q.vtime)
+		c.virtualStart = max(c.virtualStart, q.virtualTime)
 	}
 	c.push(it, f)
 	q.count++
@@ -91,7 +91,7 @@
 		q.flows[key] = f
 	}
 	if f.pos < 0 {
-		f.weight = max(1, it.Weight) // a changed share counts from the next idle moment
+		f.weight = max(1, it.Weight) // a changed share applies once the flow was idle
 	}
 	return f
 }
@@ -101,13 +101,13 @@
 		return
 	}
 	for key, f := range q.flows {
-		if f.pos < 0 && f.tag <= f.class.vtime {
+		if f.pos < 0 && f.virtualStart <= f.class.virtualTime {
 			delete(q.flows, key)
 		}
 	}
 }
 
-func (q *Queue) judge(it *Item, f *flow, now time.Time) Decision {
+func (q *Queue) decide(it *Item, f *flow, now time.Time) Decision {
 	if it.Class == Recovery {
 		return Decision{Verdict: Queued}
 	}
@@ -115,14 +115,14 @@
 	d := Decision{Verdict: Queued, Wait: wait}
 	allowed := policies[it.Class].maxWait
 	if !it.Deadline.IsZero() {
-		allowed = time.Duration(queueShare * float64(q.startBy(it).Sub(now)))
+		allowed = time.Duration(maxWaitShare * float64(q.startBy(it).Sub(now)))
 	}
 	switch {
 	case !it.Deadline.IsZero() && wait > allowed:
 		d.Verdict = DeadlineTooSoon
 	case wait > allowed:
 		d.Verdict = QueueFull
-		if q.isHog(f) {
+		if q.exceedsFairShare(f) {
 			d.Verdict = WorkspaceBacklog
 		}
 	case float64(f.count+1) > max(1, workspaceShare*float64(q.bounds.Count)):
@@ -136,25 +136,24 @@
 	return d
 }
 
-// startBy is when a request must start for its first token to come in time.
-func (q *Queue) startBy(it *Item) time.Time { return it.Deadline.Add(-q.lead) }
+// startBy is the latest start at which the first token is expected before the deadline.
+func (q *Queue) startBy(it *Item) time.Time { return it.Deadline.Add(-q.timeToFirstToken) }
 
-// FirstToken notes that a running request has its first token.
+// FirstToken records that a running request has produced its first token.
 func (q *Queue) FirstToken(it *Item, now time.Time) {
 	if it.state == Running {
-		q.lead += time.Duration(leadGain * float64(now.Sub(it.since)-q.lead))
+		q.timeToFirstToken += time.Duration(timeToFirstTokenGain * float64(now.Sub(it.since)-q.timeToFirstToken))
 	}
 }
 
-// isHog reports whether it is the workspace's own backlog that makes it wait:
-// more than its fair part of the class's.
-func (q *Queue) isHog(f *flow) bool {
+// exceedsFairShare reports whether a request would wait because of its own workspace's
+// backlog: more than twice the mean backlog of the flows in its class.
+func (q *Queue) exceedsFairShare(f *flow) bool {
 	active := len(f.class.heap)
 	return active > 1 && f.backlog > 2*f.class.backlog/float64(active)
 }
 
-// Next starts the next request, or returns nil if no slot is free or nobody
-// waits.
+// Next starts the next request. It returns nil if no slot is free or no request waits.
 func (q *Queue) Next(now time.Time) *Item {
 	for {
 		class, ok := q.nextClass()
@@ -164,7 +163,7 @@
 		c := &q.classes[class]
 		it := c.heap[0].first
 		if !it.Deadline.IsZero() && now.After(q.startBy(it)) {
-			q.out(it, false)
+			q.dequeue(it, false)
 			it.state = Expired
 			q.onExpire(it)
 			continue
@@ -174,11 +173,11 @@
 	}
 }
 
-// nextClass is the class to serve: recovery while its budget lasts, then by
-// virtual time among those that may have a slot.
+// nextClass returns the class to serve: recovery while its budget lasts, then the lowest
+// virtual start time among the classes that may have a slot.
 func (q *Queue) nextClass() (Class, bool) {
 	slack := int(recoverySlack * float64(q.capacity))
-	if q.classes[Recovery].count > 0 && q.recovery > 0 && q.running < q.capacity+slack {
+	if q.classes[Recovery].count > 0 && q.recoveryBudget > 0 && q.running < q.capacity+slack {
 		return Recovery, true
 	}
 	if q.running >= q.capacity {
@@ -190,51 +189,51 @@
 		if c.count == 0 || (class == Long && c.running >= q.longLimit()) {
 			continue
 		}
-		if !found || c.tag < q.classes[best].tag {
+		if !found || c.virtualStart < q.classes[best].virtualStart {
 			best, found = class, true
 		}
 	}
 	return best, found
 }
 
-func (q *Queue) longLimit() int { return max(1, int(longSlots*float64(q.capacity))) }
+func (q *Queue) longLimit() int { return max(1, int(longSlotShare*float64(q.capacity))) }
 
 func (q *Queue) start(it *Item, now time.Time) {
 	class := it.Class
-	q.out(it, true)
+	q.dequeue(it, true)
 	c := &q.classes[class]
-	q.vtime = max(q.vtime, c.tag)
-	c.tag += it.Cost / policies[class].weight
+	q.virtualTime = max(q.virtualTime, c.virtualStart)
+	c.virtualStart += it.Cost / policies[class].weight
 	c.running++
 	q.running++
 	if class == Recovery {
-		q.recovery -= it.Cost
+		q.recoveryBudget -= it.Cost
 	} else {
-		q.recovery = min(recoveryBurst, q.recovery+recoveryShare*it.Cost)
+		q.recoveryBudget = min(recoveryBurst, q.recoveryBudget+recoveryShare*it.Cost)
 	}
-	q.typical += typicalGain * (it.Cost - q.typical)
+	q.typicalCost += typicalCostGain * (it.Cost - q.typicalCost)
 	q.byKey[it.Key] = it
 	it.state, it.since = Running, now
 }
 
-func (q *Queue) out(it *Item, charged bool) {
+func (q *Queue) dequeue(it *Item, charged bool) {
 	q.classes[it.Class].drop(it, charged)
 	delete(q.byKey, it.Key)
 	q.count--
 	q.bytes -= it.Bytes
 }
 
-// Leave takes a request out: it has ended, or was given up on. whole tells that
-// it ran to its end, so that its time tells the speed of a slot.
-func (q *Queue) Leave(it *Item, whole bool, now time.Time) {
+// Leave removes a request that has ended or was cancelled. completed states that it ran
+// to its end: its duration then updates the rate of a slot.
+func (q *Queue) Leave(it *Item, completed bool, now time.Time) {
 	switch it.state {
 	case Waiting:
-		q.out(it, false)
+		q.dequeue(it, false)
 	case Running:
 		delete(q.byKey, it.Key)
 		q.running--
 		q.classes[it.Class].running--
-		if took := now.Sub(it.since); whole && took > 0 {
+		if took := now.Sub(it.since); completed && took > 0 {
 			q.slotRate += slotRateGain * (it.Cost/took.Seconds() - q.slotRate)
 		}
 	case Idle, Expired:
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -29,17 +29,17 @@
 func enter(t *testing.T, q *Queue, it *Item, now time.Time) *Item {
 	t.Helper()
 	if d := q.Enter(it, now); d.Refused() {
-		t.Fatalf("refused: %+v", d)
+		t.Fatalf("got %+v, want the request accepted", d)
 	}
 	return it
 }
 
-// One workspace sends 400 requests at once, then two others send ten each. In
-// order of arrival those twenty would wait behind all 400. By share they are
-// served beside it: after 40 starts each of the small ones is done.
+// One workspace sends 400 requests at once, then two others send ten each. In order of
+// arrival those twenty would wait behind all 400. With fair queueing they are served
+// alongside, and after 40 starts the small workspaces are done.
 func TestHotWorkspaceDoesNotDelayOthers(t *testing.T) {
 	q := newQueue(1)
-	q.slotRate = 1e6 // nothing is refused here
+	q.slotRate = 1e6 // high enough to refuse nothing
 	for range 400 {
 		enter(t, q, item("hot", Short, 1000), start)
 	}
@@ -54,12 +54,12 @@
 		q.Leave(it, true, start)
 	}
 	if served["a"] != 10 || served["b"] != 10 {
-		t.Errorf("after 40 starts: %v", served)
+		t.Errorf("after 40 starts: got %v, want ten of a and ten of b", served)
 	}
 }
 
-// Shares are counted in tokens, not in requests: a workspace with four times
-// the share gets four times the tokens, whatever the size of its requests.
+// Shares are counted in tokens, not in requests: a workspace with four times the share
+// gets four times the tokens, whatever the size of its requests.
 func TestSharesAreInTokens(t *testing.T) {
 	q := newQueue(1)
 	q.slotRate = 1e9
@@ -82,8 +82,8 @@
 	}
 }
 
-// A hundred summaries wait for ten slots when a lookup comes. Slots are not
-// taken back; the lookup finds one that long work may not hold.
+// A hundred summaries wait for ten slots when a lookup arrives. Running requests are not
+// preempted, and the lookup must find a slot that long work may not hold.
 func TestLongWorkLeavesSlotsForShort(t *testing.T) {
 	q := newQueue(10)
 	q.slotRate = 1e6
@@ -97,11 +97,11 @@
 	}
 	lookup := enter(t, q, item("desk", Short, 100), start)
 	if it := q.Next(start); it != lookup {
-		t.Error("the lookup waits behind long work")
+		t.Error("the lookup waits behind long work, want it started")
 	}
 }
 
-// The reverse: lookups without end must not keep a summary out.
+// A steady stream of lookups must not starve a summary.
 func TestShortWorkDoesNotStarveLong(t *testing.T) {
 	q := newQueue(1)
 	q.slotRate = 1e6
@@ -117,11 +117,11 @@
 		_ = n
 		q.Leave(it, true, start)
 	}
-	t.Error("300 lookups went before the summary")
+	t.Error("300 lookups started before the summary")
 }
 
-// What cannot start in time is refused at entry with the time to come back; and
-// callers refused together are told different times.
+// A request that cannot start in time must be refused at entry with a retry time, and
+// callers that are refused together must get different times.
 func TestEarlyRefusalTellsWhenToComeBack(t *testing.T) {
 	q := newQueue(2) // 800 cost units a second
 	for range 20 {
@@ -131,7 +131,7 @@
 	late.Deadline = start.Add(100 * time.Millisecond)
 	d := q.Enter(late, start)
 	if d.Verdict != DeadlineTooSoon || d.RetryAfter < minRetry {
-		t.Fatalf("got %+v", d)
+		t.Fatalf("got %+v, want DeadlineTooSoon with retry after 1s or more", d)
 	}
 	times := map[time.Duration]bool{}
 	for range 20 {
@@ -140,10 +140,10 @@
 		times[q.Enter(again, start).RetryAfter.Round(10*time.Millisecond)] = true
 	}
 	if len(times) < 5 {
-		t.Errorf("20 callers were told %d different times", len(times))
+		t.Errorf("got %d different retry times for 20 callers, want 5 or more", len(times))
 	}
 	if q.Len() != 20 {
-		t.Errorf("%d wait, want 20: refusals must leave nothing", q.Len())
+		t.Errorf("got %d waiting, want 20: refusals must leave nothing", q.Len())
 	}
 }
 
@@ -156,12 +156,12 @@
 	enter(t, q, old, start)
 	fresh := enter(t, q, item("a", Short, 10), start)
 	if it := q.Next(start.Add(2 * time.Second)); it != fresh || len(expired) != 1 || old.State() != Expired {
-		t.Errorf("started %v, %d expired", it, len(expired))
+		t.Errorf("got %v started and %d expired, want the second request started and one expired", it, len(expired))
 	}
 }
 
-// First tokens come a second after the start. A request whose deadline is in
-// half a second cannot be met any more: it is not started for nothing.
+// First tokens come a second after the start. A request whose deadline is in half a
+// second cannot be served in time any more and must not be started.
 func TestNoStartTooLateForTheFirstToken(t *testing.T) {
 	q := newQueue(1)
 	for range 200 {
@@ -178,7 +178,7 @@
 	at := start.Add(2500 * time.Millisecond)
 	q.Leave(running, true, at)
 	if it := q.Next(at); it != nil || late.State() != Expired {
-		t.Errorf("started %v, state %d", it, late.State())
+		t.Errorf("got %v started and state %d, want nothing started and the request expired", it, late.State())
 	}
 }
 
@@ -187,12 +187,13 @@
 	first := enter(t, q, item("a", Short, 10), start)
 	again := *first
 	if d := q.Enter(&again, start); d.Verdict != Attached || q.Len() != 1 || q.Get(first.Key) != first {
-		t.Errorf("got %+v with %d waiting", d, q.Len())
+		t.Errorf("got %+v with %d waiting, want it attached and one waiting", d, q.Len())
 	}
 }
 
-// A zone is lost: two hundred accepted streams need engines while fresh work
-// waits. They go first until their budget is used, then both go on.
+// After a zone is lost, two hundred accepted streams need engines while new work waits.
+// They must start first until their budget is used, and then share the slots with new
+// work.
 func TestRecoveryGoesFirstWithinItsBudget(t *testing.T) {
 	q := newQueue(1)
 	q.slotRate = 1e9
@@ -212,11 +213,11 @@
 			fresh++
 		}
 		if i == recoveryBurst/4000-1 && fresh > 0 {
-			t.Errorf("fresh work before the recovery budget was used")
+			t.Errorf("new work started before the recovery budget was used")
 		}
 	}
 	if fresh < 15 {
-		t.Errorf("%d of 100 starts were fresh: recovery starves it", fresh)
+		t.Errorf("got %d new requests in 100 starts, want 15 or more: recovery starves new work", fresh)
 	}
 }
 
@@ -229,17 +230,17 @@
 		verdicts[q.Enter(item(fmt.Sprint("w", n/20), Short, 1), start).Verdict]++
 	}
 	if q.Len() != 40 || verdicts[WorkspaceBacklog] == 0 || verdicts[QueueFull] == 0 {
-		t.Errorf("%d wait, verdicts %v", q.Len(), verdicts)
+		t.Errorf("got %d waiting and verdicts %v, want 40 waiting and both WorkspaceBacklog and QueueFull", q.Len(), verdicts)
 	}
 	heavy := item("z", Short, 1)
 	heavy.Bytes = 6000
 	if d := q.Enter(heavy, start); d.Verdict != QueueFull {
-		t.Errorf("over the bytes: %+v", d)
+		t.Errorf("got %+v beyond the byte limit, want QueueFull", d)
 	}
 }
 
-// Whatever enters, starts, ends or gives up in any order: the counters agree
-// with the items, and no more run than there are slots.
+// After any sequence of requests that enter, start, end or are cancelled, the counters
+// must match the items, and no more items may run than there are slots.
 func TestQueueCountersHold(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		q := newQueue(rapid.IntRange(0, 5).Draw(r, "slots"))
@@ -269,15 +270,15 @@
 				}
 				slack := int(recoverySlack * float64(q.Capacity()))
 				if states[Waiting] != q.Len() || states[Running] != q.Running() || q.Running() > q.Capacity()+slack {
-					r.Fatalf("items %v, queue %d waiting, %d running", states, q.Len(), q.Running())
+					r.Fatalf("got items by state %v, but the queue counts %d waiting and %d running", states, q.Len(), q.Running())
 				}
 			},
 		})
 	})
 }
 
-// Eleven routers share one engine that takes 32 streams. Each sees the same
-// reports only, and they come to share it without keeping a long queue there.
+// Eleven routers share one engine that takes 32 streams. Each sees only the same reports,
+// and their limits must converge to equal shares without a long queue in the engine.
 func TestLimitersShareAnEngine(t *testing.T) {
 	limits := make([]*Limiter, 11)
 	for i := range limits {
@@ -300,11 +301,11 @@
 		least, most = min(least, l.Limit()), max(most, l.Limit())
 	}
 	if total < 16 || total > 48 || most > 3*least {
-		t.Errorf("limits add up to %d, from %d to %d", total, least, most)
+		t.Errorf("got limits that add up to %d, from %d to %d; want 16 to 48, and at most three times the smallest", total, least, most)
 	}
 }
 
-// A refusal and a start at 6,600 workspaces.
+// BenchmarkAdmission6600 measures a refusal and a start with 6,600 workspaces.
 func BenchmarkAdmission6600(b *testing.B) {
 	fill := func() (*Queue, []Item) {
 		q := newQueue(100)
