--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -41,35 +41,35 @@
 // callServers answer calls with a number of slots each, queue some more, and shed the
 // rest.
 type callServers struct {
-	busy  [3][]callInWork
-	queue [3][]*simCall
-	sheds int
+	running [3][]runningCall
+	queue   [3][]*simCall
+	sheds   int
 }
 
-type callInWork struct {
+type runningCall struct {
 	call *simCall
 	ends int // ms
 }
 
 type simCall struct {
-	vm, came, tries, again int // ms
-	answered               int // ms; 0: not answered
-	refused                bool
-	server, sent           int
+	vm, arrivedAt, tries, retryAt int // ms
+	answered                      int // ms; 0: not answered
+	refused                       bool
+	server, sent                  int
 }
 
 const (
 	callSlots, callQueue = 6, 24
 	callObjective        = 300
 	callWork             = 60.0
-	newsEvery            = 400
+	reportInterval       = 400
 )
 
-func (s *callServers) there(i int) int { return len(s.busy[i]) + len(s.queue[i]) }
+func (s *callServers) load(i int) int { return len(s.running[i]) + len(s.queue[i]) }
 
 // send reports false if the server sheds the call.
 func (s *callServers) send(now, i int, c *simCall) bool {
-	if s.there(i) >= callSlots+callQueue {
+	if s.load(i) >= callSlots+callQueue {
 		s.sheds++
 		return false
 	}
@@ -79,9 +79,9 @@
 }
 
 func (s *callServers) tick(now int, rng *rand.Rand, answered func(*simCall)) {
-	for i := range s.busy {
-		var remaining []callInWork
-		for _, b := range s.busy[i] {
+	for i := range s.running {
+		var remaining []runningCall
+		for _, b := range s.running[i] {
 			if b.ends > now {
 				remaining = append(remaining, b)
 				continue
@@ -90,10 +90,10 @@
 			answered(b.call)
 		}
 		for len(remaining) < callSlots && len(s.queue[i]) > 0 {
-			remaining = append(remaining, callInWork{s.queue[i][0], now + max(1, int(callWork*(0.5+rng.Float64())))})
+			remaining = append(remaining, runningCall{s.queue[i][0], now + max(1, int(callWork*(0.5+rng.Float64())))})
 			s.queue[i] = s.queue[i][1:]
 		}
-		s.busy[i] = remaining
+		s.running[i] = remaining
 	}
 }
 
@@ -123,14 +123,14 @@
 		i, load := place(now, c)
 		if admit {
 			w := admission.CallWait{Load: load, Work: callWork * time.Millisecond, Objective: callObjective * time.Millisecond}
-			w.Held = time.Duration(now-max(c.came, c.again)) * time.Millisecond
+			w.Held = time.Duration(now-max(c.arrivedAt, c.retryAt)) * time.Millisecond
 			switch w.Decide() {
 			case admission.HoldCall:
 				waiting = append(waiting, c)
 				return
 			case admission.RefuseCall:
 				c.tries++
-				c.again, c.refused = now+int(w.RetryAfter(rng.Float64()).Milliseconds()), true
+				c.retryAt, c.refused = now+int(w.RetryAfter(rng.Float64()).Milliseconds()), true
 				return
 			case admission.SendCall:
 			}
@@ -142,18 +142,18 @@
 			}
 		}
 		c.tries++
-		c.again, c.refused = now+150, true
+		c.retryAt, c.refused = now+150, true
 	}
 	for now := 1; now < span+2000; now++ {
-		if now%newsEvery == 0 {
+		if now%reportInterval == 0 {
 			for i := range published {
-				published[i] = s.there(i)
+				published[i] = s.load(i)
 			}
 		}
 		s.tick(now, rng, func(c *simCall) {
 			own[c.vm][c.server]--
 			latency[c.vm] += 0.2 * (float64(now-c.sent) - latency[c.vm])
-			reported[c.vm][c.server], answeredAt[c.vm][c.server] = s.there(c.server)-own[c.vm][c.server], now
+			reported[c.vm][c.server], answeredAt[c.vm][c.server] = s.load(c.server)-own[c.vm][c.server], now
 		})
 		held := waiting
 		waiting = nil
@@ -161,20 +161,20 @@
 			try(now, c)
 		}
 		for _, c := range all {
-			if c.refused && c.tries < 2 && now >= c.again {
+			if c.refused && c.tries < 2 && now >= c.retryAt {
 				c.refused = false
 				try(now, c)
 			}
 		}
 		if now < span && rng.Float64() < perMS {
-			c := &simCall{vm: rng.IntN(vms), came: now}
+			c := &simCall{vm: rng.IntN(vms), arrivedAt: now}
 			all = append(all, c)
 			try(now, c)
 		}
 	}
 	n := 0
 	for _, c := range all {
-		if c.answered > 0 && c.answered-c.came <= callObjective {
+		if c.answered > 0 && c.answered-c.arrivedAt <= callObjective {
 			n++
 		}
 	}
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -40,7 +40,7 @@
 
 // joiningWeight is the weight that f adds to its class with its first item.
 func (q *Queue) joiningWeight(f *flow) float64 {
-	if f.pos < 0 {
+	if f.heapIndex < 0 {
 		return f.weight
 	}
 	return 0
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -10,7 +10,7 @@
 	backlog      float64 // total cost of the waiting items
 	weight       float64
 	virtualStart float64 // virtual start time of the first item
-	pos          int     // index in the class's heap; -1: not in it
+	heapIndex    int     // index in the class's heap; -1: not in it
 }
 
 func (f *flow) push(it *Item) {
@@ -61,12 +61,12 @@
 	f.push(it)
 	c.count++
 	c.backlog += it.Cost
-	if f.pos < 0 {
+	if f.heapIndex < 0 {
 		f.virtualStart = max(f.virtualStart, c.virtualTime)
 		c.weight += f.weight
-		f.pos = len(c.heap)
+		f.heapIndex = len(c.heap)
 		c.heap = append(c.heap, f)
-		c.siftUp(f.pos)
+		c.siftUp(f.heapIndex)
 	}
 }
 
@@ -82,7 +82,7 @@
 	if charged {
 		c.virtualTime = max(c.virtualTime, f.virtualStart)
 		f.virtualStart += it.Cost / f.weight
-		c.siftDown(f.pos)
+		c.siftDown(f.heapIndex)
 	}
 	if f.count == 0 {
 		c.removeFlow(f)
@@ -90,10 +90,10 @@
 }
 
 func (c *class) removeFlow(f *flow) {
-	i, end := f.pos, len(c.heap)-1
+	i, end := f.heapIndex, len(c.heap)-1
 	c.swap(i, end)
 	c.heap = c.heap[:end]
-	f.pos = -1
+	f.heapIndex = -1
 	if i < end {
 		c.siftDown(i)
 		c.siftUp(i)
@@ -106,7 +106,7 @@
 
 func (c *class) swap(i, j int) {
 	c.heap[i], c.heap[j] = c.heap[j], c.heap[i]
-	c.heap[i].pos, c.heap[j].pos = i, j
+	c.heap[i].heapIndex, c.heap[j].heapIndex = i, j
 }
 
 func (c *class) siftUp(i int) {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -87,10 +87,10 @@
 	f := q.flows[key]
 	if f == nil {
 		q.forgetIdle()
-		f = &flow{workspace: it.Workspace, class: &q.classes[it.Class], pos: -1, weight: max(1, it.Weight)}
+		f = &flow{workspace: it.Workspace, class: &q.classes[it.Class], heapIndex: -1, weight: max(1, it.Weight)}
 		q.flows[key] = f
 	}
-	if f.pos < 0 {
+	if f.heapIndex < 0 {
 		f.weight = max(1, it.Weight) // a changed share applies once the flow was idle
 	}
 	return f
@@ -101,7 +101,7 @@
 		return
 	}
 	for key, f := range q.flows {
-		if f.pos < 0 && f.virtualStart <= f.class.virtualTime {
+		if f.heapIndex < 0 && f.virtualStart <= f.class.virtualTime {
 			delete(q.flows, key)
 		}
 	}
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -16,21 +16,21 @@
 	ids := []string{"e1", "e2", "e3", "e4"}
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := New(nil), time.Unix(0, 0)
-		some := func(label string) []string {
+		subset := func(label string) []string {
 			return rapid.SliceOfNDistinct(rapid.SampledFrom(ids), 0, len(ids), rapid.ID[string]).Draw(t, label)
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			vm := fmt.Sprint("vm", rapid.IntRange(0, 3).Draw(t, "vm"))
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				s.Told(vm, Report{Avoid: some("avoid"), Doubt: some("doubt")}, now)
+				s.Told(vm, Report{Avoid: subset("avoid"), Doubt: subset("doubt")}, now)
 			case 2:
 				s.Forget(vm)
 			case 3:
 				now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			case 4:
 				var list []Server
-				for _, id := range some("listed") {
+				for _, id := range subset("listed") {
 					list = append(list, Server{ID: id, Service: "models"})
 				}
 				s.SetServers(list)
--- a/internal/scheduler/memory.go
+++ b/internal/scheduler/memory.go
@@ -33,7 +33,7 @@
 // hasRoomForCopy reports whether the engines that may run a stream have memory for one
 // more copy, up to the given share, besides what prompts will need.
 func (r *round) hasRoomForCopy(share float64, w *waiter) bool {
-	if r.v.kvTokens == 0 {
+	if r.service.kvTokens == 0 {
 		return false
 	}
 	total, taken, runs := 0, 0, 0
@@ -41,14 +41,14 @@
 		if r.health.lost(e) || !w.matchesVersion(e) {
 			continue
 		}
-		total += r.v.kvTokens
-		taken += e.use.Tokens
-		runs += e.use.Tokens - e.use.Copies
+		total += r.service.kvTokens
+		taken += e.usage.Tokens
+		runs += e.usage.Tokens - e.usage.Copies
 	}
-	for _, o := range r.v.waiting {
+	for _, o := range r.service.waiting {
 		taken += o.Need.Tokens()
 	}
-	growth := max(0, r.v.demand.expectedMemory(r.now, r.v.pace)-float64(runs))
+	growth := max(0, r.service.demand.expectedMemory(r.now, r.service.pace)-float64(runs))
 	return float64(taken)+growth <= share*float64(total)
 }
 
@@ -74,13 +74,13 @@
 	if !r.hasRoomForCopy(copyMemoryShare, w) {
 		return nil
 	}
-	eligible, candidates := r.v.eligible[:0], r.v.candidates[:0]
+	eligible, candidates := r.service.eligible[:0], r.service.candidates[:0]
 	for _, o := range r.servers {
 		if o.Zone != e.Zone && w.matchesVersion(o) && !r.avoids(w, o) {
 			eligible, candidates = append(eligible, o), append(candidates, r.candidate(o, w))
 		}
 	}
-	r.v.eligible, r.v.candidates = eligible, candidates
+	r.service.eligible, r.service.candidates = eligible, candidates
 	if i := placement.Copy(candidates, e.Zone, w.Need, rng); i >= 0 {
 		return eligible[i]
 	}
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -77,7 +77,7 @@
 // compareDue orders the streams of one class: late ones by arrival, others by due time.
 func compareDue(a, b *waiter) int {
 	if a.class == late {
-		return a.since.Compare(b.since)
+		return a.enqueuedAt.Compare(b.enqueuedAt)
 	}
 	return a.Due.Compare(b.Due)
 }
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -71,20 +71,20 @@
 
 // ExpectedDuration estimates how long a stream takes whose caller has received some
 // events, if its run takes the given multiple of the mean; 0: unknown.
-func (p Pace) Lasts(prompt, after int, times float64) time.Duration {
+func (p Pace) Lasts(prompt, eventsReceived int, runMultiple float64) time.Duration {
 	if p.Run <= 0 {
 		return 0
 	}
-	return p.prefillTime(prompt) + time.Duration(times*p.remainingShare(after)*float64(p.Run))
+	return p.prefillTime(prompt) + time.Duration(runMultiple*p.remainingShare(eventsReceived)*float64(p.Run))
 }
 
 // remainingShare is the share of a run that is left after the events that the caller has
 // received.
-func (p Pace) remainingShare(after int) float64 {
-	if after == 0 || p.Events <= 0 {
+func (p Pace) remainingShare(eventsReceived int) float64 {
+	if eventsReceived == 0 || p.Events <= 0 {
 		return 1
 	}
-	return max(minRemainingShare, 1-float64(after)/p.Events)
+	return max(minRemainingShare, 1-float64(eventsReceived)/p.Events)
 }
 
 // minRemainingShare applies to runs that are longer than usual.
@@ -160,8 +160,8 @@
 // random part of up to the same length spreads the retries of callers that were refused
 // together.
 func (r *round) retryAfter(w *waiter, rng func(int) int) time.Duration {
-	rate := max(r.v.grantTimes.rate(r.now), minStartRate)
-	served := time.Duration(float64(len(r.v.waiting)) / rate * float64(time.Second))
+	rate := max(r.service.grantTimes.rate(r.now), minStartRate)
+	served := time.Duration(float64(len(r.service.waiting)) / rate * float64(time.Second))
 	most := min(maxRetryAfter, time.Duration(retryShare*float64(w.Deadline.Sub(r.now))))
 	from := max(minRetryAfter, min(served, most/2))
 	return from + time.Duration(float64(from)*float64(rng(1000))/1000)
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -14,7 +14,7 @@
 	vms     map[string]*vm
 	health  health
 	now     time.Time
-	v       *service
+	service *service
 	// reserved counts the servers that are kept free for a stream that finds no room yet
 	// and is due before the streams tried after it. Without it, smaller streams take all
 	// memory that is freed, and the largest prompts are late every time.
@@ -29,7 +29,7 @@
 }
 
 func newRound(v *service, vms map[string]*vm, h health, now time.Time) *round {
-	r := &round{servers: v.servers, vms: vms, health: h, now: now, v: v}
+	r := &round{servers: v.servers, vms: vms, health: h, now: now, service: v}
 	r.median, r.allSlow = v.cachedMedianPerToken(now), true
 	for _, e := range v.servers {
 		if !r.health.lost(e) {
@@ -56,10 +56,10 @@
 }
 
 func (r *round) canBegin(e *server) bool {
-	if r.usable > 0 && r.health.lost(e) || e.Slots > 0 && e.use.Requests >= e.Slots {
+	if r.usable > 0 && r.health.lost(e) || e.Slots > 0 && e.usage.Requests >= e.Slots {
 		return false
 	}
-	return r.v.pace.prefillTime(e.use.Prompt) <= maxPrefillBacklog
+	return r.service.pace.prefillTime(e.usage.Prompt) <= maxPrefillBacklog
 }
 
 // markBusy removes an engine from those that could start a prefill.
@@ -73,13 +73,13 @@
 	if e := r.cached(w); e != nil {
 		return e
 	}
-	eligible, candidates := r.v.eligible[:0], r.v.candidates[:0]
+	eligible, candidates := r.service.eligible[:0], r.service.candidates[:0]
 	for _, e := range r.free() {
 		if r.accepts(e, w) && r.fits(e, w) {
 			eligible, candidates = append(eligible, e), append(candidates, r.candidate(e, w))
 		}
 	}
-	r.v.eligible, r.v.candidates = eligible, candidates
+	r.service.eligible, r.service.candidates = eligible, candidates
 	i := placement.Engine(candidates, w.Need, rng)
 	if i < 0 {
 		r.reserve(w)
@@ -144,7 +144,7 @@
 
 func (r *round) candidate(e *server, w *waiter) placement.Candidate {
 	return placement.Candidate{
-		ID: e.ID, Zone: e.Zone, Slots: e.Slots, KVTokens: w.KVTokens, Use: e.use, Slow: r.slowdown(e),
+		ID: e.ID, Zone: e.Zone, Slots: e.Slots, KVTokens: w.KVTokens, Use: e.usage, Slow: r.slowdown(e),
 		Far: w.Zone != "" && w.Zone != e.Zone,
 	}
 }
@@ -155,10 +155,10 @@
 	share := maxMemoryShare
 	if w.class == late {
 		share = lateMemoryShare
-	} else if slow := r.slowdown(e); slow > 1 && !r.allSlow && r.wouldBeLate(w, slow) {
+	} else if slowdown := r.slowdown(e); slowdown > 1 && !r.allSlow && r.wouldBeLate(w, slowdown) {
 		return false
 	}
-	return w.KVTokens == 0 || float64(e.use.Tokens+w.Need.Tokens()) <= memoryLimit(share, w)
+	return w.KVTokens == 0 || float64(e.usage.Tokens+w.Need.Tokens()) <= memoryLimit(share, w)
 }
 
 // memoryLimit is how many tokens of an engine's memory may be taken once the stream runs
@@ -188,8 +188,8 @@
 
 // wouldBeLate reports whether a stream would produce its first event late on an engine
 // with this slowdown.
-func (r *round) wouldBeLate(w *waiter, slow float64) bool {
-	prefill := time.Duration(slow * float64(r.v.pace.prefillTime(w.Need.Prompt)))
+func (r *round) wouldBeLate(w *waiter, slowdown float64) bool {
+	prefill := time.Duration(slowdown * float64(r.service.pace.prefillTime(w.Need.Prompt)))
 	return r.now.Add(prefill).After(w.Due)
 }
 
@@ -200,7 +200,7 @@
 	}
 	var best *server
 	for _, e := range r.free() {
-		if w.matchesVersion(e) && !r.avoids(w, e) && (best == nil || e.use.Tokens < best.use.Tokens) {
+		if w.matchesVersion(e) && !r.avoids(w, e) && (best == nil || e.usage.Tokens < best.usage.Tokens) {
 			best = e
 		}
 	}
@@ -212,11 +212,11 @@
 
 // minDuration is the shortest time that a stream needs once an engine starts it.
 func (r *round) minDuration(w *waiter) time.Duration {
-	run := time.Duration(quickRunShare * r.v.pace.remainingShare(w.After) * float64(r.v.pace.Run))
+	run := time.Duration(quickRunShare * r.service.pace.remainingShare(w.After) * float64(r.service.pace.Run))
 	if r.cached(w) != nil {
 		return run
 	}
-	return r.v.pace.prefillTime(w.Need.Prompt) + run
+	return r.service.pace.prefillTime(w.Need.Prompt) + run
 }
 
 // missesDeadline reports whether a stream cannot be served before its deadline behind the
@@ -224,7 +224,7 @@
 // since a short time without engines is no reason to refuse streams that can be served
 // afterwards.
 func (r *round) missesDeadline(w *waiter) bool {
-	wait := time.Duration(float64(r.ahead) / max(r.v.grantTimes.rate(r.now), r.maxStartRate(w)) * float64(time.Second))
+	wait := time.Duration(float64(r.ahead) / max(r.service.grantTimes.rate(r.now), r.maxStartRate(w)) * float64(time.Second))
 	return r.now.Add(wait + r.minDuration(w)).After(w.Deadline)
 }
 
@@ -246,11 +246,11 @@
 // second. Each engine starts them one after the other, and only as many as its memory
 // holds.
 func (r *round) maxStartRate(w *waiter) float64 {
-	reading := r.v.pace.prefillTime(max(1, w.Need.Prompt)).Seconds()
+	reading := r.service.pace.prefillTime(max(1, w.Need.Prompt)).Seconds()
 	servers := r.engineCount(w)
 	rate := float64(servers) / reading
 	if w.KVTokens > 0 {
-		hold := reading + quickRunShare*r.v.pace.Run.Seconds()
+		hold := reading + quickRunShare*r.service.pace.Run.Seconds()
 		rate = min(rate, float64(servers*w.KVTokens)/float64(max(1, w.Need.Tokens()))/hold)
 	}
 	return max(rate, minStartRate)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -142,7 +142,7 @@
 
 type server struct {
 	Server
-	use        placement.Use // of all VMs, including unconfirmed grants
+	usage      placement.Use // of all VMs, including unconfirmed grants
 	suspicions *suspicionCounts
 	// aliveAt is when a VM last reported that it had heard from the engine.
 	aliveAt time.Time
@@ -180,21 +180,21 @@
 
 type waiter struct {
 	Stream
-	since   time.Time
-	askedAt time.Time
-	class   class // as of the last call of order
+	enqueuedAt time.Time
+	renewedAt  time.Time
+	class      class // as of the last call of order
 }
 
 type grant struct {
 	vm     string
 	number uint64
 	at     time.Time
-	uses   []serverUse
+	usages []serverUsage
 }
 
-type serverUse struct {
+type serverUsage struct {
 	server string
-	use    placement.Use
+	usage  placement.Use
 }
 
 // New returns a Scheduler without servers. rng returns a random number in [0, n); nil
@@ -225,7 +225,7 @@
 	for _, listed := range list {
 		known := former[listed.ID]
 		if known == nil {
-			known = &server{use: s.usageOf(listed.ID), suspicions: s.suspicionsOf(listed.ID)}
+			known = &server{usage: s.usageOf(listed.ID), suspicions: s.suspicionsOf(listed.ID)}
 		}
 		known.Server = listed
 		s.servers[listed.ID] = known
@@ -243,9 +243,9 @@
 		sum = sum.Add(v.report.Use[id])
 	}
 	for _, g := range s.grants {
-		for _, u := range g.uses {
+		for _, u := range g.usages {
 			if u.server == id {
-				sum = sum.Add(u.use)
+				sum = sum.Add(u.usage)
 			}
 		}
 	}
@@ -254,7 +254,7 @@
 
 func (s *Scheduler) addUsage(id string, u placement.Use) {
 	if v := s.servers[id]; v != nil {
-		v.use = v.use.Add(u)
+		v.usage = v.usage.Add(u)
 	}
 }
 
@@ -314,8 +314,8 @@
 			kept = append(kept, g)
 			continue
 		}
-		for _, u := range g.uses {
-			s.addUsage(u.server, u.use.Negative())
+		for _, u := range g.usages {
+			s.addUsage(u.server, u.usage.Negative())
 		}
 	}
 	s.grants = kept
@@ -328,13 +328,13 @@
 	v.kvTokens = st.KVTokens
 	for _, w := range v.waiting {
 		if w.ID == st.ID {
-			w.Skip, w.After, w.Version, w.Part, w.askedAt = st.Skip, st.After, st.Version, st.Part, now
+			w.Skip, w.After, w.Version, w.Part, w.renewedAt = st.Skip, st.After, st.Version, st.Part, now
 			return
 		}
 	}
 	v.demand.add(now, st.Need.Tokens())
 	v.recordArrival(st.Workspace, now)
-	v.waiting = append(v.waiting, &waiter{Stream: st, since: now, askedAt: now})
+	v.waiting = append(v.waiting, &waiter{Stream: st, enqueuedAt: now, renewedAt: now})
 }
 
 // HasWaiting reports whether any stream waits.
@@ -353,7 +353,7 @@
 	h := s.health(now)
 	var out []Decision
 	for _, v := range s.services {
-		v.waiting = slices.DeleteFunc(v.waiting, func(w *waiter) bool { return now.Sub(w.askedAt) > waiterTTL })
+		v.waiting = slices.DeleteFunc(v.waiting, func(w *waiter) bool { return now.Sub(w.renewedAt) > waiterTTL })
 		if len(v.waiting) > 0 {
 			out = append(out, s.serve(v, h, now)...)
 		}
@@ -413,22 +413,22 @@
 func (s *Scheduler) grant(w *waiter, r *round, e *server, d *Decision) {
 	s.number++
 	run := placement.Use{Requests: 1, Tokens: w.Need.Tokens(), Prompt: w.Need.Prompt}
-	g := grant{vm: w.VM, number: s.number, at: r.now, uses: []serverUse{{e.ID, run}}}
+	g := grant{vm: w.VM, number: s.number, at: r.now, usages: []serverUsage{{e.ID, run}}}
 	d.Outcome, d.Number, d.Server = Granted, s.number, e.ID
 	if w.WantsCopy {
 		if k := r.backupEngine(w, e, s.rng); k != nil {
 			d.Keeper = k.ID
-			g.uses = append(g.uses, serverUse{k.ID, placement.CopyUse(w.Need)})
+			g.usages = append(g.usages, serverUsage{k.ID, placement.CopyUse(w.Need)})
 		}
 	}
 	e.beginPrefill(w.Need.Prompt, r.now)
-	for _, u := range g.uses {
-		s.addUsage(u.server, u.use)
+	for _, u := range g.usages {
+		s.addUsage(u.server, u.usage)
 	}
 	s.grants = append(s.grants, g)
 	if !r.canBegin(e) {
 		r.markBusy(e)
 	}
-	r.v.grantTimes.add(r.now)
-	r.v.newStreamNext = w.Interrupted
+	r.service.grantTimes.add(r.now)
+	r.service.newStreamNext = w.Interrupted
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -96,7 +96,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			traits := simTraits{
-				perMS: usualTraits.perMS * tt.pace, step: time.Duration(float64(usualTraits.step) / tt.pace),
+				prefillPerMS: usualTraits.prefillPerMS * tt.pace, step: time.Duration(float64(usualTraits.step) / tt.pace),
 				kv: int(float64(usualTraits.kv) * tt.memory),
 			}
 			need := placement.Need{Prompt: int(8000 * min(1, tt.memory)), Output: int(600 * min(1, tt.memory))}
@@ -450,7 +450,7 @@
 	usual := 160 * time.Microsecond
 	pace := map[string]Pace{"models": {PerToken: usual, Run: 6 * time.Second}}
 	s.Told("vm", Report{Paces: pace}, now)
-	read := func(id string, took time.Duration, skip ...string) string {
+	grantAndPrefill := func(id string, took time.Duration, skip ...string) string {
 		st := stream(id, now)
 		st.Skip = skip
 		s.Ask(st, now)
@@ -463,9 +463,9 @@
 		s.Told("vm", Report{Paces: pace, Taken: d.Number}, now)
 		return d.Server
 	}
-	read("1", 1280*time.Millisecond, "b0", "c0")
-	read("2", 1280*time.Millisecond, "a0", "c0")
-	read("3", 1280*time.Millisecond, "a0", "b0")
+	grantAndPrefill("1", 1280*time.Millisecond, "b0", "c0")
+	grantAndPrefill("2", 1280*time.Millisecond, "a0", "c0")
+	grantAndPrefill("3", 1280*time.Millisecond, "a0", "b0")
 	slow := func() float64 {
 		v := s.services["models"]
 		return s.servers["a0"].slowdown(v.medianPerToken(), now)
@@ -474,7 +474,7 @@
 		t.Fatalf("got slowdown %.1f of an engine that prefills three times slower, want 2 or more", f)
 	}
 	for i := range 4 {
-		if got := read(fmt.Sprint("next", i), 1280*time.Millisecond); got == "a0" {
+		if got := grantAndPrefill(fmt.Sprint("next", i), 1280*time.Millisecond); got == "a0" {
 			t.Error("a prompt was granted the slow engine a0, want one of the free ones")
 		}
 	}
--- a/internal/scheduler/sim_test.go
+++ b/internal/scheduler/sim_test.go
@@ -16,12 +16,12 @@
 
 // simTraits describe the engines of a simulation.
 type simTraits struct {
-	perMS float64       // prompt tokens prefilled per ms
-	step  time.Duration // duration of a decoding step
-	kv    int
+	prefillPerMS float64       // prompt tokens prefilled per ms
+	step         time.Duration // duration of a decoding step
+	kv           int
 }
 
-var usualTraits = simTraits{perMS: 8, step: 7 * time.Millisecond, kv: 88_000}
+var usualTraits = simTraits{prefillPerMS: 8, step: 7 * time.Millisecond, kv: 88_000}
 
 // prefillChunk is the number of prompt tokens that are prefilled between two decoding
 // steps.
@@ -48,7 +48,7 @@
 	running []*simRun
 	copies  int // tokens
 	next    time.Time
-	dark    bool
+	failed  bool
 }
 
 func (e *simEngine) tokens() int {
@@ -62,7 +62,7 @@
 // advance runs the steps that are due. It returns the runs that produced their first
 // event or ended.
 func (e *simEngine) advance(now time.Time) (changed []*simRun) {
-	if e.dark {
+	if e.failed {
 		e.next = now
 		return nil
 	}
@@ -93,7 +93,7 @@
 		case !reading:
 			reading = true
 			r.prefilled += prefillChunk
-			took += time.Duration(prefillChunk / e.traits.perMS * float64(time.Millisecond))
+			took += time.Duration(prefillChunk / e.traits.prefillPerMS * float64(time.Millisecond))
 		}
 		if r.generated < r.need.Output {
 			remaining = append(remaining, r)
@@ -159,7 +159,7 @@
 	}
 	var servers []Server
 	for _, e := range s.engines {
-		if !e.dark {
+		if !e.failed {
 			servers = append(servers, e.Server)
 		}
 	}
@@ -215,10 +215,10 @@
 // placeImmediately places a run as a VM does that knows its own runs and has old reports
 // of the others'.
 func (s *sim) placeImmediately(r *simRun) {
-	own := s.use(func(o *simRun) bool { return o.vm == r.vm })
+	own := s.usage(func(o *simRun) bool { return o.vm == r.vm })
 	all := make([]placement.Candidate, len(s.engines))
 	for i, e := range s.engines {
-		all[i] = placement.Candidate{ID: e.ID, Zone: e.Zone, KVTokens: e.traits.kv, Use: own[e.ID].Add(s.reportedUsage[e.ID]), Avoid: e.dark, Slow: 1}
+		all[i] = placement.Candidate{ID: e.ID, Zone: e.Zone, KVTokens: e.traits.kv, Use: own[e.ID].Add(s.reportedUsage[e.ID]), Avoid: e.failed, Slow: 1}
 	}
 	e := s.engines[placement.Engine(all, r.need, s.rng.IntN)]
 	r.engine = e
@@ -226,7 +226,7 @@
 }
 
 // use sums the usage of the selected placed runs by engine.
-func (s *sim) use(which func(*simRun) bool) map[string]placement.Use {
+func (s *sim) usage(which func(*simRun) bool) map[string]placement.Use {
 	out := map[string]placement.Use{}
 	for _, r := range s.live {
 		if r.engine == nil || !which(r) {
@@ -257,7 +257,7 @@
 	}
 	if s.scheduler == nil {
 		if s.now.Sub(s.reportedAt) >= s.reportAge {
-			s.reportedAt, s.reportedUsage = s.now, s.use(func(*simRun) bool { return true })
+			s.reportedAt, s.reportedUsage = s.now, s.usage(func(*simRun) bool { return true })
 		}
 		return
 	}
@@ -291,7 +291,7 @@
 
 func (s *sim) report(vm string) {
 	s.scheduler.Told(vm, Report{
-		Use: s.use(func(r *simRun) bool { return r.vm == vm }), Taken: s.taken[vm],
+		Use: s.usage(func(r *simRun) bool { return r.vm == vm }), Taken: s.taken[vm],
 		Paces: map[string]Pace{"models": s.pace()},
 	}, s.now)
 }
@@ -299,7 +299,7 @@
 // pace returns what the VMs would measure.
 func (s *sim) pace() Pace {
 	t := s.engines[0].traits
-	perChunk := time.Duration(prefillChunk/t.perMS*float64(time.Millisecond)) + t.step
+	perChunk := time.Duration(prefillChunk/t.prefillPerMS*float64(time.Millisecond)) + t.step
 	return Pace{PerToken: perChunk / prefillChunk, Run: 6 * time.Second}
 }
 
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -32,8 +32,8 @@
 		r := newRound(v, s.vms, h, now)
 		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, Rate: v.grantTimes.rate(now), Pace: v.pace}
 		for _, e := range v.servers {
-			st.Use = st.Use.Add(e.use)
-			if e.use.Prompt > 0 {
+			st.Use = st.Use.Add(e.usage)
+			if e.usage.Prompt > 0 {
 				st.Reading++
 			}
 		}
