--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -48,7 +48,7 @@
 	RefuseCall
 )
 
-// Expected returns the expected time to the answer.
+// ExpectedLatency returns the expected time to the answer.
 func (c CallWait) Expected() time.Duration {
 	return time.Duration(max(1, c.Load) * float64(c.Work))
 }
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -68,7 +68,7 @@
 	return time.Duration(min(s, math.MaxInt32) * float64(time.Second))
 }
 
-// Wait estimates the time in the queue as Enter does, without entering the request.
+// EstimateWait estimates the time in the queue as Enter does, without entering the request.
 func (q *Queue) Wait(it *Item) time.Duration { return q.wait(it, q.flow(it)) }
 
 // retryAfter returns the time after which a refused caller should retry: when the
--- a/internal/scheduler/memory.go
+++ b/internal/scheduler/memory.go
@@ -48,7 +48,7 @@
 	for _, o := range r.service.waiting {
 		taken += o.Need.Tokens()
 	}
-	growth := max(0, r.service.demand.expectedMemory(r.now, r.service.pace)-float64(runs))
+	growth := max(0, r.service.demand.expectedMemory(r.now, r.service.timing)-float64(runs))
 	return float64(taken)+growth <= share*float64(total)
 }
 
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -38,7 +38,7 @@
 	switch {
 	case w.Interrupted:
 		return interrupted
-	case now.Add(v.pace.prefillTime(w.Need.Prompt)).After(w.Due):
+	case now.Add(v.timing.prefillTime(w.Need.Prompt)).After(w.Due):
 		return late
 	}
 	return inTime
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -59,7 +59,7 @@
 	if r.usable > 0 && r.health.lost(e) || e.Slots > 0 && e.usage.Requests >= e.Slots {
 		return false
 	}
-	return r.service.pace.prefillTime(e.usage.Prompt) <= maxPrefillBacklog
+	return r.service.timing.prefillTime(e.usage.Prompt) <= maxPrefillBacklog
 }
 
 // markBusy removes an engine from those that could start a prefill.
@@ -189,7 +189,7 @@
 // wouldBeLate reports whether a stream would produce its first event late on an engine
 // with this slowdown.
 func (r *round) wouldBeLate(w *waiter, slowdown float64) bool {
-	prefill := time.Duration(slowdown * float64(r.service.pace.prefillTime(w.Need.Prompt)))
+	prefill := time.Duration(slowdown * float64(r.service.timing.prefillTime(w.Need.Prompt)))
 	return r.now.Add(prefill).After(w.Due)
 }
 
@@ -212,11 +212,11 @@
 
 // minDuration is the shortest time that a stream needs once an engine starts it.
 func (r *round) minDuration(w *waiter) time.Duration {
-	run := time.Duration(quickRunShare * r.service.pace.remainingShare(w.After) * float64(r.service.pace.Run))
+	run := time.Duration(quickRunShare * r.service.timing.remainingShare(w.After) * float64(r.service.timing.Run))
 	if r.cached(w) != nil {
 		return run
 	}
-	return r.service.pace.prefillTime(w.Need.Prompt) + run
+	return r.service.timing.prefillTime(w.Need.Prompt) + run
 }
 
 // missesDeadline reports whether a stream cannot be served before its deadline behind the
@@ -246,11 +246,11 @@
 // second. Each engine starts them one after the other, and only as many as its memory
 // holds.
 func (r *round) maxStartRate(w *waiter) float64 {
-	reading := r.service.pace.prefillTime(max(1, w.Need.Prompt)).Seconds()
+	reading := r.service.timing.prefillTime(max(1, w.Need.Prompt)).Seconds()
 	servers := r.engineCount(w)
 	rate := float64(servers) / reading
 	if w.KVTokens > 0 {
-		hold := reading + quickRunShare*r.service.pace.Run.Seconds()
+		hold := reading + quickRunShare*r.service.timing.Run.Seconds()
 		rate = min(rate, float64(servers*w.KVTokens)/float64(max(1, w.Need.Tokens()))/hold)
 	}
 	return max(rate, minStartRate)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -110,7 +110,7 @@
 	// it suspects because their neighbors failed. Alive lists engines that it heard from
 	// just now.
 	Avoid, Doubt, Alive []string
-	// Paces holds what the VM measured on the engines of each service.
+	// EngineTimings holds what the VM measured on the engines of each service.
 	Paces map[string]Pace
 }
 
@@ -156,7 +156,7 @@
 	waiting []*waiter
 	// kvTokens is the memory of one engine as the last stream stated it; 0: unknown.
 	kvTokens   int
-	pace       Pace
+	timing     Pace
 	demand     demand
 	grantTimes eventTimes
 	flows      map[string]*flow // by workspace
@@ -279,7 +279,7 @@
 	v.report, v.at, v.counted = r, now, true
 	s.recordAlive(r.Alive, now)
 	for name, p := range r.Paces {
-		s.service(name).pace.learn(p)
+		s.service(name).timing.learn(p)
 	}
 	s.dropGrants(func(g *grant) bool { return g.vm == name && g.number <= r.Taken })
 	for id := range former {
@@ -347,7 +347,7 @@
 	return false
 }
 
-// Run returns a decision for each stream that can be granted or refused now.
+// Decide returns a decision for each stream that can be granted or refused now.
 func (s *Scheduler) Run(now time.Time) []Decision {
 	s.dropGrants(func(g *grant) bool { return now.Sub(g.at) > grantTTL })
 	h := s.health(now)
@@ -371,7 +371,7 @@
 	v.rescannedAt = now
 	var out []Decision
 	for _, w := range v.order(now) {
-		d := s.decide(w, round)
+		d := s.decideStream(w, round)
 		if d.Outcome != Waiting {
 			out = append(out, d)
 		}
@@ -384,7 +384,7 @@
 	return out
 }
 
-func (s *Scheduler) decide(w *waiter, r *round) Decision {
+func (s *Scheduler) decideStream(w *waiter, r *round) Decision {
 	d := Decision{Stream: &w.Stream}
 	if w.KVTokens > 0 && w.Need.Tokens() > w.KVTokens {
 		d.Outcome = TooLarge
--- a/internal/scheduler/sim_test.go
+++ b/internal/scheduler/sim_test.go
@@ -292,12 +292,12 @@
 func (s *sim) report(vm string) {
 	s.scheduler.Told(vm, Report{
 		Use: s.usage(func(r *simRun) bool { return r.vm == vm }), Taken: s.taken[vm],
-		Paces: map[string]Pace{"models": s.pace()},
+		Paces: map[string]Pace{"models": s.timing()},
 	}, s.now)
 }
 
-// pace returns what the VMs would measure.
-func (s *sim) pace() Pace {
+// timing returns what the VMs would measure.
+func (s *sim) timing() Pace {
 	t := s.engines[0].traits
 	perChunk := time.Duration(prefillChunk/t.prefillPerMS*float64(time.Millisecond)) + t.step
 	return Pace{PerToken: perChunk / prefillChunk, Run: 6 * time.Second}
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -16,7 +16,7 @@
 	Servers, Usable, Reading int
 	// Usage is the sum over all servers.
 	Use placement.Use
-	// Rate is how many streams were started per second over the last rateWindow.
+	// StartRate is how many streams were started per second over the last rateWindow.
 	Rate float64
 	Pace Pace
 }
@@ -30,7 +30,7 @@
 			continue
 		}
 		r := newRound(v, s.vms, h, now)
-		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, Rate: v.grantTimes.rate(now), Pace: v.pace}
+		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, Rate: v.grantTimes.rate(now), Pace: v.timing}
 		for _, e := range v.servers {
 			st.Use = st.Use.Add(e.usage)
 			if e.usage.Prompt > 0 {
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/timing.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Pace holds the measured durations of a service's engines.
+// EngineTiming holds the measured durations of a service's engines.
 type Pace struct {
-	// PerToken is the prefill time of one prompt token; 0: not measured.
+	// PrefillPerToken is the prefill time of one prompt token; 0: not measured.
 	PerToken time.Duration `cbor:"1,keyasint,omitempty"`
-	// Run is the time from a run's first event to its end; 0: not measured.
+	// RunDuration is the time from a run's first event to its end; 0: not measured.
 	Run time.Duration `cbor:"2,keyasint,omitempty"`
-	// Events is the number of events of a complete run; 0: not measured.
+	// EventsPerRun is the number of events of a complete run; 0: not measured.
 	Events float64 `cbor:"3,keyasint,omitempty"`
 }
 
@@ -20,7 +20,7 @@
 	// to avoid estimating that a stream is late, or refusing it, when it is not.
 	defaultPerToken = 40 * time.Microsecond
 	// paceWeight is the weight of one VM's newest report in the mean.
-	paceWeight = 0.1
+	timingWeight = 0.1
 	// rateWindow is the window over which arrivals and grants are counted. It spans
 	// several prefills and is short enough to follow a burst.
 	rateWindow = 2 * time.Second
@@ -29,12 +29,12 @@
 	maxCounted = 4096
 )
 
-// Paces returns the mean measurements of all VMs for each service.
+// EngineTimings returns the mean measurements of all VMs for each service.
 func (s *Scheduler) Paces() map[string]Pace {
 	out := make(map[string]Pace, len(s.services))
 	for name, v := range s.services {
-		if v.pace != (Pace{}) {
-			out[name] = v.pace
+		if v.timing != (Pace{}) {
+			out[name] = v.timing
 		}
 	}
 	return out
@@ -42,9 +42,9 @@
 
 // learn updates the mean with one VM's measurements.
 func (p *Pace) learn(o Pace) {
-	p.PerToken = Smooth(p.PerToken, o.PerToken, paceWeight)
-	p.Run = Smooth(p.Run, o.Run, paceWeight)
-	p.Events = Smooth(p.Events, o.Events, paceWeight)
+	p.PerToken = Smooth(p.PerToken, o.PerToken, timingWeight)
+	p.Run = Smooth(p.Run, o.Run, timingWeight)
+	p.Events = Smooth(p.Events, o.Events, timingWeight)
 }
 
 // Smooth returns the exponentially weighted mean after a new observation, with weight in
