--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -33,9 +33,9 @@
 	// 1 the call waits.
 	Load float64
 	// ServiceTime is how long a call takes there without waiting; 0: unknown.
-	Work      time.Duration
-	Objective time.Duration // 0: not stated
-	Held      time.Duration // time held so far at this VM
+	ServiceTime time.Duration
+	Objective   time.Duration // 0: not stated
+	Held        time.Duration // time held so far at this VM
 }
 
 // CallVerdict states what to do with a call.
@@ -49,8 +49,8 @@
 )
 
 // ExpectedLatency returns the expected time to the answer.
-func (c CallWait) Expected() time.Duration {
-	return time.Duration(max(1, c.Load) * float64(c.Work))
+func (c CallWait) ExpectedLatency() time.Duration {
+	return time.Duration(max(1, c.Load) * float64(c.ServiceTime))
 }
 
 // Decide returns the verdict for the call. While a server has a free slot, every call is
@@ -58,7 +58,7 @@
 func (c CallWait) Decide() CallVerdict {
 	inTime := time.Duration(sendShare * float64(c.Objective))
 	switch {
-	case c.Load <= 1, c.Work == 0, c.Objective <= 0, c.Held+c.Expected() <= inTime:
+	case c.Load <= 1, c.ServiceTime == 0, c.Objective <= 0, c.Held+c.ExpectedLatency() <= inTime:
 		return SendCall
 	case c.Held < time.Duration(holdShare*float64(c.Objective)):
 		return HoldCall
@@ -70,7 +70,7 @@
 // short enough, plus a random part of up to the same length. draw is a random number in
 // [0, 1).
 func (c CallWait) RetryAfter(draw float64) time.Duration {
-	excess := c.Expected() - time.Duration(sendShare*float64(c.Objective)) + c.Work
+	excess := c.ExpectedLatency() - time.Duration(sendShare*float64(c.Objective)) + c.ServiceTime
 	d := min(max(excess, minCallRetry), maxCallRetry)
 	return d + time.Duration(draw*float64(d))
 }
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -69,7 +69,7 @@
 }
 
 // EstimateWait estimates the time in the queue as Enter does, without entering the request.
-func (q *Queue) Wait(it *Item) time.Duration { return q.wait(it, q.flow(it)) }
+func (q *Queue) EstimateWait(it *Item) time.Duration { return q.wait(it, q.flow(it)) }
 
 // retryAfter returns the time after which a refused caller should retry: when the
 // requests that wait now will have been served, with random spread to separate the
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -55,7 +55,7 @@
 // third of a batch would stay empty.
 func NewLimiter(peers int, offset float64) *Limiter {
 	l := &Limiter{peers: float64(max(1, peers)), offset: offset}
-	l.Lost()
+	l.Reset()
 	return l
 }
 
@@ -92,6 +92,6 @@
 
 // Reset returns the Limiter to its initial state, for a server that died and comes back
 // empty.
-func (l *Limiter) Lost() {
+func (l *Limiter) Reset() {
 	*l = Limiter{peers: l.peers, offset: l.offset, limit: min(maxInitialLimit, max(minInitialLimit, initialTotalLimit/l.peers))}
 }
--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -33,8 +33,8 @@
 	// CallTime is the duration of a call on the server; 0: unknown.
 	CallTime time.Duration
 	// Avoid and Slowdown are as in Candidate.
-	Avoid bool
-	Slow  float64
+	Avoid    bool
+	Slowdown float64
 }
 
 const (
@@ -48,7 +48,7 @@
 // ChooseServer returns the index of the server with the lowest expected load relative to
 // its slots, and among equals one in the VM's own zone; -1: there is no candidate. load
 // is the share of its slots that is taken once the call is there.
-func Server(all []CallCandidate, near string, rng func(n int) int) (i int, load float64) {
+func ChooseServer(all []CallCandidate, near string, rng func(n int) int) (i int, load float64) {
 	perSlot := othersPerSlot(all)
 	loads := make([]float64, len(all))
 	for i := range all {
@@ -80,7 +80,7 @@
 	slots := float64(max(1, c.Slots))
 	others := perSlot * slots
 	others += freshness(c) * (float64(c.Reported) - others)
-	load := (float64(c.Own) + others + 1) / slots * max(1, c.Slow)
+	load := (float64(c.Own) + others + 1) / slots * max(1, c.Slowdown)
 	if c.Avoid {
 		load += avoidCostMS
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -23,23 +23,23 @@
 import "math"
 
 // Usage is the work on a backend server.
-type Use struct {
-	Requests int `cbor:"1,keyasint,omitempty"` // in flight
-	Tokens   int `cbor:"2,keyasint,omitempty"` // memory of runs and copies
-	Prompt   int `cbor:"3,keyasint,omitempty"` // prompt tokens not yet prefilled
-	Copies   int `cbor:"4,keyasint,omitempty"` // the part of Tokens that belongs to copies
+type Usage struct {
+	Requests      int `cbor:"1,keyasint,omitempty"` // in flight
+	Tokens        int `cbor:"2,keyasint,omitempty"` // memory of runs and copies
+	PendingPrompt int `cbor:"3,keyasint,omitempty"` // prompt tokens not yet prefilled
+	Copies        int `cbor:"4,keyasint,omitempty"` // the part of Tokens that belongs to copies
 }
 
 // Add returns the sum of u and o.
-func (u Use) Add(o Use) Use {
-	return Use{u.Requests + o.Requests, u.Tokens + o.Tokens, u.Prompt + o.Prompt, u.Copies + o.Copies}
+func (u Usage) Add(o Usage) Usage {
+	return Usage{u.Requests + o.Requests, u.Tokens + o.Tokens, u.PendingPrompt + o.PendingPrompt, u.Copies + o.Copies}
 }
 
 // Negated returns u with all fields negated. Adding it to a sum subtracts u.
-func (u Use) Negative() Use { return Use{-u.Requests, -u.Tokens, -u.Prompt, -u.Copies} }
+func (u Usage) Negated() Usage { return Usage{-u.Requests, -u.Tokens, -u.PendingPrompt, -u.Copies} }
 
 // CopyUsage is the usage of a run's copy on the engine that keeps it.
-func CopyUse(n Need) Use { return Use{Tokens: n.Tokens(), Copies: n.Tokens()} }
+func CopyUsage(n Need) Usage { return Usage{Tokens: n.Tokens(), Copies: n.Tokens()} }
 
 // Candidate is a backend server as a VM knows it when it chooses.
 type Candidate struct {
@@ -47,18 +47,18 @@
 	Zone     string
 	Slots    int
 	KVTokens int // memory; 0: not a model engine
-	Use      Use
+	Usage    Usage
 	// Avoid marks a server that is suspected, failing or known to be full. It is chosen
 	// only if there is no other.
 	Avoid bool
 	// RendezvousRank is this VM's rank in the server's rendezvous order; 0: it is the
 	// preferred VM.
-	Turn int
+	RendezvousRank int
 	// OtherZone marks a server that is not in the zone of the VM that relays the request.
-	Far bool
+	OtherZone bool
 	// Slowdown is how many times longer its work takes than that of comparable servers;
 	// 1: usual.
-	Slow float64
+	Slowdown float64
 }
 
 // Need is what a request needs of an engine.
@@ -105,12 +105,12 @@
 
 // streamCost is the delay that a stream would meet and cause on a candidate.
 func streamCost(c *Candidate, n Need) float64 {
-	cost := float64(c.Use.Prompt)/prefillTokensPerMS + requestCostMS*float64(c.Use.Requests)
-	if c.Slow > 1 {
-		cost = (cost + float64(n.Prompt)/prefillTokensPerMS) * c.Slow
+	cost := float64(c.Usage.PendingPrompt)/prefillTokensPerMS + requestCostMS*float64(c.Usage.Requests)
+	if c.Slowdown > 1 {
+		cost = (cost + float64(n.Prompt)/prefillTokensPerMS) * c.Slowdown
 	}
-	cost += memoryCost(c, n) + rankCostMS*float64(c.Turn)
-	if c.Far {
+	cost += memoryCost(c, n) + rankCostMS*float64(c.RendezvousRank)
+	if c.OtherZone {
 		cost += otherZoneCostMS
 	}
 	if c.Avoid {
@@ -124,13 +124,13 @@
 	if c.KVTokens == 0 {
 		return 0
 	}
-	taken := float64(c.Use.Tokens + n.Tokens())
+	taken := float64(c.Usage.Tokens + n.Tokens())
 	return memoryPressureCostMS * max(0, taken/float64(c.KVTokens)-memoryPressureShare)
 }
 
 // ChooseEngine returns the index of the candidate with the lowest cost for a stream; -1:
 // there is no candidate.
-func Engine(all []Candidate, n Need, rng func(n int) int) int {
+func ChooseEngine(all []Candidate, n Need, rng func(n int) int) int {
 	return cheapest(all, rng, func(c *Candidate) (float64, bool) { return streamCost(c, n), true })
 }
 
@@ -141,12 +141,12 @@
 // ChooseBackupEngine returns the index of the engine that keeps the copy of a run in the
 // given zone; -1: none has room. It is in another zone than the run, since the engines of
 // a zone fail together.
-func Copy(all []Candidate, zone string, n Need, rng func(n int) int) int {
+func ChooseBackupEngine(all []Candidate, zone string, n Need, rng func(n int) int) int {
 	return cheapest(all, rng, func(c *Candidate) (float64, bool) {
-		room := float64(c.Use.Tokens+n.Tokens()) <= copyMemoryShare*float64(c.KVTokens)
+		room := float64(c.Usage.Tokens+n.Tokens()) <= copyMemoryShare*float64(c.KVTokens)
 		ok := c.Zone != zone && !c.Avoid && room
-		cost := 1000 * float64(c.Use.Tokens) / float64(max(1, c.KVTokens))
-		if c.Turn > 0 {
+		cost := 1000 * float64(c.Usage.Tokens) / float64(max(1, c.KVTokens))
+		if c.RendezvousRank > 0 {
 			cost += rankCostMS / 2
 		}
 		return cost, ok
--- a/internal/placement/rendezvous.go
+++ b/internal/placement/rendezvous.go
@@ -4,7 +4,7 @@
 
 // RendezvousRank returns the rank of a VM in a server's rendezvous order. A VM that joins
 // or leaves moves those with a higher rank by one and changes nothing else.
-func Turn(server, vm string, vms []string) int {
+func RendezvousRank(server, vm string, vms []string) int {
 	own, turn := rendezvousWeight(server, vm), 0
 	for _, other := range vms {
 		if rendezvousWeight(server, other) > own {
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -54,7 +54,7 @@
 	for _, id := range r.Avoid {
 		s.suspicionsOf(id).avoiding += by
 	}
-	for _, id := range r.Doubt {
+	for _, id := range r.Suspected {
 		o := s.suspicionsOf(id)
 		if o.suspecting == 0 {
 			o.suspectedAt = now
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -23,7 +23,7 @@
 			vm := fmt.Sprint("vm", rapid.IntRange(0, 3).Draw(t, "vm"))
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				s.Told(vm, Report{Avoid: subset("avoid"), Doubt: subset("doubt")}, now)
+				s.ReceiveReport(vm, Report{Avoid: subset("avoid"), Suspected: subset("doubt")}, now)
 			case 2:
 				s.Forget(vm)
 			case 3:
@@ -61,7 +61,7 @@
 				o.avoiding++
 			}
 		}
-		for _, other := range v.report.Doubt {
+		for _, other := range v.report.Suspected {
 			if other == id {
 				o.suspecting++
 			}
--- a/internal/scheduler/memory.go
+++ b/internal/scheduler/memory.go
@@ -57,7 +57,7 @@
 
 // ShortOfMemory returns the services whose memory is needed for prompts: no copies are to
 // be ordered for them.
-func (s *Scheduler) Short(now time.Time) []string {
+func (s *Scheduler) ShortOfMemory(now time.Time) []string {
 	h := s.health(now)
 	var out []string
 	for name, v := range s.services {
@@ -81,7 +81,7 @@
 		}
 	}
 	r.service.eligible, r.service.candidates = eligible, candidates
-	if i := placement.Copy(candidates, e.Zone, w.Need, rng); i >= 0 {
+	if i := placement.ChooseBackupEngine(candidates, e.Zone, w.Need, rng); i >= 0 {
 		return eligible[i]
 	}
 	return nil
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -59,7 +59,7 @@
 	if r.usable > 0 && r.health.lost(e) || e.Slots > 0 && e.usage.Requests >= e.Slots {
 		return false
 	}
-	return r.service.timing.prefillTime(e.usage.Prompt) <= maxPrefillBacklog
+	return r.service.timing.prefillTime(e.usage.PendingPrompt) <= maxPrefillBacklog
 }
 
 // markBusy removes an engine from those that could start a prefill.
@@ -80,7 +80,7 @@
 		}
 	}
 	r.service.eligible, r.service.candidates = eligible, candidates
-	i := placement.Engine(candidates, w.Need, rng)
+	i := placement.ChooseEngine(candidates, w.Need, rng)
 	if i < 0 {
 		r.reserve(w)
 		return nil
@@ -92,7 +92,7 @@
 // It may be prefilling another prompt, since this one needs no prefill.
 func (r *round) cached(w *waiter) *server {
 	for _, e := range r.servers {
-		if e.ID == w.Cached && r.accepts(e, w) && r.fits(e, w) {
+		if e.ID == w.CachedEngine && r.accepts(e, w) && r.fits(e, w) {
 			return e
 		}
 	}
@@ -106,7 +106,7 @@
 
 // accepts reports whether an engine may run the stream at all, now or later.
 func (r *round) accepts(e *server, w *waiter) bool {
-	return w.matchesVersion(e) && !slices.Contains(w.Skip, e.ID) && !r.avoids(w, e) && (w.Part == 0 || r.versionSubset(w)[e.ID])
+	return w.matchesVersion(e) && !slices.Contains(w.ExcludedEngines, e.ID) && !r.avoids(w, e) && (w.VersionShare == 0 || r.versionSubset(w)[e.ID])
 }
 
 // matchesVersion reports whether an engine is of the version that the stream requires.
@@ -130,7 +130,7 @@
 	}
 	slices.Sort(ids)
 	out := map[string]bool{}
-	for _, id := range ids[:min(len(ids), rollout.Few(w.Part, others))] {
+	for _, id := range ids[:min(len(ids), rollout.Few(w.VersionShare, others))] {
 		out[id] = true
 	}
 	if r.versionSubsets == nil {
@@ -144,8 +144,8 @@
 
 func (r *round) candidate(e *server, w *waiter) placement.Candidate {
 	return placement.Candidate{
-		ID: e.ID, Zone: e.Zone, Slots: e.Slots, KVTokens: w.KVTokens, Use: e.usage, Slow: r.slowdown(e),
-		Far: w.Zone != "" && w.Zone != e.Zone,
+		ID: e.ID, Zone: e.Zone, Slots: e.Slots, KVTokens: w.KVTokens, Usage: e.usage, Slowdown: r.slowdown(e),
+		OtherZone: w.Zone != "" && w.Zone != e.Zone,
 	}
 }
 
@@ -212,7 +212,7 @@
 
 // minDuration is the shortest time that a stream needs once an engine starts it.
 func (r *round) minDuration(w *waiter) time.Duration {
-	run := time.Duration(quickRunShare * r.service.timing.remainingShare(w.After) * float64(r.service.timing.Run))
+	run := time.Duration(quickRunShare * r.service.timing.remainingShare(w.EventsReceived) * float64(r.service.timing.RunDuration))
 	if r.cached(w) != nil {
 		return run
 	}
@@ -250,7 +250,7 @@
 	servers := r.engineCount(w)
 	rate := float64(servers) / reading
 	if w.KVTokens > 0 {
-		hold := reading + quickRunShare*r.service.timing.Run.Seconds()
+		hold := reading + quickRunShare*r.service.timing.RunDuration.Seconds()
 		rate = min(rate, float64(servers*w.KVTokens)/float64(max(1, w.Need.Tokens()))/hold)
 	}
 	return max(rate, minStartRate)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -49,19 +49,19 @@
 	Priority  int            `cbor:"6,keyasint,omitempty"` // 0 is served first
 	// Interrupted is set if the caller has received a part of the answer and waits for
 	// the rest.
-	Interrupted bool     `cbor:"7,keyasint,omitempty"`
-	Skip        []string `cbor:"8,keyasint,omitempty"` // engines that refused or lost it
+	Interrupted     bool     `cbor:"7,keyasint,omitempty"`
+	ExcludedEngines []string `cbor:"8,keyasint,omitempty"` // engines that refused or lost it
 	// WantsCopy is set if a backup copy of the run's memory in another zone can be used.
 	WantsCopy bool `cbor:"9,keyasint,omitempty"`
 	// CachedEngine probably still caches the prompt; empty: unknown.
-	Cached string `cbor:"10,keyasint,omitempty"`
+	CachedEngine string `cbor:"10,keyasint,omitempty"`
 	// EventsReceived is how many events the caller has received.
-	After int `cbor:"11,keyasint,omitempty"`
+	EventsReceived int `cbor:"11,keyasint,omitempty"`
 	// Version restricts the stream and its copy to engines of that version; empty: any
 	// version. VersionShare restricts all such streams to that share of these engines,
 	// chosen by ID; 0: all of them.
-	Version string  `cbor:"12,keyasint,omitempty"`
-	Part    float64 `cbor:"13,keyasint,omitempty"`
+	Version      string  `cbor:"12,keyasint,omitempty"`
+	VersionShare float64 `cbor:"13,keyasint,omitempty"`
 	// Zone is the zone of the VM that relays the stream; empty: not stated.
 	Zone string `cbor:"14,keyasint,omitempty"`
 
@@ -94,24 +94,24 @@
 	Outcome Outcome `cbor:"1,keyasint"`
 	// Number identifies a grant and increases with each grant. A VM reports the last
 	// number that it acted on.
-	Number uint64 `cbor:"2,keyasint,omitempty"`
-	Server string `cbor:"3,keyasint,omitempty"`
-	Keeper string `cbor:"4,keyasint,omitempty"` // keeps the backup copy; empty: no copy for now
+	Number       uint64 `cbor:"2,keyasint,omitempty"`
+	Server       string `cbor:"3,keyasint,omitempty"`
+	BackupEngine string `cbor:"4,keyasint,omitempty"` // keeps the backup copy; empty: no copy for now
 	// RetryAfter is set with Refused.
 	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
 // Report is what a VM reports about its own streams and about the engines.
 type Report struct {
-	Use map[string]placement.Use // by engine, of everything that the VM runs
+	Usage map[string]placement.Usage // by engine, of everything that the VM runs
 	// LastGrant is the number of the last grant that Usage includes.
-	Taken uint64
+	LastGrant uint64
 	// Avoid lists engines that the VM found unusable itself. Suspected lists engines that
 	// it suspects because their neighbors failed. Alive lists engines that it heard from
 	// just now.
-	Avoid, Doubt, Alive []string
+	Avoid, Suspected, Alive []string
 	// EngineTimings holds what the VM measured on the engines of each service.
-	Paces map[string]Pace
+	EngineTimings map[string]EngineTiming
 }
 
 const (
@@ -142,7 +142,7 @@
 
 type server struct {
 	Server
-	usage      placement.Use // of all VMs, including unconfirmed grants
+	usage      placement.Usage // of all VMs, including unconfirmed grants
 	suspicions *suspicionCounts
 	// aliveAt is when a VM last reported that it had heard from the engine.
 	aliveAt time.Time
@@ -156,7 +156,7 @@
 	waiting []*waiter
 	// kvTokens is the memory of one engine as the last stream stated it; 0: unknown.
 	kvTokens   int
-	timing     Pace
+	timing     EngineTiming
 	demand     demand
 	grantTimes eventTimes
 	flows      map[string]*flow // by workspace
@@ -194,7 +194,7 @@
 
 type serverUsage struct {
 	server string
-	usage  placement.Use
+	usage  placement.Usage
 }
 
 // New returns a Scheduler without servers. rng returns a random number in [0, n); nil
@@ -237,10 +237,10 @@
 
 // usageOf sums the reported usage and the unconfirmed grants of a server that was not
 // listed.
-func (s *Scheduler) usageOf(id string) placement.Use {
-	var sum placement.Use
+func (s *Scheduler) usageOf(id string) placement.Usage {
+	var sum placement.Usage
 	for _, v := range s.vms {
-		sum = sum.Add(v.report.Use[id])
+		sum = sum.Add(v.report.Usage[id])
 	}
 	for _, g := range s.grants {
 		for _, u := range g.usages {
@@ -252,36 +252,36 @@
 	return sum
 }
 
-func (s *Scheduler) addUsage(id string, u placement.Use) {
+func (s *Scheduler) addUsage(id string, u placement.Usage) {
 	if v := s.servers[id]; v != nil {
 		v.usage = v.usage.Add(u)
 	}
 }
 
 // ReceiveReport replaces the previous report of a VM.
-func (s *Scheduler) Told(name string, r Report, now time.Time) {
+func (s *Scheduler) ReceiveReport(name string, r Report, now time.Time) {
 	v := s.vms[name]
 	if v == nil {
 		v = &vm{}
 		s.vms[name] = v
 	}
-	for id, u := range v.report.Use {
-		s.addUsage(id, u.Negative())
+	for id, u := range v.report.Usage {
+		s.addUsage(id, u.Negated())
 	}
-	for id, u := range r.Use {
+	for id, u := range r.Usage {
 		s.addUsage(id, u)
 	}
-	former := v.report.Use
+	former := v.report.Usage
 	// The new report is counted before the old one is removed: an engine that both
 	// suspect keeps the time of its first suspicion.
 	s.countSuspicions(&r, 1, now)
 	s.uncountReport(v, now)
 	v.report, v.at, v.counted = r, now, true
 	s.recordAlive(r.Alive, now)
-	for name, p := range r.Paces {
+	for name, p := range r.EngineTimings {
 		s.service(name).timing.learn(p)
 	}
-	s.dropGrants(func(g *grant) bool { return g.vm == name && g.number <= r.Taken })
+	s.dropGrants(func(g *grant) bool { return g.vm == name && g.number <= r.LastGrant })
 	for id := range former {
 		if e := s.servers[id]; e != nil {
 			e.endPrefill(now)
@@ -295,8 +295,8 @@
 	if v == nil {
 		return
 	}
-	for id, u := range v.report.Use {
-		s.addUsage(id, u.Negative())
+	for id, u := range v.report.Usage {
+		s.addUsage(id, u.Negated())
 	}
 	s.uncountReport(v, v.at)
 	delete(s.vms, name)
@@ -315,7 +315,7 @@
 			continue
 		}
 		for _, u := range g.usages {
-			s.addUsage(u.server, u.usage.Negative())
+			s.addUsage(u.server, u.usage.Negated())
 		}
 	}
 	s.grants = kept
@@ -323,12 +323,12 @@
 
 // Enqueue adds a stream to those that wait for an engine. One that waits already is
 // renewed and keeps its position.
-func (s *Scheduler) Ask(st Stream, now time.Time) {
+func (s *Scheduler) Enqueue(st Stream, now time.Time) {
 	v := s.service(st.Service)
 	v.kvTokens = st.KVTokens
 	for _, w := range v.waiting {
 		if w.ID == st.ID {
-			w.Skip, w.After, w.Version, w.Part, w.renewedAt = st.Skip, st.After, st.Version, st.Part, now
+			w.ExcludedEngines, w.EventsReceived, w.Version, w.VersionShare, w.renewedAt = st.ExcludedEngines, st.EventsReceived, st.Version, st.VersionShare, now
 			return
 		}
 	}
@@ -338,7 +338,7 @@
 }
 
 // HasWaiting reports whether any stream waits.
-func (s *Scheduler) Waits() bool {
+func (s *Scheduler) HasWaiting() bool {
 	for _, v := range s.services {
 		if len(v.waiting) > 0 {
 			return true
@@ -348,7 +348,7 @@
 }
 
 // Decide returns a decision for each stream that can be granted or refused now.
-func (s *Scheduler) Run(now time.Time) []Decision {
+func (s *Scheduler) Decide(now time.Time) []Decision {
 	s.dropGrants(func(g *grant) bool { return now.Sub(g.at) > grantTTL })
 	h := s.health(now)
 	var out []Decision
@@ -412,13 +412,13 @@
 // grant assigns an engine to a stream and, if memory allows, a backup engine to its copy.
 func (s *Scheduler) grant(w *waiter, r *round, e *server, d *Decision) {
 	s.number++
-	run := placement.Use{Requests: 1, Tokens: w.Need.Tokens(), Prompt: w.Need.Prompt}
+	run := placement.Usage{Requests: 1, Tokens: w.Need.Tokens(), PendingPrompt: w.Need.Prompt}
 	g := grant{vm: w.VM, number: s.number, at: r.now, usages: []serverUsage{{e.ID, run}}}
 	d.Outcome, d.Number, d.Server = Granted, s.number, e.ID
 	if w.WantsCopy {
 		if k := r.backupEngine(w, e, s.rng); k != nil {
-			d.Keeper = k.ID
-			g.usages = append(g.usages, serverUsage{k.ID, placement.CopyUse(w.Need)})
+			d.BackupEngine = k.ID
+			g.usages = append(g.usages, serverUsage{k.ID, placement.CopyUsage(w.Need)})
 		}
 	}
 	e.beginPrefill(w.Need.Prompt, r.now)
--- a/internal/scheduler/sim_test.go
+++ b/internal/scheduler/sim_test.go
@@ -123,7 +123,7 @@
 
 	// reportAge is the age at which reports are renewed if there is no scheduler.
 	reportAge     time.Duration
-	reportedUsage map[string]placement.Use
+	reportedUsage map[string]placement.Usage
 	reportedAt    time.Time
 
 	renewedAt time.Time
@@ -206,7 +206,7 @@
 		s.placeImmediately(r)
 		return
 	}
-	s.scheduler.Ask(Stream{
+	s.scheduler.Enqueue(Stream{
 		ID: r.id, VM: r.vm, Service: "models", Workspace: r.workspace, Need: r.need, KVTokens: s.engines[0].traits.kv, Due: r.due,
 		Deadline: s.now.Add(deadline), WantsCopy: s.wantsCopy,
 	}, s.now)
@@ -218,27 +218,27 @@
 	own := s.usage(func(o *simRun) bool { return o.vm == r.vm })
 	all := make([]placement.Candidate, len(s.engines))
 	for i, e := range s.engines {
-		all[i] = placement.Candidate{ID: e.ID, Zone: e.Zone, KVTokens: e.traits.kv, Use: own[e.ID].Add(s.reportedUsage[e.ID]), Avoid: e.failed, Slow: 1}
+		all[i] = placement.Candidate{ID: e.ID, Zone: e.Zone, KVTokens: e.traits.kv, Usage: own[e.ID].Add(s.reportedUsage[e.ID]), Avoid: e.failed, Slowdown: 1}
 	}
-	e := s.engines[placement.Engine(all, r.need, s.rng.IntN)]
+	e := s.engines[placement.ChooseEngine(all, r.need, s.rng.IntN)]
 	r.engine = e
 	e.queue = append(e.queue, r)
 }
 
 // use sums the usage of the selected placed runs by engine.
-func (s *sim) usage(which func(*simRun) bool) map[string]placement.Use {
-	out := map[string]placement.Use{}
+func (s *sim) usage(which func(*simRun) bool) map[string]placement.Usage {
+	out := map[string]placement.Usage{}
 	for _, r := range s.live {
 		if r.engine == nil || !which(r) {
 			continue
 		}
-		u := placement.Use{Requests: 1, Tokens: r.need.Tokens()}
+		u := placement.Usage{Requests: 1, Tokens: r.need.Tokens()}
 		if r.first.IsZero() {
-			u.Prompt = r.need.Prompt
+			u.PendingPrompt = r.need.Prompt
 		}
 		out[r.engine.ID] = out[r.engine.ID].Add(u)
 		if r.keeper != nil {
-			out[r.keeper.ID] = out[r.keeper.ID].Add(placement.CopyUse(r.need))
+			out[r.keeper.ID] = out[r.keeper.ID].Add(placement.CopyUsage(r.need))
 		}
 	}
 	return out
@@ -267,7 +267,7 @@
 	for vm := range changed {
 		s.report(vm)
 	}
-	for _, d := range s.scheduler.Run(s.now) {
+	for _, d := range s.scheduler.Decide(s.now) {
 		s.apply(d)
 	}
 }
@@ -277,7 +277,7 @@
 	s.renewedAt = s.now
 	for _, r := range s.live {
 		if r.engine == nil {
-			s.scheduler.Ask(Stream{ID: r.id, Service: "models", KVTokens: s.engines[0].traits.kv}, s.now)
+			s.scheduler.Enqueue(Stream{ID: r.id, Service: "models", KVTokens: s.engines[0].traits.kv}, s.now)
 		}
 	}
 }
@@ -290,17 +290,17 @@
 }
 
 func (s *sim) report(vm string) {
-	s.scheduler.Told(vm, Report{
-		Use: s.usage(func(r *simRun) bool { return r.vm == vm }), Taken: s.taken[vm],
-		Paces: map[string]Pace{"models": s.timing()},
+	s.scheduler.ReceiveReport(vm, Report{
+		Usage: s.usage(func(r *simRun) bool { return r.vm == vm }), LastGrant: s.taken[vm],
+		EngineTimings: map[string]EngineTiming{"models": s.timing()},
 	}, s.now)
 }
 
 // timing returns what the VMs would measure.
-func (s *sim) timing() Pace {
+func (s *sim) timing() EngineTiming {
 	t := s.engines[0].traits
 	perChunk := time.Duration(prefillChunk/t.prefillPerMS*float64(time.Millisecond)) + t.step
-	return Pace{PerToken: perChunk / prefillChunk, Run: 6 * time.Second}
+	return EngineTiming{PrefillPerToken: perChunk / prefillChunk, RunDuration: 6 * time.Second}
 }
 
 func (s *sim) apply(d Decision) {
@@ -312,8 +312,8 @@
 	}
 	r.engine = s.byID[d.Server]
 	r.engine.queue = append(r.engine.queue, r)
-	if d.Keeper != "" {
-		r.keeper = s.byID[d.Keeper]
+	if d.BackupEngine != "" {
+		r.keeper = s.byID[d.BackupEngine]
 		r.keeper.copies += r.need.Tokens()
 		s.copied++
 	}
--- a/internal/scheduler/slow.go
+++ b/internal/scheduler/slow.go
@@ -48,7 +48,7 @@
 // beginPrefill starts timing a prompt that is sent to an engine without pending prompts.
 func (e *server) beginPrefill(tokens int, now time.Time) {
 	e.prefill = prefill{}
-	if e.usage.Prompt == 0 && tokens > 0 {
+	if e.usage.PendingPrompt == 0 && tokens > 0 {
 		e.prefill = prefill{now, tokens}
 	}
 }
@@ -56,7 +56,7 @@
 // endPrefill records the duration of the timed prefill once the engine has no pending
 // prompts.
 func (e *server) endPrefill(now time.Time) {
-	if e.prefill.since.IsZero() || e.usage.Prompt > 0 {
+	if e.prefill.since.IsZero() || e.usage.PendingPrompt > 0 {
 		return
 	}
 	took := now.Sub(e.prefill.since) / time.Duration(e.prefill.tokens)
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -13,12 +13,12 @@
 	Interrupted, InTime, Late int
 	// Servers counts the listed engines, Usable those that are not lost, and Prefilling
 	// those that prefill a prompt.
-	Servers, Usable, Reading int
+	Servers, Usable, Prefilling int
 	// Usage is the sum over all servers.
-	Use placement.Use
+	Usage placement.Usage
 	// StartRate is how many streams were started per second over the last rateWindow.
-	Rate float64
-	Pace Pace
+	StartRate    float64
+	EngineTiming EngineTiming
 }
 
 // States returns the state of each service whose streams wait.
@@ -30,11 +30,11 @@
 			continue
 		}
 		r := newRound(v, s.vms, h, now)
-		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, Rate: v.grantTimes.rate(now), Pace: v.timing}
+		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, StartRate: v.grantTimes.rate(now), EngineTiming: v.timing}
 		for _, e := range v.servers {
-			st.Use = st.Use.Add(e.usage)
-			if e.usage.Prompt > 0 {
-				st.Reading++
+			st.Usage = st.Usage.Add(e.usage)
+			if e.usage.PendingPrompt > 0 {
+				st.Prefilling++
 			}
 		}
 		for _, w := range v.waiting {
--- a/internal/scheduler/timing.go
+++ b/internal/scheduler/timing.go
@@ -6,13 +6,13 @@
 )
 
 // EngineTiming holds the measured durations of a service's engines.
-type Pace struct {
+type EngineTiming struct {
 	// PrefillPerToken is the prefill time of one prompt token; 0: not measured.
-	PerToken time.Duration `cbor:"1,keyasint,omitempty"`
+	PrefillPerToken time.Duration `cbor:"1,keyasint,omitempty"`
 	// RunDuration is the time from a run's first event to its end; 0: not measured.
-	Run time.Duration `cbor:"2,keyasint,omitempty"`
+	RunDuration time.Duration `cbor:"2,keyasint,omitempty"`
 	// EventsPerRun is the number of events of a complete run; 0: not measured.
-	Events float64 `cbor:"3,keyasint,omitempty"`
+	EventsPerRun float64 `cbor:"3,keyasint,omitempty"`
 }
 
 const (
@@ -30,10 +30,10 @@
 )
 
 // EngineTimings returns the mean measurements of all VMs for each service.
-func (s *Scheduler) Paces() map[string]Pace {
-	out := make(map[string]Pace, len(s.services))
+func (s *Scheduler) EngineTimings() map[string]EngineTiming {
+	out := make(map[string]EngineTiming, len(s.services))
 	for name, v := range s.services {
-		if v.timing != (Pace{}) {
+		if v.timing != (EngineTiming{}) {
 			out[name] = v.timing
 		}
 	}
@@ -41,10 +41,10 @@
 }
 
 // learn updates the mean with one VM's measurements.
-func (p *Pace) learn(o Pace) {
-	p.PerToken = Smooth(p.PerToken, o.PerToken, timingWeight)
-	p.Run = Smooth(p.Run, o.Run, timingWeight)
-	p.Events = Smooth(p.Events, o.Events, timingWeight)
+func (p *EngineTiming) learn(o EngineTiming) {
+	p.PrefillPerToken = Smooth(p.PrefillPerToken, o.PrefillPerToken, timingWeight)
+	p.RunDuration = Smooth(p.RunDuration, o.RunDuration, timingWeight)
+	p.EventsPerRun = Smooth(p.EventsPerRun, o.EventsPerRun, timingWeight)
 }
 
 // Smooth returns the exponentially weighted mean after a new observation, with weight in
@@ -61,8 +61,8 @@
 }
 
 // prefillTime is how long an engine takes to prefill a number of tokens.
-func (p Pace) prefillTime(tokens int) time.Duration {
-	per := p.PerToken
+func (p EngineTiming) prefillTime(tokens int) time.Duration {
+	per := p.PrefillPerToken
 	if per <= 0 {
 		per = defaultPerToken
 	}
@@ -71,20 +71,20 @@
 
 // ExpectedDuration estimates how long a stream takes whose caller has received some
 // events, if its run takes the given multiple of the mean; 0: unknown.
-func (p Pace) Lasts(prompt, eventsReceived int, runMultiple float64) time.Duration {
-	if p.Run <= 0 {
+func (p EngineTiming) ExpectedDuration(prompt, eventsReceived int, runMultiple float64) time.Duration {
+	if p.RunDuration <= 0 {
 		return 0
 	}
-	return p.prefillTime(prompt) + time.Duration(runMultiple*p.remainingShare(eventsReceived)*float64(p.Run))
+	return p.prefillTime(prompt) + time.Duration(runMultiple*p.remainingShare(eventsReceived)*float64(p.RunDuration))
 }
 
 // remainingShare is the share of a run that is left after the events that the caller has
 // received.
-func (p Pace) remainingShare(eventsReceived int) float64 {
-	if eventsReceived == 0 || p.Events <= 0 {
+func (p EngineTiming) remainingShare(eventsReceived int) float64 {
+	if eventsReceived == 0 || p.EventsPerRun <= 0 {
 		return 1
 	}
-	return max(minRemainingShare, 1-float64(eventsReceived)/p.Events)
+	return max(minRemainingShare, 1-float64(eventsReceived)/p.EventsPerRun)
 }
 
 // minRemainingShare applies to runs that are longer than usual.
@@ -114,7 +114,7 @@
 
 // expectedMemory is the memory in tokens that runs will hold at the present arrival rate:
 // the rate times how long a run holds its memory (Little's law).
-func (d *demand) expectedMemory(now time.Time, p Pace) float64 {
+func (d *demand) expectedMemory(now time.Time, p EngineTiming) float64 {
 	d.expire(now)
 	sum := 0
 	for _, n := range d.tokens {
@@ -123,7 +123,7 @@
 	if len(d.at) == 0 {
 		return 0
 	}
-	hold := p.prefillTime(sum/len(d.at)) + p.Run
+	hold := p.prefillTime(sum/len(d.at)) + p.RunDuration
 	return float64(sum) / rateWindow.Seconds() * hold.Seconds()
 }
 
