--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -185,7 +185,7 @@
 // rate for eight seconds. The queues fill, each call that is shed is retried at the next
 // server, and answers come late. If calls are sent only when they can be in time, the
 // queues stay short, and a few callers are refused with a retry time.
-func TestCallsBeyondTheServersPace(t *testing.T) {
+func TestCallsBeyondServerCapacity(t *testing.T) {
 	before, tried := overload(false)
 	after, sheds := overload(true)
 	const ceiling = 1 / 1.2 // share of the calls that can be answered at all
--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -11,7 +11,7 @@
 // second each to a handful of servers. Their reports about one another are half a second
 // old: the calls in them have already ended. Placed by these reports, the calls of all
 // VMs go to the server that was idle then until new reports arrive, and a backlog of some
-// seconds builds up there while its neighbors are idle. Random placement would give
+// seconds builds up there while its neighbours are idle. Random placement would give
 // shorter waits.
 //
 // A report therefore counts only for as long as the calls in it last. This VM's own calls
@@ -48,13 +48,13 @@
 // ChooseServer returns the index of the server with the lowest expected load relative to
 // its slots, and among equals one in the VM's own zone; -1: there is no candidate. load
 // is the share of its slots that is taken once the call is there.
-func ChooseServer(all []CallCandidate, near string, rng func(n int) int) (i int, load float64) {
+func ChooseServer(all []CallCandidate, ownZone string, rng func(n int) int) (i int, load float64) {
 	perSlot := othersPerSlot(all)
 	loads := make([]float64, len(all))
 	for i := range all {
 		loads[i] = expectedLoad(&all[i], perSlot)
 	}
-	i = pick(loads, equalLoadMargin, rng, func(i int) bool { return all[i].Zone == near })
+	i = pick(loads, equalLoadMargin, rng, func(i int) bool { return all[i].Zone == ownZone })
 	if i < 0 {
 		return i, 0
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -5,7 +5,7 @@
 // An engine prefills one prompt after the other, for about a second each, and its memory
 // holds about nine runs. The engines of a zone fail together, several times a minute, and
 // their runs resume from copies in other zones, all at once. Placed at random, two or
-// three prompts meet on one engine while its neighbors are idle: the first event comes
+// three prompts meet on one engine while its neighbours are idle: the first event comes
 // seconds late, and when a zone is lost, the engines with the copies are full.
 //
 // VMs with the same reports make the same choice: until new reports arrive, the only idle
@@ -86,9 +86,9 @@
 	// share would draw the runs of every VM.
 	memoryPressureShare  = 0.92
 	memoryPressureCostMS = 40_000.0
-	// rankCostMS is how much cheaper an engine must be per rendezvous rank before a VM
-	// prefers it to an engine of a lower rank: five more runs, and less than half of a
-	// second prompt.
+	// rankCostMS is how much cheaper an engine must be, per rendezvous rank, before a VM
+	// prefers it to an engine of a lower rank. It is equal to five runs and less than
+	// half of a second prompt.
 	rankCostMS = 400.0
 	// otherZoneCostMS is how much cheaper an engine in another zone must be than one in
 	// the VM's own zone. A link between zones that loses packets delays one event in
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -133,7 +133,7 @@
 // In a burst, memory is nearly taken everywhere, and eleven VMs place one run each before
 // any knows of the others' choices. If the memory cost rises in one step, all of them
 // choose the one engine below it, and five runs wait there for others to end while its
-// neighbors could start theirs at once.
+// neighbours could start theirs at once.
 func TestNearlyFullEnginesShareABurst(t *testing.T) {
 	const vms = 11
 	need := Need{Prompt: 8000, Output: 1500}
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -13,7 +13,7 @@
 // the same rule makes VMs suspect all zones: seven of 24 engines are used for three
 // seconds while eleven more are idle, just when all are needed.
 //
-// A suspicion by neighborhood therefore holds only until some VM has heard from the
+// A suspicion by neighbourhood therefore holds only until some VM has heard from the
 // engine after it. What a VM found itself (a refused connection or an unanswered query)
 // applies to its own streams. It applies to all streams once a second VM has found the
 // same, since one VM alone may have lost its own link.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -107,7 +107,7 @@
 	// LastGrant is the number of the last grant that Usage includes.
 	LastGrant uint64
 	// Avoid lists engines that the VM found unusable itself. Suspected lists engines that
-	// it suspects because their neighbors failed. Alive lists engines that it heard from
+	// it suspects because their neighbours failed. Alive lists engines that it heard from
 	// just now.
 	Avoid, Suspected, Alive []string
 	// EngineTimings holds what the VM measured on the engines of each service.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -253,7 +253,7 @@
 			s.Enqueue(st, now)
 			d := decisions(s.Decide(now))["1"]
 			if d.Outcome != tt.want {
-				t.Errorf("outcome %d, want %d", d.Outcome, tt.want)
+				t.Errorf("got outcome %d, want %d", d.Outcome, tt.want)
 			}
 			if d.Outcome == Refused && (d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter) {
 				t.Errorf("got retry after %v, want 200ms to 10s", d.RetryAfter)
@@ -377,7 +377,7 @@
 			s.Enqueue(st, now)
 			d := decisions(s.Decide(now))["1"]
 			if d.Outcome != tt.want {
-				t.Errorf("outcome %d, want %d", d.Outcome, tt.want)
+				t.Errorf("got outcome %d, want %d", d.Outcome, tt.want)
 			}
 			if d.Outcome == Refused && d.RetryAfter < tt.left {
 				t.Errorf("got retry after %v, want at least the %v to the deadline", d.RetryAfter, tt.left)
--- a/internal/scheduler/sim_test.go
+++ b/internal/scheduler/sim_test.go
@@ -28,17 +28,17 @@
 const prefillChunk = 200
 
 type simRun struct {
-	id        string
-	workspace string
-	vm        string
-	need      placement.Need
-	arrived   time.Time
-	due       time.Time
-	first     time.Time // zero: no event yet
-	prefilled int
-	generated int
-	engine    *simEngine
-	keeper    *simEngine
+	id           string
+	workspace    string
+	vm           string
+	need         placement.Need
+	arrived      time.Time
+	due          time.Time
+	first        time.Time // zero: no event yet
+	prefilled    int
+	generated    int
+	engine       *simEngine
+	backupEngine *simEngine
 }
 
 type simEngine struct {
@@ -237,8 +237,8 @@
 			u.PendingPrompt = r.need.Prompt
 		}
 		out[r.engine.ID] = out[r.engine.ID].Add(u)
-		if r.keeper != nil {
-			out[r.keeper.ID] = out[r.keeper.ID].Add(placement.CopyUsage(r.need))
+		if r.backupEngine != nil {
+			out[r.backupEngine.ID] = out[r.backupEngine.ID].Add(placement.CopyUsage(r.need))
 		}
 	}
 	return out
@@ -284,8 +284,8 @@
 
 func (s *sim) end(r *simRun) {
 	delete(s.live, r.id)
-	if r.keeper != nil {
-		r.keeper.copies -= r.need.Tokens()
+	if r.backupEngine != nil {
+		r.backupEngine.copies -= r.need.Tokens()
 	}
 }
 
@@ -313,8 +313,8 @@
 	r.engine = s.byID[d.Server]
 	r.engine.queue = append(r.engine.queue, r)
 	if d.BackupEngine != "" {
-		r.keeper = s.byID[d.BackupEngine]
-		r.keeper.copies += r.need.Tokens()
+		r.backupEngine = s.byID[d.BackupEngine]
+		r.backupEngine.copies += r.need.Tokens()
 		s.copied++
 	}
 	s.taken[r.vm] = max(s.taken[r.vm], d.Number)
