--- a/internal/routing/hints.go
+++ b/internal/routing/hints.go
@@ -6,24 +6,25 @@
 )
 
 // Bounds of the prefix hints. Two generations of maxHints digests of about 40
-// bytes stay under 6 MB a router; the older generation goes when the newer is
-// full, so what is still in use is learned again.
+// bytes stay under 6 MB per router. The older generation is discarded when the
+// newer one is full; prefixes still in use are then learned again.
 const (
 	maxHints   = 1 << 16
-	maxHolders = 4 // of one prefix: a hotter one is cached anywhere soon
+	maxHolders = 4 // per prefix; a hotter prefix is soon cached by most engines
 
-	// BlockTokens is the distance of the digests that are looked at. Engines
-	// publish one every engine.CacheBlock tokens; a prefix shorter than 128
-	// tokens saves less than 16 generated ones, and eight times as many digests
-	// would cost 10 us a decision instead of 2.
+	// BlockTokens is the distance in tokens between the digests that are looked
+	// up. Engines publish one every engine.CacheBlock tokens. A cached prefix of
+	// fewer than 128 tokens saves less than the cost of 16 generated tokens, and
+	// eight times as many digests would cost 10 us per decision instead of 2.
 	BlockTokens = 8 * engine.CacheBlock
 
-	// MaxBlocks bounds the digests of one prompt: beyond 8,192 tokens the choice
-	// between engines is made.
+	// MaxBlocks bounds the digests of one prompt. A prefix match beyond 8,192
+	// tokens no longer changes the choice between engines.
 	MaxBlocks = 64
 )
 
-// Blocks returns the digests of a prompt's prefixes, BlockTokens apart.
+// BlockDigests returns the digests of a prompt's prefixes, BlockTokens apart and
+// at most MaxBlocks of them.
 func Blocks(r *generation.Request) []uint64 {
 	n := min(r.PromptTokens()/BlockTokens, MaxBlocks)
 	out := make([]uint64, 0, n)
@@ -46,7 +47,7 @@
 
 type holder struct {
 	engine uint16
-	gen    uint16 // of the engine's hints; an older one is void
+	gen    uint16 // generation of the engine's hints; older entries are invalid
 }
 
 type holders struct {
@@ -54,17 +55,17 @@
 	list [maxHolders]holder
 }
 
-// hints knows which engines hold which prefixes, as far as their events and the
-// own placements tell.
-type hints struct {
+// prefixHints records which engines probably cache which prefixes, from the
+// engines' cache events and this router's own placements.
+type prefixHints struct {
 	young, old map[uint64]holders
 }
 
-func newHints() *hints {
-	return &hints{young: make(map[uint64]holders, maxHints), old: make(map[uint64]holders, maxHints)}
+func newPrefixHints() *prefixHints {
+	return &prefixHints{young: make(map[uint64]holders, maxHints), old: make(map[uint64]holders, maxHints)}
 }
 
-func (h *hints) get(d uint64) (holders, bool) {
+func (h *prefixHints) get(d uint64) (holders, bool) {
 	if v, ok := h.young[d]; ok {
 		return v, true
 	}
@@ -72,27 +73,27 @@
 	return v, ok
 }
 
-func (h *hints) add(d uint64, new holder) {
+func (h *prefixHints) add(d uint64, added holder) {
 	v, _ := h.get(d)
 	slot := -1
 	for i := range v.n {
-		if v.list[i].engine == new.engine {
+		if v.list[i].engine == added.engine {
 			slot = i
 		}
 	}
 	switch {
-	case slot >= 0 && v.list[slot] == new:
+	case slot >= 0 && v.list[slot] == added:
 		if _, ok := h.young[d]; ok {
 			return
 		}
 	case slot >= 0:
-		v.list[slot] = new
+		v.list[slot] = added
 	case v.n < maxHolders:
-		v.list[v.n] = new
+		v.list[v.n] = added
 		v.n++
 	default:
 		copy(v.list[:], v.list[1:])
-		v.list[maxHolders-1] = new
+		v.list[maxHolders-1] = added
 	}
 	if len(h.young) >= maxHints {
 		h.young, h.old = h.old, h.young
@@ -101,7 +102,7 @@
 	h.young[d] = v
 }
 
-func (h *hints) remove(d uint64, engine int) {
+func (h *prefixHints) remove(d uint64, engine int) {
 	v, ok := h.get(d)
 	if !ok {
 		return
@@ -121,15 +122,15 @@
 	h.young[d] = v
 }
 
-// learn notes that a prompt was sent to an engine, which will cache it. Blocks
-// up to known are known already: the part of a decision that a hit saves.
-func (h *hints) learn(engine int, gen uint16, blocks []uint64, known int) {
-	for _, d := range blocks[known:] {
+// learn records that a prompt was sent to an engine, which will cache it. The
+// first firstNew blocks were a cache hit and are recorded already.
+func (h *prefixHints) learn(engine int, gen uint16, blocks []uint64, firstNew int) {
+	for _, d := range blocks[firstNew:] {
 		h.add(d, holder{uint16(engine), gen})
 	}
 }
 
-func (h *hints) holds(engine int, gen uint16, d uint64) bool {
+func (h *prefixHints) holds(engine int, gen uint16, d uint64) bool {
 	v, _ := h.get(d)
 	for i := range v.n {
 		if v.list[i] == (holder{uint16(engine), gen}) {
@@ -139,9 +140,10 @@
 	return false
 }
 
-// cached returns how many prompt tokens an engine holds. The search is binary:
-// an engine that holds a prefix holds the shorter ones, or nearly so.
-func (h *hints) cached(e int, gen uint16, blocks []uint64) int {
+// cachedTokens returns how many tokens of a prompt an engine has cached. It uses
+// binary search, since an engine that caches a prefix nearly always caches the
+// shorter ones too.
+func (h *prefixHints) cachedTokens(e int, gen uint16, blocks []uint64) int {
 	low, high := 0, len(blocks)
 	for low < high {
 		mid := (low + high + 1) / 2
@@ -154,9 +156,9 @@
 	return low * BlockTokens
 }
 
-// longest returns the holders of the longest prefix that any engine holds, and
-// its tokens.
-func (h *hints) longest(blocks []uint64, engines []*server) (holders, int) {
+// longestPrefix returns the holders of the longest prefix that any engine has
+// cached, and its length in tokens.
+func (h *prefixHints) longestPrefix(blocks []uint64, engines []*server) (holders, int) {
 	low, high := 0, len(blocks)
 	var best holders
 	for low < high {
@@ -172,20 +174,20 @@
 
 func (v *holders) valid(engines []*server) bool {
 	for i := range v.n {
-		if engines[v.list[i].engine].cacheGen == v.list[i].gen {
+		if engines[v.list[i].engine].hintsGen == v.list[i].gen {
 			return true
 		}
 	}
 	return false
 }
 
-// CacheEvents takes a page of an engine's cache events, asked for after the
-// last one known. A gap in the numbers may hide evictions: all hints of the
-// engine are void then, and grow again from the events after it.
+// ApplyCacheEvents applies a page of an engine's cache events that follow
+// CacheSeq. A gap in the sequence numbers may hide evictions. All hints for the
+// engine are then invalidated and rebuilt from the events after the gap.
 func (t *Table) CacheEvents(i int, page *engine.CacheEvents) {
 	s := t.engines[i]
 	if page.Next < s.cacheSeq {
-		t.voidHints(s) // the engine started anew
+		t.invalidateHints(s) // the engine has restarted
 		s.cacheSeq = 0
 	}
 	for _, ev := range page.Events {
@@ -193,24 +195,25 @@
 			continue
 		}
 		if ev.Seq != s.cacheSeq+1 && s.cacheSeq != 0 {
-			t.voidHints(s)
+			t.invalidateHints(s)
 		}
 		s.cacheSeq = ev.Seq
 		if ev.Op == "evict" {
 			t.hints.remove(ev.Prefix, i)
 		} else {
-			t.hints.add(ev.Prefix, holder{uint16(i), s.cacheGen})
+			t.hints.add(ev.Prefix, holder{uint16(i), s.hintsGen})
 		}
 	}
 	if page.Next > s.cacheSeq {
 		if s.cacheSeq != 0 {
-			t.voidHints(s) // the newest events are missing
+			t.invalidateHints(s) // the newest events are missing
 		}
 		s.cacheSeq = page.Next
 	}
 }
 
-// CacheSeq is the number to ask for cache events after.
+// CacheSeq returns the sequence number of the last cache event seen from a backend
+// server; the next page is requested after it.
 func (t *Table) CacheSeq(i int) uint64 { return t.engines[i].cacheSeq }
 
-func (t *Table) voidHints(s *server) { s.cacheGen++ }
+func (t *Table) invalidateHints(s *server) { s.hintsGen++ }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -2,58 +2,64 @@
 // time and randomness are inputs.
 //
 // Load pattern: a few hundred routers, each with a part of the traffic, place
-// work on engines whose reports on themselves are about two seconds old. Work
-// differs a thousandfold in size; some prompts share long prefixes; engines
-// become slow, die, leave and come back.
+// work on engines whose load reports are about two seconds old. The size of the
+// work varies by a factor of a thousand. Some prompts share long prefixes.
+// Engines become slow, die, leave and come back.
 //
-// Without it: "least loaded by the last report" makes all routers that share a
-// stale report send to the same engine until its next report, which then shows
-// the worst queue of all (herding); round robin queues short work behind long;
-// pure cache affinity melts the engine that holds a hot prefix; and ejecting all
-// that looks slow takes the pool down when it is the router itself that is slow.
+// Simpler policies fail under this load:
+//   - Least loaded by the last report: all routers that share a stale report send
+//     to the same engine until its next report, which then shows the longest
+//     queue of all (herding).
+//   - Round robin: short work queues behind long work.
+//   - Pure cache affinity: the engine that caches a hot prefix is overloaded.
+//   - Ejecting every engine that looks slow: the whole pool is ejected when the
+//     router itself is slow.
 //
-// What answers each: two random candidates and the cheaper of them; own work is
-// counted at once and reports fade towards the pool's mean with age; a cached
-// prefix is worth the prefill it saves and no more, within a bound on load; and
-// the share that may be ejected as slow at one time is capped.
+// This package takes the cheaper of two random candidates. A router's own work
+// counts at once, and the weight of a report decays with age towards the pool's
+// mean. A cached prefix is worth the prefill that it saves, within a bound on the
+// engine's load. The share of engines that may be ejected as slow at one time is
+// capped.
 package routing
 
 import "time"
 
-// Figures of the policy, with their grounds.
+// Constants of the policy.
 const (
-	// DecodeWeight is the cost of one generated token in prompt tokens: an engine
-	// of today prefills at some 10,000 tokens/s and decodes, over its whole batch,
-	// at 1,000 to 2,000.
+	// DecodeWeight is the cost of one generated token in prompt tokens. Engines
+	// prefill about 10,000 tokens/s and decode 1,000 to 2,000 tokens/s over the
+	// whole batch.
 	DecodeWeight = 8
 
-	// reportHalfLife: after this age a report counts half; it is about the time
-	// in which an engine at 70% load turns over its queue.
+	// reportHalfLife is the age at which a report has half its weight. It is about
+	// the time in which an engine at 70% load turns over its queue.
 	reportHalfLife = 3 * time.Second
 
-	// voidAge: a report this old says nothing about one engine any more.
-	voidAge = 10 * reportHalfLife
+	// maxReportAge is the age beyond which a report is ignored.
+	maxReportAge = 10 * reportHalfLife
 
-	// affinityBound: a cached prefix attracts work only while the engine holds
-	// less than this multiple of the pool's mean work (bounded-load hashing; 1.25
-	// keeps most hits and bounds the worst queue).
-	affinityBound = 1.25
+	// affinityLoadBound is the multiple of the pool's mean work up to which a cached
+	// prefix attracts work to an engine, as in consistent hashing with bounded
+	// loads. 1.25 keeps most cache hits and bounds the longest queue.
+	affinityLoadBound = 1.25
 
-	// spillRatio: another zone is used when it has less than 1/spillRatio of the
-	// near engine's work. A zone crossing costs about 1 ms, a queue costs seconds.
-	spillRatio = 1.5
+	// zoneSpillRatio is the ratio of costs at which work goes to another zone: the
+	// remote engine must have less than 1/zoneSpillRatio of the local engine's
+	// work. Crossing zones costs about 1 ms, a queue costs seconds.
+	zoneSpillRatio = 1.5
 
-	// draws bounds the random tries for two eligible candidates: with half the
-	// pool out, 12 draws miss both with a chance of 0.3%; then all are scanned.
-	draws = 12
+	// maxDraws bounds the random draws for two eligible candidates. With half the
+	// pool ejected, 12 draws fail to find two with a probability of 0.3%; then the
+	// whole pool is scanned.
+	maxDraws = 12
 )
 
-// Work is the cost of a piece of work in prompt-token units.
+// Work returns the cost of a piece of work, in prompt tokens.
 func Work(promptTokens, newTokens int) float64 {
 	return float64(promptTokens) + DecodeWeight*float64(newTokens)
 }
 
-// Spec describes a backend server. Pools are the models (or plain services) it
+// Spec describes a backend server. Pools are the models or services that it
 // serves.
 type Spec struct {
 	Name  string
@@ -67,26 +73,27 @@
 	Pool    string
 	Prompt  int      // tokens to prefill if nothing is cached
 	New     int      // tokens still to generate
-	Blocks  []uint64 // digests of the prompt's prefixes, see Blocks
-	Avoid   []string // backend servers to avoid while there are others
-	Resume  bool     // accepted work after a loss: may exceed the limits a little
-	Suspect bool     // may have crashed an engine: place it alone
+	Blocks  []uint64 // prefix digests, from the function BlockDigests
+	Avoid   []string // names of backend servers to use only if there are no others
+	Resume  bool     // accepted work of a lost engine; may exceed limits by resumeSlack
+	Suspect bool     // suspect content that may have crashed an engine; is isolated
 
-	// Affinity weighs the prefill that a cached prefix saves against load; 0
-	// counts as 1.
+	// Affinity is the weight of the prefill that a cached prefix saves, relative
+	// to load. 0 means 1.
 	Affinity float64
 }
 
-// Placement is work placed on a backend server. Pass it to Progress and Done.
+// Placement is a piece of work placed on a backend server. The caller passes it to
+// Table.Progress while the work runs and to Table.Done when it ends.
 type Placement struct {
 	Engine  int
-	work    float64 // outstanding
+	work    float64 // outstanding, in prompt tokens
 	cached  int     // prompt tokens expected in the cache
 	probe   bool
 	suspect bool
 }
 
-// Cached is the number of prompt tokens expected in the engine's cache.
+// Cached returns the number of prompt tokens expected to be in the engine's cache.
 func (p *Placement) Cached() int { return p.cached }
 
 // Outcome is how placed work ended.
@@ -95,8 +102,8 @@
 // Outcomes.
 const (
 	OK        Outcome = iota
-	Failed            // an error answer, or a stream that broke
-	Refused           // no connection: nothing there serves
-	Silent            // suspected; it may live
-	Cancelled         // by us: says nothing about the backend server
+	Failed            // an error reply or a broken stream
+	Refused           // the connection was refused; the server is down
+	Silent            // by the failure detector; the server may be alive
+	Cancelled         // by the router; no evidence about the server
 )
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -7,20 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SubsetSize is how many backend servers of one pool a router works with. All
-// 330 routers polling all 710 engines would cost each 320 KB/s against a budget
-// of 11 KB/s; 24 leave room for two choices, ejections and a lost zone, and each
-// engine still sees some eleven routers. Today's 36 and 24 engines: 36 is split,
-// 24 is whole.
+// SubsetSize is the number of backend servers of one pool that a router uses. If
+// all 330 routers polled all 710 engines, each would spend 320 KB/s of a budget of
+// 11 KB/s. 24 engines suffice for two choices, ejections and a lost zone, and each
+// engine is still used by about eleven routers. A pool of 36 engines is split into
+// subsets; a pool of 24 is used completely.
 const SubsetSize = 24
 
-// nearShare is the part of a subset taken from the router's own zone; the rest
-// is spread over the others, so that a lost zone leaves every router engines.
+// nearShare is the share of a subset that is taken from the router's own zone. The
+// rest comes from other zones and leaves every router with engines if a zone is
+// lost.
 const nearShare = 0.5
 
-// Subset returns the backend servers that a router uses of those listed. The
-// order by rendezvous hash of router and server keeps most of each subset when
-// the lists change, and gives different routers different subsets.
+// Subset returns those of the listed backend servers that a router uses, in the
+// order of specs. Rendezvous hashing of router and server keeps most of each
+// subset when the list changes, and gives different routers different subsets.
 func Subset(router, zone string, specs []Spec) []Spec {
 	pools := map[string][]Spec{}
 	for _, s := range specs {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -9,81 +9,82 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/engine"
 )
 
-// Table holds what one router knows of the backend servers. It is not safe for
-// concurrent use.
+// Table is one router's view of the backend servers and of its own work on them.
+// It is not safe for concurrent use.
 type Table struct {
 	zone    string
-	peers   int // routers that use the same engines, this one included
+	peers   int // number of routers that use the same engines, including this one
 	rng     *rand.Rand
 	engines []*server
 	byName  map[string]int
 	pools   map[string]*pool
-	zones   map[string]*zone
-	hints   *hints
+	zones   map[string]*zoneHealth
+	hints   *prefixHints
 }
 
 type server struct {
 	Spec
-	gone     bool // no longer listed
-	leaving  bool // by either of the next two
-	says     bool // leaving by its own report
-	listed   bool // leaving by the platform's list
-	inflight int
-	limit    int     // of own work in flight
-	work     float64 // own outstanding work
-	history  history
-	others   float64 // work of other routers at the time of the report
-	base     float64 // own outstanding work at that time
-	reported time.Time
-	running  int
-	step     float64 // ms, smoothed; 0: unknown
-	suspects int
-	health   health
-	pools    []*pool
-	in       *zone
-	cacheSeq uint64
-	cacheGen uint16
+	gone            bool // no longer in the list of SetServers
+	leaving         bool // reportsLeaving or listedLeaving
+	reportsLeaving  bool // according to the server's own report
+	listedLeaving   bool // according to the platform's list
+	inflight        int
+	limit           int     // of this router's requests in flight
+	work            float64 // this router's outstanding work
+	history         workHistory
+	othersWork      float64 // work of other routers at reportedAt
+	ownWorkAtReport float64 // this router's outstanding work at reportedAt
+	reportedAt      time.Time
+	running         int
+	stepMS          float64 // smoothed; 0 if unknown
+	suspects        int
+	health          health
+	pools           []*pool
+	zone            *zoneHealth
+	cacheSeq        uint64
+	hintsGen        uint16
 }
 
 type pool struct {
-	near, far []int
-	all       []int
-	stepMid   float64 // median step time, ms
-	othersSum float64
-	ownSum    float64 // of this router's outstanding work
+	near, far    []int
+	all          []int
+	medianStepMS float64 // 0 if unknown
+	othersWork   float64
+	ownWork      float64 // this router's outstanding work, summed over the pool
 }
 
-// zone counts the backend servers of an availability zone, and those that are
-// out for failures.
-type zone struct{ all, down int }
+// zoneHealth counts the backend servers of an availability zone, and those of them
+// that are down for failures.
+type zoneHealth struct{ total, down int }
 
-func (z *zone) note(was, is bool) {
+func (z *zoneHealth) update(wasDown, isDown bool) {
 	switch {
-	case is && !was:
+	case isDown && !wasDown:
 		z.down++
-	case was && !is:
+	case wasDown && !isDown:
 		z.down--
 	}
 }
 
-// doubtful: so many of the zone's servers are out that the rest, not yet heard
-// of, is likely lost as well.
-func (z *zone) doubtful() bool { return float64(z.down) > doubtfulShare*float64(z.all) }
+// suspected reports whether so many of the zone's servers are down that the others
+// are probably lost too, although their loss has not been observed yet.
+func (z *zoneHealth) suspected() bool { return float64(z.down) > suspectedZoneShare*float64(z.total) }
 
-// NoLimit is the limit of a backend server before SetLimit.
+// NoLimit is the limit of a backend server for which SetLimit was not called.
 const NoLimit = math.MaxInt32
 
-// NewTable returns the table of a router in a zone. rng decides ties and
-// samples; with a fixed seed every decision repeats.
+// NewTable returns an empty table for a router in the given zone. rng draws the
+// samples; decisions are reproducible with a fixed seed.
 func NewTable(zone string, rng *rand.Rand) *Table {
-	return &Table{zone: zone, peers: 1, rng: rng, byName: map[string]int{}, pools: map[string]*pool{}, hints: newHints()}
+	return &Table{zone: zone, peers: 1, rng: rng, byName: map[string]int{}, pools: map[string]*pool{}, hints: newPrefixHints()}
 }
 
-// SetPeers tells how many routers use the same engines, this one included.
+// SetPeers sets the number of routers that use the same engines, including this
+// one.
 func (t *Table) SetPeers(n int) { t.peers = max(1, n) }
 
-// SetServers replaces the list. Those that are gone take no new work; work
-// placed on them may still end.
+// SetServers replaces the list of backend servers. Servers that are no longer
+// listed get no new work; work placed on them continues.
 func (t *Table) SetServers(specs []Spec) {
 	for _, s := range t.engines {
 		s.gone = true
@@ -98,17 +99,17 @@
 		t.engines[i].Spec = spec
 		t.engines[i].gone = false
 	}
-	t.index()
+	t.rebuildIndexes()
 }
 
-func (t *Table) index() {
-	t.pools, t.zones = map[string]*pool{}, map[string]*zone{}
+func (t *Table) rebuildIndexes() {
+	t.pools, t.zones = map[string]*pool{}, map[string]*zoneHealth{}
 	for i, s := range t.engines {
 		s.pools = nil
 		if s.gone {
 			continue
 		}
-		t.locate(s)
+		t.assignZone(s)
 		for _, name := range s.Pools {
 			p := t.pools[name]
 			if p == nil {
@@ -116,7 +117,7 @@
 				t.pools[name] = p
 			}
 			p.all = append(p.all, i)
-			p.ownSum += s.work
+			p.ownWork += s.work
 			s.pools = append(s.pools, p)
 			if s.Zone == t.zone {
 				p.near = append(p.near, i)
@@ -130,39 +131,41 @@
 	}
 }
 
-func (t *Table) locate(s *server) {
+func (t *Table) assignZone(s *server) {
 	z := t.zones[s.Zone]
 	if z == nil {
-		z = &zone{}
+		z = &zoneHealth{}
 		t.zones[s.Zone] = z
 	}
-	s.in = z
-	z.all++
+	s.zone = z
+	z.total++
 	if s.health.down {
 		z.down++
 	}
 }
 
-// Has reports whether any backend server is listed for a pool.
+// HasPool reports whether any backend server is listed for a pool.
 func (t *Table) Has(poolName string) bool { return t.pools[poolName] != nil }
 
 // Spec returns the description of a backend server.
 func (t *Table) Spec(i int) *Spec { return &t.engines[i].Spec }
 
-// Len is the number of backend servers ever listed; indexes are below it.
+// Len returns the number of backend servers ever listed. Indexes of servers are
+// below it and stay valid when the list changes.
 func (t *Table) Len() int { return len(t.engines) }
 
-// Index finds a backend server by name.
+// Index returns the index of the backend server with a name.
 func (t *Table) Index(name string) (int, bool) {
 	i, ok := t.byName[name]
 	return i, ok
 }
 
-// Inflight is the number of own pieces of work on a backend server.
+// Inflight returns the number of this router's requests on a backend server.
 func (t *Table) Inflight(i int) int { return t.engines[i].inflight }
 
-// Slowness is a backend server's step time over the median of its pool, at
-// least 1; 1 too while it is not taken to be slow, as when half of a pool looks so.
+// Slowness returns the ratio of a backend server's step time to the median of its
+// pool, at least 1. It is 1 for a server that is not ejected as slow, also if the
+// reason is that too many servers of the pool look slow.
 func (t *Table) Slowness(i int) float64 {
 	s := t.engines[i]
 	if !s.health.slow || len(s.pools) == 0 {
@@ -171,19 +174,20 @@
 	return t.slowness(s.pools[0], s)
 }
 
-// SetLimit bounds the own work in flight on a backend server.
+// SetLimit bounds the number of this router's requests in flight on a backend
+// server.
 func (t *Table) SetLimit(i, limit int) { t.engines[i].limit = limit }
 
-// SetLeaving marks a backend server that the platform's list or its own report
-// says is leaving: it gets no new work.
+// SetLeaving records whether the platform's list marks a backend server as leaving.
+// A server that is leaving by the list or by its own report gets no new work.
 func (t *Table) SetLeaving(i int, leaving bool) {
 	s := t.engines[i]
-	s.listed = leaving
-	s.leaving = s.listed || s.says
+	s.listedLeaving = leaving
+	s.leaving = s.listedLeaving || s.reportsLeaving
 }
 
-// Capacity returns the sum of the limits and the own work in flight over the
-// backend servers of a pool that take new work.
+// Capacity returns the sums of the limits and of this router's requests in flight
+// over the backend servers of a pool that accept new work.
 func (t *Table) Capacity(poolName string, now time.Time) (limit, inflight int) {
 	p := t.pools[poolName]
 	if p == nil {
@@ -199,7 +203,7 @@
 	return limit, inflight
 }
 
-// Usable is the number of backend servers of a pool that take new work.
+// Usable returns the number of backend servers of a pool that accept new work.
 func (t *Table) Usable(poolName string, now time.Time) int {
 	p := t.pools[poolName]
 	if p == nil {
@@ -215,16 +219,16 @@
 }
 
 func (s *server) usable(now time.Time) bool {
-	return !s.gone && !s.leaving && s.health.state(now) != stateOut
+	return !s.gone && !s.leaving && s.health.state(now) != stateEjected
 }
 
-// Place records work on the backend server that Pick chose.
+// place records work on the backend server that Pick chose.
 func (t *Table) place(i int, q *Query, cached int, now time.Time) Placement {
 	s := t.engines[i]
 	p := Placement{Engine: i, cached: cached, work: Work(q.Prompt-cached, q.New), suspect: q.Suspect}
 	if s.health.state(now) == stateProbing {
 		p.probe = true
-		s.health.probing = true
+		s.health.probeInFlight = true
 	}
 	if q.Suspect {
 		s.suspects++
@@ -232,11 +236,11 @@
 	s.inflight++
 	s.addWork(p.work)
 	s.history.add(now, s.work)
-	t.hints.learn(i, s.cacheGen, q.Blocks, cached/BlockTokens)
+	t.hints.learn(i, s.hintsGen, q.Blocks, cached/BlockTokens)
 	return p
 }
 
-// Progress takes generated tokens off the outstanding work.
+// Progress subtracts newly generated tokens from the outstanding work.
 func (t *Table) Progress(p *Placement, tokens int) {
 	done := min(p.work, DecodeWeight*float64(tokens))
 	p.work -= done
@@ -247,11 +251,11 @@
 	w = max(w, -s.work)
 	s.work += w
 	for _, p := range s.pools {
-		p.ownSum = max(0, p.ownSum+w)
+		p.ownWork = max(0, p.ownWork+w)
 	}
 }
 
-// Cleared ends the isolation of a suspect that has proved innocent.
+// EndIsolation ends the isolation of work whose content is no longer suspect.
 func (t *Table) Cleared(p *Placement) {
 	if p.suspect {
 		p.suspect = false
@@ -259,21 +263,21 @@
 	}
 }
 
-// Done ends placed work.
+// Done removes work that has ended and records its outcome in the server's health.
 func (t *Table) Done(p *Placement, o Outcome, now time.Time) {
 	s := t.engines[p.Engine]
 	s.inflight--
 	s.addWork(-p.work)
 	if s.inflight == 0 {
-		s.addWork(-s.work) // floating point leaves crumbs
+		s.addWork(-s.work) // removes floating-point residue
 	}
 	t.Cleared(p)
 	if p.probe {
-		s.health.probing = false
+		s.health.probeInFlight = false
 	}
 	s.history.add(now, s.work)
 	wasDown := s.health.down
-	defer func() { s.in.note(wasDown, s.health.down) }()
+	defer func() { s.zone.update(wasDown, s.health.down) }()
 	switch o {
 	case OK:
 		s.health.success()
@@ -283,34 +287,36 @@
 		s.health.eject(now)
 	case Refused:
 		s.health.eject(now)
-		t.voidHints(s)
+		t.invalidateHints(s)
 	case Cancelled:
 	}
 }
 
-// stepGain smooths the reported step time: about the last five reports.
-const stepGain = 0.2
+// stepSmoothing is the weight of the newest report in the smoothed step time, which
+// averages over about five reports.
+const stepSmoothing = 0.2
 
-// Report takes a backend server's report, which is age old.
+// Report applies a backend server's load report, which is load.AgeMS old at now. A
+// report older than the last one applied is ignored.
 func (t *Table) Report(i int, load *engine.Load, now time.Time) {
 	s := t.engines[i]
 	at := now.Add(-time.Duration(load.AgeMS) * time.Millisecond)
-	if at.Before(s.reported) {
-		return // late: a newer one is known
+	if at.Before(s.reportedAt) {
+		return
 	}
-	s.reported = at
+	s.reportedAt = at
 	s.running = load.Running + load.Queued
-	s.says = load.Leaving
-	s.leaving = s.listed || s.says
-	s.base = s.history.at(at)
-	s.others = max(0, reportedWork(load)-s.base)
+	s.reportsLeaving = load.Leaving
+	s.leaving = s.listedLeaving || s.reportsLeaving
+	s.ownWorkAtReport = s.history.workAt(at)
+	s.othersWork = max(0, reportedWork(load)-s.ownWorkAtReport)
 	if load.StepMS > 0 {
-		s.step = smooth(s.step, load.StepMS)
+		s.stepMS = smooth(s.stepMS, load.StepMS)
 	}
-	s.health.answered(now)
+	s.health.pollAnswered(now)
 	for _, p := range s.pools {
 		t.summarize(p)
-		t.judgeSlow(p)
+		t.ejectSlow(p)
 	}
 }
 
@@ -318,67 +324,69 @@
 	if old == 0 {
 		return sample
 	}
-	return old + stepGain*(sample-old)
+	return old + stepSmoothing*(sample-old)
 }
 
-// typicalLeft is what a running request of unknown length is taken to have left
-// to generate: half of the 500 tokens that a usual answer has.
-const typicalLeft = 250
+// typicalRemainingTokens is the assumed number of tokens that a running request of
+// unknown length has yet to generate: half of the 500 tokens of a typical answer.
+const typicalRemainingTokens = 250
 
 func reportedWork(load *engine.Load) float64 {
-	return DecodeWeight*typicalLeft*float64(load.Running) + DecodeWeight*float64(load.QueuedTokens)
+	return DecodeWeight*typicalRemainingTokens*float64(load.Running) + DecodeWeight*float64(load.QueuedTokens)
 }
 
-// means returns the pool's mean work of other routers, and of all.
-func (p *pool) means() (others, all float64) {
+// meanWork returns the mean work per engine of other routers and of all routers.
+func (p *pool) meanWork() (others, all float64) {
 	n := float64(max(1, len(p.all)))
-	return p.othersSum / n, (p.ownSum + p.othersSum) / n
+	return p.othersWork / n, (p.ownWork + p.othersWork) / n
 }
 
-// summarize recomputes what reports tell of a pool. It runs per report, not per decision.
+// summarize recomputes the aggregates of a pool's reports. It runs per report, not
+// per decision.
 func (t *Table) summarize(p *pool) {
-	p.othersSum = 0
+	p.othersWork = 0
 	steps := make([]float64, 0, len(p.all))
 	for _, i := range p.all {
 		s := t.engines[i]
-		p.othersSum += s.others
-		if s.step > 0 {
-			steps = append(steps, s.step)
+		p.othersWork += s.othersWork
+		if s.stepMS > 0 {
+			steps = append(steps, s.stepMS)
 		}
 	}
 	if len(steps) > 0 {
 		slices.Sort(steps)
-		p.stepMid = steps[len(steps)/2]
+		p.medianStepMS = steps[len(steps)/2]
 	}
 }
 
-// history remembers the own work of the last seconds, so that a report can be
-// set against what was placed at its time.
-type history struct {
-	at0  [historyLen]time.Time
-	work [historyLen]float64
-	head int
+// workHistory keeps this router's outstanding work on a server for the last
+// seconds. A report includes that work; subtracting its value at the time of the
+// report yields the work of the other routers.
+type workHistory struct {
+	times [historyLen]time.Time
+	work  [historyLen]float64
+	head  int
 }
 
-// Samples are historyStep apart: 16 of them reach back 4 s, beyond the lag of
-// reports that still count.
+// Samples are historyStep apart. 16 of them cover 4 s, longer than the delay of
+// reports that have a significant weight.
 const (
 	historyLen  = 16
 	historyStep = 250 * time.Millisecond
 )
 
-func (h *history) add(now time.Time, work float64) {
-	if now.Sub(h.at0[h.head]) >= historyStep {
+func (h *workHistory) add(now time.Time, work float64) {
+	if now.Sub(h.times[h.head]) >= historyStep {
 		h.head = (h.head + 1) % historyLen
-		h.at0[h.head] = now
+		h.times[h.head] = now
 	}
 	h.work[h.head] = work
 }
 
-func (h *history) at(t time.Time) float64 {
+func (h *workHistory) workAt(t time.Time) float64 {
 	for n := range historyLen {
 		i := (h.head - n + historyLen) % historyLen
-		if !h.at0[i].After(t) {
+		if !h.times[i].After(t) {
 			return h.work[i]
 		}
 	}
