--- a/internal/quota/core.go
+++ b/internal/quota/core.go
@@ -1,15 +1,16 @@
-// Package quota is the router's side of the allowances: it holds grants of the
-// group's ledger and hands them out to requests without a message each.
+// Package quota is the router's side of the allowances. It holds grants of the
+// control group's ledger and reserves them for requests without a message per
+// request.
 //
 // Load pattern: thousands of requests a second, most of them from a few hot
-// workspaces that call on many VMs at once. With a commit per request the
-// control group would carry every request of the system; with a share fixed per
-// VM a hot workspace could not use what it paid for. Grants are held for the
-// use of the next two seconds, asked for ahead of need and given back when use
-// falls, in one message a VM for all its workspaces.
+// workspaces that send to many VMs at once. With a commit per request the control
+// group would process every request of the system. With a fixed share per VM a
+// hot workspace could not use what it paid for. Grants therefore cover the
+// expected use of the next two seconds. They are requested before they are needed
+// and returned when use falls, in one message per VM for all its workspaces.
 //
-// Safety does not rest on this package's clock: each grant belongs to a window
-// of the ledger, which counts it as used until it is given back.
+// Safety does not depend on this VM's clock: each grant belongs to a window of the
+// ledger, which counts it as used until it is returned.
 package quota
 
 import (
@@ -24,75 +25,77 @@
 
 // Timings and bounds.
 const (
-	holdAhead     = 2 * time.Second // covers several commits, also over a change of leader
-	measureEvery  = time.Second
-	rateWeight    = 0.5                    // of the newest period
-	flushEvery    = time.Second            // reports of changed accounts
-	heartbeat     = 3 * time.Second        // of unchanged ones; a tenth of plan.DeadAfterMS
-	quietAfter    = 30 * time.Second       // a workspace without requests holds nothing
-	askEvery      = 100 * time.Millisecond // asking ahead of need, at most
-	denyFor       = 500 * time.Millisecond // a refusal by the ledger stands this long without asking again
-	retrySoon     = time.Second            // when others may have given something back
-	scarceDivisor = 20                     // left below 5% of the allowance: near the window's end
-	maxWaiting    = 1024                   // requests of one workspace that wait for a grant
-	maxAccounts   = 10_000
+	prefetchPeriod      = 2 * time.Second // covers several commits and a change of leader
+	measureInterval     = time.Second
+	rateWeight          = 0.5                    // weight of the newest period
+	reportInterval      = time.Second            // between reports of a changed account
+	heartbeatInterval   = 3 * time.Second        // between reports of an unchanged account; a tenth of plan.DeadAfterMS
+	idleAfter           = 30 * time.Second       // a workspace without requests for this long holds no grants
+	minPrefetchInterval = 100 * time.Millisecond // between prefetches of an account
+	denialTTL           = 500 * time.Millisecond // a refusal by the ledger is repeated to callers without a new message
+	retryDelay          = time.Second            // after which other VMs may have returned grants
+	scarceDivisor       = 20                     // less than 5% of the allowance left: only the measured rate is prefetched
+	maxWaiting          = 1024                   // requests of one workspace waiting for a grant
+	maxAccounts         = 10_000
 
-	// confirmLimit is a third of plan.DeadAfterMS: a VM that the group may have
-	// declared dead admits nothing, since its concurrency may be another's.
-	confirmLimit = deadAfter / 3
-	deadAfter    = plan.DeadAfterMS * time.Millisecond
+	// maxConfirmAge bounds the age of the last confirmation by the group. It is a
+	// third of plan.DeadAfterMS. A VM that the group may have declared dead admits
+	// no requests, since its concurrency may have been granted to another VM.
+	maxConfirmAge = deadAfter / 3
+	deadAfter     = plan.DeadAfterMS * time.Millisecond
 )
 
-// Request is what is to be reserved.
+// Request describes a request for which grants are to be reserved.
 type Request struct {
-	ID        string // unique in the workspace; reserved once while it runs
+	ID        string // unique in the workspace; a running request is reserved only once
 	Workspace string
 	Allowance plan.Allowance
-	Tokens    int64 // the most it may use
+	Tokens    int64 // upper bound of its use
 }
 
-// Ticket is a request's reservation, or its place among those that wait for one.
+// Ticket is a request's reservation, or its place in the queue for one.
 type Ticket struct {
-	id      string
-	acct    *account
-	cost    plan.Amount
-	window  uint64
-	life    int // of the Core's incarnation when it was reserved
-	held    bool
-	settled bool
-	asked   bool // was part of the last message
-	err     error
-	done    chan struct{} // closed once held or refused
+	id          string
+	account     *account
+	cost        plan.Amount
+	window      uint64
+	incarnation int // Core.incarnations when it was reserved
+	granted     bool
+	settled     bool
+	requested   bool // was waiting when a message was sent
+	err         error
+	done        chan struct{} // closed once granted or refused
 }
 
-// Core is the pure state of a router's grants. It is not safe for concurrent
-// use; time is an argument.
+// Core is the state of a router's grants. It is pure: time is an argument. It is
+// not safe for concurrent use.
 type Core struct {
-	vm, base  string
-	life      int // incarnations used up: the group declared them dead
-	seq       uint64
-	inflight  *plan.Sync
-	sentAt    time.Time
-	confirmed time.Time // the group has seen this VM after this time
-	urgent    bool
-	accounts  map[string]*account
-	tickets   map[string]*Ticket
-	Counts    Counts
+	vm, process  string
+	incarnations int // number of earlier incarnations, which the group declared dead
+	seq          uint64
+	inflight     *plan.Sync
+	sentAt       time.Time
+	confirmedAt  time.Time // send time of the last message that the group answered
+	urgent       bool
+	accounts     map[string]*account
+	tickets      map[string]*Ticket
+	Counts       Counts
 }
 
-// Counts are what happened so far.
+// Counts are totals since the Core was created.
 type Counts struct {
 	Reserved, Refused, Messages, Dead, Overrun int64
 }
 
-// NewCore returns the state of a VM's incarnation that holds nothing.
+// NewCore returns the state of a new incarnation of a VM, which holds no grants.
 func NewCore(vm, incarnation string) *Core {
-	return &Core{vm: vm, base: incarnation, accounts: map[string]*account{}, tickets: map[string]*Ticket{}}
+	return &Core{vm: vm, process: incarnation, accounts: map[string]*account{}, tickets: map[string]*Ticket{}}
 }
 
-// Reserve reserves a request, refuses it, or queues it for the next grant; done
-// of the ticket tells when it is decided. The same request reserved again while
-// it runs is the same ticket: it is charged once.
+// Reserve reserves the cost of a request, refuses it with a coded error, or queues
+// it for the next grant. The ticket's done channel is closed when the request is
+// decided. Reserving the same request again while it waits or runs returns the same
+// ticket, and it is charged once.
 func (c *Core) Reserve(now time.Time, r Request) (*Ticket, error) {
 	key := r.Workspace + "/" + r.ID
 	if t := c.tickets[key]; t != nil {
@@ -106,20 +109,20 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Ticket{id: key, acct: a, cost: plan.Amount{Tokens: r.Tokens, Requests: 1}, done: make(chan struct{})}
-	if c.fresh(now) && len(a.waiting) == 0 && a.fits(now, t.cost) {
-		c.hold(t, now)
+	t := &Ticket{id: key, account: a, cost: plan.Amount{Tokens: r.Tokens, Requests: 1}, done: make(chan struct{})}
+	if c.confirmedAlive(now) && len(a.waiting) == 0 && a.fits(now, t.cost) {
+		c.admit(t, now)
 		return t, nil
 	}
-	if now.Sub(a.heardAt) < denyFor {
-		if err := a.denied(now, t); err != nil {
+	if now.Sub(a.grantedAt) < denialTTL {
+		if err := a.denial(now, t); err != nil {
 			c.Counts.Refused++
 			return nil, err
 		}
 	}
 	if len(a.waiting) >= maxWaiting {
 		c.Counts.Refused++
-		return nil, result.New(result.WorkspaceBacklog).WithRetryAfter(retrySoon)
+		return nil, result.New(result.WorkspaceBacklog).WithRetryAfter(retryDelay)
 	}
 	c.urgent = true
 	a.waiting = append(a.waiting, t)
@@ -131,7 +134,7 @@
 	a := c.accounts[r.Workspace]
 	if a == nil {
 		if len(c.accounts) >= maxAccounts {
-			return nil, result.New(result.QueueFull).WithRetryAfter(retrySoon)
+			return nil, result.New(result.QueueFull).WithRetryAfter(retryDelay)
 		}
 		a = &account{workspace: r.Workspace}
 		c.accounts[r.Workspace] = a
@@ -142,12 +145,13 @@
 	return a, nil
 }
 
-// fresh reports whether the group surely counts this incarnation as alive.
-func (c *Core) fresh(now time.Time) bool { return now.Sub(c.confirmed) < confirmLimit }
+// confirmedAlive reports whether the group certainly counts this incarnation as
+// alive.
+func (c *Core) confirmedAlive(now time.Time) bool { return now.Sub(c.confirmedAt) < maxConfirmAge }
 
-func (c *Core) hold(t *Ticket, now time.Time) {
-	t.acct.take(t, now)
-	t.life, t.held = c.life, true
+func (c *Core) admit(t *Ticket, now time.Time) {
+	t.account.reserve(t, now)
+	t.incarnation, t.granted = c.incarnations, true
 	c.tickets[t.id] = t
 	c.Counts.Reserved++
 	close(t.done)
@@ -160,15 +164,16 @@
 	close(t.done)
 }
 
-// denied says why a request cannot have a grant, by what the ledger last told.
-func (a *account) denied(now time.Time, t *Ticket) error {
+// denial returns why the ledger cannot grant a request, by its last grant, or nil
+// if it may.
+func (a *account) denial(now time.Time, t *Ticket) error {
 	have := a.available(now).Plus(a.left)
-	untilEnd := max(a.endsAt.Sub(now), time.Millisecond)
-	// Requests that run may use less than they reserved; where that could be
-	// enough it is worth asking again before the window ends.
+	untilEnd := max(a.windowEnd.Sub(now), time.Millisecond)
+	// Running requests may use less than they reserved. If that could suffice, a
+	// retry before the end of the window can succeed.
 	wait := untilEnd
 	if t.cost.Within(have.Plus(a.outstanding)) {
-		wait = min(retrySoon, untilEnd)
+		wait = min(retryDelay, untilEnd)
 	}
 	switch {
 	case t.cost.Tokens > have.Tokens:
@@ -176,28 +181,29 @@
 	case t.cost.Requests > have.Requests:
 		return result.New(result.RequestsExhausted).WithRetryAfter(wait)
 	case a.overSlots, a.inUse >= a.slots+a.slotsLeft:
-		return result.New(result.ConcurrencyLimit).WithRetryAfter(retrySoon)
+		return result.New(result.ConcurrencyLimit).WithRetryAfter(retryDelay)
 	}
 	return nil
 }
 
-// Settle ends a reservation; only the first call counts. ran false gives all of
-// it back: nothing was placed on a backend server.
+// Settle ends a reservation with the tokens that were used; only the first call
+// counts. If ran is false, nothing was placed on a backend server and the whole
+// reservation is released. A ticket that still waits is removed from the queue.
 func (c *Core) Settle(t *Ticket, ran bool, tokens int64) {
 	if t.settled {
 		return
 	}
 	t.settled = true
-	if !t.held {
-		c.abandon(t)
+	if !t.granted {
+		c.dequeue(t)
 		return
 	}
 	delete(c.tickets, t.id)
-	a := t.acct
+	a := t.account
 	a.inUse--
 	a.changed = true
-	if t.life != c.life || t.window != a.window {
-		return // charged to a window, or an incarnation, that has ended
+	if t.incarnation != c.incarnations || t.window != a.window {
+		return // charged to a window or an incarnation that has ended
 	}
 	a.reserved = a.reserved.Minus(t.cost)
 	if !ran {
@@ -209,14 +215,14 @@
 	a.spent = a.spent.Plus(plan.Amount{Tokens: min(max(tokens, 0), t.cost.Tokens), Requests: 1})
 }
 
-// abandon takes a request that no longer waits out of the queue.
-func (c *Core) abandon(t *Ticket) {
-	t.acct.waiting = slices.DeleteFunc(t.acct.waiting, func(w *Ticket) bool { return w == t })
+// dequeue removes a request that no longer waits from the queue.
+func (c *Core) dequeue(t *Ticket) {
+	t.account.waiting = slices.DeleteFunc(t.account.waiting, func(w *Ticket) bool { return w == t })
 	delete(c.tickets, t.id)
 }
 
-// Recall marks workspaces whose allowance was lowered or taken away: what is
-// not in use goes back with the next message.
+// Recall applies the allowances in force. Workspaces whose allowance was lowered or
+// removed return what is not in use with the next message.
 func (c *Core) Recall(lookup func(workspace string) (plan.Allowance, bool)) {
 	for _, a := range c.accounts {
 		limit, _ := lookup(a.workspace)
@@ -226,21 +232,21 @@
 	}
 }
 
-// Urgent reports whether a message should leave now rather than at the next
-// tick: somebody waits, or grants were recalled. Grants that run low wait for the
-// tick: half of what is held ahead lasts longer, and one message then asks for
-// all workspaces.
+// Urgent reports whether a message should be sent now rather than at the next tick,
+// because a request waits or grants were recalled. Prefetches wait for the tick:
+// half of the prefetch lasts longer than a tick, and one message then covers all
+// workspaces.
 func (c *Core) Urgent() bool { return c.urgent && c.inflight == nil }
 
-// Next returns the message to send, if one is due. While a message is
-// unanswered it is returned again, unchanged: its repetition is harmless.
+// Next returns the message to send, if one is due. While a message is unanswered,
+// Next returns that message again, unchanged; the ledger applies it only once.
 func (c *Core) Next(now time.Time) (*plan.Sync, bool) {
 	if c.inflight != nil {
 		return c.inflight, true
 	}
 	c.urgent = false
-	if c.seq > 0 && now.Sub(c.confirmed) > deadAfter && c.idle() {
-		c.renew() // the group has forgotten this incarnation, or is about to
+	if c.seq > 0 && now.Sub(c.confirmedAt) > deadAfter && c.idle() {
+		c.startIncarnation() // the group has declared this incarnation dead, or is about to
 	}
 	s := &plan.Sync{VM: c.vm, Incarnation: c.incarnation(), Seq: c.seq + 1}
 	for _, name := range slices.Sorted(maps.Keys(c.accounts)) {
@@ -258,25 +264,26 @@
 	return s, true
 }
 
-func (c *Core) incarnation() string { return fmt.Sprintf("%s.%s.%d", c.vm, c.base, c.life) }
+func (c *Core) incarnation() string { return fmt.Sprintf("%s.%s.%d", c.vm, c.process, c.incarnations) }
 
 func (c *Core) due(a *account, now time.Time) bool {
-	since := now.Sub(a.askedAt)
+	since := now.Sub(a.reportedAt)
 	switch {
 	case len(a.waiting) > 0, a.recall:
 		return true
 	case a.changed:
-		return since >= flushEvery || a.low(now)
+		return since >= reportInterval || a.belowPrefetch(now)
 	case a.empty():
-		if since > quietAfter {
+		if since > idleAfter {
 			delete(c.accounts, a.workspace)
 		}
 		return false
 	}
-	return since >= heartbeat
+	return since >= heartbeatInterval
 }
 
-// Take applies the reply to the message in flight and decides who waited.
+// ApplyReply applies the reply to the message in flight, and admits or refuses
+// waiting requests. It ignores replies to other messages.
 func (c *Core) Take(now time.Time, r plan.SyncReply) {
 	if c.inflight == nil || r.Seq != c.inflight.Seq {
 		return
@@ -285,63 +292,64 @@
 	c.inflight = nil
 	if r.Status != plan.SyncOK {
 		c.Counts.Dead++
-		c.renew()
+		c.startIncarnation()
 		return
 	}
-	c.confirmed = sent
+	c.confirmedAt = sent
 	for _, g := range r.Accounts {
 		if a := c.accounts[g.Workspace]; a != nil {
 			a.apply(sent, now, g)
-			c.decide(a, now)
+			c.serveWaiting(a, now)
 		}
 	}
 }
 
-// idle reports whether nothing is held of any account.
+// idle reports whether no account holds grants.
 func (c *Core) idle() bool {
 	for _, a := range c.accounts {
-		if a.slots > 0 || a.inUse > 0 || a.held() != (plan.Amount{}) || a.reserved != (plan.Amount{}) {
+		if a.slots > 0 || a.inUse > 0 || a.idle() != (plan.Amount{}) || a.reserved != (plan.Amount{}) {
 			return false
 		}
 	}
 	return true
 }
 
-// renew goes on as a new incarnation: the group has given this one up, and what
-// it held is gone. Running requests stay charged to the old one.
-func (c *Core) renew() {
-	c.life++
+// startIncarnation continues as a new incarnation. The group has declared the old
+// one dead, and its grants are lost. Running requests stay charged to the old one.
+func (c *Core) startIncarnation() {
+	c.incarnations++
 	c.seq = 0
 	for _, a := range c.accounts {
-		a.lapse()
+		a.dropWindow()
 		a.slots, a.changed = 0, true
 	}
 }
 
-// apply takes a grant. The window's end is counted from when the message was
-// sent: the group stamped it later, so this VM stops early rather than late.
+// apply applies a grant. The end of the window is computed from the send time of the
+// message. The group read its clock later, so the result is never too late.
 func (a *account) apply(sent, now time.Time, g plan.AccountGrant) {
 	if g.Window != a.window {
-		a.lapse()
+		a.dropWindow()
 		a.window, a.spent, a.returned = g.Window, g.Spent, g.Returned
 	}
 	a.granted = g.Granted
-	a.endsAt = sent.Add(time.Duration(g.RemainingMS) * time.Millisecond)
+	a.windowEnd = sent.Add(time.Duration(g.RemainingMS) * time.Millisecond)
 	a.slots, a.slotsLeft = g.Slots, g.SlotsLeft
-	a.left, a.outstanding, a.heardAt = g.Left, g.Outstanding, now
+	a.left, a.outstanding, a.grantedAt = g.Left, g.Outstanding, now
 	a.overTokens, a.overRequests, a.overSlots = g.OverTokens, g.OverRequests, g.OverSlots
 }
 
-// decide hands grants to those that wait, in order, and refuses at once those
-// that were asked for and got nothing: they can do better than wait.
-func (c *Core) decide(a *account, now time.Time) {
+// serveWaiting admits waiting requests in order. It refuses requests that were part
+// of the message and for which the ledger has nothing left, since waiting would
+// not help them.
+func (c *Core) serveWaiting(a *account, now time.Time) {
 	var rest []*Ticket
 	for _, t := range a.waiting {
 		switch {
-		case c.fresh(now) && a.fits(now, t.cost):
-			c.hold(t, now)
-		case t.asked && a.denied(now, t) != nil:
-			c.refuse(t, a.denied(now, t))
+		case c.confirmedAlive(now) && a.fits(now, t.cost):
+			c.admit(t, now)
+		case t.requested && a.denial(now, t) != nil:
+			c.refuse(t, a.denial(now, t))
 		default:
 			rest = append(rest, t)
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -13,46 +13,48 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Timings of the pump.
+// Timings of the exchange with the control group.
 const (
-	waitLimit   = 500 * time.Millisecond // for a grant under way; a commit takes a few ms
-	syncTimeout = 2 * time.Second
-	resendPause = 100 * time.Millisecond
-	tick        = 250 * time.Millisecond
+	maxWait      = 500 * time.Millisecond // of a request for a grant; a commit takes a few ms
+	syncTimeout  = 2 * time.Second
+	resendDelay  = 100 * time.Millisecond
+	tickInterval = 250 * time.Millisecond
 )
 
-// Quota drives a Core against the control group. Safe for concurrent use.
+// Quota connects a Core to the control group. It is safe for concurrent use.
 type Quota struct {
 	control control.Client
 	metrics *expvar.Map
 	log     zerolog.Logger
-	kick    chan struct{}
+	wakeup  chan struct{}
 
 	mu   sync.Mutex
 	core *Core
 }
 
-// New returns a Quota of a VM's incarnation. Run must be started once.
+// New returns the Quota of a VM's incarnation. The caller must start Run once.
 func New(vm, incarnation string, c control.Client, metrics *expvar.Map, log zerolog.Logger) *Quota {
-	return &Quota{control: c, metrics: metrics, log: log, kick: make(chan struct{}, 1), core: NewCore(vm, incarnation)}
+	return &Quota{control: c, metrics: metrics, log: log, wakeup: make(chan struct{}, 1), core: NewCore(vm, incarnation)}
 }
 
-// Reservation is what a request has set aside.
+// Reservation is the reserved cost of a request. The caller must end it with Settle
+// or Cancel.
 type Reservation struct {
 	q *Quota
 	t *Ticket
 }
 
-// Settle ends the reservation with the tokens that were used; only the first
-// call counts.
+// Settle ends the reservation with the number of tokens that were used. Only the
+// first call of Settle or Cancel counts.
 func (r *Reservation) Settle(tokens int64) { r.q.settle(r.t, true, tokens) }
 
-// Cancel ends the reservation of a request of which nothing ran.
+// Cancel ends the reservation of a request that was not executed at all, and releases
+// its whole cost.
 func (r *Reservation) Cancel() { r.q.settle(r.t, false, 0) }
 
-// Reserve sets a request's cost aside. It needs no message where this VM holds
-// enough; else it waits a bounded time for a grant. A refusal is a coded error,
-// and promises that nothing ran.
+// Reserve reserves the cost of a request. It returns at once if this VM holds enough
+// grants, and otherwise waits up to maxWait for a grant. A refusal is a
+// *result.Error and guarantees that nothing was executed.
 func (q *Quota) Reserve(ctx context.Context, r Request) (*Reservation, error) {
 	q.mu.Lock()
 	t, err := q.core.Reserve(time.Now(), r)
@@ -76,7 +78,7 @@
 		return t.err
 	default:
 	}
-	timer := time.NewTimer(waitLimit)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
 	case <-t.done:
@@ -88,7 +90,7 @@
 	defer q.mu.Unlock()
 	select {
 	case <-t.done:
-		return t.err // decided in the meantime
+		return t.err // decided after the wait ended
 	default:
 	}
 	q.core.Settle(t, false, 0)
@@ -96,7 +98,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return result.New(result.ControlUnavail).WithRetryAfter(retrySoon)
+	return result.New(result.ControlUnavail).WithRetryAfter(retryDelay)
 }
 
 func (q *Quota) settle(t *Ticket, ran bool, tokens int64) {
@@ -105,7 +107,7 @@
 	q.core.Settle(t, ran, tokens)
 }
 
-// Recall gives back what lowered allowances recall.
+// Recall applies the allowances of d and returns grants of those that were lowered.
 func (q *Quota) Recall(d *plan.Directory) {
 	q.mu.Lock()
 	q.core.Recall(func(workspace string) (plan.Allowance, bool) {
@@ -121,21 +123,21 @@
 
 func (q *Quota) wake() {
 	select {
-	case q.kick <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Run exchanges messages with the group until ctx is done: one at a time, so
-// that requests which come meanwhile share the next.
+// Run exchanges messages with the control group until ctx is done, one at a time.
+// Requests that arrive while a message is in flight share the next one.
 func (q *Quota) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.kick:
+		case <-q.wakeup:
 		case <-ticker.C:
 		}
 		for q.exchange(ctx) {
@@ -156,17 +158,17 @@
 	cancel()
 	if err != nil {
 		q.metrics.Add("quota_messages_failed", 1)
-		q.log.Debug().Err(err).Uint64("seq", s.Seq).Msg("grants not renewed")
+		q.log.Debug().Err(err).Uint64("seq", s.Seq).Msg("message to the ledger failed; it will be sent again")
 		select {
 		case <-ctx.Done():
-		case <-time.After(resendPause):
+		case <-time.After(resendDelay):
 		}
 		return ctx.Err() == nil
 	}
 	q.metrics.Add("quota_messages", 1)
 	if reply.Status != plan.SyncOK {
 		q.metrics.Add("quota_incarnations_lost", 1)
-		q.log.Warn().Uint8("status", uint8(reply.Status)).Str("reason", reply.Message).Msg("grants lost; going on as a new incarnation")
+		q.log.Warn().Uint8("status", uint8(reply.Status)).Str("reason", reply.Message).Msg("ledger rejected the message; grants are lost and a new incarnation starts")
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
