--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -11,7 +11,7 @@
 
 const targetWorkspaces = 6600
 
-func targetBook(b *testing.B) *plan.Book {
+func newTargetBook(b *testing.B) *plan.Book {
 	book := plan.NewBook()
 	apply(b, book, setAllowance(allowance("gold", 1e12), 0))
 	for i := range targetWorkspaces {
@@ -20,41 +20,42 @@
 	return book
 }
 
-// BenchmarkIndex is most of a VM's work for one change at 6,600 workspaces.
+// BenchmarkIndex measures View.Directory with 6,600 workspaces, which is most of a
+// VM's work for one change of the lists.
 func BenchmarkIndex(b *testing.B) {
-	book := targetBook(b)
+	book := newTargetBook(b)
 	view := plan.NewView()
 	if err := view.Take(book.Changes(0)); err != nil {
 		b.Fatal(err)
 	}
 	delta := book.Changes(book.Version() - 1)
-	whole := book.Changes(0)
+	full := book.Changes(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		view.Directory()
 	}
 	b.ReportMetric(float64(len(delta)), "delta-bytes")
-	b.ReportMetric(float64(len(whole)), "lists-bytes")
+	b.ReportMetric(float64(len(full)), "lists-bytes")
 }
 
 func BenchmarkLookup(b *testing.B) {
 	view := plan.NewView()
-	if err := view.Take(targetBook(b).Changes(0)); err != nil {
+	if err := view.Take(newTargetBook(b).Changes(0)); err != nil {
 		b.Fatal(err)
 	}
 	d := view.Directory()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, ok := d.Lookup("k77"); !ok {
-			b.Fatal("not found")
+			b.Fatal("key k77 was not found")
 		}
 	}
 }
 
-// BenchmarkLedgerSync is the group's work for one message of a router about 20
-// workspaces, each of which 8 VMs call.
+// BenchmarkLedgerSync measures the group's work for one message of a router about 20
+// workspaces, of which 8 VMs hold grants.
 func BenchmarkLedgerSync(b *testing.B) {
-	ledger := plan.NewLedger(targetBook(b), func(err error) { b.Fatal(err) })
+	ledger := plan.NewLedger(newTargetBook(b), func(err error) { b.Fatal(err) })
 	next := func(vm string, seq uint64) []byte {
 		s := plan.Sync{VM: vm, Incarnation: vm, Seq: seq}
 		for i := range 20 {
--- a/internal/plan/book.go
+++ b/internal/plan/book.go
@@ -9,56 +9,59 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Bounds of what the Book remembers. At the target of 1,000 changes a day the
-// answers reach back eight days and the history four. A resend that comes later
-// still cannot run twice: its If-Match names a version that is gone.
+// Bounds of the stored replies and of the history. At the target of 1,000 changes a
+// day the replies cover eight days and the history four. A command that is sent
+// again later still cannot take effect twice, since its If-Match names an outdated
+// version.
 const (
-	maxAnswers = 8192
+	maxReplies = 8192
 	maxHistory = 4096
 )
 
-// CustomerRow is a row of the first list with its version.
+// CustomerRow is a Customer with the version of its row.
 type CustomerRow struct {
 	Customer
 	Version uint64 `cbor:"10,keyasint" json:"version"`
 }
 
-// AllowanceRow is a row of the second list with its version.
+// AllowanceRow is an Allowance with the version of its row.
 type AllowanceRow struct {
 	Allowance
 	Version uint64 `cbor:"10,keyasint" json:"version"`
 }
 
-type answer struct {
+type storedReply struct {
 	Key    string `cbor:"1,keyasint"`
 	Digest []byte `cbor:"2,keyasint"`
 	Reply  Reply  `cbor:"3,keyasint"`
 }
 
-// Book is the replicated state of the operators' two lists (control.PartPlans).
-// A row's version is the number of the change that wrote it, counted over both
-// lists: versions only grow, also when a row is removed and made again, so a
-// late change that names an old version can never win.
+// Registry is the control group's replicated state machine for the operators' two
+// lists, customers and allowances. The version of a row is the number of the change
+// that wrote it, counted over both lists. Versions therefore only grow, also when a
+// row is removed and created again, and a delayed command that names an old version
+// always fails.
 type Book struct {
 	version    uint64
 	customers  map[string]CustomerRow
 	allowances map[string]AllowanceRow
-	keyOwner   map[string]string // key hash to workspace
-	planUsers  map[string]int    // workspaces of a plan
-	answers    map[string]answer // first answers by Idempotency-Key
-	answerKeys []string          // oldest first
-	history    []Change          // oldest first
+	keyOwner   map[string]string      // key hash to workspace
+	planUsers  map[string]int         // number of workspaces by plan
+	replies    map[string]storedReply // by Idempotency-Key
+	replyKeys  []string               // oldest first
+	history    []Change               // oldest first
 }
 
-// NewBook returns empty lists.
+// NewRegistry returns a Registry with empty lists.
 func NewBook() *Book {
 	return &Book{
 		customers: map[string]CustomerRow{}, allowances: map[string]AllowanceRow{},
-		keyOwner: map[string]string{}, planUsers: map[string]int{}, answers: map[string]answer{},
+		keyOwner: map[string]string{}, planUsers: map[string]int{}, replies: map[string]storedReply{},
 	}
 }
 
-// Apply implements control.Part.
+// Apply implements control.StateMachine. data is an encoded Command, the result an
+// encoded Reply.
 func (b *Book) Apply(nowMS int64, data []byte) []byte {
 	var c Command
 	reply := Reply{Lists: b.version}
@@ -72,7 +75,7 @@
 func encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // only types of this package come here
+		panic(err) // only types of this package are encoded
 	}
 	return data
 }
@@ -85,9 +88,10 @@
 	r.Code, r.Message = coded.Code, coded.Message
 }
 
-// Do executes a command once per Idempotency-Key: an operator whose answer was
-// lost resends it, perhaps to another VM after a change of leader, and must get
-// the first answer rather than a conflict with his own change.
+// Do executes a command once per Idempotency-Key. An operator whose reply was lost
+// sends the command again, perhaps to another VM after a change of leader. The
+// operator must get the first reply rather than a conflict with the operator's own
+// change.
 func (b *Book) Do(nowMS int64, c Command) Reply {
 	digest, err := c.digest()
 	if err != nil {
@@ -95,7 +99,7 @@
 		reply.fail(err)
 		return reply
 	}
-	if first, ok := b.answers[c.Key]; ok && c.Key != "" {
+	if first, ok := b.replies[c.Key]; ok && c.Key != "" {
 		if !slices.Equal(first.Digest, digest) {
 			reply := Reply{Lists: b.version}
 			reply.fail(result.New(result.KeyReused))
@@ -104,28 +108,28 @@
 		return first.Reply
 	}
 	reply := b.decide(nowMS, c)
-	b.remember(answer{Key: c.Key, Digest: digest, Reply: reply})
+	b.storeReply(storedReply{Key: c.Key, Digest: digest, Reply: reply})
 	return reply
 }
 
-func (b *Book) remember(a answer) {
+func (b *Book) storeReply(a storedReply) {
 	if a.Key == "" {
 		return
 	}
-	b.answers[a.Key] = a
-	b.answerKeys = append(b.answerKeys, a.Key)
-	if over := len(b.answerKeys) - maxAnswers; over > 0 {
-		for _, k := range b.answerKeys[:over] {
-			delete(b.answers, k)
+	b.replies[a.Key] = a
+	b.replyKeys = append(b.replyKeys, a.Key)
+	if over := len(b.replyKeys) - maxReplies; over > 0 {
+		for _, k := range b.replyKeys[:over] {
+			delete(b.replies, k)
 		}
-		b.answerKeys = slices.Delete(b.answerKeys, 0, over)
+		b.replyKeys = slices.Delete(b.replyKeys, 0, over)
 	}
 }
 
 func (b *Book) decide(nowMS int64, c Command) Reply {
-	present := b.present(c)
-	reply := Reply{Version: present, Lists: b.version}
-	if err := b.allowed(c, present); err != nil {
+	current := b.currentVersion(c)
+	reply := Reply{Version: current, Lists: b.version}
+	if err := b.checkPreconditions(c, current); err != nil {
 		reply.fail(err)
 		return reply
 	}
@@ -140,39 +144,39 @@
 	if over := len(b.history) - maxHistory; over > 0 {
 		b.history = slices.Delete(b.history, 0, over)
 	}
-	return Reply{Version: b.present(c), Lists: b.version, Created: present == 0}
+	return Reply{Version: b.currentVersion(c), Lists: b.version, Created: current == 0}
 }
 
-// present is the version of the row that a command names, 0 without one.
-func (b *Book) present(c Command) uint64 {
+// currentVersion is the version of the row that a command names, 0 if there is none.
+func (b *Book) currentVersion(c Command) uint64 {
 	if c.Action == SetCustomer || c.Action == RemoveCustomer {
 		return b.customers[c.Name].Version
 	}
 	return b.allowances[c.Name].Version
 }
 
-func (b *Book) allowed(c Command, present uint64) error {
-	if err := c.check(); err != nil {
+func (b *Book) checkPreconditions(c Command, current uint64) error {
+	if err := c.validate(); err != nil {
 		return err
 	}
 	remove := c.Action == RemoveCustomer || c.Action == RemoveAllowance
 	switch {
-	case remove && present == 0:
+	case remove && current == 0:
 		return result.Newf(result.NotFound, "no row %q", c.Name)
-	case c.Create && present != 0:
-		return result.Newf(result.VersionConflict, "%q exists already, in version %d", c.Name, present)
+	case c.Create && current != 0:
+		return result.Newf(result.VersionConflict, "%q exists already, in version %d", c.Name, current)
 	case !c.Create && c.IfMatch == 0:
 		return result.New(result.VersionRequired)
-	case !c.Create && c.IfMatch != present && present == 0:
+	case !c.Create && c.IfMatch != current && current == 0:
 		return result.Newf(result.VersionConflict, "%q does not exist; version %d is gone", c.Name, c.IfMatch)
-	case !c.Create && c.IfMatch != present:
-		return result.Newf(result.VersionConflict, "%q is in version %d, not %d", c.Name, present, c.IfMatch)
+	case !c.Create && c.IfMatch != current:
+		return result.Newf(result.VersionConflict, "%q is in version %d, not %d", c.Name, current, c.IfMatch)
 	}
-	return b.consistent(c)
+	return b.checkReferences(c)
 }
 
-// consistent checks a row against the other rows.
-func (b *Book) consistent(c Command) error {
+// checkReferences checks a row against the other rows.
+func (b *Book) checkReferences(c Command) error {
 	switch c.Action {
 	case SetCustomer:
 		if _, ok := b.allowances[c.Customer.Plan]; !ok {
@@ -192,8 +196,8 @@
 	return nil
 }
 
-// execute changes the row and reports how; a row equal to the present one is no
-// change and keeps its version.
+// execute changes the row and returns the differences. If the new row equals the
+// current one, it reports false and the row keeps its version.
 func (b *Book) execute(c Command, version uint64) ([]string, bool) {
 	switch c.Action {
 	case SetCustomer:
@@ -245,7 +249,7 @@
 	}
 }
 
-// lookup finds what a workspace may use now.
+// lookup returns the allowance of a workspace.
 func (b *Book) lookup(workspace string) (Allowance, bool) {
 	c, ok := b.customers[workspace]
 	if !ok {
--- a/internal/plan/book_state.go
+++ b/internal/plan/book_state.go
@@ -9,9 +9,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Delta is a change of the lists from one version to another: the rows written
-// in between as they are now, and the names of those removed. Whole replaces
-// the receiver's lists.
+// Delta is the difference between two versions of the lists: the current state of
+// the rows written in between, and the names of the removed rows. A Full delta
+// holds all rows and replaces the receiver's lists.
 type Delta struct {
 	From              uint64         `cbor:"1,keyasint"`
 	To                uint64         `cbor:"2,keyasint"`
@@ -22,14 +22,14 @@
 	RemovedAllowances []string       `cbor:"7,keyasint,omitempty"`
 }
 
-// Version implements control.Part.
+// Version implements control.StateMachine. It is the number of changes so far.
 func (b *Book) Version() uint64 { return b.version }
 
-// Changes implements control.Part. The history says which rows changed; where
-// it does not reach back far enough the whole lists go out.
+// Changes implements control.StateMachine. It returns an encoded Delta. The history
+// tells which rows changed; if it does not reach back to since, the delta is full.
 func (b *Book) Changes(since uint64) []byte {
 	if since > b.version || b.version-since > uint64(len(b.history)) {
-		return encode(b.whole(since))
+		return encode(b.fullDelta(since))
 	}
 	d := Delta{From: since, To: b.version}
 	type rowName struct {
@@ -69,33 +69,33 @@
 	d.RemovedAllowances = append(d.RemovedAllowances, name)
 }
 
-func (b *Book) whole(since uint64) Delta {
+func (b *Book) fullDelta(since uint64) Delta {
 	return Delta{From: since, To: b.version, Whole: true, Customers: b.Customers(), Allowances: b.Allowances()}
 }
 
-// Customers is the first list in order of workspace.
+// Customers returns the customers in order of workspace.
 func (b *Book) Customers() []CustomerRow {
 	return slices.SortedFunc(maps.Values(b.customers), func(x, y CustomerRow) int { return cmp.Compare(x.Workspace, y.Workspace) })
 }
 
-// Allowances is the second list in order of plan.
+// Allowances returns the allowances in order of plan.
 func (b *Book) Allowances() []AllowanceRow {
 	return slices.SortedFunc(maps.Values(b.allowances), func(x, y AllowanceRow) int { return cmp.Compare(x.Plan, y.Plan) })
 }
 
-// Customer returns a row of the first list.
+// Customer returns the row of a workspace.
 func (b *Book) Customer(workspace string) (CustomerRow, bool) {
 	row, ok := b.customers[workspace]
 	return row, ok
 }
 
-// Allowance returns a row of the second list.
+// Allowance returns the row of a plan.
 func (b *Book) Allowance(plan string) (AllowanceRow, bool) {
 	row, ok := b.allowances[plan]
 	return row, ok
 }
 
-// History returns the kept changes of one row, newest first.
+// History returns the stored changes of one customer or allowance, newest first.
 func (b *Book) History(customers bool, name string) []Change {
 	out := []Change{}
 	for _, c := range slices.Backward(b.history) {
@@ -107,26 +107,26 @@
 	return out
 }
 
-type bookSnapshot struct {
+type registrySnapshot struct {
 	Version    uint64         `cbor:"1,keyasint"`
 	Customers  []CustomerRow  `cbor:"2,keyasint"`
 	Allowances []AllowanceRow `cbor:"3,keyasint"`
-	Answers    []answer       `cbor:"4,keyasint"`
+	Replies    []storedReply  `cbor:"4,keyasint"`
 	History    []Change       `cbor:"5,keyasint"`
 }
 
-// Snapshot implements control.Part.
+// Snapshot implements control.StateMachine.
 func (b *Book) Snapshot() ([]byte, error) {
-	s := bookSnapshot{Version: b.version, Customers: b.Customers(), Allowances: b.Allowances(), History: b.history}
-	for _, k := range b.answerKeys {
-		s.Answers = append(s.Answers, b.answers[k])
+	s := registrySnapshot{Version: b.version, Customers: b.Customers(), Allowances: b.Allowances(), History: b.history}
+	for _, k := range b.replyKeys {
+		s.Replies = append(s.Replies, b.replies[k])
 	}
 	return cbor.Marshal(s)
 }
 
-// Restore implements control.Part.
+// Restore implements control.StateMachine.
 func (b *Book) Restore(data []byte) error {
-	var s bookSnapshot
+	var s registrySnapshot
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return err
 	}
@@ -138,14 +138,15 @@
 	for _, row := range s.Allowances {
 		next.allowances[row.Plan] = row
 	}
-	for _, a := range s.Answers {
-		next.remember(a)
+	for _, a := range s.Replies {
+		next.storeReply(a)
 	}
 	*b = *next
 	return nil
 }
 
-// View is a VM's copy of the lists, brought forward by Deltas.
+// View is a VM's copy of the lists, kept up to date by Deltas. It is not safe for
+// concurrent use.
 type View struct {
 	version    uint64
 	customers  map[string]Customer
@@ -157,14 +158,15 @@
 	return &View{customers: map[string]Customer{}, allowances: map[string]Allowance{}}
 }
 
-// Version is the version of the lists that the copy holds.
+// Version returns the version of the lists that the copy holds.
 func (v *View) Version() uint64 { return v.version }
 
-// ErrGap is returned for a Delta that begins after the copy's version.
+// ErrGap is returned for a Delta that starts after the copy's version.
 var ErrGap = errors.New("plan: delta does not follow this copy")
 
-// Take applies an encoded Delta. One that ends at or before the copy's version
-// is ignored: it came late, from a VM that lags, and would bring old rows back.
+// Apply applies an encoded Delta. A Delta that ends at or before the copy's version
+// is ignored: it is delayed or comes from a VM that lags, and would restore old
+// rows. The error is ErrGap or a decoding error.
 func (v *View) Take(data []byte) error {
 	var d Delta
 	if err := cbor.Unmarshal(data, &d); err != nil {
@@ -195,7 +197,7 @@
 	return nil
 }
 
-// Directory indexes the copy.
+// Directory returns an index of the copy that does not change with it.
 func (v *View) Directory() *Directory {
 	return NewDirectory(v.version, slices.Collect(maps.Values(v.customers)), slices.Collect(maps.Values(v.allowances)))
 }
--- a/internal/plan/book_test.go
+++ b/internal/plan/book_test.go
@@ -45,7 +45,8 @@
 	return plan.Command{Action: plan.SetCustomer, Name: workspace, Customer: c, IfMatch: ifMatch, Create: ifMatch == 0}
 }
 
-// apply goes through the codec, as a committed entry does.
+// apply applies a command in its encoding, as the control group does with a
+// committed entry.
 func apply(t interface{ Fatal(...any) }, b *plan.Book, c plan.Command) plan.Reply {
 	data, err := cbor.Marshal(c)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return r
 }
 
-func restored(t interface{ Fatal(...any) }, b *plan.Book) *plan.Book {
+func restore(t interface{ Fatal(...any) }, b *plan.Book) *plan.Book {
 	data, err := b.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -80,9 +81,9 @@
 		return setAllowance(a, 1)
 	}
 	for name, tc := range map[string]struct {
-		c    plan.Command
-		want result.Code
-		says string
+		c        plan.Command
+		want     result.Code
+		wantText string
 	}{
 		"unknown plan":        {setCustomer("film", "silver", 0), result.UnknownPlan, "silver"},
 		"key of another":      {setCustomer("film", "gold", 0, "k0", "k1"), result.InvalidPlan, "key_hashes[1]"},
@@ -103,19 +104,20 @@
 		"empty model":         {with(func(a *plan.Allowance) { a.Models = []string{""} }), result.InvalidPlan, "models[0]"},
 	} {
 		r := apply(t, b, tc.c)
-		if r.Code != tc.want || !strings.Contains(r.Message, tc.says) {
-			t.Errorf("%s: got %d %q, want %d with %q", name, r.Code, r.Message, tc.want, tc.says)
+		if r.Code != tc.want || !strings.Contains(r.Message, tc.wantText) {
+			t.Errorf("%s: got %d %q, want %d with %q", name, r.Code, r.Message, tc.want, tc.wantText)
 		}
 	}
 	if b.Version() != 2 {
-		t.Errorf("refused commands moved the lists to version %d", b.Version())
+		t.Errorf("the lists have version %d after refused commands, want 2", b.Version())
 	}
 }
 
-// Two operators read version 1 and both write. One of them wins; the other is
-// told the present version. The winner's answer is lost, the leader dies, and
-// he resends to its successor, which has the state from a snapshot: he must get
-// his first answer, not a conflict with his own change.
+// Two operators read version 1 and both write. One change is accepted; the other
+// operator must get a conflict with the current version. The reply to the accepted
+// change is lost, the leader dies, and the operator sends the command again to the
+// new leader, which restored its state from a snapshot. The operator must get the
+// first reply, not a conflict with the operator's own change.
 func TestRacingOperatorsAndResendAfterLeaderChange(t *testing.T) {
 	b := plan.NewBook()
 	apply(t, b, setAllowance(allowance("gold", 100), 0))
@@ -124,39 +126,40 @@
 	won := apply(t, b, first)
 	lost := apply(t, b, second)
 	if won.Code != 0 || won.Version != 2 || lost.Code != result.VersionConflict || lost.Version != 2 {
-		t.Fatalf("won %+v, lost %+v", won, lost)
+		t.Fatalf("accepted change got %+v, want version 2; the other got %+v, want a conflict with version 2", won, lost)
 	}
-	b = restored(t, b)
+	b = restore(t, b)
 	apply(t, b, setAllowance(allowance("gold", 400), 2))
 	first.Who = "ann's other terminal"
 	if again := apply(t, b, first); again != won {
-		t.Errorf("resend got %+v, first answer was %+v", again, won)
+		t.Errorf("repeated command got %+v, want its first reply %+v", again, won)
 	}
 	if again := apply(t, b, second); again != lost {
-		t.Errorf("resend of the loser got %+v, first answer was %+v", again, lost)
+		t.Errorf("repeated conflicting command got %+v, want its first reply %+v", again, lost)
 	}
 	other := setAllowance(allowance("gold", 500), 3)
 	other.Key = "edit-1"
 	if r := apply(t, b, other); r.Code != result.KeyReused {
-		t.Errorf("key reused for another command: %+v", r)
+		t.Errorf("another command with the same Idempotency-Key got %+v, want KeyReused", r)
 	}
 	if row, _ := b.Allowance("gold"); row.TokensPerWindow != 400 || row.Version != 3 {
-		t.Errorf("row is %+v", row)
+		t.Errorf("row is %+v, want 400 tokens per window in version 3", row)
 	}
 	h := b.History(false, "gold")
 	if len(h) != 3 || h[1].Who != "ann" || !slices.Equal(h[1].Diff, []string{"tokens_per_window: 100 -> 200"}) {
-		t.Errorf("history %+v", h)
+		t.Errorf("history is %+v, want 3 changes, the second one by ann from 100 to 200 tokens", h)
 	}
 }
 
-// Operators edit at random while VMs follow by changes that come late, twice or
-// after a gap, and the group restarts from snapshots. A version never falls,
-// also over remove and create; every VM that has caught up holds the lists.
+// Operators edit at random while VMs apply deltas that arrive late, twice or after a
+// gap, and the group restarts from snapshots. A version must never decrease, also
+// when a row is removed and created again. Every VM that has caught up must hold the
+// current lists.
 func TestBookRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := plan.NewBook()
 		views := []*plan.View{plan.NewView(), plan.NewView(), plan.NewView()}
-		var late [][]byte
+		var deltas [][]byte
 		highest := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			c := drawCommand(t, b)
@@ -165,21 +168,21 @@
 			if r.Code == 0 && r.Version != 0 {
 				row := fmt.Sprint(c.Action == plan.SetCustomer, c.Name)
 				if r.Version < highest[row] || b.Version() < before {
-					t.Fatalf("%s fell from %d to %d", row, highest[row], r.Version)
+					t.Fatalf("the version of row %s decreased from %d to %d", row, highest[row], r.Version)
 				}
 				highest[row] = r.Version
 			}
 			v := views[rapid.IntRange(0, len(views)-1).Draw(t, "vm")]
-			late = append(late, b.Changes(v.Version()))
+			deltas = append(deltas, b.Changes(v.Version()))
 			applied := v.Version()
-			if err := v.Take(late[rapid.IntRange(0, len(late)-1).Draw(t, "delivered")]); err != nil && !errors.Is(err, plan.ErrGap) {
+			if err := v.Take(deltas[rapid.IntRange(0, len(deltas)-1).Draw(t, "delivered")]); err != nil && !errors.Is(err, plan.ErrGap) {
 				t.Fatal(err)
 			}
 			if v.Version() < applied {
-				t.Fatalf("the VM's lists went back from version %d to %d", applied, v.Version())
+				t.Fatalf("the VM's lists decreased from version %d to %d", applied, v.Version())
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				b = restored(t, b)
+				b = restore(t, b)
 			}
 		}
 		for _, v := range views {
@@ -195,8 +198,8 @@
 	name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 	row, _ := b.Allowance(name)
 	customer, _ := b.Customer(name)
-	version := func(present uint64) uint64 {
-		return present + uint64(rapid.IntRange(0, 5).Draw(t, "off")/5)
+	version := func(current uint64) uint64 {
+		return current + uint64(rapid.IntRange(0, 5).Draw(t, "off")/5)
 	}
 	switch rapid.IntRange(0, 4).Draw(t, "action") {
 	case 0:
@@ -221,6 +224,6 @@
 		allowances = append(allowances, row.Allowance)
 	}
 	if want := plan.NewDirectory(b.Version(), customers, allowances); !reflect.DeepEqual(v.Directory(), want) {
-		t.Fatalf("VM applies %+v, the lists are %+v", v.Directory(), want)
+		t.Fatalf("the VM applies %+v, want the lists %+v", v.Directory(), want)
 	}
 }
--- a/internal/plan/command.go
+++ b/internal/plan/command.go
@@ -11,7 +11,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Action is what a command does to a row. The numbers are on disk.
+// Action is what a command does to a row. The numbers are stored on disk.
 type Action uint8
 
 // The actions.
@@ -22,7 +22,7 @@
 	RemoveAllowance Action = 4
 )
 
-// String is the action in the history.
+// String returns the action as shown in the history.
 func (a Action) String() string {
 	switch a {
 	case SetCustomer:
@@ -37,20 +37,20 @@
 	return "unknown"
 }
 
-// Command is one change of a row, decided by compare-and-swap.
+// Command changes one row by compare-and-swap on the version of the row.
 type Command struct {
 	Action    Action     `cbor:"1,keyasint"`
 	Name      string     `cbor:"2,keyasint"` // workspace or plan
 	Customer  *Customer  `cbor:"3,keyasint,omitempty"`
 	Allowance *Allowance `cbor:"4,keyasint,omitempty"`
-	IfMatch   uint64     `cbor:"5,keyasint,omitempty"` // version that the operator read
+	IfMatch   uint64     `cbor:"5,keyasint,omitempty"` // version of the row that the operator read
 	Create    bool       `cbor:"6,keyasint,omitempty"` // only if the row does not exist
-	Key       string     `cbor:"7,keyasint,omitempty"` // Idempotency-Key
+	Key       string     `cbor:"7,keyasint,omitempty"` // value of the Idempotency-Key header, if any
 	Who       string     `cbor:"8,keyasint,omitempty"`
 }
 
-// digest covers what the command does, not who sent it: a resend may come from
-// another terminal.
+// digest identifies what the command does. It excludes the sender, since the same
+// command may be sent again from another terminal.
 func (c Command) digest() ([]byte, error) {
 	c.Key, c.Who = "", ""
 	data, err := cbor.Marshal(c)
@@ -58,7 +58,7 @@
 	return sum[:16], err
 }
 
-func (c *Command) check() error {
+func (c *Command) validate() error {
 	switch {
 	case c.Action == SetCustomer && c.Customer != nil && c.Customer.Workspace == c.Name:
 		return c.Customer.Validate()
@@ -70,17 +70,17 @@
 	return result.Newf(result.MalformedBody, "the command does not name its row")
 }
 
-// Reply answers a Command. Version is the row's version after it; after a
-// conflict, the present one (0: no such row).
+// Reply is the reply to a Command. Version is the row's version after the command,
+// or after a conflict the current version, 0 if there is no such row.
 type Reply struct {
 	Code    result.Code `cbor:"1,keyasint,omitempty"`
 	Message string      `cbor:"2,keyasint,omitempty"`
 	Version uint64      `cbor:"3,keyasint"`
-	Lists   uint64      `cbor:"4,keyasint"` // version of the lists once this was done
+	Lists   uint64      `cbor:"4,keyasint"` // version of the lists after the command
 	Created bool        `cbor:"5,keyasint,omitempty"`
 }
 
-// Err is the reply's error, or nil.
+// Err returns the error of the reply as a *result.Error, or nil.
 func (r *Reply) Err() error {
 	if r.Code == 0 {
 		return nil
@@ -98,7 +98,7 @@
 	Diff    []string `cbor:"6,keyasint" json:"diff"`
 }
 
-// MarshalJSON gives the action as a word.
+// MarshalJSON adds the text of Action as field what.
 func (c Change) MarshalJSON() ([]byte, error) {
 	type plain Change
 	return json.Marshal(struct {
@@ -115,8 +115,8 @@
 	return append(out, fmt.Sprintf("%s: %s -> %s", name, b, a))
 }
 
-// diffCustomer shows key hashes by their first characters: enough to tell keys
-// apart, and a line stays readable.
+// diffCustomer shortens key hashes to their first characters, which suffice to
+// distinguish keys and keep the line readable.
 func diffCustomer(before, after Customer) []string {
 	out := diffField(nil, "plan", before.Plan, after.Plan)
 	return diffField(out, "key_hashes", shortHashes(before.KeyHashes), shortHashes(after.KeyHashes))
@@ -141,12 +141,12 @@
 	return diffField(out, "priority_ceiling", before.PriorityCeiling, after.PriorityCeiling)
 }
 
-// Equal reports whether two rows say the same.
+// Equal reports whether two customers have the same content.
 func (c Customer) Equal(o Customer) bool {
 	return c.Workspace == o.Workspace && c.Plan == o.Plan && slices.Equal(c.KeyHashes, o.KeyHashes)
 }
 
-// Equal reports whether two rows say the same.
+// Equal reports whether two allowances have the same content.
 func (a Allowance) Equal(o Allowance) bool {
 	return a.Plan == o.Plan && len(diffAllowance(a, o)) == 0
 }
--- a/internal/plan/fuzz_test.go
+++ b/internal/plan/fuzz_test.go
@@ -8,8 +8,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/plan"
 )
 
-// FuzzApply feeds the aggregates commands that no VM of this version sends: they
-// are refused, and never grant more than the allowance.
+// FuzzApply applies arbitrary bytes as commands, as a VM of another version might
+// send them. The state machines must refuse what is invalid, and never grant more
+// than the allowance.
 func FuzzApply(f *testing.F) {
 	for _, seed := range []any{
 		plan.Sync{VM: "a", Incarnation: "a.1", Seq: 1, Accounts: []plan.AccountSync{{
@@ -34,7 +35,7 @@
 		}
 		u := l.Use("hot")
 		if u.Spent.Plus(u.Outstanding).Tokens > 1000 || u.Spent.Plus(u.Outstanding).Requests > 1000 || u.Slots > 10 {
-			t.Errorf("granted %+v", u)
+			t.Errorf("granted %+v, want at most 1000 tokens, 1000 requests and 10 slots", u)
 		}
 	})
 }
--- a/internal/plan/grant.go
+++ b/internal/plan/grant.go
@@ -1,41 +1,42 @@
 package plan
 
-// How much of an allowance one VM may hold unspent.
+// Bounds of the part of an allowance that one VM may hold unspent.
 //
-// Load pattern: a hot workspace calls on many VMs at once, most of its tokens go
-// early in the window, and VMs die with grants out, which then count as spent
-// until the window ends. Without a bound the first VM to ask would hold the
-// whole allowance: the others refuse work that was paid for, and its death takes
-// the rest of the window with it. With grants of a fixed small size every
-// request near the window's end would cost a commit.
+// Load pattern: a hot workspace sends to many VMs at once, and most of its tokens
+// are used early in the window. VMs die while they hold grants, which then count as
+// spent until the window ends. Without a bound the first VM that asks would hold
+// the whole allowance: the other VMs would refuse work that was paid for, and the
+// death of that VM would lose the rest of the window. With grants of a fixed small
+// size every request near the end of the window would cost a commit.
 //
-// Policy: the unspent holding of a VM stays within 1% of the allowance and
-// within a share of what is left that shrinks with the number of VMs that ask;
-// waiting requests are served beyond that, since their tokens are put to work at
-// once. Three VMs of eleven lost together so lose at most 3% idle plus what
-// their running requests had reserved; the measured share is in
+// Policy: the unspent grants of a VM stay within 1% of the allowance, and within a
+// share of what is left that shrinks with the number of VMs that ask. Waiting
+// requests are granted more than that, since their tokens are used at once. If
+// three VMs of eleven are lost together, at most 3% of the allowance is lost
+// unspent, plus what their running requests had reserved. The measured share is in
 // docs/MEASUREMENTS-plans.md.
 const (
-	// holdDivisor: 1% of the allowance. At 0.1% a VM that serves 1% of the
-	// allowance a second would ask ten times a second.
-	holdDivisor = 100
-	// leftDivisor: half of what is left is spread over the VMs that ask, so that
-	// a VM that asks later still finds something.
+	// idleDivisor bounds a VM's unspent grants to 1% of the allowance. At 0.1% a VM
+	// that serves 1% of the allowance per second would ask ten times a second.
+	idleDivisor = 100
+	// leftDivisor is the divisor of what is left. Half of it is shared among the
+	// VMs that ask; the other half remains for VMs that ask later.
 	leftDivisor = 2
 )
 
-// share is what a VM that holds idle may be given ahead of need.
-func share(limit, left, idle int64, heads int) int64 {
-	ahead := min(limit/holdDivisor-idle, left/(leftDivisor*int64(max(heads, 1))))
+// prefetchShare is the amount that a VM with idle unspent grants may be granted
+// before it is needed. holders is the number of VMs that ask.
+func prefetchShare(limit, left, idle int64, holders int) int64 {
+	ahead := min(limit/idleDivisor-idle, left/(leftDivisor*int64(max(holders, 1))))
 	return max(ahead, 0)
 }
 
-// size is the grant for one dimension: need is for requests that wait now, want
-// is need and what the VM expects to use until it asks again.
-func size(limit, left, idle, need, want int64, heads int) int64 {
+// grantSize is the size of a grant in one dimension. need is for requests that wait
+// now, want is need and what the VM expects to use until it asks again.
+func grantSize(limit, left, idle, need, want int64, holders int) int64 {
 	want = max(want, need)
 	if left <= 0 || want <= 0 {
 		return 0
 	}
-	return min(max(need, share(limit, left, idle, heads)), want, left)
+	return min(max(need, prefetchShare(limit, left, idle, holders)), want, left)
 }
--- a/internal/plan/ledger.go
+++ b/internal/plan/ledger.go
@@ -6,20 +6,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// When a router's incarnation is declared dead, and when the concurrency it held
-// may be given to others. A router syncs every few seconds while it holds
-// anything. Its running answers may go on for a while after the group has lost
-// sight of it: the delay lets a dead VM's engines notice their broken
-// connections (seconds) and a paused VM come back. Tokens need no delay: a dead
-// incarnation's grants count as spent until the window's end.
+// Timeouts of a router's incarnation. DeadAfterMS is the silence after which an
+// incarnation is declared dead; a router sends a Sync every few seconds while it
+// holds grants. SlotReleaseDelayMS is the further delay until the concurrency that
+// it held may be granted to other VMs. Its requests may still run after the group
+// has lost contact: the engines of a dead VM take seconds to notice their broken
+// connections, and a paused VM may come back. Tokens need no delay, since the grants
+// of a dead incarnation count as spent until the window ends.
 const (
-	DeadAfterMS = 30_000
-	SafeDelayMS = 30_000
-	activeMS    = 10_000 // a VM that named an account within this time counts as asking
-	sweepMS     = 1_000
+	DeadAfterMS     = 30_000
+	SafeDelayMS     = 30_000
+	activeHolderMS  = 10_000 // a VM that reported an account within this time counts as asking
+	sweepIntervalMS = 1_000
 )
 
-// holding is what one incarnation holds of an account.
+// holding is what one incarnation holds of an account in the current window.
 type holding struct {
 	Granted  Amount `cbor:"1,keyasint"`
 	Returned Amount `cbor:"2,keyasint"`
@@ -30,56 +31,59 @@
 
 func (h *holding) outstanding() Amount { return h.Granted.Minus(h.Returned).Minus(h.Spent) }
 
-// account is one workspace's allowance in its present window.
+// account records one workspace's allowance in its current window.
 type account struct {
 	Window    uint64              `cbor:"1,keyasint"`
 	EndMS     int64               `cbor:"2,keyasint"`
 	LengthMS  int64               `cbor:"3,keyasint"`
-	Carried   Amount              `cbor:"4,keyasint"` // committed before the window's length changed
-	Committed Amount              `cbor:"5,keyasint"` // Carried, and granted - returned of each holding
+	Carried   Amount              `cbor:"4,keyasint"` // committed when the window length was last changed within the window
+	Committed Amount              `cbor:"5,keyasint"` // Carried plus granted minus returned of each holding
 	Slots     int                 `cbor:"6,keyasint"`
 	Holdings  map[string]*holding `cbor:"7,keyasint"` // by incarnation
 	Broken    bool                `cbor:"8,keyasint,omitempty"`
 }
 
-// incarnation is a router process as the ledger knows it.
+// incarnation is the ledger's record of a router process.
 type incarnation struct {
 	VM     string `cbor:"1,keyasint"`
 	Seq    uint64 `cbor:"2,keyasint"`
 	Reply  []byte `cbor:"3,keyasint"`
 	SeenMS int64  `cbor:"4,keyasint"`
-	DeadMS int64  `cbor:"5,keyasint,omitempty"` // when it was declared dead
+	DeadMS int64  `cbor:"5,keyasint,omitempty"` // time at which it was declared dead, or 0
 }
 
-// Ledger is the replicated state of what is spent and granted of each
-// workspace's allowance (control.PartLedger). The allowance of a plan holds for
-// each workspace that bought it, not for all of them together.
+// Ledger is the control group's replicated state machine for what is spent and
+// granted of each workspace's allowance. The allowance of a plan applies to each
+// workspace with that plan separately.
 //
 // Invariant, checked at every step: spent + outstanding <= allowance in each
-// window, and slots held <= concurrency. After an allowance was lowered the sum
-// may stand above it, and then only falls.
+// window, and slots held <= concurrency. After an allowance was lowered the sums
+// may exceed it, and then only fall.
 type Ledger struct {
-	book         *Book
-	onBroken     func(error)
-	accounts     map[string]*account
-	incarnations map[string]*incarnation
-	windows      uint64 // windows opened so far
-	sweptMS      int64
+	book             *Book
+	onInvariantError func(error)
+	accounts         map[string]*account
+	incarnations     map[string]*incarnation
+	windows          uint64 // number of windows opened
+	lastSweepMS      int64
 }
 
-// InvariantError reports a broken invariant of the ledger.
+// InvariantError reports a violated invariant of the ledger, or a report that
+// contradicts what was granted.
 type InvariantError struct{ What string }
 
 // Error implements error.
 func (e *InvariantError) Error() string { return "plan: invariant broken: " + e.What }
 
-// NewLedger returns an empty ledger over the lists. onBroken is told of broken
-// invariants; the account concerned gets no more grants.
+// NewLedger returns an empty ledger for the allowances in the registry. It calls
+// onInvariantError with each InvariantError. An account whose invariant is violated
+// gets no more grants in its window.
 func NewLedger(book *Book, onBroken func(error)) *Ledger {
-	return &Ledger{book: book, onBroken: onBroken, accounts: map[string]*account{}, incarnations: map[string]*incarnation{}}
+	return &Ledger{book: book, onInvariantError: onBroken, accounts: map[string]*account{}, incarnations: map[string]*incarnation{}}
 }
 
-// Apply implements control.Part.
+// Apply implements control.StateMachine. data is an encoded Sync, the result an
+// encoded SyncReply.
 func (l *Ledger) Apply(nowMS int64, data []byte) []byte {
 	var s Sync
 	if err := cbor.Unmarshal(data, &s); err != nil {
@@ -88,7 +92,8 @@
 	return l.Do(nowMS, s)
 }
 
-// Do takes a router's message and returns the encoded SyncReply.
+// Do applies a router's message and returns the encoded SyncReply. A repeated
+// message is not applied again and gets its first reply.
 func (l *Ledger) Do(nowMS int64, s Sync) []byte {
 	l.sweep(nowMS)
 	inc, status := l.admit(nowMS, s)
@@ -100,10 +105,10 @@
 	}
 	reply := SyncReply{Seq: s.Seq}
 	for _, a := range s.Accounts {
-		grant, err := l.settle(nowMS, s.Incarnation, a)
+		grant, err := l.syncAccount(nowMS, s.Incarnation, a)
 		if err != nil {
 			reply.Status, reply.Message = SyncRefused, err.Error()
-			l.onBroken(err)
+			l.onInvariantError(err)
 		}
 		reply.Accounts = append(reply.Accounts, grant)
 	}
@@ -112,8 +117,8 @@
 	return inc.Reply
 }
 
-// admit finds the incarnation of a message. A new incarnation of a VM declares
-// the earlier ones dead: they were the same machine.
+// admit returns the incarnation of a message. A new incarnation of a VM declares the
+// VM's earlier ones dead.
 func (l *Ledger) admit(nowMS int64, s Sync) (*incarnation, SyncStatus) {
 	inc := l.incarnations[s.Incarnation]
 	switch {
@@ -135,8 +140,8 @@
 	return inc, SyncOK
 }
 
-// settle takes the report on one account, and grants.
-func (l *Ledger) settle(nowMS int64, name string, s AccountSync) (AccountGrant, error) {
+// syncAccount applies the report on one account and makes grants.
+func (l *Ledger) syncAccount(nowMS int64, name string, s AccountSync) (AccountGrant, error) {
 	limit, known := l.book.lookup(s.Workspace)
 	a := l.account(nowMS, s.Workspace, limit, known)
 	if a == nil {
@@ -156,12 +161,12 @@
 		a.grantSlots(nowMS, h, s, limit)
 		a.grant(nowMS, h, s, limit)
 	}
-	err := a.check(committed.most(limit.Limit()), max(slots, limit.Concurrent))
-	return a.describe(nowMS, s.Workspace, h, limit), err
+	err := a.check(committed.maximum(limit.Limit()), max(slots, limit.Concurrent))
+	return a.grantReply(nowMS, s.Workspace, h, limit), err
 }
 
-// account returns a workspace's account in the window of nowMS; nil where the
-// workspace is unknown and nothing of it is held.
+// account returns a workspace's account in the window of nowMS, or nil if the
+// workspace is unknown and has no account.
 func (l *Ledger) account(nowMS int64, workspace string, limit Allowance, known bool) *account {
 	a := l.accounts[workspace]
 	if a == nil && !known {
@@ -174,19 +179,19 @@
 	length := limit.Window().Milliseconds()
 	switch {
 	case nowMS >= a.EndMS && known:
-		l.open(a, nowMS, length, Amount{})
+		l.openWindow(a, nowMS, length, Amount{})
 	case known && length != a.LengthMS:
-		// What is committed stays committed: else an operator who changes the
-		// window's length would refill the allowance each time.
-		l.open(a, nowMS, length, a.Committed)
+		// What is committed is carried over. Otherwise each change of the window
+		// length would refill the allowance.
+		l.openWindow(a, nowMS, length, a.Committed)
 	}
 	return a
 }
 
-// open begins a window. Windows are aligned to the group's clock. What was
-// granted in the window before was charged to it and lapses with it, also where
-// the work still runs; concurrency goes on.
-func (l *Ledger) open(a *account, nowMS, length int64, carried Amount) {
+// openWindow starts a window, aligned to the group's clock. Grants of the previous
+// window were charged to it and expire with it, also those of requests that still
+// run. Concurrency remains held across windows.
+func (l *Ledger) openWindow(a *account, nowMS, length int64, carried Amount) {
 	l.windows++
 	a.Window, a.LengthMS, a.EndMS = l.windows, length, (nowMS/length+1)*length
 	a.Carried, a.Committed = carried, carried
@@ -200,8 +205,8 @@
 	}
 }
 
-// report takes what a router says of its holding. A report on a window that has
-// ended changes nothing: its grants have lapsed.
+// report applies a router's report on its holding. Amounts of a window that has
+// ended are ignored, since its grants have expired.
 func (a *account) report(h *holding, s AccountSync) error {
 	if keep := max(s.SlotsKeep, 0); keep < h.Slots {
 		a.Slots -= h.Slots - keep
@@ -221,17 +226,17 @@
 }
 
 func (a *account) grant(nowMS int64, h *holding, s AccountSync, limit Allowance) {
-	heads := a.heads(nowMS)
+	holders := a.activeHolders(nowMS)
 	left := limit.Limit().Minus(a.Committed)
 	if s.Least > max(left.Tokens, 0) {
-		// Part of a request's cost would lie idle with this VM, while a smaller
-		// request elsewhere could use it.
+		// A part of a request's cost would lie idle on this VM, while a smaller
+		// request on another VM could use it.
 		return
 	}
 	idle := h.outstanding().Minus(s.Reserved)
 	g := Amount{
-		Tokens:   size(limit.TokensPerWindow, left.Tokens, idle.Tokens, s.Need.Tokens, s.Want.Tokens, heads),
-		Requests: size(limit.RequestsPerWindow, left.Requests, idle.Requests, s.Need.Requests, s.Want.Requests, heads),
+		Tokens:   grantSize(limit.TokensPerWindow, left.Tokens, idle.Tokens, s.Need.Tokens, s.Want.Tokens, holders),
+		Requests: grantSize(limit.RequestsPerWindow, left.Requests, idle.Requests, s.Need.Requests, s.Want.Requests, holders),
 	}
 	h.Granted = h.Granted.Plus(g)
 	a.Committed = a.Committed.Plus(g)
@@ -240,24 +245,25 @@
 func (a *account) grantSlots(nowMS int64, h *holding, s AccountSync, limit Allowance) {
 	free := int64(limit.Concurrent - a.Slots)
 	need, want := int64(max(s.SlotsNeed-h.Slots, 0)), int64(max(s.SlotsWant-h.Slots, 0))
-	slots := int(size(holdDivisor*free, free, 0, need, want, a.heads(nowMS)))
+	slots := int(grantSize(idleDivisor*free, free, 0, need, want, a.activeHolders(nowMS)))
 	h.Slots += slots
 	a.Slots += slots
 }
 
-// heads counts the VMs that ask.
-func (a *account) heads(nowMS int64) int {
+// activeHolders counts the incarnations that reported the account within
+// activeHolderMS.
+func (a *account) activeHolders(nowMS int64) int {
 	n := 0
 	for _, h := range a.Holdings {
-		if nowMS-h.SeenMS <= activeMS {
+		if nowMS-h.SeenMS <= activeHolderMS {
 			n++
 		}
 	}
 	return n
 }
 
-// check recounts the holdings against the sums and against what the step was
-// allowed to reach.
+// check compares the sums of the holdings with the account's totals, and with the
+// limits that the step had to keep.
 func (a *account) check(limit Amount, slotLimit int) error {
 	sum, slots := a.Carried, 0
 	for name, h := range a.Holdings {
@@ -280,10 +286,10 @@
 	return nil
 }
 
-func (a *account) describe(nowMS int64, workspace string, h *holding, limit Allowance) AccountGrant {
+func (a *account) grantReply(nowMS int64, workspace string, h *holding, limit Allowance) AccountGrant {
 	return AccountGrant{
 		Workspace: workspace, Window: a.Window, RemainingMS: max(a.EndMS-nowMS, 0),
-		Granted: h.Granted, Spent: h.Spent, Returned: h.Returned, Left: limit.Limit().Minus(a.Committed).most(Amount{}),
+		Granted: h.Granted, Spent: h.Spent, Returned: h.Returned, Left: limit.Limit().Minus(a.Committed).maximum(Amount{}),
 		Outstanding: a.outstanding(), Slots: h.Slots, SlotsLeft: max(limit.Concurrent-a.Slots, 0),
 		OverTokens: a.Committed.Tokens > limit.TokensPerWindow, OverRequests: a.Committed.Requests > limit.RequestsPerWindow,
 		OverSlots: a.Slots > limit.Concurrent,
@@ -298,19 +304,19 @@
 	return sum
 }
 
-// sweep declares silent incarnations dead, frees the concurrency of those dead
-// for the safe delay, and forgets accounts with nothing in them.
+// sweep declares silent incarnations dead, releases the concurrency of those dead for
+// longer than SlotReleaseDelayMS, and removes accounts that hold nothing.
 func (l *Ledger) sweep(nowMS int64) {
-	if nowMS-l.sweptMS < sweepMS {
+	if nowMS-l.lastSweepMS < sweepIntervalMS {
 		return
 	}
-	l.sweptMS = nowMS
+	l.lastSweepMS = nowMS
 	for name, inc := range l.incarnations {
 		if inc.DeadMS == 0 && nowMS-inc.SeenMS > DeadAfterMS {
 			inc.DeadMS = nowMS
 		}
 		if inc.DeadMS != 0 && nowMS-inc.DeadMS > SafeDelayMS {
-			l.bury(name)
+			l.removeIncarnation(name)
 		}
 	}
 	for workspace, a := range l.accounts {
@@ -320,7 +326,7 @@
 	}
 }
 
-func (l *Ledger) bury(name string) {
+func (l *Ledger) removeIncarnation(name string) {
 	delete(l.incarnations, name)
 	for _, a := range l.accounts {
 		if h := a.Holdings[name]; h != nil {
--- a/internal/plan/ledger_state.go
+++ b/internal/plan/ledger_state.go
@@ -2,22 +2,22 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Version implements control.Part. Nobody watches the ledger: a router learns
-// what concerns it in the reply to its own message.
+// Version implements control.StateMachine. It is always 0, since the ledger has no
+// feed: a router gets what it needs in the reply to its own message.
 func (l *Ledger) Version() uint64 { return 0 }
 
-// Changes implements control.Part.
+// Changes implements control.StateMachine.
 func (l *Ledger) Changes(uint64) []byte { return nil }
 
 type ledgerSnapshot struct {
 	Accounts     map[string]*account     `cbor:"1,keyasint"`
 	Incarnations map[string]*incarnation `cbor:"2,keyasint"`
 	Windows      uint64                  `cbor:"3,keyasint"`
-	SweptMS      int64                   `cbor:"4,keyasint"`
+	LastSweepMS  int64                   `cbor:"4,keyasint"`
 }
 
-// sorted encodes maps in order, so that equal states have equal snapshots.
-var sorted = func() cbor.EncMode {
+// sortedEncoding encodes maps in key order. Equal states then have equal snapshots.
+var sortedEncoding = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
 		panic(err)
@@ -25,12 +25,12 @@
 	return m
 }()
 
-// Snapshot implements control.Part.
+// Snapshot implements control.StateMachine.
 func (l *Ledger) Snapshot() ([]byte, error) {
-	return sorted.Marshal(ledgerSnapshot{l.accounts, l.incarnations, l.windows, l.sweptMS})
+	return sortedEncoding.Marshal(ledgerSnapshot{l.accounts, l.incarnations, l.windows, l.lastSweepMS})
 }
 
-// Restore implements control.Part.
+// Restore implements control.StateMachine.
 func (l *Ledger) Restore(data []byte) error {
 	s := ledgerSnapshot{Accounts: map[string]*account{}, Incarnations: map[string]*incarnation{}}
 	if err := cbor.Unmarshal(data, &s); err != nil {
@@ -41,11 +41,11 @@
 			a.Holdings = map[string]*holding{}
 		}
 	}
-	l.accounts, l.incarnations, l.windows, l.sweptMS = s.Accounts, s.Incarnations, s.Windows, s.SweptMS
+	l.accounts, l.incarnations, l.windows, l.lastSweepMS = s.Accounts, s.Incarnations, s.Windows, s.LastSweepMS
 	return nil
 }
 
-// Use is how much of a workspace's allowance is in use, for operators.
+// Usage is how much of a workspace's allowance is in use, as shown to operators.
 type Use struct {
 	Workspace   string `cbor:"1,keyasint" json:"workspace"`
 	WindowEndMS int64  `cbor:"2,keyasint" json:"window_end_ms"` // by the group's clock
@@ -57,7 +57,7 @@
 	VMs         int    `cbor:"8,keyasint" json:"vms"`
 }
 
-// Use returns a workspace's use in the window last opened.
+// Usage returns a workspace's usage in the window last opened.
 func (l *Ledger) Use(workspace string) Use {
 	limit, _ := l.book.lookup(workspace)
 	u := Use{Workspace: workspace, Limit: limit.Limit(), SlotLimit: limit.Concurrent}
--- a/internal/plan/ledger_test.go
+++ b/internal/plan/ledger_test.go
@@ -11,14 +11,14 @@
 
 type ledgerTest struct {
 	*testing.T
-	book   *plan.Book
-	ledger *plan.Ledger
-	broken int
+	book       *plan.Book
+	ledger     *plan.Ledger
+	violations int
 }
 
 func newLedgerTest(t *testing.T, a *plan.Allowance) *ledgerTest {
 	l := &ledgerTest{T: t, book: plan.NewBook()}
-	l.ledger = plan.NewLedger(l.book, func(error) { l.broken++ })
+	l.ledger = plan.NewLedger(l.book, func(error) { l.violations++ })
 	apply(t, l.book, setAllowance(a, 0))
 	apply(t, l.book, setCustomer("hot", a.Plan, 0))
 	return l
@@ -42,10 +42,10 @@
 	return r.Accounts[0], r, raw
 }
 
-// A router's answer is lost, so it resends its message. In between the operator
-// lowered the concurrency, and the leader died: its successor has the ledger
-// from a snapshot. The repetition must grant nothing more and take nothing back,
-// since the first answer may have arrived as well; an older message is refused.
+// A reply to a router is lost, and the router repeats its message. Before that the
+// operator lowers the concurrency, and the leader dies; the new leader restores the
+// ledger from a snapshot. The repeated message must change no grant, since the first
+// reply may have arrived after all. An older message must be refused.
 func TestRepeatedMessageGetsItsFirstReply(t *testing.T) {
 	l := newLedgerTest(t, allowance("gold", 1000))
 	l.sync(1000, "vm1", 1, plan.AccountSync{})
@@ -58,25 +58,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.ledger = plan.NewLedger(l.book, func(error) { l.broken++ })
+	l.ledger = plan.NewLedger(l.book, func(error) { l.violations++ })
 	if err := l.ledger.Restore(data); err != nil {
 		t.Fatal(err)
 	}
 	_, _, again := l.sync(1002, "vm1", 2, ask)
 	if !bytes.Equal(again, raw) || first.Slots != 8 || first.Granted.Tokens < 100 {
-		t.Errorf("first %+v, repeated %x, want %x", first, again, raw)
+		t.Errorf("first grant %+v, want 8 slots and 100 tokens or more; repeated message got reply %x, want %x", first, again, raw)
 	}
 	if u := l.ledger.Use("hot"); u.Slots != 8 || u.Outstanding != first.Granted {
-		t.Errorf("the ledger has %+v after the repetition", u)
+		t.Errorf("usage after the repeated message is %+v, want the first grant", u)
 	}
 	if _, r, _ := l.sync(1003, "vm1", 1, plan.AccountSync{}); r.Status != plan.SyncStale {
-		t.Errorf("older message: %+v", r)
+		t.Errorf("older message got %+v, want status SyncStale", r)
 	}
 }
 
-// Tokens are spent when the operator changes the window's length, moves the
-// workspace to a plan of another, or removes and re-creates it. None of these
-// may refill the allowance within the window.
+// Most of an allowance is granted when the operator changes the window length, moves
+// the workspace to a plan with another window length, or removes and creates the
+// workspace again. None of these may refill the allowance within the window.
 func TestEditsDoNotRefillAWindow(t *testing.T) {
 	for name, edit := range map[string]func(l *ledgerTest){
 		"window length": func(l *ledgerTest) {
@@ -99,22 +99,22 @@
 		l := newLedgerTest(t, allowance("gold", 1000))
 		need := plan.AccountSync{Need: plan.Amount{Tokens: 900, Requests: 1}}
 		if g, _, _ := l.sync(1000, "vm1", 1, need); g.Granted.Tokens != 900 {
-			t.Fatalf("%s: granted %+v", name, g)
+			t.Fatalf("%s: granted %+v, want 900 tokens", name, g)
 		}
 		edit(l)
 		g, _, _ := l.sync(1600, "vm2", 1, plan.AccountSync{Need: plan.Amount{Tokens: 900, Requests: 1}})
-		if g.Granted.Tokens > 100 || l.broken != 0 {
-			t.Errorf("%s: %d tokens granted of 100 left, %d invariants broken", name, g.Granted.Tokens, l.broken)
+		if g.Granted.Tokens > 100 || l.violations != 0 {
+			t.Errorf("%s: %d tokens granted, want at most the 100 left; %d invariants violated, want 0", name, g.Granted.Tokens, l.violations)
 		}
 		g, _, _ = l.sync(70_000, "vm3", 1, need)
 		if g.Granted.Tokens != 900 {
-			t.Errorf("%s: the next window grants %d", name, g.Granted.Tokens)
+			t.Errorf("%s: the next window grants %d tokens, want 900", name, g.Granted.Tokens)
 		}
 	}
 }
 
-// A router that reports more than it was granted is refused, counted, and
-// changes nothing: others go on.
+// A report of more than was granted must be refused and counted, and must change
+// nothing. Other routers must still get grants.
 func TestContradictingReportIsRefused(t *testing.T) {
 	l := newLedgerTest(t, allowance("gold", 1000))
 	g, _, _ := l.sync(1000, "vm1", 1, plan.AccountSync{Need: plan.Amount{Tokens: 100, Requests: 1}})
@@ -124,14 +124,14 @@
 		{Window: g.Window, Returned: plan.Amount{Tokens: -1}},
 		{Window: g.Window, Spent: plan.Amount{Tokens: 1 << 62}, Returned: plan.Amount{Tokens: 1 << 62}},
 	} {
-		if _, r, _ := l.sync(1001, "vm1", uint64(i+2), bad); r.Status != plan.SyncRefused || l.broken != i+1 {
-			t.Errorf("%+v: %+v, %d counted", bad, r, l.broken)
+		if _, r, _ := l.sync(1001, "vm1", uint64(i+2), bad); r.Status != plan.SyncRefused || l.violations != i+1 {
+			t.Errorf("report %+v got %+v and %d violations counted, want SyncRefused and one violation per report", bad, r, l.violations)
 		}
 	}
 	if after := l.ledger.Use("hot"); after != before {
-		t.Errorf("refused reports changed %+v to %+v", before, after)
+		t.Errorf("refused reports changed the usage from %+v to %+v", before, after)
 	}
 	if g, _, _ := l.sync(1002, "vm2", 1, plan.AccountSync{Need: plan.Amount{Tokens: 100, Requests: 1}}); g.Granted.Tokens < 100 {
-		t.Errorf("another VM got %+v", g)
+		t.Errorf("another VM got %+v, want at least 100 tokens", g)
 	}
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,5 +1,7 @@
-// Package plan is the aggregate of the operators' two lists: the plans that
-// customers have bought and what each plan may use. The package is pure.
+// Package plan holds the state machines of the operators' two lists and of the
+// grants. The first list has the customers, with the plan that each workspace has
+// bought. The second list has the allowances, which say what each plan may use. The
+// package is pure: time is an argument.
 package plan
 
 import (
@@ -9,11 +11,12 @@
 	"time"
 )
 
-// Customer is one row of the first list: a workspace, its plan and its keys.
+// Customer is one row of the first list: a workspace, its plan and the hashes of its
+// keys.
 type Customer struct {
 	Workspace string   `cbor:"1,keyasint" json:"workspace"`
 	Plan      string   `cbor:"2,keyasint" json:"plan"`
-	KeyHashes []string `cbor:"3,keyasint" json:"key_hashes"` // of HashKey
+	KeyHashes []string `cbor:"3,keyasint" json:"key_hashes"` // results of HashKey
 }
 
 // Allowance is one row of the second list: what a plan may use.
@@ -29,16 +32,17 @@
 	PriorityCeiling   int      `cbor:"9,keyasint" json:"priority_ceiling"`
 }
 
-// Window is the length of the allowance's window.
+// Window returns the length of the allowance's window.
 func (a *Allowance) Window() time.Duration { return time.Duration(a.WindowSeconds) * time.Second }
 
-// HashKey is the form in which a workspace key is stored.
+// HashKey returns the form in which a workspace key is stored: its SHA-256 in
+// lower-case hexadecimal.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Directory answers lookups in one version of the two lists. It is immutable.
+// Directory is an index of one version of the two lists. It is immutable.
 type Directory struct {
 	Version    uint64
 	customers  map[string]Customer // by key hash
@@ -46,7 +50,7 @@
 	allowances map[string]Allowance
 }
 
-// NewDirectory indexes the lists.
+// NewDirectory returns an index of the lists.
 func NewDirectory(version uint64, customers []Customer, allowances []Allowance) *Directory {
 	d := &Directory{Version: version, customers: map[string]Customer{}, workspaces: map[string]Customer{}, allowances: map[string]Allowance{}}
 	for _, c := range customers {
@@ -61,7 +65,8 @@
 	return d
 }
 
-// Lookup finds the workspace of a key and its allowance.
+// Lookup returns the customer that owns a key (not its hash), and its allowance. It
+// reports false if either is unknown.
 func (d *Directory) Lookup(key string) (Customer, Allowance, bool) {
 	c, ok := d.customers[HashKey(key)]
 	if !ok {
@@ -71,7 +76,8 @@
 	return c, a, ok
 }
 
-// Workspace finds a workspace by name, and its allowance.
+// Workspace returns the customer of a workspace and its allowance. It reports false
+// if either is unknown.
 func (d *Directory) Workspace(name string) (Customer, Allowance, bool) {
 	c, ok := d.workspaces[name]
 	if !ok {
--- a/internal/plan/query.go
+++ b/internal/plan/query.go
@@ -1,19 +1,20 @@
 package plan
 
-// Query is an operator's question about the lists. Exactly one row is asked for
-// where Name is given.
+// Query is an operator's query of the lists. With a Name it selects one row,
+// otherwise all rows of a list.
 type Query struct {
-	Allowances bool   `cbor:"1,keyasint,omitempty"` // the second list, else the first
+	Allowances bool   `cbor:"1,keyasint,omitempty"` // selects the allowances rather than the customers
 	Name       string `cbor:"2,keyasint,omitempty"`
-	History    bool   `cbor:"3,keyasint,omitempty"`
+	History    bool   `cbor:"3,keyasint,omitempty"` // selects the changes of the row
 }
 
-// Answer is the state at one moment. Version is that of the lists.
+// Answer is the result of a Query. Version is the version of the lists that it was
+// read from.
 type Answer struct {
 	Version    uint64         `cbor:"1,keyasint"`
 	Customers  []CustomerRow  `cbor:"2,keyasint,omitempty"`
 	Allowances []AllowanceRow `cbor:"3,keyasint,omitempty"`
-	Use        Use            `cbor:"4,keyasint"` // of the workspace asked for
+	Use        Use            `cbor:"4,keyasint"` // of the selected workspace
 	History    []Change       `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/plan/validate.go
+++ b/internal/plan/validate.go
@@ -7,8 +7,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Bounds of a row. They keep a row within a few KB, so that a list of some
-// thousand rows fits one snapshot, and keep sums of tokens within an int64.
+// Bounds of a row. They limit a row to a few KB, with which a list of some thousand
+// rows fits into one snapshot, and keep sums of tokens within an int64.
 const (
 	maxKeys          = 16
 	maxNames         = 64
@@ -32,7 +32,8 @@
 	return result.Newf(result.InvalidPlan, format, args...)
 }
 
-// Validate checks a row of the first list by itself.
+// Validate checks the fields of a customer, without reference to other rows. The
+// error has code result.InvalidPlan.
 func (c *Customer) Validate() error {
 	switch {
 	case !namePattern.MatchString(c.Workspace):
@@ -53,9 +54,9 @@
 	return nil
 }
 
-// Validate checks a row of the second list. No field has a value that means
-// unlimited: an excess is the operator's own loss, so a forgotten field is
-// refused rather than taken for a wish.
+// Validate checks the fields of an allowance. The error has code result.InvalidPlan.
+// No value of a field means unlimited. Unlimited use is at the operator's expense,
+// so a missing field is refused rather than interpreted as intended.
 func (a *Allowance) Validate() error {
 	if !namePattern.MatchString(a.Plan) {
 		return invalid("plan %q must have %s", a.Plan, nameRule)
