--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -11,25 +11,25 @@
 
 const targetWorkspaces = 6600
 
-func newTargetBook(b *testing.B) *plan.Book {
-	book := plan.NewBook()
-	apply(b, book, setAllowance(allowance("gold", 1e12), 0))
+func newTargetRegistry(b *testing.B) *plan.Book {
+	registry := plan.NewBook()
+	apply(b, registry, setAllowance(allowance("gold", 1e12), 0))
 	for i := range targetWorkspaces {
-		apply(b, book, setCustomer(fmt.Sprint("w", i), "gold", 0, fmt.Sprint("k", i)))
+		apply(b, registry, setCustomer(fmt.Sprint("w", i), "gold", 0, fmt.Sprint("k", i)))
 	}
-	return book
+	return registry
 }
 
 // BenchmarkIndex measures View.Directory with 6,600 workspaces, which is most of a
 // VM's work for one change of the lists.
 func BenchmarkIndex(b *testing.B) {
-	book := newTargetBook(b)
+	registry := newTargetRegistry(b)
 	view := plan.NewView()
-	if err := view.Take(book.Changes(0)); err != nil {
+	if err := view.Take(registry.Changes(0)); err != nil {
 		b.Fatal(err)
 	}
-	delta := book.Changes(book.Version() - 1)
-	full := book.Changes(0)
+	delta := registry.Changes(registry.Version() - 1)
+	full := registry.Changes(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		view.Directory()
@@ -40,7 +40,7 @@
 
 func BenchmarkLookup(b *testing.B) {
 	view := plan.NewView()
-	if err := view.Take(newTargetBook(b).Changes(0)); err != nil {
+	if err := view.Take(newTargetRegistry(b).Changes(0)); err != nil {
 		b.Fatal(err)
 	}
 	d := view.Directory()
@@ -55,7 +55,7 @@
 // BenchmarkLedgerSync measures the group's work for one message of a router about 20
 // workspaces, of which 8 VMs hold grants.
 func BenchmarkLedgerSync(b *testing.B) {
-	ledger := plan.NewLedger(newTargetBook(b), func(err error) { b.Fatal(err) })
+	ledger := plan.NewLedger(newTargetRegistry(b), func(err error) { b.Fatal(err) })
 	next := func(vm string, seq uint64) []byte {
 		s := plan.Sync{VM: vm, Incarnation: vm, Seq: seq}
 		for i := range 20 {
--- a/internal/plan/ledger.go
+++ b/internal/plan/ledger.go
@@ -60,7 +60,7 @@
 // window, and slots held <= concurrency. After an allowance was lowered the sums
 // may exceed it, and then only fall.
 type Ledger struct {
-	book             *Book
+	registry         *Book
 	onInvariantError func(error)
 	accounts         map[string]*account
 	incarnations     map[string]*incarnation
@@ -78,8 +78,8 @@
 // NewLedger returns an empty ledger for the allowances in the registry. It calls
 // onInvariantError with each InvariantError. An account whose invariant is violated
 // gets no more grants in its window.
-func NewLedger(book *Book, onBroken func(error)) *Ledger {
-	return &Ledger{book: book, onInvariantError: onBroken, accounts: map[string]*account{}, incarnations: map[string]*incarnation{}}
+func NewLedger(registry *Book, onInvariantError func(error)) *Ledger {
+	return &Ledger{registry: registry, onInvariantError: onInvariantError, accounts: map[string]*account{}, incarnations: map[string]*incarnation{}}
 }
 
 // Apply implements control.StateMachine. data is an encoded Sync, the result an
@@ -142,7 +142,7 @@
 
 // syncAccount applies the report on one account and makes grants.
 func (l *Ledger) syncAccount(nowMS int64, name string, s AccountSync) (AccountGrant, error) {
-	limit, known := l.book.lookup(s.Workspace)
+	limit, known := l.registry.lookup(s.Workspace)
 	a := l.account(nowMS, s.Workspace, limit, known)
 	if a == nil {
 		return AccountGrant{Workspace: s.Workspace}, nil
--- a/internal/plan/ledger_state.go
+++ b/internal/plan/ledger_state.go
@@ -59,7 +59,7 @@
 
 // Usage returns a workspace's usage in the window last opened.
 func (l *Ledger) Use(workspace string) Use {
-	limit, _ := l.book.lookup(workspace)
+	limit, _ := l.registry.lookup(workspace)
 	u := Use{Workspace: workspace, Limit: limit.Limit(), SlotLimit: limit.Concurrent}
 	a := l.accounts[workspace]
 	if a == nil {
--- a/internal/plan/ledger_test.go
+++ b/internal/plan/ledger_test.go
@@ -11,16 +11,16 @@
 
 type ledgerTest struct {
 	*testing.T
-	book       *plan.Book
+	registry   *plan.Book
 	ledger     *plan.Ledger
 	violations int
 }
 
 func newLedgerTest(t *testing.T, a *plan.Allowance) *ledgerTest {
-	l := &ledgerTest{T: t, book: plan.NewBook()}
-	l.ledger = plan.NewLedger(l.book, func(error) { l.violations++ })
-	apply(t, l.book, setAllowance(a, 0))
-	apply(t, l.book, setCustomer("hot", a.Plan, 0))
+	l := &ledgerTest{T: t, registry: plan.NewBook()}
+	l.ledger = plan.NewLedger(l.registry, func(error) { l.violations++ })
+	apply(t, l.registry, setAllowance(a, 0))
+	apply(t, l.registry, setCustomer("hot", a.Plan, 0))
 	return l
 }
 
@@ -53,12 +53,12 @@
 	first, _, raw := l.sync(1001, "vm1", 2, ask)
 	low := allowance("gold", 1000)
 	low.Concurrent = 2
-	apply(t, l.book, setAllowance(low, 1))
+	apply(t, l.registry, setAllowance(low, 1))
 	data, err := l.ledger.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.ledger = plan.NewLedger(l.book, func(error) { l.violations++ })
+	l.ledger = plan.NewLedger(l.registry, func(error) { l.violations++ })
 	if err := l.ledger.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -82,18 +82,18 @@
 		"window length": func(l *ledgerTest) {
 			a := allowance("gold", 1000)
 			a.WindowSeconds = 7
-			apply(l, l.book, setAllowance(a, 1))
+			apply(l, l.registry, setAllowance(a, 1))
 		},
 		"other plan": func(l *ledgerTest) {
 			a := allowance("silver", 1000)
 			a.WindowSeconds = 30
-			apply(l, l.book, setAllowance(a, 0))
-			apply(l, l.book, setCustomer("hot", "silver", 2))
+			apply(l, l.registry, setAllowance(a, 0))
+			apply(l, l.registry, setCustomer("hot", "silver", 2))
 		},
 		"remove and create": func(l *ledgerTest) {
-			apply(l, l.book, plan.Command{Action: plan.RemoveCustomer, Name: "hot", IfMatch: 2})
+			apply(l, l.registry, plan.Command{Action: plan.RemoveCustomer, Name: "hot", IfMatch: 2})
 			l.sync(1500, "vm1", 2, plan.AccountSync{Window: 1})
-			apply(l, l.book, setCustomer("hot", "gold", 0))
+			apply(l, l.registry, setCustomer("hot", "gold", 0))
 		},
 	} {
 		l := newLedgerTest(t, allowance("gold", 1000))
--- a/internal/plan/query.go
+++ b/internal/plan/query.go
@@ -19,21 +19,21 @@
 }
 
 // Ask answers a query.
-func (b *Book) Ask(q Query, l *Ledger) Answer {
-	out := Answer{Version: b.version}
+func (r *Book) Ask(q Query, l *Ledger) Answer {
+	out := Answer{Version: r.version}
 	switch {
 	case q.History:
-		out.History = b.History(!q.Allowances, q.Name)
+		out.History = r.History(!q.Allowances, q.Name)
 	case q.Name == "" && q.Allowances:
-		out.Allowances = b.Allowances()
+		out.Allowances = r.Allowances()
 	case q.Name == "":
-		out.Customers = b.Customers()
+		out.Customers = r.Customers()
 	case q.Allowances:
-		if row, ok := b.Allowance(q.Name); ok {
+		if row, ok := r.Allowance(q.Name); ok {
 			out.Allowances = []AllowanceRow{row}
 		}
 	default:
-		if row, ok := b.Customer(q.Name); ok {
+		if row, ok := r.Customer(q.Name); ok {
 			out.Customers = []CustomerRow{row}
 			out.Use = l.Use(q.Name)
 		}
--- a/internal/plan/book.go
+++ b/internal/plan/registry.go
@@ -62,14 +62,14 @@
 
 // Apply implements control.StateMachine. data is an encoded Command, the result an
 // encoded Reply.
-func (b *Book) Apply(nowMS int64, data []byte) []byte {
+func (r *Book) Apply(nowMS int64, data []byte) []byte {
 	var c Command
-	reply := Reply{Lists: b.version}
+	reply := Reply{Lists: r.version}
 	if err := cbor.Unmarshal(data, &c); err != nil {
 		reply.fail(result.Newf(result.MalformedBody, "command: %v", err))
 		return encode(reply)
 	}
-	return encode(b.Do(nowMS, c))
+	return encode(r.Do(nowMS, c))
 }
 
 func encode(v any) []byte {
@@ -92,70 +92,70 @@
 // sends the command again, perhaps to another VM after a change of leader. The
 // operator must get the first reply rather than a conflict with the operator's own
 // change.
-func (b *Book) Do(nowMS int64, c Command) Reply {
+func (r *Book) Do(nowMS int64, c Command) Reply {
 	digest, err := c.digest()
 	if err != nil {
-		reply := Reply{Lists: b.version}
+		reply := Reply{Lists: r.version}
 		reply.fail(err)
 		return reply
 	}
-	if first, ok := b.replies[c.Key]; ok && c.Key != "" {
+	if first, ok := r.replies[c.Key]; ok && c.Key != "" {
 		if !slices.Equal(first.Digest, digest) {
-			reply := Reply{Lists: b.version}
+			reply := Reply{Lists: r.version}
 			reply.fail(result.New(result.KeyReused))
 			return reply
 		}
 		return first.Reply
 	}
-	reply := b.decide(nowMS, c)
-	b.storeReply(storedReply{Key: c.Key, Digest: digest, Reply: reply})
+	reply := r.decide(nowMS, c)
+	r.storeReply(storedReply{Key: c.Key, Digest: digest, Reply: reply})
 	return reply
 }
 
-func (b *Book) storeReply(a storedReply) {
+func (r *Book) storeReply(a storedReply) {
 	if a.Key == "" {
 		return
 	}
-	b.replies[a.Key] = a
-	b.replyKeys = append(b.replyKeys, a.Key)
-	if over := len(b.replyKeys) - maxReplies; over > 0 {
-		for _, k := range b.replyKeys[:over] {
-			delete(b.replies, k)
+	r.replies[a.Key] = a
+	r.replyKeys = append(r.replyKeys, a.Key)
+	if over := len(r.replyKeys) - maxReplies; over > 0 {
+		for _, k := range r.replyKeys[:over] {
+			delete(r.replies, k)
 		}
-		b.replyKeys = slices.Delete(b.replyKeys, 0, over)
+		r.replyKeys = slices.Delete(r.replyKeys, 0, over)
 	}
 }
 
-func (b *Book) decide(nowMS int64, c Command) Reply {
-	current := b.currentVersion(c)
-	reply := Reply{Version: current, Lists: b.version}
-	if err := b.checkPreconditions(c, current); err != nil {
+func (r *Book) decide(nowMS int64, c Command) Reply {
+	current := r.currentVersion(c)
+	reply := Reply{Version: current, Lists: r.version}
+	if err := r.checkPreconditions(c, current); err != nil {
 		reply.fail(err)
 		return reply
 	}
-	diff, changed := b.execute(c, b.version+1)
+	diff, changed := r.execute(c, r.version+1)
 	if !changed {
 		return reply
 	}
-	b.version++
-	b.history = append(b.history, Change{
-		Version: b.version, AtMS: nowMS, Who: c.Who, Action: c.Action, Name: c.Name, Diff: diff,
+	r.version++
+	r.history = append(r.history, Change{
+		Version: r.version, AtMS: nowMS, Who: c.Who, Action: c.Action, Name: c.Name, Diff: diff,
 	})
-	if over := len(b.history) - maxHistory; over > 0 {
-		b.history = slices.Delete(b.history, 0, over)
+	if over := len(r.history) - maxHistory; over > 0 {
+		r.history = slices.Delete(r.history, 0, over)
 	}
-	return Reply{Version: b.currentVersion(c), Lists: b.version, Created: current == 0}
+	return Reply{Version: r.currentVersion(c), Lists: r.version, Created: current == 0}
 }
 
 // currentVersion is the version of the row that a command names, 0 if there is none.
-func (b *Book) currentVersion(c Command) uint64 {
+func (r *Book) currentVersion(c Command) uint64 {
 	if c.Action == SetCustomer || c.Action == RemoveCustomer {
-		return b.customers[c.Name].Version
+		return r.customers[c.Name].Version
 	}
-	return b.allowances[c.Name].Version
+	return r.allowances[c.Name].Version
 }
 
-func (b *Book) checkPreconditions(c Command, current uint64) error {
+func (r *Book) checkPreconditions(c Command, current uint64) error {
 	if err := c.validate(); err != nil {
 		return err
 	}
@@ -172,23 +172,23 @@
 	case !c.Create && c.IfMatch != current:
 		return result.Newf(result.VersionConflict, "%q is in version %d, not %d", c.Name, current, c.IfMatch)
 	}
-	return b.checkReferences(c)
+	return r.checkReferences(c)
 }
 
 // checkReferences checks a row against the other rows.
-func (b *Book) checkReferences(c Command) error {
+func (r *Book) checkReferences(c Command) error {
 	switch c.Action {
 	case SetCustomer:
-		if _, ok := b.allowances[c.Customer.Plan]; !ok {
+		if _, ok := r.allowances[c.Customer.Plan]; !ok {
 			return result.Newf(result.UnknownPlan, "no allowance exists for plan %q", c.Customer.Plan)
 		}
 		for i, h := range c.Customer.KeyHashes {
-			if owner, ok := b.keyOwner[h]; ok && owner != c.Name {
+			if owner, ok := r.keyOwner[h]; ok && owner != c.Name {
 				return invalid("key_hashes[%d] belongs to another workspace", i)
 			}
 		}
 	case RemoveAllowance:
-		if n := b.planUsers[c.Name]; n > 0 {
+		if n := r.planUsers[c.Name]; n > 0 {
 			return result.Newf(result.PlanInUse, "%d workspaces still have plan %q", n, c.Name)
 		}
 	case SetAllowance, RemoveCustomer:
@@ -198,63 +198,63 @@
 
 // execute changes the row and returns the differences. If the new row equals the
 // current one, it reports false and the row keeps its version.
-func (b *Book) execute(c Command, version uint64) ([]string, bool) {
+func (r *Book) execute(c Command, version uint64) ([]string, bool) {
 	switch c.Action {
 	case SetCustomer:
-		before, ok := b.customers[c.Name]
+		before, ok := r.customers[c.Name]
 		if ok && before.Equal(*c.Customer) {
 			return nil, false
 		}
-		b.putCustomer(CustomerRow{*c.Customer, version})
+		r.putCustomer(CustomerRow{*c.Customer, version})
 		return diffCustomer(before.Customer, *c.Customer), true
 	case RemoveCustomer:
-		before := b.customers[c.Name].Customer
-		b.dropCustomer(c.Name)
+		before := r.customers[c.Name].Customer
+		r.dropCustomer(c.Name)
 		return diffCustomer(before, Customer{}), true
 	case SetAllowance:
-		before, ok := b.allowances[c.Name]
+		before, ok := r.allowances[c.Name]
 		if ok && before.Equal(*c.Allowance) {
 			return nil, false
 		}
-		b.allowances[c.Name] = AllowanceRow{*c.Allowance, version}
+		r.allowances[c.Name] = AllowanceRow{*c.Allowance, version}
 		return diffAllowance(before.Allowance, *c.Allowance), true
 	case RemoveAllowance:
-		before := b.allowances[c.Name].Allowance
-		delete(b.allowances, c.Name)
+		before := r.allowances[c.Name].Allowance
+		delete(r.allowances, c.Name)
 		return diffAllowance(before, Allowance{}), true
 	}
 	return nil, false
 }
 
-func (b *Book) putCustomer(row CustomerRow) {
-	b.dropCustomer(row.Workspace)
-	b.customers[row.Workspace] = row
-	b.planUsers[row.Plan]++
+func (r *Book) putCustomer(row CustomerRow) {
+	r.dropCustomer(row.Workspace)
+	r.customers[row.Workspace] = row
+	r.planUsers[row.Plan]++
 	for _, h := range row.KeyHashes {
-		b.keyOwner[h] = row.Workspace
+		r.keyOwner[h] = row.Workspace
 	}
 }
 
-func (b *Book) dropCustomer(workspace string) {
-	row, ok := b.customers[workspace]
+func (r *Book) dropCustomer(workspace string) {
+	row, ok := r.customers[workspace]
 	if !ok {
 		return
 	}
-	delete(b.customers, workspace)
+	delete(r.customers, workspace)
 	for _, h := range row.KeyHashes {
-		delete(b.keyOwner, h)
+		delete(r.keyOwner, h)
 	}
-	if b.planUsers[row.Plan]--; b.planUsers[row.Plan] == 0 {
-		delete(b.planUsers, row.Plan)
+	if r.planUsers[row.Plan]--; r.planUsers[row.Plan] == 0 {
+		delete(r.planUsers, row.Plan)
 	}
 }
 
 // lookup returns the allowance of a workspace.
-func (b *Book) lookup(workspace string) (Allowance, bool) {
-	c, ok := b.customers[workspace]
+func (r *Book) lookup(workspace string) (Allowance, bool) {
+	c, ok := r.customers[workspace]
 	if !ok {
 		return Allowance{}, false
 	}
-	a, ok := b.allowances[c.Plan]
+	a, ok := r.allowances[c.Plan]
 	return a.Allowance, ok
 }
--- a/internal/plan/book_state.go
+++ b/internal/plan/registry_state.go
@@ -23,21 +23,21 @@
 }
 
 // Version implements control.StateMachine. It is the number of changes so far.
-func (b *Book) Version() uint64 { return b.version }
+func (r *Book) Version() uint64 { return r.version }
 
 // Changes implements control.StateMachine. It returns an encoded Delta. The history
 // tells which rows changed; if it does not reach back to since, the delta is full.
-func (b *Book) Changes(since uint64) []byte {
-	if since > b.version || b.version-since > uint64(len(b.history)) {
-		return encode(b.fullDelta(since))
+func (r *Book) Changes(since uint64) []byte {
+	if since > r.version || r.version-since > uint64(len(r.history)) {
+		return encode(r.fullDelta(since))
 	}
-	d := Delta{From: since, To: b.version}
+	d := Delta{From: since, To: r.version}
 	type rowName struct {
 		customer bool
 		name     string
 	}
 	seen := map[rowName]bool{}
-	for _, c := range b.history[len(b.history)-int(b.version-since):] {
+	for _, c := range r.history[len(r.history)-int(r.version-since):] {
 		customer := c.Action == SetCustomer || c.Action == RemoveCustomer
 		row := rowName{customer, c.Name}
 		if seen[row] {
@@ -45,60 +45,60 @@
 		}
 		seen[row] = true
 		if customer {
-			d.addCustomer(b, c.Name)
+			d.addCustomer(r, c.Name)
 		} else {
-			d.addAllowance(b, c.Name)
+			d.addAllowance(r, c.Name)
 		}
 	}
 	return encode(d)
 }
 
-func (d *Delta) addCustomer(b *Book, name string) {
-	if row, ok := b.customers[name]; ok {
+func (d *Delta) addCustomer(r *Book, name string) {
+	if row, ok := r.customers[name]; ok {
 		d.Customers = append(d.Customers, row)
 		return
 	}
 	d.RemovedCustomers = append(d.RemovedCustomers, name)
 }
 
-func (d *Delta) addAllowance(b *Book, name string) {
-	if row, ok := b.allowances[name]; ok {
+func (d *Delta) addAllowance(r *Book, name string) {
+	if row, ok := r.allowances[name]; ok {
 		d.Allowances = append(d.Allowances, row)
 		return
 	}
 	d.RemovedAllowances = append(d.RemovedAllowances, name)
 }
 
-func (b *Book) fullDelta(since uint64) Delta {
-	return Delta{From: since, To: b.version, Whole: true, Customers: b.Customers(), Allowances: b.Allowances()}
+func (r *Book) fullDelta(since uint64) Delta {
+	return Delta{From: since, To: r.version, Whole: true, Customers: r.Customers(), Allowances: r.Allowances()}
 }
 
 // Customers returns the customers in order of workspace.
-func (b *Book) Customers() []CustomerRow {
-	return slices.SortedFunc(maps.Values(b.customers), func(x, y CustomerRow) int { return cmp.Compare(x.Workspace, y.Workspace) })
+func (r *Book) Customers() []CustomerRow {
+	return slices.SortedFunc(maps.Values(r.customers), func(x, y CustomerRow) int { return cmp.Compare(x.Workspace, y.Workspace) })
 }
 
 // Allowances returns the allowances in order of plan.
-func (b *Book) Allowances() []AllowanceRow {
-	return slices.SortedFunc(maps.Values(b.allowances), func(x, y AllowanceRow) int { return cmp.Compare(x.Plan, y.Plan) })
+func (r *Book) Allowances() []AllowanceRow {
+	return slices.SortedFunc(maps.Values(r.allowances), func(x, y AllowanceRow) int { return cmp.Compare(x.Plan, y.Plan) })
 }
 
 // Customer returns the row of a workspace.
-func (b *Book) Customer(workspace string) (CustomerRow, bool) {
-	row, ok := b.customers[workspace]
+func (r *Book) Customer(workspace string) (CustomerRow, bool) {
+	row, ok := r.customers[workspace]
 	return row, ok
 }
 
 // Allowance returns the row of a plan.
-func (b *Book) Allowance(plan string) (AllowanceRow, bool) {
-	row, ok := b.allowances[plan]
+func (r *Book) Allowance(plan string) (AllowanceRow, bool) {
+	row, ok := r.allowances[plan]
 	return row, ok
 }
 
 // History returns the stored changes of one customer or allowance, newest first.
-func (b *Book) History(customers bool, name string) []Change {
+func (r *Book) History(customers bool, name string) []Change {
 	out := []Change{}
-	for _, c := range slices.Backward(b.history) {
+	for _, c := range slices.Backward(r.history) {
 		ofCustomers := c.Action == SetCustomer || c.Action == RemoveCustomer
 		if c.Name == name && ofCustomers == customers {
 			out = append(out, c)
@@ -116,16 +116,16 @@
 }
 
 // Snapshot implements control.StateMachine.
-func (b *Book) Snapshot() ([]byte, error) {
-	s := registrySnapshot{Version: b.version, Customers: b.Customers(), Allowances: b.Allowances(), History: b.history}
-	for _, k := range b.replyKeys {
-		s.Replies = append(s.Replies, b.replies[k])
+func (r *Book) Snapshot() ([]byte, error) {
+	s := registrySnapshot{Version: r.version, Customers: r.Customers(), Allowances: r.Allowances(), History: r.history}
+	for _, k := range r.replyKeys {
+		s.Replies = append(s.Replies, r.replies[k])
 	}
 	return cbor.Marshal(s)
 }
 
 // Restore implements control.StateMachine.
-func (b *Book) Restore(data []byte) error {
+func (r *Book) Restore(data []byte) error {
 	var s registrySnapshot
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return err
@@ -141,7 +141,7 @@
 	for _, a := range s.Replies {
 		next.storeReply(a)
 	}
-	*b = *next
+	*r = *next
 	return nil
 }
 
--- a/internal/plan/book_test.go
+++ b/internal/plan/registry_test.go
@@ -155,7 +155,7 @@
 // gap, and the group restarts from snapshots. A version must never decrease, also
 // when a row is removed and created again. Every VM that has caught up must hold the
 // current lists.
-func TestBookRandomised(t *testing.T) {
+func TestRegistryRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := plan.NewBook()
 		views := []*plan.View{plan.NewView(), plan.NewView(), plan.NewView()}
--- a/internal/quota/core.go
+++ b/internal/quota/core.go
@@ -70,8 +70,8 @@
 // Core is the state of a router's grants. It is pure: time is an argument. It is
 // not safe for concurrent use.
 type Core struct {
-	vm, process  string
-	incarnations int // number of earlier incarnations, which the group declared dead
+	vm, process  string // names of the VM and of its router process; parts of the incarnation
+	incarnations int    // number of earlier incarnations, which the group declared dead
 	seq          uint64
 	inflight     *plan.Sync
 	sentAt       time.Time
--- a/internal/quota/core_test.go
+++ b/internal/quota/core_test.go
@@ -116,7 +116,7 @@
 		if err != nil {
 			w.fail("%v", err)
 		}
-		w.ledger = plan.NewLedger(w.book, w.invariantBroken)
+		w.ledger = plan.NewLedger(w.registry, w.invariantBroken)
 		if err := w.ledger.Restore(data); err != nil {
 			w.fail("%v", err)
 		}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -39,19 +39,19 @@
 	return reply, err
 }
 
-func (l *lossyGroup) set(unreachable bool, loseAnswers int) {
+func (l *lossyGroup) set(unreachable bool, loseReplies int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unreachable, l.loseReplies = unreachable, loseAnswers
+	l.unreachable, l.loseReplies = unreachable, loseReplies
 }
 
 func newTestQuota(t *testing.T) (*Quota, *lossyGroup, func() plan.Use, plan.Allowance) {
 	t.Helper()
 	a := allowance(1000, 4, time.Hour)
-	book, machine := plan.NewBook(), control.NewMachine()
-	book.Do(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
-	book.Do(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
-	ledger := plan.NewLedger(book, func(err error) { t.Error(err) })
+	registry, machine := plan.NewBook(), control.NewMachine()
+	registry.Do(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
+	registry.Do(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
+	ledger := plan.NewLedger(registry, func(err error) { t.Error(err) })
 	machine.Register(control.PartLedger, ledger)
 	group := &lossyGroup{Solo: control.NewSolo(machine)}
 	q := New("vm1", "a", group, new(expvar.Map), zerolog.Nop())
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -17,10 +17,10 @@
 type simulation struct {
 	*virtualtime.Queue
 
-	rng    *rand.Rand
-	book   *plan.Book
-	ledger *plan.Ledger
-	vms    []*vm
+	rng      *rand.Rand
+	registry *plan.Book
+	ledger   *plan.Ledger
+	vms      []*vm
 
 	lossShare, repeatShare float64
 	fail                   func(format string, args ...any)
@@ -54,10 +54,10 @@
 
 func newSimulation(seed uint64, vms int, fail func(format string, args ...any)) *simulation {
 	w := &simulation{
-		Queue: virtualtime.New(epoch), rng: rand.New(rand.NewPCG(seed, 1)), fail: fail, book: plan.NewBook(),
+		Queue: virtualtime.New(epoch), rng: rand.New(rand.NewPCG(seed, 1)), fail: fail, registry: plan.NewBook(),
 		charged: map[string]int64{}, used: map[string]int64{}, limits: map[string]int64{},
 	}
-	w.ledger = plan.NewLedger(w.book, w.invariantBroken)
+	w.ledger = plan.NewLedger(w.registry, w.invariantBroken)
 	for i := range vms {
 		w.startVM(fmt.Sprintf("vm%d", i))
 	}
@@ -84,9 +84,9 @@
 func (w *simulation) run(d time.Duration) { w.Run(w.Now().Add(d)) }
 
 func (w *simulation) setAllowance(a plan.Allowance) {
-	row, _ := w.book.Allowance(a.Plan)
+	row, _ := w.registry.Allowance(a.Plan)
 	w.execute(plan.Command{Action: plan.SetAllowance, Name: a.Plan, Allowance: &a, IfMatch: row.Version, Create: row.Version == 0})
-	if _, ok := w.book.Customer("hot"); !ok {
+	if _, ok := w.registry.Customer("hot"); !ok {
 		w.execute(plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: a.Plan}, Create: true})
 	}
 	for _, v := range w.vms {
@@ -98,13 +98,13 @@
 }
 
 func (w *simulation) execute(c plan.Command) {
-	if r := w.book.Do(w.Now().UnixMilli(), c); r.Err() != nil {
+	if r := w.registry.Do(w.Now().UnixMilli(), c); r.Err() != nil {
 		w.fail("%v", r.Err())
 	}
 }
 
 func (w *simulation) allowance() plan.Allowance {
-	row, _ := w.book.Allowance("p")
+	row, _ := w.registry.Allowance("p")
 	return row.Allowance
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -93,7 +93,7 @@
 	suspect bool
 }
 
-// Cached returns the number of prompt tokens expected to be in the engine's cache.
+// CachedTokens returns the number of prompt tokens expected to be in the engine's cache.
 func (p *Placement) Cached() int { return p.cached }
 
 // Outcome is how placed work ended.
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,7 +23,9 @@
 	return t
 }
 
-func newQuery(prompt, tokens int) *Query { return &Query{Pool: "m", Prompt: prompt, New: tokens} }
+func newQuery(prompt, tokens int) *Query {
+	return &Query{Pool: "m", Prompt: prompt, New: tokens}
+}
 
 // Requests queue on one engine although others are idle. Eleven routers hold the
 // same report, 2 s old, in which one engine is idle and all others are busy. Each
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -296,7 +296,7 @@
 // averages over about five reports.
 const stepSmoothing = 0.2
 
-// Report applies a backend server's load report, which is load.AgeMS old at now. A
+// ApplyReport applies a backend server's load report, which is load.AgeMS old at now. A
 // report older than the last one applied is ignored.
 func (t *Table) Report(i int, load *engine.Load, now time.Time) {
 	s := t.engines[i]
