--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -11,8 +11,8 @@
 
 const targetWorkspaces = 6600
 
-func newTargetRegistry(b *testing.B) *plan.Book {
-	registry := plan.NewBook()
+func newTargetRegistry(b *testing.B) *plan.Registry {
+	registry := plan.NewRegistry()
 	apply(b, registry, setAllowance(allowance("gold", 1e12), 0))
 	for i := range targetWorkspaces {
 		apply(b, registry, setCustomer(fmt.Sprint("w", i), "gold", 0, fmt.Sprint("k", i)))
@@ -25,7 +25,7 @@
 func BenchmarkIndex(b *testing.B) {
 	registry := newTargetRegistry(b)
 	view := plan.NewView()
-	if err := view.Take(registry.Changes(0)); err != nil {
+	if err := view.Apply(registry.Changes(0)); err != nil {
 		b.Fatal(err)
 	}
 	delta := registry.Changes(registry.Version() - 1)
@@ -40,7 +40,7 @@
 
 func BenchmarkLookup(b *testing.B) {
 	view := plan.NewView()
-	if err := view.Take(newTargetRegistry(b).Changes(0)); err != nil {
+	if err := view.Apply(newTargetRegistry(b).Changes(0)); err != nil {
 		b.Fatal(err)
 	}
 	d := view.Directory()
--- a/internal/plan/command.go
+++ b/internal/plan/command.go
@@ -39,20 +39,20 @@
 
 // Command changes one row by compare-and-swap on the version of the row.
 type Command struct {
-	Action    Action     `cbor:"1,keyasint"`
-	Name      string     `cbor:"2,keyasint"` // workspace or plan
-	Customer  *Customer  `cbor:"3,keyasint,omitempty"`
-	Allowance *Allowance `cbor:"4,keyasint,omitempty"`
-	IfMatch   uint64     `cbor:"5,keyasint,omitempty"` // version of the row that the operator read
-	Create    bool       `cbor:"6,keyasint,omitempty"` // only if the row does not exist
-	Key       string     `cbor:"7,keyasint,omitempty"` // value of the Idempotency-Key header, if any
-	Who       string     `cbor:"8,keyasint,omitempty"`
+	Action         Action     `cbor:"1,keyasint"`
+	Name           string     `cbor:"2,keyasint"` // workspace or plan
+	Customer       *Customer  `cbor:"3,keyasint,omitempty"`
+	Allowance      *Allowance `cbor:"4,keyasint,omitempty"`
+	IfMatch        uint64     `cbor:"5,keyasint,omitempty"` // version of the row that the operator read
+	Create         bool       `cbor:"6,keyasint,omitempty"` // only if the row does not exist
+	IdempotencyKey string     `cbor:"7,keyasint,omitempty"` // value of the Idempotency-Key header, if any
+	Who            string     `cbor:"8,keyasint,omitempty"`
 }
 
 // digest identifies what the command does. It excludes the sender, since the same
 // command may be sent again from another terminal.
 func (c Command) digest() ([]byte, error) {
-	c.Key, c.Who = "", ""
+	c.IdempotencyKey, c.Who = "", ""
 	data, err := cbor.Marshal(c)
 	sum := sha256.Sum256(data)
 	return sum[:16], err
@@ -73,11 +73,11 @@
 // Reply is the reply to a Command. Version is the row's version after the command,
 // or after a conflict the current version, 0 if there is no such row.
 type Reply struct {
-	Code    result.Code `cbor:"1,keyasint,omitempty"`
-	Message string      `cbor:"2,keyasint,omitempty"`
-	Version uint64      `cbor:"3,keyasint"`
-	Lists   uint64      `cbor:"4,keyasint"` // version of the lists after the command
-	Created bool        `cbor:"5,keyasint,omitempty"`
+	Code         result.Code `cbor:"1,keyasint,omitempty"`
+	Message      string      `cbor:"2,keyasint,omitempty"`
+	Version      uint64      `cbor:"3,keyasint"`
+	ListsVersion uint64      `cbor:"4,keyasint"` // version of the lists after the command
+	Created      bool        `cbor:"5,keyasint,omitempty"`
 }
 
 // Err returns the error of the reply as a *result.Error, or nil.
--- a/internal/plan/fuzz_test.go
+++ b/internal/plan/fuzz_test.go
@@ -25,7 +25,7 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := plan.NewBook()
+		b := plan.NewRegistry()
 		apply(t, b, setAllowance(allowance("gold", 1000), 0))
 		apply(t, b, setCustomer("hot", "gold", 0, "k"))
 		l := plan.NewLedger(b, func(error) {})
@@ -33,7 +33,7 @@
 		for now := range int64(3) {
 			l.Apply(1000+now, data)
 		}
-		u := l.Use("hot")
+		u := l.Usage("hot")
 		if u.Spent.Plus(u.Outstanding).Tokens > 1000 || u.Spent.Plus(u.Outstanding).Requests > 1000 || u.Slots > 10 {
 			t.Errorf("granted %+v, want at most 1000 tokens, 1000 requests and 10 slots", u)
 		}
--- a/internal/plan/ledger.go
+++ b/internal/plan/ledger.go
@@ -14,10 +14,10 @@
 // connections, and a paused VM may come back. Tokens need no delay, since the grants
 // of a dead incarnation count as spent until the window ends.
 const (
-	DeadAfterMS     = 30_000
-	SafeDelayMS     = 30_000
-	activeHolderMS  = 10_000 // a VM that reported an account within this time counts as asking
-	sweepIntervalMS = 1_000
+	DeadAfterMS        = 30_000
+	SlotReleaseDelayMS = 30_000
+	activeHolderMS     = 10_000 // a VM that reported an account within this time counts as asking
+	sweepIntervalMS    = 1_000
 )
 
 // holding is what one incarnation holds of an account in the current window.
@@ -60,7 +60,7 @@
 // window, and slots held <= concurrency. After an allowance was lowered the sums
 // may exceed it, and then only fall.
 type Ledger struct {
-	registry         *Book
+	registry         *Registry
 	onInvariantError func(error)
 	accounts         map[string]*account
 	incarnations     map[string]*incarnation
@@ -78,7 +78,7 @@
 // NewLedger returns an empty ledger for the allowances in the registry. It calls
 // onInvariantError with each InvariantError. An account whose invariant is violated
 // gets no more grants in its window.
-func NewLedger(registry *Book, onInvariantError func(error)) *Ledger {
+func NewLedger(registry *Registry, onInvariantError func(error)) *Ledger {
 	return &Ledger{registry: registry, onInvariantError: onInvariantError, accounts: map[string]*account{}, incarnations: map[string]*incarnation{}}
 }
 
@@ -228,7 +228,7 @@
 func (a *account) grant(nowMS int64, h *holding, s AccountSync, limit Allowance) {
 	holders := a.activeHolders(nowMS)
 	left := limit.Limit().Minus(a.Committed)
-	if s.Least > max(left.Tokens, 0) {
+	if s.MinTokens > max(left.Tokens, 0) {
 		// A part of a request's cost would lie idle on this VM, while a smaller
 		// request on another VM could use it.
 		return
@@ -315,7 +315,7 @@
 		if inc.DeadMS == 0 && nowMS-inc.SeenMS > DeadAfterMS {
 			inc.DeadMS = nowMS
 		}
-		if inc.DeadMS != 0 && nowMS-inc.DeadMS > SafeDelayMS {
+		if inc.DeadMS != 0 && nowMS-inc.DeadMS > SlotReleaseDelayMS {
 			l.removeIncarnation(name)
 		}
 	}
--- a/internal/plan/ledger_test.go
+++ b/internal/plan/ledger_test.go
@@ -11,13 +11,13 @@
 
 type ledgerTest struct {
 	*testing.T
-	registry   *plan.Book
+	registry   *plan.Registry
 	ledger     *plan.Ledger
 	violations int
 }
 
 func newLedgerTest(t *testing.T, a *plan.Allowance) *ledgerTest {
-	l := &ledgerTest{T: t, registry: plan.NewBook()}
+	l := &ledgerTest{T: t, registry: plan.NewRegistry()}
 	l.ledger = plan.NewLedger(l.registry, func(error) { l.violations++ })
 	apply(t, l.registry, setAllowance(a, 0))
 	apply(t, l.registry, setCustomer("hot", a.Plan, 0))
@@ -66,7 +66,7 @@
 	if !bytes.Equal(again, raw) || first.Slots != 8 || first.Granted.Tokens < 100 {
 		t.Errorf("first grant %+v, want 8 slots and 100 tokens or more; repeated message got reply %x, want %x", first, again, raw)
 	}
-	if u := l.ledger.Use("hot"); u.Slots != 8 || u.Outstanding != first.Granted {
+	if u := l.ledger.Usage("hot"); u.Slots != 8 || u.Outstanding != first.Granted {
 		t.Errorf("usage after the repeated message is %+v, want the first grant", u)
 	}
 	if _, r, _ := l.sync(1003, "vm1", 1, plan.AccountSync{}); r.Status != plan.SyncStale {
@@ -118,7 +118,7 @@
 func TestContradictingReportIsRefused(t *testing.T) {
 	l := newLedgerTest(t, allowance("gold", 1000))
 	g, _, _ := l.sync(1000, "vm1", 1, plan.AccountSync{Need: plan.Amount{Tokens: 100, Requests: 1}})
-	before := l.ledger.Use("hot")
+	before := l.ledger.Usage("hot")
 	for i, bad := range []plan.AccountSync{
 		{Window: g.Window, Spent: plan.Amount{Tokens: 60}, Returned: plan.Amount{Tokens: 60}},
 		{Window: g.Window, Returned: plan.Amount{Tokens: -1}},
@@ -128,7 +128,7 @@
 			t.Errorf("report %+v got %+v and %d violations counted, want SyncRefused and one violation per report", bad, r, l.violations)
 		}
 	}
-	if after := l.ledger.Use("hot"); after != before {
+	if after := l.ledger.Usage("hot"); after != before {
 		t.Errorf("refused reports changed the usage from %+v to %+v", before, after)
 	}
 	if g, _, _ := l.sync(1002, "vm2", 1, plan.AccountSync{Need: plan.Amount{Tokens: 100, Requests: 1}}); g.Granted.Tokens < 100 {
--- a/internal/plan/query.go
+++ b/internal/plan/query.go
@@ -14,12 +14,12 @@
 	Version    uint64         `cbor:"1,keyasint"`
 	Customers  []CustomerRow  `cbor:"2,keyasint,omitempty"`
 	Allowances []AllowanceRow `cbor:"3,keyasint,omitempty"`
-	Use        Use            `cbor:"4,keyasint"` // of the selected workspace
+	Usage      Usage          `cbor:"4,keyasint"` // of the selected workspace
 	History    []Change       `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask answers a query.
-func (r *Book) Ask(q Query, l *Ledger) Answer {
+func (r *Registry) Ask(q Query, l *Ledger) Answer {
 	out := Answer{Version: r.version}
 	switch {
 	case q.History:
@@ -35,7 +35,7 @@
 	default:
 		if row, ok := r.Customer(q.Name); ok {
 			out.Customers = []CustomerRow{row}
-			out.Use = l.Use(q.Name)
+			out.Usage = l.Usage(q.Name)
 		}
 	}
 	return out
--- a/internal/plan/registry.go
+++ b/internal/plan/registry.go
@@ -41,7 +41,7 @@
 // that wrote it, counted over both lists. Versions therefore only grow, also when a
 // row is removed and created again, and a delayed command that names an old version
 // always fails.
-type Book struct {
+type Registry struct {
 	version    uint64
 	customers  map[string]CustomerRow
 	allowances map[string]AllowanceRow
@@ -53,8 +53,8 @@
 }
 
 // NewRegistry returns a Registry with empty lists.
-func NewBook() *Book {
-	return &Book{
+func NewRegistry() *Registry {
+	return &Registry{
 		customers: map[string]CustomerRow{}, allowances: map[string]AllowanceRow{},
 		keyOwner: map[string]string{}, planUsers: map[string]int{}, replies: map[string]storedReply{},
 	}
@@ -62,9 +62,9 @@
 
 // Apply implements control.StateMachine. data is an encoded Command, the result an
 // encoded Reply.
-func (r *Book) Apply(nowMS int64, data []byte) []byte {
+func (r *Registry) Apply(nowMS int64, data []byte) []byte {
 	var c Command
-	reply := Reply{Lists: r.version}
+	reply := Reply{ListsVersion: r.version}
 	if err := cbor.Unmarshal(data, &c); err != nil {
 		reply.fail(result.Newf(result.MalformedBody, "command: %v", err))
 		return encode(reply)
@@ -92,27 +92,27 @@
 // sends the command again, perhaps to another VM after a change of leader. The
 // operator must get the first reply rather than a conflict with the operator's own
 // change.
-func (r *Book) Do(nowMS int64, c Command) Reply {
+func (r *Registry) Do(nowMS int64, c Command) Reply {
 	digest, err := c.digest()
 	if err != nil {
-		reply := Reply{Lists: r.version}
+		reply := Reply{ListsVersion: r.version}
 		reply.fail(err)
 		return reply
 	}
-	if first, ok := r.replies[c.Key]; ok && c.Key != "" {
+	if first, ok := r.replies[c.IdempotencyKey]; ok && c.IdempotencyKey != "" {
 		if !slices.Equal(first.Digest, digest) {
-			reply := Reply{Lists: r.version}
+			reply := Reply{ListsVersion: r.version}
 			reply.fail(result.New(result.KeyReused))
 			return reply
 		}
 		return first.Reply
 	}
 	reply := r.decide(nowMS, c)
-	r.storeReply(storedReply{Key: c.Key, Digest: digest, Reply: reply})
+	r.storeReply(storedReply{Key: c.IdempotencyKey, Digest: digest, Reply: reply})
 	return reply
 }
 
-func (r *Book) storeReply(a storedReply) {
+func (r *Registry) storeReply(a storedReply) {
 	if a.Key == "" {
 		return
 	}
@@ -126,9 +126,9 @@
 	}
 }
 
-func (r *Book) decide(nowMS int64, c Command) Reply {
+func (r *Registry) decide(nowMS int64, c Command) Reply {
 	current := r.currentVersion(c)
-	reply := Reply{Version: current, Lists: r.version}
+	reply := Reply{Version: current, ListsVersion: r.version}
 	if err := r.checkPreconditions(c, current); err != nil {
 		reply.fail(err)
 		return reply
@@ -144,18 +144,18 @@
 	if over := len(r.history) - maxHistory; over > 0 {
 		r.history = slices.Delete(r.history, 0, over)
 	}
-	return Reply{Version: r.currentVersion(c), Lists: r.version, Created: current == 0}
+	return Reply{Version: r.currentVersion(c), ListsVersion: r.version, Created: current == 0}
 }
 
 // currentVersion is the version of the row that a command names, 0 if there is none.
-func (r *Book) currentVersion(c Command) uint64 {
+func (r *Registry) currentVersion(c Command) uint64 {
 	if c.Action == SetCustomer || c.Action == RemoveCustomer {
 		return r.customers[c.Name].Version
 	}
 	return r.allowances[c.Name].Version
 }
 
-func (r *Book) checkPreconditions(c Command, current uint64) error {
+func (r *Registry) checkPreconditions(c Command, current uint64) error {
 	if err := c.validate(); err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 }
 
 // checkReferences checks a row against the other rows.
-func (r *Book) checkReferences(c Command) error {
+func (r *Registry) checkReferences(c Command) error {
 	switch c.Action {
 	case SetCustomer:
 		if _, ok := r.allowances[c.Customer.Plan]; !ok {
@@ -198,7 +198,7 @@
 
 // execute changes the row and returns the differences. If the new row equals the
 // current one, it reports false and the row keeps its version.
-func (r *Book) execute(c Command, version uint64) ([]string, bool) {
+func (r *Registry) execute(c Command, version uint64) ([]string, bool) {
 	switch c.Action {
 	case SetCustomer:
 		before, ok := r.customers[c.Name]
@@ -226,7 +226,7 @@
 	return nil, false
 }
 
-func (r *Book) putCustomer(row CustomerRow) {
+func (r *Registry) putCustomer(row CustomerRow) {
 	r.dropCustomer(row.Workspace)
 	r.customers[row.Workspace] = row
 	r.planUsers[row.Plan]++
@@ -235,7 +235,7 @@
 	}
 }
 
-func (r *Book) dropCustomer(workspace string) {
+func (r *Registry) dropCustomer(workspace string) {
 	row, ok := r.customers[workspace]
 	if !ok {
 		return
@@ -250,7 +250,7 @@
 }
 
 // lookup returns the allowance of a workspace.
-func (r *Book) lookup(workspace string) (Allowance, bool) {
+func (r *Registry) lookup(workspace string) (Allowance, bool) {
 	c, ok := r.customers[workspace]
 	if !ok {
 		return Allowance{}, false
--- a/internal/plan/registry_state.go
+++ b/internal/plan/registry_state.go
@@ -15,7 +15,7 @@
 type Delta struct {
 	From              uint64         `cbor:"1,keyasint"`
 	To                uint64         `cbor:"2,keyasint"`
-	Whole             bool           `cbor:"3,keyasint,omitempty"`
+	Full              bool           `cbor:"3,keyasint,omitempty"`
 	Customers         []CustomerRow  `cbor:"4,keyasint,omitempty"`
 	Allowances        []AllowanceRow `cbor:"5,keyasint,omitempty"`
 	RemovedCustomers  []string       `cbor:"6,keyasint,omitempty"`
@@ -23,11 +23,11 @@
 }
 
 // Version implements control.StateMachine. It is the number of changes so far.
-func (r *Book) Version() uint64 { return r.version }
+func (r *Registry) Version() uint64 { return r.version }
 
 // Changes implements control.StateMachine. It returns an encoded Delta. The history
 // tells which rows changed; if it does not reach back to since, the delta is full.
-func (r *Book) Changes(since uint64) []byte {
+func (r *Registry) Changes(since uint64) []byte {
 	if since > r.version || r.version-since > uint64(len(r.history)) {
 		return encode(r.fullDelta(since))
 	}
@@ -53,7 +53,7 @@
 	return encode(d)
 }
 
-func (d *Delta) addCustomer(r *Book, name string) {
+func (d *Delta) addCustomer(r *Registry, name string) {
 	if row, ok := r.customers[name]; ok {
 		d.Customers = append(d.Customers, row)
 		return
@@ -61,7 +61,7 @@
 	d.RemovedCustomers = append(d.RemovedCustomers, name)
 }
 
-func (d *Delta) addAllowance(r *Book, name string) {
+func (d *Delta) addAllowance(r *Registry, name string) {
 	if row, ok := r.allowances[name]; ok {
 		d.Allowances = append(d.Allowances, row)
 		return
@@ -69,34 +69,34 @@
 	d.RemovedAllowances = append(d.RemovedAllowances, name)
 }
 
-func (r *Book) fullDelta(since uint64) Delta {
-	return Delta{From: since, To: r.version, Whole: true, Customers: r.Customers(), Allowances: r.Allowances()}
+func (r *Registry) fullDelta(since uint64) Delta {
+	return Delta{From: since, To: r.version, Full: true, Customers: r.Customers(), Allowances: r.Allowances()}
 }
 
 // Customers returns the customers in order of workspace.
-func (r *Book) Customers() []CustomerRow {
+func (r *Registry) Customers() []CustomerRow {
 	return slices.SortedFunc(maps.Values(r.customers), func(x, y CustomerRow) int { return cmp.Compare(x.Workspace, y.Workspace) })
 }
 
 // Allowances returns the allowances in order of plan.
-func (r *Book) Allowances() []AllowanceRow {
+func (r *Registry) Allowances() []AllowanceRow {
 	return slices.SortedFunc(maps.Values(r.allowances), func(x, y AllowanceRow) int { return cmp.Compare(x.Plan, y.Plan) })
 }
 
 // Customer returns the row of a workspace.
-func (r *Book) Customer(workspace string) (CustomerRow, bool) {
+func (r *Registry) Customer(workspace string) (CustomerRow, bool) {
 	row, ok := r.customers[workspace]
 	return row, ok
 }
 
 // Allowance returns the row of a plan.
-func (r *Book) Allowance(plan string) (AllowanceRow, bool) {
+func (r *Registry) Allowance(plan string) (AllowanceRow, bool) {
 	row, ok := r.allowances[plan]
 	return row, ok
 }
 
 // History returns the stored changes of one customer or allowance, newest first.
-func (r *Book) History(customers bool, name string) []Change {
+func (r *Registry) History(customers bool, name string) []Change {
 	out := []Change{}
 	for _, c := range slices.Backward(r.history) {
 		ofCustomers := c.Action == SetCustomer || c.Action == RemoveCustomer
@@ -116,7 +116,7 @@
 }
 
 // Snapshot implements control.StateMachine.
-func (r *Book) Snapshot() ([]byte, error) {
+func (r *Registry) Snapshot() ([]byte, error) {
 	s := registrySnapshot{Version: r.version, Customers: r.Customers(), Allowances: r.Allowances(), History: r.history}
 	for _, k := range r.replyKeys {
 		s.Replies = append(s.Replies, r.replies[k])
@@ -125,12 +125,12 @@
 }
 
 // Restore implements control.StateMachine.
-func (r *Book) Restore(data []byte) error {
+func (r *Registry) Restore(data []byte) error {
 	var s registrySnapshot
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return err
 	}
-	next := NewBook()
+	next := NewRegistry()
 	next.version, next.history = s.Version, s.History
 	for _, row := range s.Customers {
 		next.putCustomer(row)
@@ -167,7 +167,7 @@
 // Apply applies an encoded Delta. A Delta that ends at or before the copy's version
 // is ignored: it is delayed or comes from a VM that lags, and would restore old
 // rows. The error is ErrGap or a decoding error.
-func (v *View) Take(data []byte) error {
+func (v *View) Apply(data []byte) error {
 	var d Delta
 	if err := cbor.Unmarshal(data, &d); err != nil {
 		return err
@@ -175,7 +175,7 @@
 	switch {
 	case d.To <= v.version:
 		return nil
-	case d.Whole:
+	case d.Full:
 		clear(v.customers)
 		clear(v.allowances)
 	case d.From > v.version:
--- a/internal/plan/sync.go
+++ b/internal/plan/sync.go
@@ -41,7 +41,7 @@
 	Returned  Amount `cbor:"4,keyasint"`           // to the ledger; the router must not use it again
 	Reserved  Amount `cbor:"10,keyasint"`          // for running requests, out of what it holds
 	Need      Amount `cbor:"5,keyasint"`           // for requests that wait now, beyond what it holds
-	Least     int64  `cbor:"11,keyasint"`          // tokens that the cheapest waiting request needs beyond what is held
+	MinTokens int64  `cbor:"11,keyasint"`          // tokens that the cheapest waiting request needs beyond what is held
 	Want      Amount `cbor:"6,keyasint"`           // Need plus the expected use until the next message
 	SlotsKeep int    `cbor:"7,keyasint,omitempty"` // concurrency that it keeps; the rest is returned
 	SlotsNeed int    `cbor:"8,keyasint,omitempty"` // concurrency for running and waiting requests
--- a/internal/quota/core.go
+++ b/internal/quota/core.go
@@ -84,7 +84,7 @@
 
 // Counts are totals since the Core was created.
 type Counts struct {
-	Reserved, Refused, Messages, Dead, Overrun int64
+	Reserved, Refused, Messages, LostIncarnations, Overruns int64
 }
 
 // NewCore returns the state of a new incarnation of a VM, which holds no grants.
@@ -210,7 +210,7 @@
 		return
 	}
 	if tokens > t.cost.Tokens {
-		c.Counts.Overrun++
+		c.Counts.Overruns++
 	}
 	a.spent = a.spent.Plus(plan.Amount{Tokens: min(max(tokens, 0), t.cost.Tokens), Requests: 1})
 }
@@ -284,14 +284,14 @@
 
 // ApplyReply applies the reply to the message in flight, and admits or refuses
 // waiting requests. It ignores replies to other messages.
-func (c *Core) Take(now time.Time, r plan.SyncReply) {
+func (c *Core) ApplyReply(now time.Time, r plan.SyncReply) {
 	if c.inflight == nil || r.Seq != c.inflight.Seq {
 		return
 	}
 	sent := c.sentAt
 	c.inflight = nil
 	if r.Status != plan.SyncOK {
-		c.Counts.Dead++
+		c.Counts.LostIncarnations++
 		c.startIncarnation()
 		return
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -45,10 +45,10 @@
 	l.unreachable, l.loseReplies = unreachable, loseReplies
 }
 
-func newTestQuota(t *testing.T) (*Quota, *lossyGroup, func() plan.Use, plan.Allowance) {
+func newTestQuota(t *testing.T) (*Quota, *lossyGroup, func() plan.Usage, plan.Allowance) {
 	t.Helper()
 	a := allowance(1000, 4, time.Hour)
-	registry, machine := plan.NewBook(), control.NewMachine()
+	registry, machine := plan.NewRegistry(), control.NewMachine()
 	registry.Do(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
 	registry.Do(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
 	ledger := plan.NewLedger(registry, func(err error) { t.Error(err) })
@@ -58,8 +58,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go q.Run(ctx)
-	use := func() (u plan.Use) {
-		machine.Read(control.PartLedger, func(control.Part) { u = ledger.Use("hot") })
+	use := func() (u plan.Usage) {
+		machine.Read(control.PartLedger, func(control.Part) { u = ledger.Usage("hot") })
 		return u
 	}
 	return q, group, use, a
@@ -122,7 +122,7 @@
 			time.Sleep(5 * time.Minute)
 		}
 		q.mu.Lock()
-		dead := q.core.Counts.Dead
+		dead := q.core.Counts.LostIncarnations
 		q.mu.Unlock()
 		if u := use(); u.Spent.Tokens != 300 || u.Outstanding.Tokens != 0 || u.Slots != 0 || dead != 0 {
 			t.Errorf("after idle periods: usage %+v, %d incarnations lost; want 300 tokens spent, none outstanding, no slots, 0 lost", u, dead)
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -18,7 +18,7 @@
 	*virtualtime.Queue
 
 	rng      *rand.Rand
-	registry *plan.Book
+	registry *plan.Registry
 	ledger   *plan.Ledger
 	vms      []*vm
 
@@ -54,7 +54,7 @@
 
 func newSimulation(seed uint64, vms int, fail func(format string, args ...any)) *simulation {
 	w := &simulation{
-		Queue: virtualtime.New(epoch), rng: rand.New(rand.NewPCG(seed, 1)), fail: fail, registry: plan.NewBook(),
+		Queue: virtualtime.New(epoch), rng: rand.New(rand.NewPCG(seed, 1)), fail: fail, registry: plan.NewRegistry(),
 		charged: map[string]int64{}, used: map[string]int64{}, limits: map[string]int64{},
 	}
 	w.ledger = plan.NewLedger(w.registry, w.invariantBroken)
@@ -166,7 +166,7 @@
 		return
 	}
 	v.inFlight = 0
-	v.core.Take(w.Now(), r)
+	v.core.ApplyReply(w.Now(), r)
 	if v.core.Urgent() {
 		w.pump(v)
 	}
--- a/internal/routing/hints.go
+++ b/internal/routing/hints.go
@@ -25,7 +25,7 @@
 
 // BlockDigests returns the digests of a prompt's prefixes, BlockTokens apart and
 // at most MaxBlocks of them.
-func Blocks(r *generation.Request) []uint64 {
+func BlockDigests(r *generation.Request) []uint64 {
 	n := min(r.PromptTokens()/BlockTokens, MaxBlocks)
 	out := make([]uint64, 0, n)
 	var d uint64
@@ -184,7 +184,7 @@
 // ApplyCacheEvents applies a page of an engine's cache events that follow
 // CacheSeq. A gap in the sequence numbers may hide evictions. All hints for the
 // engine are then invalidated and rebuilt from the events after the gap.
-func (t *Table) CacheEvents(i int, page *engine.CacheEvents) {
+func (t *Table) ApplyCacheEvents(i int, page *engine.CacheEvents) {
 	s := t.engines[i]
 	if page.Next < s.cacheSeq {
 		t.invalidateHints(s) // the engine has restarted
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -30,7 +30,7 @@
 	if i, hit := t.bestHolder(p, q, now, cost); i >= 0 {
 		return t.place(i, q, hit, now), true
 	}
-	cached := t.hints.cachedTokens(best, t.engines[best].hintsGen, q.Blocks)
+	cached := t.hints.cachedTokens(best, t.engines[best].hintsGen, q.BlockDigests)
 	return t.place(best, q, cached, now), true
 }
 
@@ -121,14 +121,14 @@
 // length of that prefix in tokens, if the prefill it saves outweighs the engine's
 // additional load. Otherwise the engine is -1.
 func (t *Table) bestHolder(p *pool, q *Query, now time.Time, cost float64) (int, int) {
-	holders, tokens := t.hints.longestPrefix(q.Blocks, t.engines)
+	holders, tokens := t.hints.longestPrefix(q.BlockDigests, t.engines)
 	best, bestTokens := -1, 0
 	_, mean := p.meanWork()
 	weight := q.Affinity
 	if weight == 0 {
 		weight = 1
 	}
-	bound := affinityLoadBound * max(mean, Work(q.Prompt, q.New))
+	bound := affinityLoadBound * max(mean, Work(q.PromptTokens, q.NewTokens))
 	for _, h := range holders.list[:holders.n] {
 		i := int(h.engine)
 		s := t.engines[i]
@@ -179,7 +179,7 @@
 // by the engine's slowness.
 func (t *Table) cost(p *pool, i int, q *Query, now time.Time) float64 {
 	s := t.engines[i]
-	return (s.work + t.estimateOthers(p, s, now) + Work(q.Prompt, q.New)) * t.slowness(p, s)
+	return (s.work + t.estimateOthers(p, s, now) + Work(q.PromptTokens, q.NewTokens)) * t.slowness(p, s)
 }
 
 // estimateOthers estimates the work of other routers on an engine. The weight of a
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -70,13 +70,13 @@
 
 // Query describes a piece of work.
 type Query struct {
-	Pool    string
-	Prompt  int      // tokens to prefill if nothing is cached
-	New     int      // tokens still to generate
-	Blocks  []uint64 // prefix digests, from the function BlockDigests
-	Avoid   []string // names of backend servers to use only if there are no others
-	Resume  bool     // accepted work of a lost engine; may exceed limits by resumeSlack
-	Suspect bool     // suspect content that may have crashed an engine; is isolated
+	Pool         string
+	PromptTokens int      // tokens to prefill if nothing is cached
+	NewTokens    int      // tokens still to generate
+	BlockDigests []uint64 // prefix digests, from the function BlockDigests
+	Avoid        []string // names of backend servers to use only if there are no others
+	Resume       bool     // accepted work of a lost engine; may exceed limits by resumeSlack
+	Suspect      bool     // suspect content that may have crashed an engine; is isolated
 
 	// Affinity is the weight of the prefill that a cached prefix saves, relative
 	// to load. 0 means 1.
@@ -94,7 +94,7 @@
 }
 
 // CachedTokens returns the number of prompt tokens expected to be in the engine's cache.
-func (p *Placement) Cached() int { return p.cached }
+func (p *Placement) CachedTokens() int { return p.cached }
 
 // Outcome is how placed work ended.
 type Outcome int
@@ -104,6 +104,6 @@
 	OK        Outcome = iota
 	Failed            // an error reply or a broken stream
 	Refused           // the connection was refused; the server is down
-	Silent            // by the failure detector; the server may be alive
+	Suspected         // by the failure detector; the server may be alive
 	Cancelled         // by the router; no evidence about the server
 )
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -24,7 +24,7 @@
 }
 
 func newQuery(prompt, tokens int) *Query {
-	return &Query{Pool: "m", Prompt: prompt, New: tokens}
+	return &Query{Pool: "m", PromptTokens: prompt, NewTokens: tokens}
 }
 
 // Requests queue on one engine although others are idle. Eleven routers hold the
@@ -42,7 +42,7 @@
 			if i == 5 {
 				load.Running = 0
 			}
-			tab.Report(i, load, start)
+			tab.ApplyReport(i, load, start)
 		}
 		for range requests {
 			p, ok := tab.Pick(newQuery(100, 200), start)
@@ -76,10 +76,10 @@
 	for n := range 600 {
 		q := newQuery(1100, 100)
 		if n%2 == 0 {
-			q.Blocks = hot
+			q.BlockDigests = hot
 		}
 		p, _ := tab.Pick(q, start)
-		if p.Cached() > 0 {
+		if p.CachedTokens() > 0 {
 			hits++
 		}
 	}
@@ -104,21 +104,21 @@
 		}
 		return page
 	}
-	tab.CacheEvents(2, events(1, 8))
+	tab.ApplyCacheEvents(2, events(1, 8))
 	chain := []uint64{1, 2, 3, 4}
 	if got := tab.hints.cachedTokens(2, tab.engines[2].hintsGen, chain); got != 4*BlockTokens {
 		t.Fatalf("got %d cached tokens, want %d", got, 4*BlockTokens)
 	}
 	page := events(9, 12)
 	page.Events = append(page.Events[:1], page.Events[2:]...) // event 10 is lost
-	tab.CacheEvents(2, page)
+	tab.ApplyCacheEvents(2, page)
 	if got := tab.hints.cachedTokens(2, tab.engines[2].hintsGen, chain); got != 0 {
 		t.Errorf("got %d cached tokens after a gap that may hide their eviction, want 0", got)
 	}
 	if got := tab.hints.cachedTokens(2, tab.engines[2].hintsGen, []uint64{11, 12}); got == 0 {
 		t.Error("got 0 cached tokens for events after the gap, want more")
 	}
-	tab.CacheEvents(2, &engine.CacheEvents{Next: 3})
+	tab.ApplyCacheEvents(2, &engine.CacheEvents{Next: 3})
 	if got := tab.hints.cachedTokens(2, tab.engines[2].hintsGen, []uint64{11}); got != 0 || tab.CacheSeq(2) != 3 {
 		t.Error("hints of a restarted engine were not invalidated")
 	}
@@ -148,7 +148,7 @@
 // more likely this router itself, and none may be ejected.
 func TestSlowEnginesAreEjectedWithinCap(t *testing.T) {
 	tab := newTable("z0", 10, 1, 1)
-	report := func(i int, step float64) { tab.Report(i, &engine.Load{StepMS: step, Running: 4}, start) }
+	report := func(i int, step float64) { tab.ApplyReport(i, &engine.Load{StepMS: step, Running: 4}, start) }
 	for i := range 10 {
 		report(i, 10)
 	}
@@ -203,10 +203,10 @@
 
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	tab := newTable("z0", 3, 1, 1)
-	tab.Report(1, &engine.Load{Leaving: true}, start)
+	tab.ApplyReport(1, &engine.Load{Leaving: true}, start)
 	tab.SetLeaving(1, false) // the platform's list is outdated
 	tab.SetLeaving(2, true)
-	tab.Report(2, &engine.Load{}, start) // this report is outdated too
+	tab.ApplyReport(2, &engine.Load{}, start) // this report is outdated too
 	for range 100 {
 		if p, _ := tab.Pick(newQuery(10, 10), start); p.Engine != 0 {
 			t.Fatal("new work was placed on a leaving engine")
@@ -249,7 +249,7 @@
 		for {
 			p, _ := tab.Pick(newQuery(10, 10), start)
 			if tab.Spec(p.Engine).Zone == "z1" {
-				tab.Done(&p, Silent, start)
+				tab.Done(&p, Suspected, start)
 				break
 			}
 		}
@@ -310,17 +310,17 @@
 		b.Run(bench.name, func(b *testing.B) {
 			tab := newTable("z0", 710, 5, 1)
 			for i := range 710 {
-				tab.Report(i, &engine.Load{Running: i % 20, StepMS: 10, AgeMS: 500}, start)
+				tab.ApplyReport(i, &engine.Load{Running: i % 20, StepMS: 10, AgeMS: 500}, start)
 			}
-			q := Query{Pool: "m", Prompt: 1200, New: 300, Blocks: make([]uint64, bench.chain)}
+			q := Query{Pool: "m", PromptTokens: 1200, NewTokens: 300, BlockDigests: make([]uint64, bench.chain)}
 			b.ReportAllocs()
 			n := uint64(0)
 			for b.Loop() {
 				n++
-				for j := range q.Blocks {
-					q.Blocks[j] = uint64(j)
+				for j := range q.BlockDigests {
+					q.BlockDigests[j] = uint64(j)
 					if !bench.same {
-						q.Blocks[j] += n * 64
+						q.BlockDigests[j] += n * 64
 					}
 				}
 				p, _ := tab.Pick(&q, start)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -145,7 +145,7 @@
 }
 
 // HasPool reports whether any backend server is listed for a pool.
-func (t *Table) Has(poolName string) bool { return t.pools[poolName] != nil }
+func (t *Table) HasPool(poolName string) bool { return t.pools[poolName] != nil }
 
 // Spec returns the description of a backend server.
 func (t *Table) Spec(i int) *Spec { return &t.engines[i].Spec }
@@ -225,7 +225,7 @@
 // place records work on the backend server that Pick chose.
 func (t *Table) place(i int, q *Query, cached int, now time.Time) Placement {
 	s := t.engines[i]
-	p := Placement{Engine: i, cached: cached, work: Work(q.Prompt-cached, q.New), suspect: q.Suspect}
+	p := Placement{Engine: i, cached: cached, work: Work(q.PromptTokens-cached, q.NewTokens), suspect: q.Suspect}
 	if s.health.state(now) == stateProbing {
 		p.probe = true
 		s.health.probeInFlight = true
@@ -236,7 +236,7 @@
 	s.inflight++
 	s.addWork(p.work)
 	s.history.add(now, s.work)
-	t.hints.learn(i, s.hintsGen, q.Blocks, cached/BlockTokens)
+	t.hints.learn(i, s.hintsGen, q.BlockDigests, cached/BlockTokens)
 	return p
 }
 
@@ -256,7 +256,7 @@
 }
 
 // EndIsolation ends the isolation of work whose content is no longer suspect.
-func (t *Table) Cleared(p *Placement) {
+func (t *Table) EndIsolation(p *Placement) {
 	if p.suspect {
 		p.suspect = false
 		t.engines[p.Engine].suspects--
@@ -271,7 +271,7 @@
 	if s.inflight == 0 {
 		s.addWork(-s.work) // removes floating-point residue
 	}
-	t.Cleared(p)
+	t.EndIsolation(p)
 	if p.probe {
 		s.health.probeInFlight = false
 	}
@@ -283,7 +283,7 @@
 		s.health.success()
 	case Failed:
 		s.health.failure(now)
-	case Silent:
+	case Suspected:
 		s.health.eject(now)
 	case Refused:
 		s.health.eject(now)
@@ -298,7 +298,7 @@
 
 // ApplyReport applies a backend server's load report, which is load.AgeMS old at now. A
 // report older than the last one applied is ignored.
-func (t *Table) Report(i int, load *engine.Load, now time.Time) {
+func (t *Table) ApplyReport(i int, load *engine.Load, now time.Time) {
 	s := t.engines[i]
 	at := now.Add(-time.Duration(load.AgeMS) * time.Millisecond)
 	if at.Before(s.reportedAt) {
