--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -50,7 +50,7 @@
 		WantLoad: true, WantUse: wantUse, RoutersHeld: held,
 	}
 	id := func(i int) string { return f.engines[i%len(f.engines)].ID }
-	n.Told = Told{Life: uint64(router + 1), Turn: f.turn, Use: map[string]placement.Use{
+	n.Told = Told{Life: uint64(router + 1), Turn: f.turn, Use: map[string]placement.Usage{
 		id(router): {Requests: 1, Tokens: 9000}, id(router + 7): {Tokens: 9000, Copies: 9000}, "call": {Requests: 1},
 	}}
 	for i := 0; i < len(f.engines); i += 5 {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -101,10 +101,10 @@
 	// Encoded is a Summary, for those who want it, EncodedUse the use of engines, and
 	// Own the asker's part of both. Routers are the VMs that take callers, where they
 	// are not those held.
-	Encoded    cbor.RawMessage          `cbor:"3,keyasint,omitempty"`
-	Own        map[string]placement.Use `cbor:"4,keyasint,omitempty"`
-	EncodedUse cbor.RawMessage          `cbor:"9,keyasint,omitempty"`
-	Routers    []string                 `cbor:"11,keyasint,omitempty"`
+	Encoded    cbor.RawMessage            `cbor:"3,keyasint,omitempty"`
+	Own        map[string]placement.Usage `cbor:"4,keyasint,omitempty"`
+	EncodedUse cbor.RawMessage            `cbor:"9,keyasint,omitempty"`
+	Routers    []string                   `cbor:"11,keyasint,omitempty"`
 	// Digest and AgeMS are of the control VM's list; Changed leads to it from the one
 	// held. Where it is missing and the digests differ, the list is to be fetched.
 	Digest  uint64            `cbor:"5,keyasint,omitempty"`
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -28,14 +28,14 @@
 type testVM struct {
 	member *Member
 	held   *Held
-	use    atomic.Pointer[map[string]placement.Use]
+	use    atomic.Pointer[map[string]placement.Usage]
 	heard  atomic.Pointer[Known]
 	gone   atomic.Bool // not ready
 	stop   context.CancelFunc
 }
 
 // uses sets what the router has running from now on.
-func (v *testVM) uses(use map[string]placement.Use) { v.use.Store(&use) }
+func (v *testVM) uses(use map[string]placement.Usage) { v.use.Store(&use) }
 
 func startHub(ctx context.Context, n *peertest.Net, id string, all []string) *testHub {
 	h := &testHub{held: NewHeld(func(upstream.List) {})}
@@ -48,11 +48,11 @@
 
 func startRouter(ctx context.Context, n *peertest.Net, id string, seeds []string, requests int) *testVM {
 	v := &testVM{}
-	v.uses(map[string]placement.Use{"e1": {Requests: requests}})
+	v.uses(map[string]placement.Usage{"e1": {Requests: requests}})
 	v.held = NewHeld(func(upstream.List) {})
 	v.member = NewMember(id, n.VM(id), seeds, v.held, Local{
 		Callers: id + ":80", Ready: func() bool { return !v.gone.Load() },
-		Use: func() map[string]placement.Use { return *v.use.Load() }, Learn: func(k Known) { v.heard.Store(&k) },
+		Use: func() map[string]placement.Usage { return *v.use.Load() }, Learn: func(k Known) { v.heard.Store(&k) },
 	}, zerolog.Nop())
 	ctx, v.stop = context.WithCancel(ctx)
 	go v.member.Run(ctx)
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -26,7 +26,7 @@
 	Zone    string
 	Callers string
 	Ready   func() bool
-	Use     func() map[string]placement.Use
+	Use     func() map[string]placement.Usage
 	Deaths  func() []recovery.Death
 	Dead    func() []string
 	Kept    func() []forward.Kept
@@ -34,7 +34,7 @@
 	// Opinion is what this VM thinks of backend servers, and Paces what it observed of
 	// them, by service.
 	Opinion func() upstream.Opinion
-	Paces   func() map[string]scheduler.Pace
+	Paces   func() map[string]scheduler.EngineTiming
 	// Learn takes what a control VM knows of the other VMs, and LearnSpent what
 	// they together spent of the retry budgets.
 	Learn      func(Known)
--- a/internal/cluster/place_test.go
+++ b/internal/cluster/place_test.go
@@ -56,7 +56,7 @@
 	if !ok || first.Outcome != scheduler.Granted || first.Server != "e0" {
 		t.Fatalf("first: %+v, %t", first, ok)
 	}
-	reads.uses(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600, Prompt: 8000}})
+	reads.uses(map[string]placement.Usage{"e0": {Requests: 1, Tokens: 8600, PendingPrompt: 8000}})
 	reads.member.Took(first.Number)
 	return reads, other
 }
@@ -83,7 +83,7 @@
 			t.Fatalf("placed beside a prompt that is being read: %+v", got)
 		default:
 		}
-		a.uses(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600}})
+		a.uses(map[string]placement.Usage{"e0": {Requests: 1, Tokens: 8600}})
 		read := time.Now()
 		a.member.UseChanged()
 		got := <-second
@@ -147,15 +147,15 @@
 func TestOvertakenUse(t *testing.T) {
 	c := newSchedule(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(1))
-	busy := map[string]placement.Use{"e0": {Requests: 1, Prompt: 8000}}
+	busy := map[string]placement.Usage{"e0": {Requests: 1, PendingPrompt: 8000}}
 	c.told("r1", &Told{Life: 7, Turn: 2})
 	c.told("r1", &Told{Life: 7, Turn: 1, Use: busy})
-	c.s.Ask(scheduler.Stream{ID: "1", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
+	c.s.Enqueue(scheduler.Stream{ID: "1", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
 	if p := c.runFor("1"); p.Outcome != scheduler.Granted {
 		t.Errorf("outcome %d", p.Outcome)
 	}
 	c.told("r1", &Told{Life: 8, Turn: 1, Use: busy}) // the process was started again
-	c.s.Ask(scheduler.Stream{ID: "2", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
+	c.s.Enqueue(scheduler.Stream{ID: "2", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
 	if p := c.runFor("2"); p.Outcome != scheduler.Waiting {
 		t.Errorf("outcome %d beside a prompt that is being read", p.Outcome)
 	}
@@ -192,7 +192,7 @@
 		v := startPlacing(ctx, n, "r1")
 		time.Sleep(time.Second)
 		first, _ := v.place(ctx, "1")
-		v.uses(map[string]placement.Use{"e0": {Requests: 8, Tokens: 70_000}})
+		v.uses(map[string]placement.Usage{"e0": {Requests: 8, Tokens: 70_000}})
 		v.member.Took(first.Number)
 		for range 6 {
 			time.Sleep(NoticeEvery)
@@ -234,7 +234,7 @@
 		if !ok || first.Outcome != scheduler.Granted {
 			t.Fatalf("first: %+v, %t", first, ok)
 		}
-		reads.uses(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600, Prompt: 8000}})
+		reads.uses(map[string]placement.Usage{"e0": {Requests: 1, Tokens: 8600, PendingPrompt: 8000}})
 		reads.member.Took(first.Number)
 		n.Kill(controls[0])
 		n.Kill(controls[1])
@@ -252,7 +252,7 @@
 func TestDoubtIsKeptBetweenNotices(t *testing.T) {
 	c := newSchedule(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(2))
-	use := map[string]placement.Use{"e1": {Requests: 1}}
+	use := map[string]placement.Usage{"e1": {Requests: 1}}
 	doubted := func() []string { return c.turns["r1"].Doubt }
 	c.told("r1", &Told{Life: 1, Turn: 1, Doubt: []string{"e0"}})
 	c.told("r1", &Told{Life: 1, Turn: 2, Use: use, SameDoubt: true})
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -21,15 +21,15 @@
 
 // Told is what a router tells of its use of engines.
 type Told struct {
-	Life uint64                   `cbor:"1,keyasint"` // of the process
-	Turn uint64                   `cbor:"2,keyasint"` // grows with each message
-	Use  map[string]placement.Use `cbor:"3,keyasint,omitempty"`
+	Life uint64                     `cbor:"1,keyasint"` // of the process
+	Turn uint64                     `cbor:"2,keyasint"` // grows with each message
+	Use  map[string]placement.Usage `cbor:"3,keyasint,omitempty"`
 	// Taken is the last grant that Use includes.
-	Taken uint64                    `cbor:"4,keyasint,omitempty"`
-	Avoid []string                  `cbor:"5,keyasint,omitempty"`
-	Paces map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
-	Doubt []string                  `cbor:"7,keyasint,omitempty"`
-	Alive []string                  `cbor:"8,keyasint,omitempty"`
+	Taken uint64                            `cbor:"4,keyasint,omitempty"`
+	Avoid []string                          `cbor:"5,keyasint,omitempty"`
+	Paces map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
+	Doubt []string                          `cbor:"7,keyasint,omitempty"`
+	Alive []string                          `cbor:"8,keyasint,omitempty"`
 	// SameDoubt: Doubt is left out, and as it was last told. While a zone is lost it
 	// names all of its engines, and a router tells of its use with each stream.
 	SameDoubt bool `cbor:"9,keyasint,omitempty"`
@@ -116,15 +116,15 @@
 		t.Doubt = last.Doubt
 	}
 	c.turns[from] = Told{Life: t.Life, Turn: t.Turn, Doubt: t.Doubt}
-	c.s.Told(from, scheduler.Report{Use: t.Use, Taken: t.Taken, Avoid: t.Avoid, Doubt: t.Doubt, Alive: t.Alive, Paces: t.Paces}, time.Now())
+	c.s.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.Taken, Avoid: t.Avoid, Suspected: t.Doubt, Alive: t.Alive, EngineTimings: t.Paces}, time.Now())
 }
 
 // outlook names the services that have no memory for copies, and what is known of the
 // pace of all.
-func (c *schedule) outlook() (short []string, paces map[string]scheduler.Pace) {
+func (c *schedule) outlook() (short []string, paces map[string]scheduler.EngineTiming) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.s.Short(time.Now()), c.s.Paces()
+	return c.s.ShortOfMemory(time.Now()), c.s.EngineTimings()
 }
 
 // forget drops a router that is silent.
@@ -146,7 +146,7 @@
 	now, st := time.Now(), a.Stream
 	st.VM = from
 	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.LeftMS)*time.Millisecond)
-	c.s.Ask(st, now)
+	c.s.Enqueue(st, now)
 	return c.runFor(st.ID), nil
 }
 
@@ -163,7 +163,7 @@
 // c.mu.
 func (c *schedule) runFor(id string) scheduler.Answer {
 	var out scheduler.Answer
-	for _, d := range c.s.Run(time.Now()) {
+	for _, d := range c.s.Decide(time.Now()) {
 		c.count(&d)
 		if d.Stream.ID == id {
 			out = d.Answer
@@ -221,7 +221,7 @@
 			return
 		}
 		c.mu.Lock()
-		if c.s.Waits() {
+		if c.s.HasWaiting() {
 			c.run()
 			c.logState()
 		}
@@ -238,8 +238,8 @@
 	c.logged = now
 	for _, st := range c.s.States(now) {
 		c.log.Info().Str("service", st.Service).Int("interrupted", st.Interrupted).Int("in_time", st.InTime).Int("late", st.Late).
-			Int("servers", st.Servers).Int("usable", st.Usable).Int("reading", st.Reading).Int("runs", st.Use.Requests).
-			Int("tokens", st.Use.Tokens).Int("copies", st.Use.Copies).Float64("begun_per_s", st.Rate).
-			Dur("per_token", st.Pace.PerToken).Dur("run", st.Pace.Run).Msg("streams wait")
+			Int("servers", st.Servers).Int("usable", st.Usable).Int("reading", st.Prefilling).Int("runs", st.Usage.Requests).
+			Int("tokens", st.Usage.Tokens).Int("copies", st.Usage.Copies).Float64("begun_per_s", st.StartRate).
+			Dur("per_token", st.EngineTiming.PrefillPerToken).Dur("run", st.EngineTiming.RunDuration).Msg("streams wait")
 	}
 }
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -50,7 +50,7 @@
 	Short []string `cbor:"4,keyasint,omitempty"`
 	// Paces of the services' engines: a VM that has just started, or carries few streams,
 	// has observed none.
-	Paces map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
+	Paces map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
 	// RoutersDigest is of the names of all VMs that take callers.
 	RoutersDigest uint64 `cbor:"5,keyasint,omitempty"`
 }
@@ -58,8 +58,8 @@
 // Known is what a VM has learnt of all others together.
 type Known struct {
 	Summary
-	Routers []string                 // VMs that take callers, by id
-	Use     map[string]placement.Use // of backend servers, by the others
+	Routers []string                   // VMs that take callers, by id
+	Use     map[string]placement.Usage // of backend servers, by the others
 	// Spent is what the others spent of the retry budgets, by service.
 	Spent map[string]forward.Spent
 }
@@ -70,9 +70,9 @@
 	encoded   cbor.RawMessage
 	use       cbor.RawMessage // of engines
 	routers   []string
-	digest    uint64                              // of routers
-	entrances []string                            // of routers, by address
-	parts     map[string]map[string]placement.Use // what each VM told of its use
+	digest    uint64                                // of routers
+	entrances []string                              // of routers, by address
+	parts     map[string]map[string]placement.Usage // what each VM told of its use
 }
 
 // summarize returns the summary that is told now.
@@ -96,9 +96,9 @@
 
 // sum adds to a Summary what VMs told, and encodes it. It needs h.mu.
 func (h *Hub) sum(told *Summary, now time.Time) (*summary, error) {
-	s := &summary{made: now, parts: map[string]map[string]placement.Use{}}
+	s := &summary{made: now, parts: map[string]map[string]placement.Usage{}}
 	told.Deaths = h.recentDeaths(now)
-	use := map[string]placement.Use{}
+	use := map[string]placement.Usage{}
 	var ready []seen
 	for vm, v := range h.vms {
 		if now.Sub(v.at) > presentFor {
@@ -130,10 +130,10 @@
 }
 
 // takeCalls moves the servers that run calls alone out of a sum.
-func takeCalls(use map[string]placement.Use) map[string]int {
+func takeCalls(use map[string]placement.Usage) map[string]int {
 	calls := map[string]int{}
 	for id, u := range use {
-		if u == (placement.Use{Requests: u.Requests}) {
+		if u == (placement.Usage{Requests: u.Requests}) {
 			calls[id] = u.Requests
 			delete(use, id)
 		}
@@ -166,8 +166,8 @@
 // concurrent use.
 type others struct {
 	routers []string
-	digest  uint64                   // of routers
-	engines map[string]placement.Use // as of usedAt
+	digest  uint64                     // of routers
+	engines map[string]placement.Usage // as of usedAt
 	usedAt  time.Time
 }
 
@@ -185,14 +185,14 @@
 		return k, err
 	}
 	if len(a.EncodedUse) > 0 {
-		use := map[string]placement.Use{}
+		use := map[string]placement.Usage{}
 		if err := codec.Unmarshal(a.EncodedUse, &use); err != nil {
 			return k, err
 		}
 		o.engines, o.usedAt = use, now
 		for id, u := range a.Own {
 			if _, ok := use[id]; ok {
-				use[id] = use[id].Add(u.Negative())
+				use[id] = use[id].Add(u.Negated())
 			}
 		}
 	}
@@ -202,10 +202,10 @@
 	k.Routers, k.Spent = o.routers, a.Spent
 	k.Use = maps.Clone(o.engines)
 	if k.Use == nil {
-		k.Use = map[string]placement.Use{}
+		k.Use = map[string]placement.Usage{}
 	}
 	for id, calls := range k.Calls {
-		k.Use[id] = placement.Use{Requests: calls - a.Own[id].Requests}
+		k.Use[id] = placement.Usage{Requests: calls - a.Own[id].Requests}
 	}
 	k.Dead = slices.DeleteFunc(k.Dead, func(id string) bool { return slices.Contains(own, id) })
 	return k, nil
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -290,7 +290,7 @@
 	s.close(l, o)
 	if o == routing.Failed {
 		s.w.blamed.EngineDied(recovery.Death{Digest: digest(u.r), Engine: l.a.engine.name, At: s.w.Now()}, l.a.made)
-		s.limiters[l.a.engine.id].Lost()
+		s.limiters[l.a.engine.id].Reset()
 	}
 	if l == u.hedge {
 		u.hedge = nil
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -164,7 +164,7 @@
 	case relay.OutcomeOverloaded:
 		l.Report(0, 1, r.table.Inflight(p.Engine))
 	case relay.OutcomeDied, relay.OutcomeRefused:
-		l.Lost()
+		l.Reset()
 	default:
 	}
 	r.table.SetLimit(p.Engine, l.Limit())
