--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -13,50 +13,51 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// fullHub is a control VM with the notices of many routers, each with a stream and its
-// copy on two engines, a call, and the engines of a lost zone in doubt.
-type fullHub struct {
+// loadedHub is a control VM with the heartbeats of many routers. Each has a stream and its
+// backup copy on two engines and a call, and suspects the engines of a lost zone.
+type loadedHub struct {
 	hub     *Hub
 	routers []string
 	engines []upstream.Backend
 	digest  uint64
-	turn    uint64
+	seq     uint64
 }
 
-func newFullHub(tb testing.TB, routers, engines int) *fullHub {
+func newLoadedHub(tb testing.TB, routers, engines int) *loadedHub {
 	tb.Helper()
-	held := NewHeld(func(upstream.List) {})
-	f := &fullHub{hub: NewHub(peertest.New(1).VM("c1"), held, func() []string { return controls }, zerolog.Nop())}
+	list := NewHeld(func(upstream.List) {})
+	f := &loadedHub{hub: NewHub(peertest.New(1).VM("c1"), list, func() []string { return controls }, zerolog.Nop())}
 	l := modelsList(engines)
 	for i := range l.Backends {
 		l.Backends[i].ID = fmt.Sprintf("i-%010x", i*7919)
 	}
-	held.Take(l.Backends, 0)
+	list.Take(l.Backends, 0)
 	f.hub.TakeList(l)
-	_, f.digest, _, _ = held.Now()
+	_, f.digest, _, _ = list.Now()
 	f.engines = l.Backends
 	for r := range routers {
 		f.routers = append(f.routers, fmt.Sprintf("10.%d.%d.10:7221", r/40, r%40))
-		f.serve(tb, r, f.notice(tb, r, true, 0))
+		f.serve(tb, r, f.heartbeat(tb, r, true, 0))
 	}
 	return f
 }
 
-// notice is a router's notice, encoded; the rest of what it wants is as given.
-func (f *fullHub) notice(tb testing.TB, router int, wantUse bool, held uint64) []byte {
-	f.turn++
+// heartbeat returns a router's encoded heartbeat. routersDigest is that of the router names
+// that it holds.
+func (f *loadedHub) heartbeat(tb testing.TB, router int, wantUse bool, routersDigest uint64) []byte {
+	f.seq++
 	n := Notice{
 		Zone: "a", Callers: f.routers[router], Ready: true, Held: f.digest, HeldAge: 100,
-		WantLoad: true, WantUse: wantUse, RoutersHeld: held,
+		WantLoad: true, WantUse: wantUse, RoutersHeld: routersDigest,
 	}
 	id := func(i int) string { return f.engines[i%len(f.engines)].ID }
-	n.Told = Told{Life: uint64(router + 1), Turn: f.turn, Use: map[string]placement.Use{
+	n.Told = Told{Life: uint64(router + 1), Turn: f.seq, Use: map[string]placement.Use{
 		id(router): {Requests: 1, Tokens: 9000}, id(router + 7): {Tokens: 9000, Copies: 9000}, "call": {Requests: 1},
 	}}
 	for i := 0; i < len(f.engines); i += 5 {
 		n.Told.Doubt = append(n.Told.Doubt, id(i))
 	}
-	n.Spent = Spending{Life: uint64(router + 1), Turn: f.turn}
+	n.Spent = Spending{Life: uint64(router + 1), Turn: f.seq}
 	data, err := codec.Marshal(n)
 	if err != nil {
 		tb.Fatal(err)
@@ -64,9 +65,9 @@
 	return data
 }
 
-// serve returns the answer to a notice, and how many bytes it has.
-func (f *fullHub) serve(tb testing.TB, router int, notice []byte) (Answer, int) {
-	out, err := f.hub.serve(context.Background(), f.routers[router], notice)
+// serve returns the reply to a heartbeat and its size in bytes.
+func (f *loadedHub) serve(tb testing.TB, router int, heartbeat []byte) (Answer, int) {
+	out, err := f.hub.serve(context.Background(), f.routers[router], heartbeat)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -81,26 +82,26 @@
 	return a, len(data)
 }
 
-// BenchmarkNotice is a notice of one of 200 or 330 routers at the control VM that
-// decides, with its answer encoded and decoded. Each router sends two and a half a
-// second, of which one in three wants the use of engines.
-func BenchmarkNotice(b *testing.B) {
+// BenchmarkHeartbeat measures a heartbeat of one of 200 or 330 routers at the scheduling
+// control VM, with its reply encoded and decoded. Each router sends 2.5 a second, of which
+// every third requests the use of engines.
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []struct{ routers, engines int }{{200, 163}, {330, 710}} {
 		b.Run(fmt.Sprintf("%d routers", size.routers), func(b *testing.B) {
-			f := newFullHub(b, size.routers, size.engines)
-			first, _ := f.serve(b, 0, f.notice(b, 0, true, 0))
-			var o others
-			if _, err := o.learn(&first, nil, f.hub.summed.made); err != nil {
+			f := newLoadedHub(b, size.routers, size.engines)
+			first, _ := f.serve(b, 0, f.heartbeat(b, 0, true, 0))
+			var o peerState
+			if _, err := o.learn(&first, nil, f.hub.summary.builtAt); err != nil {
 				b.Fatal(err)
 			}
-			notices := make([][]byte, size.routers)
-			for r := range notices {
-				notices[r] = f.notice(b, r, r%3 == 0, o.digest)
+			heartbeats := make([][]byte, size.routers)
+			for r := range heartbeats {
+				heartbeats[r] = f.heartbeat(b, r, r%3 == 0, o.routersDigest)
 			}
 			bytes := 0
 			b.ResetTimer()
 			for i := range b.N {
-				_, n := f.serve(b, i%size.routers, notices[i%size.routers])
+				_, n := f.serve(b, i%size.routers, heartbeats[i%size.routers])
 				bytes += n
 			}
 			b.ReportMetric(float64(bytes)/float64(b.N), "B/answer")
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,20 +1,21 @@
-// Package cluster keeps the VMs that route requests and the control VMs informed
-// of one another. A VM is told nothing but a few control addresses, which may be
-// old; everything else it learns from the control VMs that answer.
+// Package cluster exchanges state between the VMs that route requests and the
+// control VMs. A VM is configured with a few control addresses, which may be
+// outdated. It learns everything else from the control VMs that answer.
 //
-// Each VM sends a small notice to every control VM some times a second: that it
-// is there, whether it takes callers, and, for the control VM that decides about engines
-// and the next one, what it has running on each backend server. The answer brings the
-// control VMs known there. One of them is asked for what has changed in the list of
-// backend servers, and the one that decides for what the other VMs do.
+// Each VM sends a small heartbeat to every control VM several times a second. The
+// heartbeat says that the VM is alive and whether it accepts callers. The control VM
+// that schedules engines and its successor also receive the VM's use of each backend
+// server. Each reply lists the control VMs known to its sender. One control VM is
+// asked for changes of the list of backend servers, and the scheduling one for what
+// the other VMs reported.
 //
-// Safeguards. A VM is in the directory only while its notices come, so that one
-// that died, froze or was cut off leaves it within a second and no message is
-// needed for that. Every control VM hears every VM itself: no control VM's loss
-// empties the directory.
+// Safeguards. A VM is in the directory only while its heartbeats arrive. A VM that
+// died, froze or was partitioned leaves it within about a second, without any message.
+// Every control VM receives the heartbeats of every VM, and therefore the loss of one
+// control VM does not empty the directory.
 //
-// A control VM without a disk is an Observer: it has no vote, hears no notices of
-// use, and answers callers and operators by what it asks of the others.
+// A control VM without a disk is an Observer. It has no vote and receives no reports
+// of engine use. It answers callers and operators with what it fetches from the voters.
 package cluster
 
 import (
@@ -30,91 +31,92 @@
 
 // Timings.
 const (
-	// NoticeEvery is how often a VM sends its notice. An engine that restarts is
-	// usable again once its new incarnation is known here.
+	// HeartbeatInterval is the time between two heartbeats of a VM. A restarted engine
+	// is usable again only once its new incarnation has arrived with a heartbeat reply.
 	NoticeEvery = 400 * time.Millisecond
-	// searchEvery is the same until the first list of backend servers is held: control
-	// VMs and routers are started together, and a router may be early.
-	searchEvery = 100 * time.Millisecond
-	// urgentEvery is the same while a new version has nearly all requests, and may turn
-	// out bad.
-	urgentEvery = 150 * time.Millisecond
-	// noticeTimeout: a control VM that does not answer by then is asked again with
-	// the next notice.
-	noticeTimeout = 350 * time.Millisecond
-	// presentFor: two notices missed and the third due. Callers of a frozen router wait
-	// for it until then.
-	presentFor = 1100 * time.Millisecond
-	// staleList: a list this old is asked for at every control VM. It is read each
-	// 0.4 s, and told with the next notice.
-	staleList = 1200 * time.Millisecond
-	// sameReading is how much the ages of one reading of the list may differ.
-	sameReading = 100 * time.Millisecond
-	// toldControls are told of the use of engines: the control VM that decides, and the
-	// one that does once that is lost. A third hears of it with the first notice that
-	// finds both lost.
-	toldControls = 2
-	// forgetAfter is how long a control VM that was learnt is kept without a word
-	// from anybody that it still is one, and how long it is known where a silent VM's
-	// streams ran: callers whose connections hang come back within it.
+	// initialHeartbeatInterval applies until the VM holds its first list of backend
+	// servers. Control VMs and routers start together, and a router may be ready first.
+	initialHeartbeatInterval = 100 * time.Millisecond
+	// urgentHeartbeatInterval applies while a new engine version receives nearly all
+	// requests and may still prove faulty.
+	urgentHeartbeatInterval = 150 * time.Millisecond
+	// heartbeatTimeout bounds the wait for a reply. A control VM that misses it is
+	// asked again with the next heartbeat.
+	heartbeatTimeout = 350 * time.Millisecond
+	// presenceTimeout is the silence after which a VM counts as gone: two heartbeats
+	// are missing and the third is due. Callers of a frozen router wait this long.
+	presenceTimeout = 1100 * time.Millisecond
+	// staleListAge is the age from which a VM asks every control VM for changes. The
+	// list is read from the platform every 0.4 s and arrives with the next heartbeat.
+	staleListAge = 1200 * time.Millisecond
+	// listAgeTolerance is how much the reported ages of one read of the list may differ.
+	listAgeTolerance = 100 * time.Millisecond
+	// useReportTargets is how many control VMs receive reports of engine use: the one
+	// that schedules and its successor. A third receives them with the first heartbeat
+	// after both are lost.
+	useReportTargets = 2
+	// forgetAfter is how long a learned control VM is remembered without any reply that
+	// names it. It is also how long the engines of a silent VM's streams are remembered:
+	// callers whose connections hang reconnect within it.
 	forgetAfter = 30 * time.Second
-	// keptFor is how long the copies of a silent VM's streams are there: engines keep
-	// them for some seconds.
-	keptFor = 5 * time.Second
-	// findTimeout bounds the question for a copy: without one the prompt is read anew,
-	// which costs a second.
-	findTimeout = 100 * time.Millisecond
-	// deathsFor is how long a death is told on: each VM hears it several times, and
-	// counts it once.
-	deathsFor = 1500 * time.Millisecond
+	// copyLifetime is how long the backup copies of a silent VM's streams are offered.
+	// Engines keep a copy for a few seconds.
+	copyLifetime = 5 * time.Second
+	// orphanLookupTimeout bounds the lookup of a backup copy. Without a copy the prompt
+	// is prefilled again, which costs about a second.
+	orphanLookupTimeout = 100 * time.Millisecond
+	// deathReportTTL is how long a reported death is forwarded. Each VM receives it
+	// several times and counts it once.
+	deathReportTTL = 1500 * time.Millisecond
 )
 
-// Notice is what a VM says of itself.
+// Heartbeat is the periodic report of a VM about itself.
 type Notice struct {
 	Zone     string           `cbor:"1,keyasint"`
-	Callers  string           `cbor:"2,keyasint,omitempty"` // ip:port; empty: takes none
+	Callers  string           `cbor:"2,keyasint,omitempty"` // ip:port for callers; empty: accepts none
 	Ready    bool             `cbor:"3,keyasint,omitempty"`
-	Told     Told             `cbor:"4,keyasint"` // use of backend servers; empty: not for this control VM
+	Told     Told             `cbor:"4,keyasint"` // empty for control VMs that do not schedule
 	Deaths   []recovery.Death `cbor:"5,keyasint,omitempty"`
-	Held     uint64           `cbor:"6,keyasint,omitempty"`  // digest of the list of backend servers; 0: none is held
-	HeldAge  int64            `cbor:"7,keyasint,omitempty"`  // ms; how old that list is
-	WantLoad bool             `cbor:"8,keyasint,omitempty"`  // a Summary is wanted
-	Dead     []string         `cbor:"9,keyasint,omitempty"`  // backend servers judged dead lately
-	Kept     []forward.Kept   `cbor:"10,keyasint,omitempty"` // streams here with a copy
+	Held     uint64           `cbor:"6,keyasint,omitempty"`  // of the list of backend servers; 0: the VM holds none
+	HeldAge  int64            `cbor:"7,keyasint,omitempty"`  // of that list
+	WantLoad bool             `cbor:"8,keyasint,omitempty"`  // requests a Summary
+	Dead     []string         `cbor:"9,keyasint,omitempty"`  // backend servers recently judged dead
+	Kept     []forward.Kept   `cbor:"10,keyasint,omitempty"` // streams of this VM, with their engines and backup copies
 	Spent    Spending         `cbor:"11,keyasint"`           // of the services' retry budgets
 	Control  bool             `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
-	// WantEntrances: the directory is wanted, by an Observer.
+	// WantEndpoints requests the directory. Only an Observer sets it.
 	WantEntrances bool `cbor:"13,keyasint,omitempty"`
-	// WantUse: the use of engines is wanted with the Summary; RoutersHeld is the digest of
-	// the names of routers that are held.
+	// WantUse requests the use of engines with the Summary. RoutersDigest is the digest
+	// of the router names that this VM already holds.
 	WantUse     bool   `cbor:"14,keyasint,omitempty"`
 	RoutersHeld uint64 `cbor:"15,keyasint,omitempty"`
-	// WantChanges: what has changed in the list since Held is wanted.
+	// WantChanges requests the changes of the list since ListDigest.
 	WantChanges bool `cbor:"16,keyasint,omitempty"`
-	// Rollouts is what this VM observed of the roll-outs under way.
+	// Rollouts are this VM's observations of the roll-outs in progress.
 	Rollouts []rollout.Told `cbor:"17,keyasint,omitempty"`
 }
 
-// Answer is a control VM's reply.
+// HeartbeatReply is a control VM's reply to a Heartbeat.
 type Answer struct {
 	Controls []string `cbor:"1,keyasint"`
-	// Encoded is a Summary, for those who want it, EncodedUse the use of engines, and
-	// Own the asker's part of both. Routers are the VMs that take callers, where they
-	// are not those held.
+	// EncodedSummary is the requested Summary and EncodedUse the requested use of
+	// engines. OwnUse is the receiver's own share of both. Routers are the VMs that
+	// accept callers; it is empty if the receiver already holds these names.
 	Encoded    cbor.RawMessage          `cbor:"3,keyasint,omitempty"`
 	Own        map[string]placement.Use `cbor:"4,keyasint,omitempty"`
 	EncodedUse cbor.RawMessage          `cbor:"9,keyasint,omitempty"`
 	Routers    []string                 `cbor:"11,keyasint,omitempty"`
-	// Digest and AgeMS are of the control VM's list; Changed leads to it from the one
-	// held. Where it is missing and the digests differ, the list is to be fetched.
+	// ListDigest and ListAgeMS describe the control VM's list, and Changes leads to it
+	// from the receiver's list. If Changes is missing and the digests differ, the
+	// receiver fetches the whole list.
 	Digest  uint64            `cbor:"5,keyasint,omitempty"`
 	AgeMS   int64             `cbor:"6,keyasint"`
 	Listed  bool              `cbor:"7,keyasint,omitempty"`
 	Changed *PackedDifference `cbor:"15,keyasint,omitempty"`
-	// Spent is what the other VMs together spent of the retry budgets, by service.
+	// Spent is what all other VMs spent of the retry budgets, by service.
 	Spent map[string]forward.Spent `cbor:"10,keyasint,omitempty"`
-	// Entrances are the callers' addresses of all VMs that take callers.
+	// Endpoints are the addresses of all VMs that accept callers.
 	Entrances []string `cbor:"12,keyasint,omitempty"`
-	// Observer: the VM that answers is an Observer, and knows nothing but Controls.
+	// Observer reports that the sender is an Observer, whose reply holds only Controls.
 	Observer bool `cbor:"13,keyasint,omitempty"`
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -18,41 +18,41 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal/waltest"
 )
 
-// testHub is a control VM of a test, and its own member towards the others.
+// testHub is a control VM, which also runs a Member towards the others.
 type testHub struct {
 	hub  *Hub
-	held *Held
+	list *Held
 }
 
-// testVM is a router of a test.
+// testVM is a router.
 type testVM struct {
-	member *Member
-	held   *Held
-	use    atomic.Pointer[map[string]placement.Use]
-	heard  atomic.Pointer[Known]
-	gone   atomic.Bool // not ready
-	stop   context.CancelFunc
+	member   *Member
+	list     *Held
+	use      atomic.Pointer[map[string]placement.Use]
+	peers    atomic.Pointer[Known]
+	notReady atomic.Bool
+	stop     context.CancelFunc
 }
 
-// uses sets what the router has running from now on.
-func (v *testVM) uses(use map[string]placement.Use) { v.use.Store(&use) }
+// setUse sets the use of engines that the router reports.
+func (v *testVM) setUse(use map[string]placement.Use) { v.use.Store(&use) }
 
 func startHub(ctx context.Context, n *peertest.Net, id string, all []string) *testHub {
-	h := &testHub{held: NewHeld(func(upstream.List) {})}
+	h := &testHub{list: NewHeld(func(upstream.List) {})}
 	t := n.VM(id)
-	h.hub = NewHub(t, h.held, func() []string { return all }, zerolog.Nop())
-	m := NewMember(id, t, all, h.held, Local{}, zerolog.Nop())
+	h.hub = NewHub(t, h.list, func() []string { return all }, zerolog.Nop())
+	m := NewMember(id, t, all, h.list, Local{}, zerolog.Nop())
 	go m.Run(ctx)
 	return h
 }
 
 func startRouter(ctx context.Context, n *peertest.Net, id string, seeds []string, requests int) *testVM {
 	v := &testVM{}
-	v.uses(map[string]placement.Use{"e1": {Requests: requests}})
-	v.held = NewHeld(func(upstream.List) {})
-	v.member = NewMember(id, n.VM(id), seeds, v.held, Local{
-		Callers: id + ":80", Ready: func() bool { return !v.gone.Load() },
-		Use: func() map[string]placement.Use { return *v.use.Load() }, Learn: func(k Known) { v.heard.Store(&k) },
+	v.setUse(map[string]placement.Use{"e1": {Requests: requests}})
+	v.list = NewHeld(func(upstream.List) {})
+	v.member = NewMember(id, n.VM(id), seeds, v.list, Local{
+		Callers: id + ":80", Ready: func() bool { return !v.notReady.Load() },
+		Use: func() map[string]placement.Use { return *v.use.Load() }, Learn: func(k Known) { v.peers.Store(&k) },
 	}, zerolog.Nop())
 	ctx, v.stop = context.WithCancel(ctx)
 	go v.member.Run(ctx)
@@ -73,9 +73,9 @@
 
 var controls = []string{"c1", "c2", "c3"}
 
-// Callers are sent to living routers only. In order: a router stops without a
-// word, and is out of every control VM's directory within a second and a half;
-// another says that it is not ready, and is out with its next notice.
+// Callers must not be directed to routers that are gone. A router that stops silently
+// leaves every control VM's directory within 1.5 s. A router that reports that it is not
+// ready leaves it with its next heartbeat.
 func TestDirectory(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		var hubs []*testHub
@@ -89,24 +89,24 @@
 		time.Sleep(2 * time.Second)
 		for i, h := range hubs {
 			if got := h.hub.Entrances(64); len(got) != 3 {
-				t.Fatalf("control VM %d knows %v: routers with one seed have not found it", i, got)
+				t.Fatalf("control VM %d lists %v, want 3 routers, each configured with one seed", i, got)
 			}
 		}
 		vms[0].stop()
 		time.Sleep(1500 * time.Millisecond)
-		vms[1].gone.Store(true)
+		vms[1].notReady.Store(true)
 		time.Sleep(NoticeEvery + 50*time.Millisecond)
 		for i, h := range hubs {
 			if got := h.hub.Entrances(64); !slices.Equal(got, []string{"r2:80"}) {
-				t.Errorf("control VM %d sends callers to %v", i, got)
+				t.Errorf("control VM %d lists %v, want [r2:80]", i, got)
 			}
 		}
 	})
 }
 
-// A router with seeds that are gone finds the control VMs that are left, through
-// what it learnt before.
-func TestSeedsGone(t *testing.T) {
+// A router whose seeds are all gone must still reach the remaining control VMs, which it
+// learned from earlier replies.
+func TestLostSeeds(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			startHub(ctx, n, id, controls)
@@ -117,16 +117,15 @@
 		v.member.SetSeeds([]string{"c1"})
 		time.Sleep(20 * time.Second)
 		if got := v.member.Controls(); !slices.Equal(got, controls) {
-			t.Errorf("knows %v", got)
+			t.Errorf("router knows control VMs %v, want [c1 c2 c3]", got)
 		}
 	})
 }
 
-// The list of backend servers reaches every VM, and an older one never replaces a
-// younger. In order: c1 reads the list; later it is cut off and goes on holding its
-// old one, while c2 reads that a server has left. A router that hears c1 again
-// keeps what c2 told.
-func TestListSpreadsAndNeverAges(t *testing.T) {
+// An older list of backend servers must never replace a younger one. c1 reads the list
+// and is then partitioned with its old list, while c2 reads that a server has stopped.
+// After the partition every VM must hold the list of c2.
+func TestNewestListWins(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		hubs := map[string]*testHub{}
 		for _, id := range controls {
@@ -134,30 +133,30 @@
 		}
 		v := startRouter(ctx, n, "r1", controls, 0)
 		time.Sleep(time.Second)
-		hubs["c1"].held.Take([]upstream.Backend{{ID: "e1"}, {ID: "e2"}}, 0)
+		hubs["c1"].list.Take([]upstream.Backend{{ID: "e1"}, {ID: "e2"}}, 0)
 		time.Sleep(NoticeEvery + 50*time.Millisecond)
-		if rows, _, age, ok := v.held.Now(); !ok || len(rows) != 2 || age > time.Second {
-			t.Fatalf("the router holds %d rows, %v old", len(rows), age)
+		if rows, _, age, ok := v.list.Now(); !ok || len(rows) != 2 || age > time.Second {
+			t.Fatalf("router holds %d rows of age %v, want 2 rows of at most 1s", len(rows), age)
 		}
 		for _, other := range []string{"c2", "c3", "r1"} {
 			n.Cut("c1", other)
 			n.Cut(other, "c1")
 		}
 		time.Sleep(time.Second)
-		hubs["c2"].held.Take([]upstream.Backend{{ID: "e1"}}, 0)
+		hubs["c2"].list.Take([]upstream.Backend{{ID: "e1"}}, 0)
 		time.Sleep(time.Second)
 		n.HealAll()
 		time.Sleep(2 * time.Second)
-		for name, held := range map[string]*Held{"router": v.held, "c1": hubs["c1"].held, "c3": hubs["c3"].held} {
-			if rows, _, _, _ := held.Now(); len(rows) != 1 {
-				t.Errorf("%s holds %d rows", name, len(rows))
+		for name, list := range map[string]*Held{"router": v.list, "c1": hubs["c1"].list, "c3": hubs["c3"].list} {
+			if rows, _, _, _ := list.Now(); len(rows) != 1 {
+				t.Errorf("%s holds %d rows, want 1", name, len(rows))
 			}
 		}
 	})
 }
 
-// Each router hears what the others have running, and not its own.
-func TestLoadsOfOthers(t *testing.T) {
+// Each router receives the use of all other routers without its own.
+func TestUseOfOtherRouters(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			startHub(ctx, n, id, controls)
@@ -168,122 +167,123 @@
 		}
 		time.Sleep(2 * time.Second)
 		for i, want := range []int{6, 5, 3} {
-			heard := vms[i].heard.Load()
-			if got := heard.Use["e1"].Requests; got != want || len(heard.Routers) != 3 {
-				t.Errorf("router %d hears of %d requests by %v", i, got, heard.Routers)
+			reports := vms[i].peers.Load()
+			if got := reports.Use["e1"].Requests; got != want || len(reports.Routers) != 3 {
+				t.Errorf("router %d received %d requests and routers %v, want the requests of both others and 3 routers", i, got, reports.Routers)
 			}
 		}
 	})
 }
 
-// The age of a list counts from when it was read, over every VM that passed it on.
-func TestAgeOfAList(t *testing.T) {
+// The age of a list counts from its read, across all VMs that forwarded it.
+func TestListAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHeld(func(upstream.List) {})
 		h.Take([]upstream.Backend{{ID: "e1"}}, 300*time.Millisecond)
 		time.Sleep(time.Second)
 		_, digest, age, _ := h.Now()
 		if age != 1300*time.Millisecond {
-			t.Errorf("age %v", age)
+			t.Errorf("got age %v, want 1.3s", age)
 		}
 		h.Confirm(digest+1, 0)
 		if _, _, age, _ := h.Now(); age != 1300*time.Millisecond {
-			t.Error("another list's confirmation made this one younger")
+			t.Error("the confirmation of another list changed the age")
 		}
 		h.Confirm(digest, 100*time.Millisecond)
 		if _, _, age, _ := h.Now(); age != 100*time.Millisecond {
-			t.Errorf("age %v after a confirmation", age)
+			t.Errorf("got age %v after a confirmation, want 100ms", age)
 		}
 	})
 }
 
-// Callers are sent to a router soon after all VMs started together. In order: the
-// router is some ms earlier than the control VM, whose first answer it misses; once
-// it is ready it says so at once.
-func TestRouterIsFoundSoonAfterAStart(t *testing.T) {
+// Callers must reach a router soon after all VMs started together. The router starts a few
+// milliseconds before the control VM and misses its first reply. It must ask again soon,
+// and must be listed at once when it becomes ready.
+func TestEarlyRouterIsListedSoon(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
-		v.gone.Store(true)
+		v.notReady.Store(true)
 		time.Sleep(20 * time.Millisecond)
 		h := startHub(ctx, n, "c1", controls[:1])
-		time.Sleep(2 * searchEvery)
-		if v.heard.Load() == nil && len(v.member.source()) == 0 {
-			t.Error("the router that was early has not asked again")
+		time.Sleep(2 * initialHeartbeatInterval)
+		if v.peers.Load() == nil && len(v.member.freshestControl()) == 0 {
+			t.Error("the router has received no reply after two initial intervals")
 		}
-		v.gone.Store(false)
+		v.notReady.Store(false)
 		v.member.Nudge()
 		time.Sleep(20 * time.Millisecond)
 		if got := h.hub.Entrances(64); len(got) != 1 {
-			t.Errorf("the directory names %v", got)
+			t.Errorf("directory lists %v, want 1 router", got)
 		}
 	})
 }
 
-// A dead router's copies are found for some seconds, and never another request's.
-func TestFindACopy(t *testing.T) {
+// A dead router's backup copies are found for a few seconds. The lookup never returns the
+// copy of another request: two runs with equal identity are not distinguishable.
+func TestFindOrphan(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
 		a, b := forward.Copy{Address: "e1:1", ID: "q1"}, forward.Copy{Address: "e2:1", ID: "q2"}
-		h.hub.note("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}, {Identity: 8, Left: forward.Left{Copy: a}}}})
-		h.hub.note("alive", Notice{Kept: []forward.Kept{{Identity: 8, Left: forward.Left{Copy: b}}}})
+		h.hub.recordHeartbeat("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}, {Identity: 8, Left: forward.Left{Copy: a}}}})
+		h.hub.recordHeartbeat("alive", Notice{Kept: []forward.Kept{{Identity: 8, Left: forward.Left{Copy: b}}}})
 		for _, tt := range []struct {
 			identity uint64
 			want     forward.Copy
 		}{{7, a}, {8, forward.Copy{}}, {9, forward.Copy{}}} {
 			if got, ok := v.member.Find(ctx, tt.identity); got.Copy != tt.want || ok != (tt.want.Address != "") {
-				t.Errorf("identity %d: %+v, %t", tt.identity, got, ok)
+				t.Errorf("identity %d: got %+v, found %t", tt.identity, got, ok)
 			}
 		}
-		time.Sleep(keptFor + time.Second)
+		time.Sleep(copyLifetime + time.Second)
 		if _, ok := v.member.Find(ctx, 7); ok {
-			t.Error("a copy that has expired is given out")
+			t.Error("an expired copy is returned")
 		}
 	})
 }
 
-// All processes are killed at once. A control process that is back within seconds
-// knows where the copies of the streams are; one that is back later does not ask
-// engines for what they have dropped.
-func TestCopiesOutliveTheProcesses(t *testing.T) {
+// All processes are killed at once. A control process that restarts within seconds must
+// know the locations of the backup copies. After copyLifetime it must not return copies
+// that the engines have dropped.
+func TestCopiesSurviveRestart(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		disk := waltest.New()
-		life, kill := context.WithCancel(ctx)
-		h := startHub(life, n, "c1", controls[:1])
+		processCtx, kill := context.WithCancel(ctx)
+		h := startHub(processCtx, n, "c1", controls[:1])
 		a := forward.Copy{Address: "e1:1", ID: "q1"}
-		go h.hub.Remember(life, disk, "/data")
-		h.hub.note("router", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}}})
-		time.Sleep(2 * rememberEvery)
+		go h.hub.Remember(processCtx, disk, "/data")
+		h.hub.recordHeartbeat("router", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}}})
+		time.Sleep(2 * saveInterval)
 		kill()
 		time.Sleep(time.Second)
-		again := startHub(ctx, n, "c1", controls[:1])
-		again.hub.Recall(disk, "/data")
+		restarted := startHub(ctx, n, "c1", controls[:1])
+		restarted.hub.Recall(disk, "/data")
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(500 * time.Millisecond)
 		if got, ok := v.member.Find(ctx, 7); got.Copy != a || !ok {
-			t.Errorf("found %+v, %t", got, ok)
+			t.Errorf("got %+v, found %t, want the saved copy", got, ok)
 		}
-		time.Sleep(keptFor)
+		time.Sleep(copyLifetime)
 		if _, ok := v.member.Find(ctx, 7); ok {
-			t.Error("an old copy is given out")
+			t.Error("an expired copy is returned")
 		}
 	})
 }
 
-// A disk is written only when something has changed: each write costs a sync, some
-// times a second for as long as the system runs.
-func TestCopiesAreNotWrittenTwice(t *testing.T) {
+// Unchanged locations of copies must not be written again, because each write costs a
+// disk sync several times a second.
+func TestUnchangedCopiesAreNotWritten(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		disk := waltest.New()
 		h := startHub(ctx, n, "c1", controls[:1])
 		go h.hub.Remember(ctx, disk, "/data")
 		written := func() string {
 			for i := range uint64(20) {
-				h.hub.note(fmt.Sprint("r", i), Notice{Kept: []forward.Kept{{Identity: i, Left: forward.Left{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
+				h.hub.recordHeartbeat(fmt.Sprint("r", i), Notice{Kept: []forward.Kept{{Identity: i, Left: forward.Left{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
 			}
-			time.Sleep(2 * rememberEvery)
-			data, err := disk.ReadFile("/data/" + keptFile)
+			time.Sleep(2 * saveInterval)
+			data, err := disk.ReadFile("/data/" + copiesFile)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -292,37 +292,37 @@
 		first := written()
 		for range 5 {
 			if written() != first {
-				t.Fatal("written again, and nothing has changed")
+				t.Fatal("unchanged copies were written again")
 			}
 		}
 	})
 }
 
-// More routers take callers than an answer may name. Each gets its part of them: with
-// the same ones named each time the others would stand idle.
-func TestEveryRouterIsNamedInTurn(t *testing.T) {
+// More routers accept callers than an answer may list. Each must be listed equally often;
+// if the answers always listed the same routers, the others would stay idle.
+func TestEndpointsAreSampledEvenly(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
 		const vms, limit, answers = 300, 64, 300
 		for i := range vms {
-			h.hub.note(fmt.Sprint("r", i), Notice{Ready: true, Callers: fmt.Sprint("10.0.0.", i, ":80")})
+			h.hub.recordHeartbeat(fmt.Sprint("r", i), Notice{Ready: true, Callers: fmt.Sprint("10.0.0.", i, ":80")})
 		}
 		named := map[string]int{}
 		for range answers {
 			got := h.hub.Entrances(limit)
 			if len(got) != limit || !slices.IsSorted(got) || len(slices.Compact(got)) != limit {
-				t.Fatalf("%d named: %v", len(got), got)
+				t.Fatalf("got %d addresses, want 64 sorted ones without duplicates: %v", len(got), got)
 			}
 			for _, addr := range got {
 				named[addr]++
 			}
 		}
 		if len(named) != vms {
-			t.Errorf("%d of %d are ever named", len(named), vms)
+			t.Errorf("%d of %d routers are listed at all, want all", len(named), vms)
 		}
 		for addr, times := range named {
 			if even := answers * limit / vms; times > 2*even || times < even/2 {
-				t.Errorf("%s is named %d times, %d would be even", addr, times, even)
+				t.Errorf("%s is listed %d times, want half to twice the even share of %d", addr, times, even)
 			}
 		}
 	})
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -10,44 +10,46 @@
 )
 
 // The load pattern. Hundreds of VMs start within a second, and none holds the list of
-// backend servers. A list of three thousand rows is 200 KB. Told by each control VM in
-// answer to each notice, it is a megabyte for every VM, over a link that takes a second
-// for that; the notices time out before and are sent again, each with a list in answer,
-// and no VM ever gets one.
+// backend servers. A list of three thousand rows takes 200 KB. If every control VM put
+// it into every heartbeat reply, each VM would receive a megabyte over a link that needs
+// a second for it. The heartbeats would time out first and be sent again, each with
+// another list in its reply, and no VM would ever complete one.
 //
-// So the whole list is asked for by itself, from one control VM at a time, with the
-// time that it takes; it is encoded and compressed once for all who ask.
+// Therefore the whole list has its own request, sent to one control VM at a time with a
+// longer timeout. It is encoded and compressed once for all requests.
 //
-// The first control VM that holds a list is asked by all of them. Each answer waits for the
-// link in memory, of which the process has a few dozen MB. So it gives out so many bytes a
-// second; whoever gets nothing asks again, and others hold the list by then.
+// All VMs ask the first control VM that holds a list. Each reply waits for the link in
+// memory, of which the process has a few dozen MB. The control VM therefore limits the
+// bytes of lists that it sends per second. A VM that receives an empty reply asks again,
+// and by then other control VMs hold the list.
 
 const (
-	// fetchTimeout: beyond it the link is lost, not slow.
-	fetchTimeout = 1 * time.Second
-	// maxListBytes bounds a list once it is unpacked.
+	// listFetchTimeout is the time after which the link counts as lost rather than slow.
+	listFetchTimeout = 1 * time.Second
+	// maxListBytes bounds the size of an unpacked list.
 	maxListBytes = 32 << 20
-	// listRate is how many bytes of whole lists a control VM gives out a second, half of
-	// what a link of 100 Mbit/s carries, and listBurst how many at once.
-	listRate  = 6 << 20
-	listBurst = 2 << 20
+	// listBytesPerSecond limits the whole lists that a control VM sends, to half of the
+	// capacity of a 100 Mbit/s link. listBurstBytes is how much it may send at once.
+	listBytesPerSecond = 6 << 20
+	listBurstBytes     = 2 << 20
 )
 
-// PackedList is a list of backend servers as it is sent whole.
+// PackedList is a complete list of backend servers in its wire form.
 type PackedList struct {
 	Digest uint64 `cbor:"1,keyasint"`
 	AgeMS  int64  `cbor:"2,keyasint"`
 	Rows   []byte `cbor:"3,keyasint"` // encoded and compressed
 }
 
-// Packed returns the list held as it is sent whole; ok is false before the first.
+// Packed returns the complete current list in its wire form; ok is false while there
+// is none.
 func (h *Held) Packed() (p PackedList, ok bool, err error) {
 	rows, digest, age, ok := h.Now()
 	if !ok {
 		return p, false, nil
 	}
-	h.packing.Lock()
-	defer h.packing.Unlock()
+	h.packMu.Lock()
+	defer h.packMu.Unlock()
 	if h.packed.Rows == nil || h.packed.Digest != digest {
 		data, err := codec.MarshalPacked(rows)
 		if err != nil {
@@ -60,95 +62,97 @@
 	return p, true, nil
 }
 
-// serveList answers with the list, or with none where too many are on their way. Control
-// VMs get it always: they are few, and the others ask them then.
+// serveList replies with the list, or with an empty one while the rate limit is
+// exhausted. Control VMs always get the list: they are few, and other VMs can then ask
+// them.
 func (h *Hub) serveList(_ context.Context, from string, _ []byte) (any, error) {
-	p, ok, err := h.held.Packed()
+	p, ok, err := h.list.Packed()
 	if err != nil || !ok {
 		return p, err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.vms[from].notice.Control && !h.lists.take(len(p.Rows), time.Now()) {
+	if !h.vms[from].heartbeat.Control && !h.listLimiter.take(len(p.Rows), time.Now()) {
 		return PackedList{}, nil
 	}
 	return p, nil
 }
 
-// listPace bounds the bytes of whole lists that are given out.
-type listPace struct {
-	left float64
-	at   time.Time
+// listLimiter is a token bucket over the bytes of whole lists that are sent.
+type listLimiter struct {
+	available float64
+	updatedAt time.Time
 }
 
-func (l *listPace) take(bytes int, now time.Time) bool {
-	l.left = min(listBurst, l.left+listRate*now.Sub(l.at).Seconds())
-	l.at = now
-	if l.left < 0 {
+func (l *listLimiter) take(bytes int, now time.Time) bool {
+	l.available = min(listBurstBytes, l.available+listBytesPerSecond*now.Sub(l.updatedAt).Seconds())
+	l.updatedAt = now
+	if l.available < 0 {
 		return false
 	}
-	l.left -= float64(bytes) // a list larger than the burst goes out too
+	l.available -= float64(bytes) // becomes negative after a list larger than the burst
 	return true
 }
 
-// wanted is a list that a control VM holds and this VM lacks.
-type wanted struct {
+// listFetch names a list that a control VM holds and this VM lacks.
+type listFetch struct {
 	vm     string
 	digest uint64
 }
 
-// wantList has the whole list fetched from a control VM. It does not wait.
-func (m *Member) wantList(vm string, digest uint64) {
+// requestList schedules a fetch of the whole list from a control VM. It does not block.
+func (m *Member) requestList(vm string, digest uint64) {
 	m.mu.Lock()
-	m.wanted = wanted{vm, digest}
+	m.pendingFetch = listFetch{vm, digest}
 	m.mu.Unlock()
-	m.lists.raise()
+	m.fetchSignal.raise()
 }
 
-// fetchList fetches the list that is wanted, unless it has come meanwhile.
+// fetchList fetches the requested list unless it has arrived in the meantime.
 func (m *Member) fetchList(ctx context.Context) {
 	m.mu.Lock()
-	w := m.wanted
+	w := m.pendingFetch
 	m.mu.Unlock()
-	if _, digest, _, ok := m.held.Now(); ok && digest == w.digest {
+	if _, digest, _, ok := m.list.Now(); ok && digest == w.digest {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, listFetchTimeout)
 	defer cancel()
 	sent := time.Now()
 	var p PackedList
 	err := m.t.Call(ctx, w.vm, peer.KindList, nil, &p)
 	if err == nil && len(p.Rows) > 0 {
-		err = m.takePacked(&p, time.Since(sent))
+		err = m.applyPacked(&p, time.Since(sent))
 	}
 	if err != nil {
-		// The next answer that tells of a newer list has it asked for again.
-		m.log.Warn().Err(err).Str("control", w.vm).Msg("list of backend servers not fetched")
+		// The next reply that announces a newer list triggers another fetch.
+		m.log.Warn().Err(err).Str("control", w.vm).Msg("list of backend servers could not be fetched; waiting for the next heartbeat reply")
 	}
 }
 
-func (m *Member) takePacked(p *PackedList, onTheWay time.Duration) error {
+func (m *Member) applyPacked(p *PackedList, roundTrip time.Duration) error {
 	var rows []upstream.Backend
 	if err := codec.UnmarshalPacked(p.Rows, maxListBytes, &rows); err != nil {
 		return err
 	}
-	age := time.Duration(p.AgeMS)*time.Millisecond + onTheWay
-	if !m.held.Patch(Difference{Rows: rows}, p.Digest, age) {
-		m.log.Error().Int("rows", len(rows)).Msg("the list fetched is not what it says")
+	age := time.Duration(p.AgeMS)*time.Millisecond + roundTrip
+	if !m.list.Patch(Difference{Rows: rows}, p.Digest, age) {
+		m.log.Error().Int("rows", len(rows)).Msg("fetched list of backend servers does not match its digest; keeping the current list")
 	}
 	return nil
 }
 
-// noteList notes how old a control VM's list of backend servers is.
-func (m *Member) noteList(vm string, age time.Duration) {
+// recordListAge records the age of a control VM's list of backend servers.
+func (m *Member) recordListAge(vm string, age time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.listAges[vm] = age
 }
 
-// chooseListSource has the control VM asked for changes of the list that had the youngest
-// one in this round: it reads the list itself, as a rule. Another one lags behind it by
-// an interval, and engines that restart would be used as much later.
+// chooseListSource selects the control VM that is asked for changes of the list: the one
+// with the youngest list in this round, which usually reads it from the platform itself.
+// Any other control VM is one interval later, and restarted engines would be used that
+// much later.
 func (m *Member) chooseListSource() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -158,38 +162,38 @@
 			best = vm
 		}
 	}
-	// Ages of one reading differ by the time that answers take.
-	if age, ok := m.listAges[m.listSource]; !ok || age > m.listAges[best]+sameReading {
+	// Reported ages of the same read differ by the latency of the replies.
+	if age, ok := m.listAges[m.listSource]; !ok || age > m.listAges[best]+listAgeTolerance {
 		m.listSource = best
 	}
 	clear(m.listAges)
 }
 
-// takeChanges takes what an answer says of the list of backend servers. The list's age
-// grew on the way here: counted from before the question.
-func (m *Member) takeChanges(vm string, n *Notice, a *Answer, onTheWay time.Duration) {
-	age := time.Duration(a.AgeMS)*time.Millisecond + onTheWay
+// applyChanges applies what a heartbeat reply says about the list of backend servers.
+// roundTrip is added to the list's age, which grew while the reply was in flight.
+func (m *Member) applyChanges(vm string, n *Notice, a *Answer, roundTrip time.Duration) {
+	age := time.Duration(a.AgeMS)*time.Millisecond + roundTrip
 	if a.Listed {
-		m.noteList(vm, age)
+		m.recordListAge(vm, age)
 	}
 	switch {
 	case !a.Listed:
 	case a.Changed != nil:
-		m.patch(vm, a, age)
+		m.applyDifference(vm, a, age)
 	case a.Digest == n.Held:
-		m.held.Confirm(a.Digest, age)
+		m.list.Confirm(a.Digest, age)
 	case n.Held == 0 || n.WantChanges && a.AgeMS < n.HeldAge:
-		m.wantList(vm, a.Digest)
+		m.requestList(vm, a.Digest)
 	}
 }
 
-// patch takes what has changed in the list. Where that does not lead to the control
-// VM's list, all of it is fetched.
-func (m *Member) patch(vm string, a *Answer, age time.Duration) {
+// applyDifference applies the changes of a heartbeat reply. If the result is not the
+// control VM's list, the whole list is fetched.
+func (m *Member) applyDifference(vm string, a *Answer, age time.Duration) {
 	d, err := a.Changed.unpack()
-	if err == nil && m.held.Patch(d, a.Digest, age) {
+	if err == nil && m.list.Patch(d, a.Digest, age) {
 		return
 	}
-	m.log.Error().Err(err).Str("control", vm).Int("rows", len(d.Rows)).Int("gone", len(d.Gone)).Msg("changes do not lead to the list")
-	m.wantList(vm, a.Digest)
+	m.log.Error().Err(err).Str("control", vm).Int("rows", len(d.Rows)).Int("gone", len(d.Gone)).Msg("changes of the list of backend servers do not match its digest; fetching the whole list")
+	m.requestList(vm, a.Digest)
 }
--- a/internal/cluster/fetch_test.go
+++ b/internal/cluster/fetch_test.go
@@ -16,14 +16,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// linkBytes is what a link of 10 Mbit/s carries in a second.
-const linkBytes = 1_250_000
+// linkBytesPerSecond is the capacity of a 10 Mbit/s link.
+const linkBytesPerSecond = 1_250_000
 
-// A VM never gets its list, and serves nobody. In order: it starts before three
-// thousand backend servers, and five control VMs hold the list; a zone of them is
-// replaced. The list must come once, by itself, and what changes from one control VM,
-// or the answers of all of them take longer than a notice waits.
-func TestLongListComesOnce(t *testing.T) {
+// A VM that starts with 3000 backend servers and five control VMs must receive the whole
+// list once, by its own request. After a zone of servers is replaced, it must receive the
+// changes from one control VM. Otherwise the replies take longer than heartbeatTimeout, and
+// the VM never gets a list.
+func TestLongListIsFetchedOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		ids := []string{"c1", "c2", "c3", "c4", "c5"}
 		hubs := map[string]*testHub{}
@@ -31,58 +31,58 @@
 		for _, id := range ids {
 			hubs[id] = startHub(ctx, n, id, ids)
 		}
-		// readFor has the platform's list read for a second, as it is each 0.4 s.
+		// readFor updates the control VMs' lists for a second, as reads of the platform do.
 		readFor := func() {
 			for range 5 {
 				for _, id := range ids {
-					hubs[id].held.Take(list, 0)
+					hubs[id].list.Take(list, 0)
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
 		}
 		c := peertest.NewMeter(n.VM("r1"))
-		held := NewHeld(noList)
-		m := NewMember("r1", c, ids[:1], held, Local{}, zerolog.Nop())
+		replica := NewHeld(ignoreList)
+		m := NewMember("r1", c, ids[:1], replica, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		readFor()
-		if got, _, _, _ := held.Now(); len(got) != len(list) {
-			t.Fatalf("%d rows", len(got))
+		if got, _, _, _ := replica.Now(); len(got) != len(list) {
+			t.Fatalf("got %d rows, want 3000", len(got))
 		}
-		if got := c.Take(); got.ByKind[peer.KindList] != 1 || got.Bytes > linkBytes/10 {
-			t.Errorf("%d lists, %d bytes for a start", got.ByKind[peer.KindList], got.Bytes)
+		if got := c.Take(); got.ByKind[peer.KindList] != 1 || got.Bytes > linkBytesPerSecond/10 {
+			t.Errorf("got %d lists and %d bytes at the start, want 1 list and at most 125000 bytes", got.ByKind[peer.KindList], got.Bytes)
 		}
 		list = slices.Concat(list[600:], rows(3600)[3000:])
 		readFor()
-		if got, _, _, _ := held.Now(); len(got) != len(list) {
-			t.Errorf("%d rows after the change", len(got))
+		if got, _, _, _ := replica.Now(); len(got) != len(list) {
+			t.Errorf("got %d rows after the change, want 3000", len(got))
 		}
-		if got := c.Take(); got.ByKind[peer.KindList] != 0 || got.Bytes > linkBytes/10 {
-			t.Errorf("%d lists, %d bytes for a zone that is replaced", got.ByKind[peer.KindList], got.Bytes)
+		if got := c.Take(); got.ByKind[peer.KindList] != 0 || got.Bytes > linkBytesPerSecond/10 {
+			t.Errorf("got %d lists and %d bytes for a replaced zone, want no list and at most 125000 bytes", got.ByKind[peer.KindList], got.Bytes)
 		}
 	})
 }
 
-// The control VM that told of the list is lost before it sends it: another one does,
-// well before callers who are kept for a restarted VM leave.
-func TestListComesFromAnother(t *testing.T) {
+// The control VM that announced a list is lost before the fetch. The list must come from
+// another one, well before the callers that wait for a restarted VM give up.
+func TestListFetchFailover(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
-			startHub(ctx, n, id, controls).held.Take(rows(3), 0)
+			startHub(ctx, n, id, controls).list.Take(rows(3), 0)
 		}
-		held := NewHeld(noList)
-		m := NewMember("r1", n.VM("r1"), controls, held, Local{}, zerolog.Nop())
-		m.wantList("gone", 1)
+		replica := NewHeld(ignoreList)
+		m := NewMember("r1", n.VM("r1"), controls, replica, Local{}, zerolog.Nop())
+		m.requestList("gone", 1)
 		go m.Run(ctx)
-		time.Sleep(searchEvery + 50*time.Millisecond)
-		if got, _, _, _ := held.Now(); len(got) != 3 {
-			t.Errorf("%d rows", len(got))
+		time.Sleep(initialHeartbeatInterval + 50*time.Millisecond)
+		if got, _, _, _ := replica.Now(); len(got) != 3 {
+			t.Errorf("got %d rows, want 3", len(got))
 		}
 	})
 }
 
-// Engines that restart stand idle. In order: one control VM reads the list, the others
-// hear of it with their notices; an engine starts again under another id. A router must
-// hear of it with its next notice, as it does from the VM that reads.
+// Restarted engines must not stay idle. One control VM reads the list and the others
+// receive it with their heartbeats. When an engine restarts under another id, a router
+// must learn it with its next heartbeat, which it does only from the VM that reads.
 func TestChangesComeFromTheReader(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		ids := []string{"c1", "c2", "c3", "c4", "c5"}
@@ -93,13 +93,13 @@
 				reader = h
 			}
 		}
-		held := NewHeld(noList)
-		m := NewMember("r1", n.VM("r1"), ids, held, Local{}, zerolog.Nop())
+		replica := NewHeld(ignoreList)
+		m := NewMember("r1", n.VM("r1"), ids, replica, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		list := rows(5)
 		readFor := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); {
-				reader.held.Take(list, 0)
+				reader.list.Take(list, 0)
 				time.Sleep(NoticeEvery / 4)
 			}
 		}
@@ -107,42 +107,43 @@
 		for i := range 10 {
 			list = slices.Concat(list[1:], rows(6 + i)[5+i:])
 			readFor(NoticeEvery + NoticeEvery/4)
-			if got, _, _, _ := held.Now(); !slices.Contains(got, list[4]) {
-				t.Errorf("change %d is not known after %v", i, NoticeEvery+NoticeEvery/4)
+			if got, _, _, _ := replica.Now(); !slices.Contains(got, list[4]) {
+				t.Errorf("change %d has not arrived after %v", i, NoticeEvery+NoticeEvery/4)
 			}
 			readFor(time.Duration(i) * 70 * time.Millisecond)
 		}
 	})
 }
 
-// Guards against a control VM that gives the list to hundreds of VMs at once and ends over
-// its memory: what waits for the link is bounded, and everybody is served in the end.
-func TestListsAreGivenOutAtARate(t *testing.T) {
-	const vms, size, again = 300, 100 << 10, 100 * time.Millisecond
-	var l listPace
+// Guards against a control VM that sends the list to hundreds of VMs at once and exceeds
+// its memory. The bytes waiting for the link are bounded, and all VMs get the list in the
+// end.
+func TestListRateLimit(t *testing.T) {
+	const vms, size, retryInterval = 300, 100 << 10, 100 * time.Millisecond
+	var l listLimiter
 	now := time.Unix(100, 0)
-	began, waiting, given := now, vms, 0
+	began, waiting, sent := now, vms, 0
 	for waiting > 0 && now.Sub(began) < time.Minute {
 		for range waiting {
 			if l.take(size, now) {
 				waiting--
-				given += size
+				sent += size
 			}
 		}
-		if most := listBurst + size + listRate*now.Sub(began).Seconds(); float64(given) > most {
-			t.Fatalf("%d bytes after %v, want %.0f at most", given, now.Sub(began), most)
+		if most := listBurstBytes + size + listBytesPerSecond*now.Sub(began).Seconds(); float64(sent) > most {
+			t.Fatalf("sent %d bytes after %v, want at most %.0f", sent, now.Sub(began), most)
 		}
-		now = now.Add(again)
+		now = now.Add(retryInterval)
 	}
 	if took := now.Sub(began); took > 6*time.Second {
-		t.Errorf("all served after %v", took)
+		t.Errorf("all VMs have the list after %v, want at most 6s", took)
 	}
-	if !l.take(2*listBurst, now.Add(time.Minute)) {
-		t.Error("a list larger than the burst is never given out")
+	if !l.take(2*listBurstBytes, now.Add(time.Minute)) {
+		t.Error("a list larger than the burst is refused")
 	}
 }
 
-// Guards against a zone's loss that is told to each of hundreds of VMs at its full length.
+// Guards against sending the loss of a zone uncompressed to hundreds of VMs.
 func TestDifferencesArePacked(t *testing.T) {
 	synctest.Test(t, differencesArePacked)
 }
@@ -165,22 +166,22 @@
 	time.Sleep(time.Millisecond)
 	h.Take(next, 0)
 	d, _, ok := h.Since(before)
-	p, digest, told, err := h.PackedSince(before)
-	if !ok || !told || err != nil {
-		t.Fatal(ok, told, err)
+	p, digest, found, err := h.PackedSince(before)
+	if !ok || !found || err != nil {
+		t.Fatal(ok, found, err)
 	}
 	plain, err := codec.Marshal(d)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(p.Data) > len(plain)/2 {
-		t.Errorf("%d bytes packed of %d", len(p.Data), len(plain))
+		t.Errorf("%d packed bytes of %d, want at most half", len(p.Data), len(plain))
 	}
 	got, err := p.unpack()
 	if err != nil || len(got.Rows) != 1000 || len(got.Gone) != 1000 {
-		t.Errorf("%d rows, %d gone, %v", len(got.Rows), len(got.Gone), err)
+		t.Errorf("got %d rows, %d removed, error %v; want 1000 of each and no error", len(got.Rows), len(got.Gone), err)
 	}
 	if _, now, _, _ := h.Now(); now != digest {
-		t.Error("leads to another list")
+		t.Error("the packed difference leads to another list")
 	}
 }
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -17,50 +17,53 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Hub is a control VM's side: who is there. Safe for concurrent use.
+// Hub receives the heartbeats of all VMs on a control VM and keeps the directory of
+// those that are present. Safe for concurrent use.
 type Hub struct {
-	held     *Held
+	list     *Held
 	controls func() []string
 	log      zerolog.Logger
 
-	schedule *schedule
+	scheduling *schedulerService
 
-	mu     sync.Mutex
-	vms    map[string]seen
-	silent map[string]bool // told in the log
-	spent  spentBook
-	ledger *rollout.Ledger
-	lists  listPace
-	deaths []toldDeath
-	summed *summary // nil: to be made anew
-	// recalled is what an earlier life wrote down; its copies are there until copiesTo.
-	recalled             []forward.Kept
-	copiesTo, recalledTo time.Time
+	mu            sync.Mutex
+	vms           map[string]vmState
+	loggedSilent  map[string]bool // VMs whose silence has been logged
+	retrySpending spendingTable
+	ledger        *rollout.Ledger
+	listLimiter   listLimiter
+	deaths        []reportedDeath
+	summary       *encodedSummary // nil: must be rebuilt
+	// savedRuns are the stream runs that a former process saved; their copies are
+	// offered until copiesExpireAt.
+	savedRuns                         []forward.Kept
+	copiesExpireAt, savedRunsExpireAt time.Time
 }
 
-type seen struct {
-	vm     string
-	notice Notice
-	at     time.Time
+type vmState struct {
+	vm        string
+	heartbeat Notice
+	at        time.Time
 }
 
-func (s seen) takesCallers() bool { return s.notice.Ready && s.notice.Callers != "" }
+func (s vmState) acceptsCallers() bool { return s.heartbeat.Ready && s.heartbeat.Callers != "" }
 
-type toldDeath struct {
+type reportedDeath struct {
 	death recovery.Death
 	at    time.Time
 }
 
-// NewHub registers the handler of notices. controls names the control VMs.
-func NewHub(t peer.Transport, held *Held, controls func() []string, log zerolog.Logger) *Hub {
-	h := &Hub{held: held, controls: controls, vms: map[string]seen{}, silent: map[string]bool{}, spent: spentBook{}, ledger: rollout.NewLedger(), log: log, schedule: newSchedule(t, log)}
-	held.KeepFormer()
+// NewHub returns a Hub and registers its message handlers with t. controls returns the
+// ids of the control VMs.
+func NewHub(t peer.Transport, list *Held, controls func() []string, log zerolog.Logger) *Hub {
+	h := &Hub{list: list, controls: controls, vms: map[string]vmState{}, loggedSilent: map[string]bool{}, retrySpending: spendingTable{}, ledger: rollout.NewLedger(), log: log, scheduling: newSchedulerService(t, log)}
+	list.KeepFormer()
 	t.Handle(peer.KindNotice, h.serve)
 	t.Handle(peer.KindList, h.serveList)
-	t.Handle(peer.KindKept, h.serveKept)
+	t.Handle(peer.KindKept, h.serveOrphan)
 	t.Handle(peer.KindSpent, h.serveSpent)
-	t.Handle(peer.KindPlace, h.schedule.servePlace)
-	t.Handle(peer.KindUse, h.schedule.serveUse)
+	t.Handle(peer.KindPlace, h.scheduling.servePlace)
+	t.Handle(peer.KindUse, h.scheduling.serveUse)
 	return h
 }
 
@@ -69,22 +72,22 @@
 	if err := codec.Unmarshal(body, &n); err != nil {
 		return nil, err
 	}
-	h.note(from, n)
-	h.schedule.told(from, &n.Told)
+	h.recordHeartbeat(from, n)
+	h.scheduling.receiveReport(from, &n.Told)
 	a := Answer{Controls: h.controls()}
 	if n.WantLoad || n.WantEntrances {
-		if err := h.answerAll(from, &n, &a); err != nil {
+		if err := h.addPeerReports(from, &n, &a); err != nil {
 			return nil, err
 		}
 	}
-	_, digest, age, ok := h.held.Now()
+	_, digest, age, ok := h.list.Now()
 	if !ok {
 		return a, nil
 	}
 	a.Listed, a.Digest, a.AgeMS = true, digest, age.Milliseconds()
-	// A VM with a younger list than ours has nothing to gain.
+	// A VM whose list is younger than this one needs no changes.
 	if n.WantChanges && digest != n.Held && a.AgeMS < n.HeldAge {
-		changed, digest, ok, err := h.held.PackedSince(n.Held)
+		changed, digest, ok, err := h.list.PackedSince(n.Held)
 		if err != nil {
 			return nil, err
 		}
@@ -95,34 +98,34 @@
 	return a, nil
 }
 
-// answerAll adds what all VMs told.
-func (h *Hub) answerAll(from string, n *Notice, a *Answer) error {
+// addPeerReports adds the requested reports of all VMs to a reply.
+func (h *Hub) addPeerReports(from string, n *Notice, a *Answer) error {
 	s, err := h.summarize()
 	if err != nil {
 		return err
 	}
 	if n.WantLoad {
-		s.tell(a, from, n)
+		s.addTo(a, from, n)
 		a.Spent = h.spentByOthers(n.Spent.Life)
 	}
 	if n.WantEntrances {
-		a.Entrances = s.entrances
+		a.Entrances = s.endpoints
 	}
 	return nil
 }
 
-// TakeList takes the list of backend servers.
-func (h *Hub) TakeList(l upstream.List) { h.schedule.setServers(l) }
+// SetBackends sets the backend servers that may be scheduled.
+func (h *Hub) TakeList(l upstream.List) { h.scheduling.setServers(l) }
 
-// Totals is the state of the streams that ask here.
-func (h *Hub) Totals() Totals { return h.schedule.totals() }
+// Totals returns the state of the streams that are scheduled here.
+func (h *Hub) Totals() Totals { return h.scheduling.totals() }
 
-// Run decides about streams that wait, until ctx ends.
-func (h *Hub) Run(ctx context.Context) { h.schedule.look(ctx) }
+// Run schedules waiting streams until ctx ends.
+func (h *Hub) Run(ctx context.Context) { h.scheduling.poll(ctx) }
 
-// serveKept answers which copy a stream that some VM carried has left. Two copies
-// under one identity are two requests that look alike: neither is given out.
-func (h *Hub) serveKept(_ context.Context, _ string, body []byte) (any, error) {
+// serveOrphan replies with the engine and the backup copy of the stream with the
+// requested identity, which another VM ran.
+func (h *Hub) serveOrphan(_ context.Context, _ string, body []byte) (any, error) {
 	var identity uint64
 	if err := codec.Unmarshal(body, &identity); err != nil {
 		return nil, err
@@ -130,18 +133,18 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	left := find(h.allKept(now), identity)
-	if left == (forward.Left{}) && now.Before(h.recalledTo) {
-		left = find(expired(h.recalled, now.After(h.copiesTo)), identity)
+	orphan := findOrphan(h.allRuns(now), identity)
+	if orphan == (forward.Left{}) && now.Before(h.savedRunsExpireAt) {
+		orphan = findOrphan(withoutExpiredCopies(h.savedRuns, now.After(h.copiesExpireAt)), identity)
 	}
-	return left, nil
+	return orphan, nil
 }
 
-// find returns what the one stream under an identity left. Two copies are of two
-// streams that look alike: neither is given out.
-func find(kept []forward.Kept, identity uint64) forward.Left {
+// findOrphan returns the orphan with an identity. Two different copies belong to two
+// requests with equal content, and neither is returned.
+func findOrphan(runs []forward.Kept, identity uint64) forward.Left {
 	var found forward.Left
-	for _, k := range kept {
+	for _, k := range runs {
 		if k.Identity != identity {
 			continue
 		}
@@ -153,93 +156,94 @@
 	return found
 }
 
-// allKept is what the streams of all VMs leave, as they last told. It needs h.mu.
-func (h *Hub) allKept(now time.Time) []forward.Kept {
+// allRuns returns the stream runs of all VMs as last reported. It needs h.mu.
+func (h *Hub) allRuns(now time.Time) []forward.Kept {
 	var out []forward.Kept
 	for _, s := range h.vms {
-		out = append(out, expired(s.notice.Kept, now.Sub(s.at) > keptFor)...)
+		out = append(out, withoutExpiredCopies(s.heartbeat.Kept, now.Sub(s.at) > copyLifetime)...)
 	}
 	return out
 }
 
-// expired leaves the copies out where engines have dropped them.
-func expired(kept []forward.Kept, copies bool) []forward.Kept {
-	if !copies {
-		return kept
+// withoutExpiredCopies returns the runs without their copies if those have expired.
+func withoutExpiredCopies(runs []forward.Kept, copiesExpired bool) []forward.Kept {
+	if !copiesExpired {
+		return runs
 	}
-	out := make([]forward.Kept, len(kept))
-	for i, k := range kept {
+	out := make([]forward.Kept, len(runs))
+	for i, k := range runs {
 		out[i] = k
 		out[i].Copy = forward.Copy{}
 	}
 	return out
 }
 
-func (h *Hub) note(from string, n Notice) {
+func (h *Hub) recordHeartbeat(from string, n Notice) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	if _, known := h.vms[from]; !known || h.silent[from] {
-		h.log.Info().Str("member", from).Str("zone", n.Zone).Bool("ready", n.Ready).Msg("VM is heard")
+	if _, known := h.vms[from]; !known || h.loggedSilent[from] {
+		h.log.Info().Str("member", from).Str("zone", n.Zone).Bool("ready", n.Ready).Msg("VM sends heartbeats")
 	}
-	delete(h.silent, from)
-	v := seen{from, n, now}
-	if v.takesCallers() != h.vms[from].takesCallers() {
-		h.summed = nil // callers must not be sent to a router that leaves
+	delete(h.loggedSilent, from)
+	v := vmState{from, n, now}
+	if v.acceptsCallers() != h.vms[from].acceptsCallers() {
+		h.summary = nil // callers must not be directed to a router that shuts down
 	}
 	h.vms[from] = v
-	h.spent.note(n.Spent, now)
+	h.retrySpending.record(n.Spent, now)
 	h.ledger.Note(n.Spent.Life, n.Rollouts, now)
-	h.expire(now)
+	h.expireVMs(now)
 	for _, d := range n.Deaths {
-		h.deaths = append(h.deaths, toldDeath{d, now})
+		h.deaths = append(h.deaths, reportedDeath{d, now})
 	}
 }
 
-// Evidence is what all routers observed of a roll-out under way.
+// Evidence returns what all routers observed of a roll-out in progress.
 func (h *Hub) Evidence(service string, number uint64) rollout.Evidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ledger.Sum(service, number, time.Now())
 }
 
-// KeepEvidence forgets what was observed of other roll-outs than those under way.
+// RetainEvidence drops the observations of all roll-outs except those under way.
 func (h *Hub) KeepEvidence(underWay map[string]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ledger.Keep(underWay)
 }
 
-// expire needs h.mu.
-func (h *Hub) expire(now time.Time) {
+// expireVMs logs VMs that have become silent and forgets those silent for forgetAfter.
+// It needs h.mu.
+func (h *Hub) expireVMs(now time.Time) {
 	for vm, s := range h.vms {
 		silent := now.Sub(s.at)
-		if silent > presentFor && !h.silent[vm] {
-			h.silent[vm], h.summed = true, nil
-			h.schedule.forget(vm)
-			h.log.Warn().Str("member", vm).Str("zone", s.notice.Zone).Dur("silent", silent).Msg("VM is silent")
+		if silent > presenceTimeout && !h.loggedSilent[vm] {
+			h.loggedSilent[vm], h.summary = true, nil
+			h.scheduling.forget(vm)
+			h.log.Warn().Str("member", vm).Str("zone", s.heartbeat.Zone).Dur("silent", silent).Msg("VM sends no heartbeats; removed from the directory")
 		}
 		if silent > forgetAfter {
 			delete(h.vms, vm)
-			delete(h.silent, vm)
+			delete(h.loggedSilent, vm)
 		}
 	}
 }
 
-// Entrances are the addresses that callers may use, in order, at most limit.
+// Endpoints returns at most limit addresses of VMs that accept callers, sorted.
 func (h *Hub) Entrances(limit int) []string {
 	s, err := h.summarize()
 	if err != nil {
-		h.log.Error().Err(err).Msg("no directory")
+		h.log.Error().Err(err).Msg("summary of heartbeats could not be encoded; returning no addresses")
 		return nil
 	}
-	return pick(slices.Clone(s.entrances), limit)
+	return sampleAddresses(slices.Clone(s.endpoints), limit)
 }
 
-// pick returns at most limit addresses, in order. Where there are more, each answer
-// draws its own: the same ones each time would get all callers, and the others none.
-// It reorders addrs.
-func pick(addrs []string, limit int) []string {
+// sampleAddresses returns at most limit addresses, sorted. If there are more, it draws a
+// random sample for each call: with a fixed choice the same VMs would receive all
+// callers and the others none. It reorders addrs.
+func sampleAddresses(addrs []string, limit int) []string {
 	if len(addrs) <= limit {
 		return addrs
 	}
--- a/internal/cluster/list.go
+++ b/internal/cluster/list.go
@@ -13,26 +13,27 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// The load pattern. Of several hundred backend servers some start or leave each
-// second. Sent whole to every VM with each change, by every control VM that it asks,
-// a list of 700 rows is 60 KB some times a second for each of hundreds of VMs, and
-// the control VMs do nothing else. So a VM says which list it holds, and gets what has
-// changed since; where that is not known any more it fetches the whole: see fetch.go.
+// The load pattern. Of several hundred backend servers a few start or stop each second.
+// A list of 700 rows takes 60 KB. If every control VM sent the whole list to every VM
+// with each change, hundreds of VMs would each receive it several times a second, and
+// the control VMs would do nothing else. Therefore a VM names the list that it holds and
+// receives the changes since. If its list is no longer known, it fetches the whole list:
+// see fetch.go.
 
-// formerLists is how many lists back a VM may be: with one more every 0.4 s it may
-// miss seven answers in a row. One further back fetches the list whole.
-const formerLists = 8
+// maxListHistory is how many lists a VM may lag behind. With a new list every 0.4 s it
+// may miss seven replies in a row. A VM that lags further fetches the whole list.
+const maxListHistory = 8
 
-// Difference is what leads from one list of backend servers to another.
+// Difference holds the changes from one list of backend servers to another.
 type Difference struct {
-	// Base is the digest of the list that it starts from; 0: from none.
+	// Base is the digest of the list that the changes apply to; 0: the empty list.
 	Base uint64             `cbor:"1,keyasint,omitempty"`
 	Rows []upstream.Backend `cbor:"2,keyasint,omitempty"` // new or changed
-	Gone []string           `cbor:"3,keyasint,omitempty"` // ids
+	Gone []string           `cbor:"3,keyasint,omitempty"` // ids of removed rows
 }
 
-// PackedDifference is a Difference as it is sent: a zone's loss changes a third of the
-// rows, which hundreds of VMs are told at once.
+// PackedDifference is a Difference in its wire form. It is compressed because the loss
+// of a zone changes a third of the rows, and hundreds of VMs receive the changes at once.
 type PackedDifference struct {
 	Data []byte `cbor:"2,keyasint"` // encoded and compressed
 }
@@ -47,159 +48,164 @@
 	return d, err
 }
 
-// Held is a VM's copy of the list of backend servers with its age. Safe for
+// ListReplica is a VM's replica of the list of backend servers with its age. Safe for
 // concurrent use.
 //
-// Age, not a version, orders lists: they are read from the platform by one VM
-// after another, which share no counter. It is counted on the monotonic clock and
-// on the wall clock, and the larger counts: a VM that was suspended must not pass
-// a list on as fresh.
+// Lists are ordered by age rather than by a version, because several VMs in turn read
+// them from the platform and share no counter. The age is measured on the monotonic
+// clock and on the wall clock, and the larger value counts. A VM that was suspended must
+// not forward an old list as fresh.
 type Held struct {
-	mu     sync.Mutex
-	list   upstream.List
-	digest uint64
-	listed bool
-	took   func(upstream.List)
-	keeps  bool                  // former lists, for other VMs
-	former []former              // with the one held as the last
-	since  map[uint64]Difference // to the one held, by base; kept until the next
-	told   map[uint64]PackedDifference
+	mu                sync.Mutex
+	list              upstream.List
+	digest            uint64
+	hasList           bool
+	onUpdate          func(upstream.List)
+	keepsHistory      bool                  // whether history is recorded, for other VMs
+	history           []listVersion         // oldest first; the last is the current list
+	differences       map[uint64]Difference // to the current list, by base digest; cleared with each new list
+	packedDifferences map[uint64]PackedDifference
 
-	packing sync.Mutex
-	packed  PackedList // of the list held when it was last asked for whole
+	packMu sync.Mutex
+	packed PackedList // the list as last returned by Packed
 }
 
-type former struct {
+type listVersion struct {
 	digest uint64
 	rows   []upstream.Backend
 }
 
-// NewHeld returns an empty Held; took gets each list that is taken.
-func NewHeld(took func(upstream.List)) *Held { return &Held{took: took} }
+// NewListReplica returns an empty ListReplica that calls onUpdate with each list that
+// it accepts.
+func NewHeld(onUpdate func(upstream.List)) *Held { return &Held{onUpdate: onUpdate} }
 
-// KeepFormer has former lists kept, for a control VM to tell others what has changed.
-// A VM that only follows has no use for them, and up to eight lists less in memory.
+// KeepHistory makes the replica keep former lists, from which a control VM computes the
+// changes for other VMs. Other VMs don't need it and save up to eight lists of memory.
 func (h *Held) KeepFormer() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.keeps = true
+	h.keepsHistory = true
 }
 
-// Take takes rows that were read age ago, unless what is held was read later.
+// Update replaces the list by rows that were read age ago, unless the current list was
+// read later.
 func (h *Held) Take(rows []upstream.Backend, age time.Duration) {
 	rows = slices.Clone(rows)
-	slices.SortStableFunc(rows, byID)
-	// A row named twice would be lost in every difference, and the digest with it.
+	slices.SortStableFunc(rows, compareID)
+	// A duplicate row would get lost in every difference and make the digests differ.
 	rows = slices.CompactFunc(rows, func(a, b upstream.Backend) bool { return a.ID == b.ID })
-	h.take(rows, digestOf(rows), age)
+	h.store(rows, digestOf(rows), age)
 }
 
-func byID(a, b upstream.Backend) int { return strings.Compare(a.ID, b.ID) }
+func compareID(a, b upstream.Backend) int { return strings.Compare(a.ID, b.ID) }
 
-// Confirm notes that the rows held were still the platform's age ago.
+// Confirm records that the list with this digest was still the platform's list age ago.
+// It does nothing if the current list has another digest.
 func (h *Held) Confirm(digest uint64, age time.Duration) {
 	h.mu.Lock()
-	same := h.listed && h.digest == digest
+	same := h.hasList && h.digest == digest
 	rows := h.list.Backends
 	h.mu.Unlock()
 	if same {
-		h.take(rows, digest, age)
+		h.store(rows, digest, age)
 	}
 }
 
-// Patch takes the list that a difference leads to, by its digest. It reports false
-// where the outcome is another list: the rows held are not what they were taken for,
-// and the list is to be asked for whole. A difference from a list that is not held any
-// more is late, and changes nothing.
+// Patch applies a difference that leads to the list with this digest. It returns false
+// if the result has another digest: the current rows are then not those that the sender
+// assumed, and the caller must fetch the whole list. A difference whose base is no
+// longer the current list arrived late and is ignored.
 func (h *Held) Patch(d Difference, digest uint64, age time.Duration) bool {
 	h.mu.Lock()
-	held, rows := h.digest, h.list.Backends
+	current, rows := h.digest, h.list.Backends
 	h.mu.Unlock()
 	switch {
-	case held == digest:
+	case current == digest:
 		h.Confirm(digest, age)
 		return true
 	case d.Base == 0:
 		rows = nil
-	case d.Base != held:
+	case d.Base != current:
 		return true
 	}
 	rows = d.apply(rows)
 	if digestOf(rows) != digest {
 		return false
 	}
-	h.take(rows, digest, age)
+	h.store(rows, digest, age)
 	return true
 }
 
-func (h *Held) take(rows []upstream.Backend, digest uint64, age time.Duration) {
+func (h *Held) store(rows []upstream.Backend, digest uint64, age time.Duration) {
 	h.mu.Lock()
 	asOf := time.Now().Add(-age)
-	if h.listed && !asOf.After(h.list.AsOf) {
+	if h.hasList && !asOf.After(h.list.AsOf) {
 		h.mu.Unlock()
 		return
 	}
 	h.list = upstream.List{Backends: rows, AsOf: asOf}
-	if h.keeps && digest != h.digest {
-		h.remember(former{digest, rows})
+	if h.keepsHistory && digest != h.digest {
+		h.appendHistory(listVersion{digest, rows})
 	}
-	h.digest, h.listed = digest, true
+	h.digest, h.hasList = digest, true
 	list := h.list
 	h.mu.Unlock()
-	h.took(list)
+	h.onUpdate(list)
 }
 
-// remember needs h.mu.
-func (h *Held) remember(f former) {
-	h.since, h.told = map[uint64]Difference{}, map[uint64]PackedDifference{}
-	h.former = append(h.former, f)
-	if len(h.former) > formerLists {
-		h.former = slices.Delete(h.former, 0, 1)
+// appendHistory needs h.mu.
+func (h *Held) appendHistory(f listVersion) {
+	h.differences, h.packedDifferences = map[uint64]Difference{}, map[uint64]PackedDifference{}
+	h.history = append(h.history, f)
+	if len(h.history) > maxListHistory {
+		h.history = slices.Delete(h.history, 0, 1)
 	}
 }
 
-// Now returns the rows held with their digest and age; ok is false before the
-// first.
+// Current returns the current rows with their digest and age; ok is false before the
+// first list. The rows must not be changed.
 func (h *Held) Now() (rows []upstream.Backend, digest uint64, age time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	age = max(now.Sub(h.list.AsOf), now.Round(0).Sub(h.list.AsOf.Round(0)))
-	return h.list.Backends, h.digest, age, h.listed
+	return h.list.Backends, h.digest, age, h.hasList
 }
 
-// Since is what leads to the list held, whose digest it returns, from the one with
-// a digest; false where that is not known any more or would be longer than the list. It
-// is worked out once for all VMs that hold the same.
-func (h *Held) Since(digest uint64) (d Difference, held uint64, ok bool) {
+// DifferenceSince returns the changes from the list with this digest to the current
+// list, and the digest of the latter. ok is false if the former list is no longer known
+// or if the changes would have more rows than the list. The result is computed once for
+// all VMs with the same list.
+func (h *Held) Since(digest uint64) (d Difference, current uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	d, ok = h.differenceFrom(digest)
 	return d, h.digest, ok
 }
 
-// differenceFrom needs h.mu.
+// differenceFrom returns the changes since the list with this digest. It needs h.mu.
 func (h *Held) differenceFrom(digest uint64) (d Difference, ok bool) {
-	if d, ok := h.since[digest]; ok {
+	if d, ok := h.differences[digest]; ok {
 		return d, true
 	}
-	for _, f := range h.former {
+	for _, f := range h.history {
 		if f.digest != digest {
 			continue
 		}
-		if from := between(f, h.list.Backends); len(from.Rows)+len(from.Gone) < len(h.list.Backends) {
-			h.since[digest] = from
+		if from := computeDifference(f, h.list.Backends); len(from.Rows)+len(from.Gone) < len(h.list.Backends) {
+			h.differences[digest] = from
 			return from, true
 		}
 	}
 	return d, false
 }
 
-// PackedSince is Since as it is sent, packed once for all VMs that hold the same.
-func (h *Held) PackedSince(digest uint64) (p PackedDifference, held uint64, ok bool, err error) {
+// PackedDifferenceSince returns DifferenceSince in its wire form, packed once for all
+// VMs with the same list.
+func (h *Held) PackedSince(digest uint64) (p PackedDifference, current uint64, ok bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if p, ok := h.told[digest]; ok {
+	if p, ok := h.packedDifferences[digest]; ok {
 		return p, h.digest, true, nil
 	}
 	d, ok := h.differenceFrom(digest)
@@ -209,25 +215,25 @@
 	if p, err = d.pack(); err != nil {
 		return p, h.digest, false, err
 	}
-	h.told[digest] = p
+	h.packedDifferences[digest] = p
 	return p, h.digest, true, nil
 }
 
-// between works out what leads from a list to rows.
-func between(base former, rows []upstream.Backend) Difference {
-	was := rowsByID(base.rows)
+// computeDifference returns the changes from a former list to rows.
+func computeDifference(base listVersion, rows []upstream.Backend) Difference {
+	former := rowsByID(base.rows)
 	d := Difference{Base: base.digest}
 	for _, row := range rows {
-		if old, ok := was[row.ID]; !ok || old != row {
+		if old, ok := former[row.ID]; !ok || old != row {
 			d.Rows = append(d.Rows, row)
 		}
-		delete(was, row.ID)
+		delete(former, row.ID)
 	}
-	d.Gone = slices.Sorted(maps.Keys(was))
+	d.Gone = slices.Sorted(maps.Keys(former))
 	return d
 }
 
-// apply returns the rows after the difference, in order of id.
+// apply returns rows with the changes applied, sorted by id.
 func (d Difference) apply(rows []upstream.Backend) []upstream.Backend {
 	next := rowsByID(rows)
 	for _, id := range d.Gone {
@@ -236,7 +242,7 @@
 	for _, row := range d.Rows {
 		next[row.ID] = row
 	}
-	return slices.SortedFunc(maps.Values(next), byID)
+	return slices.SortedFunc(maps.Values(next), compareID)
 }
 
 func rowsByID(rows []upstream.Backend) map[string]upstream.Backend {
@@ -250,7 +256,7 @@
 func digestOf(rows []upstream.Backend) uint64 {
 	data, err := codec.Marshal(rows)
 	if err != nil {
-		panic(err) // texts and numbers always encode
+		panic(err) // cannot happen: the rows hold only strings, numbers and booleans
 	}
 	return xxhash.Sum64(data)
 }
--- a/internal/cluster/list_test.go
+++ b/internal/cluster/list_test.go
@@ -27,13 +27,13 @@
 	return out
 }
 
-func noList(upstream.List) {}
+func ignoreList(upstream.List) {}
 
-// A VM that missed any number of lists holds the control VM's after one answer,
-// whatever started, left or changed meanwhile.
+// A VM that missed any number of lists must hold the control VM's list after one reply,
+// whichever servers started, stopped or changed in the meantime.
 func TestDifferencesLeadToTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	control, vm := NewHeld(noList), NewHeld(noList)
+	control, vm := NewHeld(ignoreList), NewHeld(ignoreList)
 	control.KeepFormer()
 	now, next := rows(40), 40
 	for step := range 400 {
@@ -53,25 +53,25 @@
 		if rng.IntN(3) > 0 {
 			continue
 		}
-		_, held, _, _ := vm.Now()
+		_, heldDigest, _, _ := vm.Now()
 		want, _, age, _ := control.Now()
-		d, digest, ok := control.Since(held)
+		d, digest, ok := control.Since(heldDigest)
 		if !ok {
 			d, digest = Difference{Rows: want}, digestOf(want)
 		}
 		if !vm.Patch(d, digest, age) {
-			t.Fatalf("step %d: the difference leads elsewhere", step)
+			t.Fatalf("step %d: the difference leads to another list", step)
 		}
 		if got, _, _, _ := vm.Now(); !slices.Equal(got, want) {
-			t.Fatalf("step %d: %d rows, want %d", step, len(got), len(want))
+			t.Fatalf("step %d: got %d rows, want the control VM's %d", step, len(got), len(want))
 		}
 	}
 }
 
-// The load of a large deployment: one of 710 engines starts. What each of 330 VMs is
-// sent for it is some hundred bytes, not the list.
-func TestOneChangeIsSmall(t *testing.T) {
-	control := NewHeld(noList)
+// In a large deployment one of 710 engines starts. Each of 330 VMs must be sent at most a
+// few hundred bytes for it, not the whole list.
+func TestDifferenceSize(t *testing.T) {
+	control := NewHeld(ignoreList)
 	control.KeepFormer()
 	control.Take(rows(710), 2*time.Second)
 	_, before, _, _ := control.Now()
@@ -88,10 +88,10 @@
 		return len(data)
 	}
 	if one := size(before); one > 200 {
-		t.Errorf("one change takes %d bytes", one)
+		t.Errorf("one change takes %d bytes, want at most 200", one)
 	}
 	if _, _, ok := control.Since(0); ok {
-		t.Error("a VM without a list is told of changes")
+		t.Error("got a difference for a VM without a list, want none")
 	}
 }
 
@@ -102,90 +102,89 @@
 		d      Difference
 		digest uint64
 		ok     bool
-		want   int // rows held then
+		want   int // rows afterwards
 	}{
 		{"one more", Difference{Base: base, Rows: []upstream.Backend{row(3)}}, digestOf(rows(4)), true, 4},
-		{"whole", Difference{Rows: rows(2)}, digestOf(rows(2)), true, 2},
+		{"complete list", Difference{Rows: rows(2)}, digestOf(rows(2)), true, 2},
 		{"all gone", Difference{Base: base, Gone: []string{row(0).ID, row(1).ID, row(2).ID}}, digestOf(nil), true, 0},
-		{"from a list that was held before", Difference{Base: 7, Gone: []string{row(0).ID}}, digestOf(rows(1)), true, 3},
-		{"not what it says", Difference{Base: base, Gone: []string{row(0).ID}}, digestOf(rows(9)), false, 3},
+		{"base is a former list", Difference{Base: 7, Gone: []string{row(0).ID}}, digestOf(rows(1)), true, 3},
+		{"digest does not match", Difference{Base: base, Gone: []string{row(0).ID}}, digestOf(rows(9)), false, 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := NewHeld(noList)
+			h := NewHeld(ignoreList)
 			h.Take(rows(3), time.Minute)
 			if ok := h.Patch(tt.d, tt.digest, time.Second); ok != tt.ok {
-				t.Errorf("ok %t", ok)
+				t.Errorf("Patch returned %t", ok)
 			}
 			if got, _, _, _ := h.Now(); len(got) != tt.want {
-				t.Errorf("%d rows held, want %d", len(got), tt.want)
+				t.Errorf("got %d rows, want %d", len(got), tt.want)
 			}
 		})
 	}
 }
 
-// A list with a row twice, and one with none, are held everywhere as at the control
-// VM. Before its first list a VM holds none, which is not the same as an empty one.
-func TestOddListsReachEveryVM(t *testing.T) {
+// A list with a duplicate row and an empty list must reach every VM as they are on the
+// control VM. A VM without any list is distinct from one with an empty list.
+func TestEmptyAndDuplicateRows(t *testing.T) {
 	tests := []struct {
 		name string
 		rows []upstream.Backend
 		want int
 	}{
-		{"none", nil, 0},
-		{"a row twice", append(rows(2), row(1)), 2},
+		{"empty", nil, 0},
+		{"duplicate row", append(rows(2), row(1)), 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 				h := startHub(ctx, n, "c1", controls[:1])
-				h.held.Take(tt.rows, 0)
-				held := NewHeld(noList)
-				m := NewMember("r1", n.VM("r1"), controls[:1], held, Local{}, zerolog.Nop())
+				h.list.Take(tt.rows, 0)
+				replica := NewHeld(ignoreList)
+				m := NewMember("r1", n.VM("r1"), controls[:1], replica, Local{}, zerolog.Nop())
 				go m.Run(ctx)
 				time.Sleep(time.Second)
-				if got, _, _, ok := held.Now(); !ok || len(got) != tt.want {
-					t.Errorf("%d rows, held %t", len(got), ok)
+				if got, _, _, ok := replica.Now(); !ok || len(got) != tt.want {
+					t.Errorf("got %d rows, has a list: %t", len(got), ok)
 				}
 			})
 		})
 	}
 }
 
-// A VM whose list is not the one that it was taken for asks for all of it, and holds
-// it with the next answer.
-func TestListIsAskedForWhole(t *testing.T) {
+// A VM whose rows don't match its digest must fetch the whole list after the next reply.
+func TestFullFetchAfterBadDifference(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
-		h.held.Take(rows(5), 0)
-		held := NewHeld(noList)
-		m := NewMember("r1", n.VM("r1"), controls[:1], held, Local{}, zerolog.Nop())
+		h.list.Take(rows(5), 0)
+		replica := NewHeld(ignoreList)
+		m := NewMember("r1", n.VM("r1"), controls[:1], replica, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		time.Sleep(time.Second)
-		held.mu.Lock()
-		held.list.Backends = held.list.Backends[1:] // a fault: the digest stays
-		held.mu.Unlock()
-		h.held.Take(rows(6), 0)
+		replica.mu.Lock()
+		replica.list.Backends = replica.list.Backends[1:] // simulated fault: the digest stays
+		replica.mu.Unlock()
+		h.list.Take(rows(6), 0)
 		time.Sleep(2 * NoticeEvery)
-		if got, _, _, _ := held.Now(); len(got) != 6 {
-			t.Errorf("%d rows", len(got))
+		if got, _, _, _ := replica.Now(); len(got) != 6 {
+			t.Errorf("got %d rows, want 6", len(got))
 		}
 	})
 }
 
-// All processes were killed and start together. In order: routers reach the control VMs,
-// which have not read the list of backend servers yet; it is read a moment later. The
-// callers who came back are kept for some tenths of a second, so the routers must not
-// wait for their next usual notice.
-func TestFirstListIsAskedForSoon(t *testing.T) {
+// All processes were killed and start together. The routers reach the control VMs shortly
+// before those have read the list of backend servers. Routers keep the returning callers
+// waiting for a few tenths of a second only, and therefore must not wait for a regular
+// heartbeat interval.
+func TestFirstListArrivesSoon(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(NoticeEvery/2 + 10*time.Millisecond)
-		h.held.Take([]upstream.Backend{{ID: "e1"}}, 0)
-		time.Sleep(searchEvery + 10*time.Millisecond)
-		if _, _, _, listed := v.held.Now(); !listed {
-			t.Error("the router does not hold the list")
+		h.list.Take([]upstream.Backend{{ID: "e1"}}, 0)
+		time.Sleep(initialHeartbeatInterval + 10*time.Millisecond)
+		if _, _, _, listed := v.list.Now(); !listed {
+			t.Error("the router has no list after the initial interval")
 		}
 	})
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -20,8 +20,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Local is what a Member says of its VM and does with what it hears. Functions
-// that are nil are left out.
+// Local connects a Member to its VM: the values that it reports and the functions that
+// take what it receives. A nil function is not called.
 type Local struct {
 	Zone    string
 	Callers string
@@ -31,78 +31,81 @@
 	Dead    func() []string
 	Kept    func() []forward.Kept
 	Spent   func() map[string]forward.Spent
-	// Opinion is what this VM thinks of backend servers, and Paces what it observed of
-	// them, by service.
+	// Opinion returns this VM's view of the backend servers, and Paces the pace that it
+	// observed for each service.
 	Opinion func() upstream.Opinion
 	Paces   func() map[string]scheduler.Pace
-	// Learn takes what a control VM knows of the other VMs, and LearnSpent what
-	// they together spent of the retry budgets.
+	// Learn takes the reports of the other VMs, and LearnSpent what all of them spent of
+	// the retry budgets, by service.
 	Learn      func(Known)
 	LearnSpent func(map[string]forward.Spent)
-	// Rollouts is what this VM observes of roll-outs, and Urgent that it is wanted soon.
+	// Rollouts returns what this VM observed of roll-outs. Urgent reports whether the
+	// control VMs need it soon.
 	Rollouts func() []rollout.Told
 	Urgent   func() bool
-	// Control: this VM is a control VM with a disk.
+	// Control reports that this VM is a control VM with a disk.
 	Control bool
-	// LearnEntrances takes the directory.
+	// LearnEndpoints takes the directory: the addresses of VMs that accept callers.
 	LearnEntrances func([]string)
 }
 
-// Member is a VM's side of the exchange. Safe for concurrent use.
+// Member is a VM's client of the control VMs: it sends heartbeats and applies the
+// replies. Safe for concurrent use.
 type Member struct {
 	self  string
 	t     peer.Transport
 	local Local
-	held  *Held
+	list  *Held
 	log   zerolog.Logger
 
-	mu         sync.Mutex
-	seeds      []string
-	learnt     map[string]time.Time // control VMs, when they were last named
-	observers  map[string]time.Time // when they last said that they are
-	answered   map[string]time.Time
-	silent     map[string]bool // told once in the log
-	wanted     wanted
-	listSource string                   // is asked for changes of the list
-	listAges   map[string]time.Duration // in the answers of this round, by control VM
-	lists      signal                   // a list is to be fetched
-	others     others
-	nudged     signal
-	life       uint64        // of this process
-	turn       atomic.Uint64 // of what is told of its spending
-	spending   signal        // something is to be told
-	placing    *placing
+	mu              sync.Mutex
+	seeds           []string
+	learnedControls map[string]time.Time // control VMs, and when a reply last named them
+	observers       map[string]time.Time // VMs that answered as an Observer, and when
+	lastAnswers     map[string]time.Time
+	loggedSilent    map[string]bool // control VMs whose silence has been logged
+	pendingFetch    listFetch
+	listSource      string                   // the control VM that is asked for changes of the list
+	listAges        map[string]time.Duration // in the replies of this round, by control VM
+	fetchSignal     signal                   // raised to fetch pendingFetch
+	peers           peerState
+	heartbeatSignal signal
+	incarnation     uint64        // of this process
+	spendingSeq     atomic.Uint64 // of the last RetrySpending
+	spendingSignal  signal        // raised to report retries
+	placing         *placing
 }
 
-// NewMember returns a Member that knows the seeds, VM ids of control VMs.
-func NewMember(self string, t peer.Transport, seeds []string, held *Held, local Local, log zerolog.Logger) *Member {
+// NewMember returns a Member of the VM self. seeds are the ids of control VMs from the
+// settings; some may be outdated.
+func NewMember(self string, t peer.Transport, seeds []string, list *Held, local Local, log zerolog.Logger) *Member {
 	m := &Member{
-		self: self, t: t, local: local, held: held, log: log, seeds: seeds,
-		learnt: map[string]time.Time{}, observers: map[string]time.Time{}, answered: map[string]time.Time{}, silent: map[string]bool{}, nudged: newSignal(),
-		life: rand.Uint64(), spending: newSignal(), placing: newPlacing(), lists: newSignal(),
+		self: self, t: t, local: local, list: list, log: log, seeds: seeds,
+		learnedControls: map[string]time.Time{}, observers: map[string]time.Time{}, lastAnswers: map[string]time.Time{}, loggedSilent: map[string]bool{}, heartbeatSignal: newSignal(),
+		incarnation: rand.Uint64(), spendingSignal: newSignal(), placing: newPlacing(), fetchSignal: newSignal(),
 		listAges: map[string]time.Duration{},
 	}
 	t.Handle(peer.KindPlaced, m.servePlaced)
 	return m
 }
 
-// SetSeeds takes other seeds, from changed settings.
+// SetSeeds replaces the seeds after a change of the settings.
 func (m *Member) SetSeeds(seeds []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seeds = seeds
 }
 
-// Controls are the control VMs known now: the seeds and those learnt, without those
-// that are observers. Where only observers are known they are the ones to ask.
+// Controls returns the ids of the known control VMs, sorted: the seeds and the learned
+// ones without observers. If only observers are known, it returns those.
 func (m *Member) Controls() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	old := func(_ string, at time.Time) bool { return now.Sub(at) > forgetAfter }
-	maps.DeleteFunc(m.learnt, old)
+	maps.DeleteFunc(m.learnedControls, old)
 	maps.DeleteFunc(m.observers, old)
-	out := slices.Concat(m.seeds, slices.Collect(maps.Keys(m.learnt)))
+	out := slices.Concat(m.seeds, slices.Collect(maps.Keys(m.learnedControls)))
 	slices.Sort(out)
 	out = slices.Compact(out)
 	observes := func(vm string) bool { _, is := m.observers[vm]; return is }
@@ -112,86 +115,89 @@
 	return slices.DeleteFunc(out, observes)
 }
 
-// Run sends notices until ctx ends.
+// Run sends heartbeats and fetches lists until ctx ends.
 func (m *Member) Run(ctx context.Context) {
-	go m.lists.each(ctx, m.fetchList)
+	go m.fetchSignal.each(ctx, m.fetchList)
 	for {
 		began := time.Now()
-		m.round(ctx)
-		if !m.pause(ctx, m.interval()-time.Since(began)) {
+		m.sendHeartbeats(ctx)
+		if !m.waitNext(ctx, m.interval()-time.Since(began)) {
 			return
 		}
 	}
 }
 
-// interval is the time between two notices. A VM that holds no list of backend servers
-// yet serves nobody: after a restart of all, the control VMs answer some tenths of a
-// second before they have read it.
+// interval returns the time until the next heartbeat. It is short while the VM has no
+// list of backend servers, because it cannot serve any request without one. After a
+// restart of all VMs the control VMs answer a few tenths of a second before they have
+// read the list.
 func (m *Member) interval() time.Duration {
-	_, _, _, listed := m.held.Now()
+	_, _, _, listed := m.list.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.answered) == 0 || !listed {
-		return searchEvery
+	if len(m.lastAnswers) == 0 || !listed {
+		return initialHeartbeatInterval
 	}
 	if m.local.Urgent != nil && m.local.Urgent() {
-		return urgentEvery
+		return urgentHeartbeatInterval
 	}
 	return NoticeEvery
 }
 
-// pause waits for d, or until the VM has something new to say.
-func (m *Member) pause(ctx context.Context, d time.Duration) bool {
+// waitNext waits for d or until NotifyNow is called. It returns false once ctx ends.
+func (m *Member) waitNext(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-m.nudged:
+	case <-m.heartbeatSignal:
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-// Nudge sends the next notice at once: a VM that has just become ready would
-// otherwise stay out of the directory for an interval.
-func (m *Member) Nudge() { m.nudged.raise() }
+// NotifyNow makes Run send the next heartbeat at once and does not block. Without it, a
+// VM that has just become ready would stay out of the directory for an interval.
+func (m *Member) Nudge() { m.heartbeatSignal.raise() }
 
-// Tell sends one more round at once: a VM that is leaving must not wait.
-func (m *Member) Tell(ctx context.Context) { m.round(ctx) }
+// SendNow sends heartbeats and waits for the replies. A VM that shuts down uses it
+// because it cannot wait for the next interval.
+func (m *Member) Tell(ctx context.Context) { m.sendHeartbeats(ctx) }
 
-func (m *Member) round(ctx context.Context) {
+func (m *Member) sendHeartbeats(ctx context.Context) {
 	var deaths []recovery.Death
 	if m.local.Deaths != nil {
 		deaths = m.local.Deaths()
 	}
-	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	n, to := m.notice(deaths), m.addressees()
+	n, to := m.heartbeat(deaths), m.recipients()
 	for _, vm := range m.Controls() {
 		if vm != m.self {
-			wg.Go(func() { m.exchange(ctx, vm, m.noticeFor(n, vm, &to)) })
+			wg.Go(func() { m.exchange(ctx, vm, m.heartbeatFor(n, vm, &to)) })
 		}
 	}
 	wg.Wait()
 	m.chooseListSource()
 }
 
-// addressees are the control VMs that are asked and told more than the others.
-type addressees struct {
-	load      string   // is asked what the other VMs do
-	entrances string   // is asked for the directory
-	changes   string   // is asked what has changed in the list of backend servers
-	told      []string // are told of the use of engines; empty: all are
+// recipients are the control VMs whose heartbeats carry more than those to the others.
+type recipients struct {
+	summary    string   // is asked for the Summary
+	endpoints  string   // is asked for the directory
+	changes    string   // is asked for changes of the list of backend servers
+	useReports []string // receive reports of engine use; empty: all do
 }
 
-func (m *Member) addressees() addressees {
-	a := addressees{entrances: m.source(), told: m.schedulers(toldControls)}
-	a.load = a.entrances
-	if len(a.told) > 0 {
-		// Only the control VM that decides knows who waits, and so whether memory is short.
-		a.load = a.told[0]
+func (m *Member) recipients() recipients {
+	a := recipients{endpoints: m.freshestControl(), useReports: m.schedulers(useReportTargets)}
+	a.summary = a.endpoints
+	if len(a.useReports) > 0 {
+		// Only the scheduling control VM knows the waiting streams, and therefore whether
+		// memory is low.
+		a.summary = a.useReports[0]
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -199,36 +205,37 @@
 	return a
 }
 
-// noticeFor is what one control VM gets of a notice.
-func (m *Member) noticeFor(n Notice, vm string, to *addressees) Notice {
-	if len(to.told) > 0 && !slices.Contains(to.told, vm) {
+// heartbeatFor returns the variant of a heartbeat for one control VM.
+func (m *Member) heartbeatFor(n Notice, vm string, to *recipients) Notice {
+	if len(to.useReports) > 0 && !slices.Contains(to.useReports, vm) {
 		n.Told = Told{}
 	}
 	n.WantChanges = n.WantChanges || vm == to.changes
-	n.WantEntrances = vm == to.entrances && m.local.LearnEntrances != nil
-	n.WantLoad = vm == to.load && (m.local.Learn != nil || m.local.LearnSpent != nil)
+	n.WantEntrances = vm == to.endpoints && m.local.LearnEntrances != nil
+	n.WantLoad = vm == to.summary && (m.local.Learn != nil || m.local.LearnSpent != nil)
 	if n.WantLoad {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		n.RoutersHeld, n.WantUse = m.others.digest, m.others.wantsUse(time.Now())
+		n.RoutersHeld, n.WantUse = m.peers.routersDigest, m.peers.wantsUse(time.Now())
 	}
 	return n
 }
 
-// source is the control VM that answered last: the one to ask what all of them know.
-func (m *Member) source() string {
+// freshestControl returns the control VM with the most recent reply, which is asked for
+// state that all control VMs hold. It is empty if none has answered.
+func (m *Member) freshestControl() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	best := ""
-	for vm, at := range m.answered {
-		if best == "" || at.After(m.answered[best]) {
+	for vm, at := range m.lastAnswers {
+		if best == "" || at.After(m.lastAnswers[best]) {
 			best = vm
 		}
 	}
 	return best
 }
 
-func (m *Member) notice(deaths []recovery.Death) Notice {
+func (m *Member) heartbeat(deaths []recovery.Death) Notice {
 	n := Notice{Zone: m.local.Zone, Callers: m.local.Callers, Deaths: deaths, Control: m.local.Control}
 	if m.local.Ready != nil {
 		n.Ready = m.local.Ready()
@@ -242,13 +249,13 @@
 	if m.local.Rollouts != nil {
 		n.Rollouts = m.local.Rollouts()
 	}
-	n.Spent = m.spent()
-	n.Told = m.toldWhole()
-	if _, digest, age, ok := m.held.Now(); ok {
+	n.Spent = m.ownSpending()
+	n.Told = m.fullUseReport()
+	if _, digest, age, ok := m.list.Now(); ok {
 		n.Held, n.HeldAge = digest, age.Milliseconds()
-		// One control VM tells of changes, as long as the list is young: what a zone's
-		// loss changes would else come from each of them.
-		n.WantChanges = m.local.Control || age > staleList
+		// While the list is young, routers ask a single control VM for changes. Otherwise
+		// each control VM would send the changes that the loss of a zone causes.
+		n.WantChanges = m.local.Control || age > staleListAge
 	}
 	return n
 }
@@ -257,30 +264,30 @@
 	sent := time.Now()
 	var a Answer
 	if err := m.t.Call(ctx, vm, peer.KindNotice, n, &a); err != nil {
-		m.missed(vm, err)
+		m.recordFailure(vm, err)
 		return
 	}
-	m.heard(vm, &a)
+	m.recordAnswer(vm, &a)
 	if a.Observer {
 		return
 	}
-	m.takeChanges(vm, &n, &a, time.Since(sent))
+	m.applyChanges(vm, &n, &a, time.Since(sent))
 	if n.WantEntrances {
 		m.local.LearnEntrances(a.Entrances)
 	}
 	if !n.WantLoad {
 		return
 	}
-	m.learnAll(vm, &a, n.Dead)
+	m.learnPeerReports(vm, &a, n.Dead)
 }
 
-// learnAll takes what all VMs told.
-func (m *Member) learnAll(vm string, a *Answer, dead []string) {
+// learnPeerReports decodes the reports of all VMs in a reply and passes them on.
+func (m *Member) learnPeerReports(vm string, a *Answer, dead []string) {
 	m.mu.Lock()
-	k, err := m.others.learn(a, dead, time.Now())
+	k, err := m.peers.learn(a, dead, time.Now())
 	m.mu.Unlock()
 	if err != nil {
-		m.log.Error().Err(err).Str("control", vm).Msg("what the other VMs do is not readable")
+		m.log.Error().Err(err).Str("control", vm).Msg("summary of the other VMs could not be decoded; keeping the previous one")
 		return
 	}
 	m.learnSpent(k.Spent)
@@ -289,43 +296,44 @@
 	}
 }
 
-// Find asks a control VM for what a stream left that another VM carried.
+// FindOrphan asks a control VM for the orphan with an identity: the engine and the backup
+// copy of a stream that another VM ran. It returns false if there is none or no reply.
 func (m *Member) Find(ctx context.Context, identity uint64) (forward.Left, bool) {
-	ctx, cancel := context.WithTimeout(ctx, findTimeout)
+	ctx, cancel := context.WithTimeout(ctx, orphanLookupTimeout)
 	defer cancel()
 	var out forward.Left
-	if err := m.t.Call(ctx, m.source(), peer.KindKept, identity, &out); err != nil {
-		m.log.Debug().Err(err).Msg("no answer about a copy")
+	if err := m.t.Call(ctx, m.freshestControl(), peer.KindKept, identity, &out); err != nil {
+		m.log.Debug().Err(err).Msg("lookup of an orphaned run failed; its prompt may be computed again")
 		return forward.Left{}, false
 	}
 	return out, out != (forward.Left{})
 }
 
-func (m *Member) heard(vm string, a *Answer) {
+func (m *Member) recordAnswer(vm string, a *Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	if a.Observer {
 		m.observers[vm] = now
 	} else {
-		m.answered[vm] = now
+		m.lastAnswers[vm] = now
 		delete(m.observers, vm)
 	}
-	if m.silent[vm] {
-		delete(m.silent, vm)
+	if m.loggedSilent[vm] {
+		delete(m.loggedSilent, vm)
 		m.log.Info().Str("control", vm).Msg("control VM answers again")
 	}
 	for _, c := range a.Controls {
-		m.learnt[c] = now
+		m.learnedControls[c] = now
 	}
 }
 
-func (m *Member) missed(vm string, err error) {
+func (m *Member) recordFailure(vm string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.answered, vm)
-	if !m.silent[vm] {
-		m.silent[vm] = true
+	delete(m.lastAnswers, vm)
+	if !m.loggedSilent[vm] {
+		m.loggedSilent[vm] = true
 		m.log.Warn().Err(err).Str("control", vm).Msg("control VM does not answer")
 	}
 }
--- /dev/null
+++ b/internal/cluster/observer.go
@@ -0,0 +1,97 @@
+package cluster
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/amaranthshelf/amaranthshelf/internal/codec"
+	"github.com/amaranthshelf/amaranthshelf/internal/peer"
+)
+
+// The load pattern. The control role runs on a share of a zone's VMs, and only the first
+// of these have a disk. With forty VMs in a zone, two of its three control processes have
+// no disk and cannot vote. A process that tried to vote anyway would fail every second,
+// would not answer callers that ask for an address, and would hide the voters from every
+// VM whose settings name it as a seed.
+//
+// Therefore such a process only observes. It follows the directory of one voter, forwards
+// operators' calls, and names the voters to every VM that sends it a heartbeat.
+
+// endpointsTTL is how long a received directory is valid: several heartbeats, and less
+// than callers cache an answer. An older directory may name VMs that are gone.
+const endpointsTTL = 3 * time.Second
+
+// Observer serves heartbeats and the directory on a control VM without a disk. Safe for
+// concurrent use.
+type Observer struct {
+	self     string
+	controls func() []string // of this VM's Member
+
+	mu          sync.Mutex
+	voters      map[string]time.Time // control VMs with a disk, and when they last sent a heartbeat
+	endpoints   []string
+	endpointsAt time.Time
+}
+
+// NewObserver returns an Observer and registers its handler of heartbeats with t.
+// controls returns the ids of the control VMs known to this VM's own Member.
+func NewObserver(t peer.Transport, self string, controls func() []string) *Observer {
+	o := &Observer{self: self, controls: controls, voters: map[string]time.Time{}}
+	t.Handle(peer.KindNotice, o.serve)
+	return o
+}
+
+// serve replies to a heartbeat with the ids of the voters. A voter whose seeds have all
+// been replaced may know only this VM; it becomes known here by its own heartbeats.
+func (o *Observer) serve(_ context.Context, from string, body []byte) (any, error) {
+	var n Notice
+	if err := codec.Unmarshal(body, &n); err != nil {
+		return nil, err
+	}
+	if n.Control {
+		o.recordVoter(from)
+	}
+	return Answer{Observer: true, Controls: o.Controls()}, nil
+}
+
+func (o *Observer) recordVoter(vm string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.voters[vm] = time.Now()
+}
+
+// Controls returns the ids of the known control VMs except this one, sorted.
+func (o *Observer) Controls() []string {
+	out := o.controls()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for vm, at := range o.voters {
+		if time.Since(at) > forgetAfter {
+			delete(o.voters, vm)
+			continue
+		}
+		out = append(out, vm)
+	}
+	slices.Sort(out)
+	return slices.DeleteFunc(slices.Compact(out), func(vm string) bool { return vm == o.self })
+}
+
+// LearnEndpoints stores the directory as received from a voter.
+func (o *Observer) LearnEntrances(addrs []string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.endpoints, o.endpointsAt = addrs, time.Now()
+}
+
+// Endpoints returns at most limit addresses of VMs that accept callers, sorted. It
+// returns none if the directory has expired.
+func (o *Observer) Entrances(limit int) []string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if time.Since(o.endpointsAt) > endpointsTTL {
+		return nil
+	}
+	return sampleAddresses(slices.Clone(o.endpoints), limit)
+}
--- a/internal/cluster/observe_test.go
+++ b/internal/cluster/observer_test.go
@@ -29,20 +29,20 @@
 	return o
 }
 
-// startDiskHub is a control VM with a disk that says so, and starts from other seeds.
-func startDiskHub(ctx context.Context, n *peertest.Net, id string, seeds, voters []string) *testHub {
-	h := &testHub{held: NewHeld(func(upstream.List) {})}
+// startVoter starts a control VM with a disk, which reports that in its heartbeats.
+func startVoter(ctx context.Context, n *peertest.Net, id string, seeds, voters []string) *testHub {
+	h := &testHub{list: NewHeld(func(upstream.List) {})}
 	t := n.VM(id)
-	h.hub = NewHub(t, h.held, func() []string { return voters }, zerolog.Nop())
-	m := NewMember(id, t, seeds, h.held, Local{Control: true}, zerolog.Nop())
+	h.hub = NewHub(t, h.list, func() []string { return voters }, zerolog.Nop())
+	m := NewMember(id, t, seeds, h.list, Local{Control: true}, zerolog.Nop())
 	go m.Run(ctx)
 	return h
 }
 
-// Callers of a zone ask where to connect while its one control VM with a disk is lost.
-// In order: an observer follows the directory; the voter that it asked dies; it goes on
-// by another; routers that leave are out of its answers as they are out of a voter's.
-func TestObserverAnswersCallers(t *testing.T) {
+// Callers ask an observer for addresses while a voter is lost. The observer follows the
+// directory of one voter, and of another one after that dies. Routers that shut down must
+// leave its answers as they leave a voter's. Without any voter it must return none.
+func TestObserverEndpoints(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			startHub(ctx, n, id, controls)
@@ -52,47 +52,47 @@
 		leaving := startRouter(ctx, n, "r2", controls, 0)
 		time.Sleep(2 * time.Second)
 		if got := o.Entrances(64); !slices.Equal(got, []string{"r1:80", "r2:80"}) {
-			t.Fatalf("the observer sends callers to %v", got)
+			t.Fatalf("the observer lists %v, want [r1:80 r2:80]", got)
 		}
 		n.Kill(controls[0])
-		leaving.gone.Store(true)
+		leaving.notReady.Store(true)
 		time.Sleep(3 * NoticeEvery)
 		if got := o.Entrances(64); !slices.Equal(got, []string{"r1:80"}) {
-			t.Errorf("after a voter's loss the observer sends callers to %v", got)
+			t.Errorf("after the loss of a voter the observer lists %v, want [r1:80]", got)
 		}
 		if got := o.Entrances(0); len(got) != 0 {
-			t.Errorf("%v with a limit of none", got)
+			t.Errorf("got %v with limit 0, want none", got)
 		}
 		n.Kill(controls[1])
 		n.Kill(controls[2])
-		time.Sleep(entrancesFor + NoticeEvery)
+		time.Sleep(endpointsTTL + NoticeEvery)
 		if got := o.Entrances(64); len(got) != 0 {
-			t.Errorf("the observer goes on sending callers to %v without a voter", got)
+			t.Errorf("without a voter the observer lists %v, want none", got)
 		}
 	})
 }
 
-// Every router takes an observer for a control VM, and nothing decides. In order: all
-// seeds in the settings are exchanged for control VMs without a disk; a router and a
-// voter start with these alone. The voter makes itself known to them, the router finds
-// it through them, and does not count them among those that decide.
-func TestSeedsWithoutADisk(t *testing.T) {
+// Guards against routers that take an observer for the scheduling control VM. All seeds in
+// the settings are replaced by control VMs without a disk, and a router and a voter start
+// with these seeds. The voter becomes known by its heartbeats, and the router must learn it
+// from the observers and not schedule by them.
+func TestObserverSeeds(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		seeds := []string{"a1", "a2"}
 		for _, id := range seeds {
 			startObserver(ctx, n, id, seeds)
 		}
-		h := startDiskHub(ctx, n, "c1", seeds, []string{"c1"})
+		h := startVoter(ctx, n, "c1", seeds, []string{"c1"})
 		r := startRouter(ctx, n, "r1", seeds, 0)
 		time.Sleep(2 * time.Second)
 		if got := h.hub.Entrances(64); !slices.Equal(got, []string{"r1:80"}) {
-			t.Errorf("the voter knows %v", got)
+			t.Errorf("the voter lists %v, want [r1:80]", got)
 		}
 		if got := r.member.Controls(); !slices.Equal(got, []string{"c1"}) {
-			t.Errorf("the router takes %v for voters", got)
+			t.Errorf("the router knows control VMs %v, want [c1]", got)
 		}
 		if got := r.member.scheduler(); got != "c1" {
-			t.Errorf("%q decides", got)
+			t.Errorf("the router asks %q for engines, want c1", got)
 		}
 	})
 }
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -12,39 +12,42 @@
 )
 
 const (
-	// placeTimeout bounds one question for an engine. A control VM answers in some
-	// milliseconds, and small VMs under overload in a tenth of a second or two. Routers
-	// that took it for lost then would ask another each, and several decide at once, just
-	// when the order matters most. One that was paused is found here, by the first streams
-	// that ask, or by the notices.
+	// placeTimeout bounds one request for an engine. A control VM answers within
+	// milliseconds, and a small VM under overload within 0.1 to 0.2 s. With a shorter
+	// timeout, routers would take an overloaded control VM for lost and ask different
+	// ones, and several would schedule at once, just when the order matters most. A frozen
+	// control VM is detected by this timeout, by the first streams that ask it, or by the
+	// heartbeats.
 	placeTimeout = 300 * time.Millisecond
-	// placeTries control VMs are asked before a router decides for itself.
-	placeTries = 2
-	// askAgainEvery has a waiting stream asked for again: the answer may be lost, or the
-	// control VM that holds its place.
-	// It is far below the time for which a place is kept without a question.
-	askAgainEvery = 1 * time.Second
+	// placeAttempts is how many control VMs are asked before a router places a stream by
+	// itself.
+	placeAttempts = 2
+	// placeRetryInterval is the time between two requests for a waiting stream: the
+	// decision may be lost, or the control VM that queues the stream. It is far shorter
+	// than the time for which a queued stream is kept without a request.
+	placeRetryInterval = 1 * time.Second
 )
 
 var _ forward.Placer = (*Member)(nil)
 
-// placing is a router's side of asking for engines. Safe for concurrent use.
+// placing is the state of a router's requests for engines. Safe for concurrent use.
 type placing struct {
-	mu      sync.Mutex
-	waiting map[string]chan scheduler.Answer // by request id
-	taken   uint64                           // the last grant that the router's use includes
-	turn    uint64
-	changed signal
+	mu        sync.Mutex
+	waiting   map[string]chan scheduler.Answer // by request id
+	lastGrant uint64                           // number of the last grant that the router's use includes
+	reportSeq uint64
+	useSignal signal
 
-	refreshing sync.Mutex
-	refreshed  time.Time // needs refreshing
+	refreshMu   sync.Mutex
+	refreshedAt time.Time // guarded by refreshMu
 }
 
 func newPlacing() *placing {
-	return &placing{waiting: map[string]chan scheduler.Answer{}, changed: newSignal()}
+	return &placing{waiting: map[string]chan scheduler.Answer{}, useSignal: newSignal()}
 }
 
-// wait returns where a decision about a request is told, and what ends the waiting.
+// wait returns the channel that receives the decision about a request, and a function
+// that ends the wait.
 func (p *placing) wait(id string) (<-chan scheduler.Answer, func()) {
 	ch := make(chan scheduler.Answer, 1)
 	p.mu.Lock()
@@ -57,7 +60,8 @@
 	}
 }
 
-// deliver hands a decision to the stream that waits for it, if it still does.
+// deliver passes a decision to the stream that waits for it. It returns false if none
+// does.
 func (p *placing) deliver(d Placed) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,37 +77,38 @@
 	}
 }
 
-// took notes that a grant is part of the router's use from now on, or was not needed.
-func (p *placing) took(number uint64) {
+// recordGrant records that the router's use includes a grant, or that the grant was not
+// needed.
+func (p *placing) recordGrant(number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.taken = max(p.taken, number)
+	p.lastGrant = max(p.lastGrant, number)
 }
 
-// next numbers a message. The last grant taken is read before the use is: a use that
-// includes more than is said is counted twice for a moment, one that includes less
-// would lose a run.
-func (p *placing) next() (turn, taken uint64) {
+// nextReport returns the sequence number of a report and the last grant that it includes.
+// It is called before the use is read. A use that includes later grants counts them
+// twice for a moment, whereas one that lacks a stated grant would lose a run.
+func (p *placing) nextReport() (turn, taken uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turn++
-	return p.turn, p.taken
+	p.reportSeq++
+	return p.reportSeq, p.lastGrant
 }
 
-// told is what this VM tells of its use of engines.
-func (m *Member) told() Told {
-	t := m.toldWhole()
+// useReport returns the report of engine use between heartbeats, without Suspected.
+func (m *Member) useReport() Told {
+	t := m.fullUseReport()
 	t.Doubt, t.SameDoubt = nil, true
 	return t
 }
 
-// toldWhole is the same for the notices, with what this VM doubts.
-func (m *Member) toldWhole() Told {
+// fullUseReport returns the report of engine use for heartbeats, with Suspected.
+func (m *Member) fullUseReport() Told {
 	if m.local.Use == nil {
 		return Told{}
 	}
-	turn, taken := m.placing.next()
-	t := Told{Life: m.life, Turn: turn, Taken: taken, Use: m.local.Use()}
+	turn, taken := m.placing.nextReport()
+	t := Told{Life: m.incarnation, Turn: turn, Taken: taken, Use: m.local.Use()}
 	if m.local.Opinion != nil {
 		o := m.local.Opinion()
 		t.Avoid, t.Doubt, t.Alive = o.Avoid, o.Doubt, o.Alive
@@ -114,47 +119,47 @@
 	return t
 }
 
-// Place implements forward.Placer. Abandon is asked each second. The caller calls Took
-// once its use includes what was granted.
+// Place implements forward.Placer. It calls abandon every placeRetryInterval while the
+// stream waits. The caller calls Took once its use includes the grant.
 func (m *Member) Place(ctx context.Context, st scheduler.Stream, abandon func() bool) (scheduler.Answer, bool) {
 	decided, end := m.placing.wait(st.ID)
 	defer end()
 	a := PlaceAsk{Stream: st}
-	for again := false; ; again = true {
+	for retry := false; ; retry = true {
 		a.DueMS, a.LeftMS = time.Until(st.Due).Milliseconds(), time.Until(st.Deadline).Milliseconds()
-		p, ok := m.askPlace(ctx, &a, again)
+		p, ok := m.requestPlace(ctx, &a, retry)
 		if !ok || p.Outcome != scheduler.Waiting {
 			return p, ok
 		}
-		again := time.NewTimer(askAgainEvery)
+		retryTimer := time.NewTimer(placeRetryInterval)
 		select {
 		case p := <-decided:
-			again.Stop()
+			retryTimer.Stop()
 			return p, true
-		case <-again.C:
+		case <-retryTimer.C:
 			if abandon() {
 				return p, true
 			}
 		case <-ctx.Done():
-			again.Stop()
+			retryTimer.Stop()
 			return scheduler.Answer{}, false
 		}
 	}
 }
 
-// askPlace asks the control VM that decides, and the next one where it does not answer.
+// requestPlace asks the scheduling control VM, and its successor if that does not answer.
 //
-// What this VM uses goes with the first question alone: hundreds of streams may wait,
-// and each asks again.
-func (m *Member) askPlace(ctx context.Context, a *PlaceAsk, again bool) (scheduler.Answer, bool) {
-	for range placeTries {
+// Only the first request for a stream carries this VM's use of engines, because hundreds
+// of streams may wait and repeat their requests.
+func (m *Member) requestPlace(ctx context.Context, a *PlaceAsk, retry bool) (scheduler.Answer, bool) {
+	for range placeAttempts {
 		vm := m.scheduler()
 		if vm == "" || ctx.Err() != nil {
 			break
 		}
 		a.Told = Told{}
-		if !again {
-			a.Told = m.told()
+		if !retry {
+			a.Told = m.useReport()
 		}
 		asking, cancel := context.WithTimeout(ctx, placeTimeout)
 		var p scheduler.Answer
@@ -164,14 +169,14 @@
 			return p, true
 		}
 		if ctx.Err() == nil {
-			m.missed(vm, err)
+			m.recordFailure(vm, err)
 		}
 	}
 	return scheduler.Answer{}, false
 }
 
-// scheduler is the control VM that decides about engines, as this VM sees it: the
-// first by id of those that answered lately.
+// scheduler returns the scheduling control VM as this VM sees it: the first by id of
+// those that answered recently. It is empty if none did.
 func (m *Member) scheduler() string {
 	if d := m.schedulers(1); len(d) > 0 {
 		return d[0]
@@ -179,64 +184,64 @@
 	return ""
 }
 
-// schedulers are the control VM that decides and those that would after it, at most n.
+// schedulers returns the scheduling control VM and its successors, at most n.
 func (m *Member) schedulers(n int) []string {
 	controls := m.Controls()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
 	for _, vm := range controls {
-		if at, ok := m.answered[vm]; ok && time.Since(at) <= presentFor && len(out) < n {
+		if at, ok := m.lastAnswers[vm]; ok && time.Since(at) <= presenceTimeout && len(out) < n {
 			out = append(out, vm)
 		}
 	}
 	return out
 }
 
-// Refresh asks the control VM that decides for its list of backend servers. Callers
-// that come while one question is under way wait for the next, which serves them all.
+// Refresh updates the list of backend servers from the scheduling control VM. Calls that
+// arrive during an exchange wait for the next one, which serves all of them.
 func (m *Member) Refresh(ctx context.Context) {
 	asked := time.Now()
-	m.placing.refreshing.Lock()
-	defer m.placing.refreshing.Unlock()
+	m.placing.refreshMu.Lock()
+	defer m.placing.refreshMu.Unlock()
 	vm := m.scheduler()
-	if m.placing.refreshed.After(asked) || vm == "" || ctx.Err() != nil {
+	if m.placing.refreshedAt.After(asked) || vm == "" || ctx.Err() != nil {
 		return
 	}
-	m.placing.refreshed = time.Now()
+	m.placing.refreshedAt = time.Now()
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	m.exchange(ctx, vm, m.notice(nil))
+	m.exchange(ctx, vm, m.heartbeat(nil))
 }
 
-// Took notes that the router's use includes a grant, or that it was not needed.
+// Took records that the router's use includes a grant, or that the grant was not needed.
 func (m *Member) Took(number uint64) {
-	m.placing.took(number)
+	m.placing.recordGrant(number)
 	m.UseChanged()
 }
 
-// UseChanged has the control VM that decides told at once: a prompt that was read lets
-// the next one begin. It does not wait.
-func (m *Member) UseChanged() { m.placing.changed.raise() }
+// UseChanged triggers a report of engine use and does not block. The scheduling control
+// VM needs it at once, because a finished prefill lets the next prompt start.
+func (m *Member) UseChanged() { m.placing.useSignal.raise() }
 
-// RunUse tells of changes until ctx ends. Those that come while one message is under
-// way go with the next one.
-func (m *Member) RunUse(ctx context.Context) { m.placing.changed.each(ctx, m.tellUse) }
+// RunUseReports reports changes of engine use until ctx ends. Changes that occur while a
+// report is in flight are combined into the next one.
+func (m *Member) RunUse(ctx context.Context) { m.placing.useSignal.each(ctx, m.sendUseReport) }
 
-func (m *Member) tellUse(ctx context.Context) {
+func (m *Member) sendUseReport(ctx context.Context) {
 	vm := m.scheduler()
 	if vm == "" {
-		return // the notices tell it
+		return // the heartbeats carry the use
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	if err := m.t.Call(ctx, vm, peer.KindUse, m.told(), nil); err != nil {
-		m.log.Debug().Err(err).Str("control", vm).Msg("use of engines not told")
+	if err := m.t.Call(ctx, vm, peer.KindUse, m.useReport(), nil); err != nil {
+		m.log.Debug().Err(err).Str("control", vm).Msg("use of engines could not be reported; the next heartbeat carries it")
 	}
 }
 
-// servePlaced takes a decision about a stream that waited. Nobody waits any more where
-// its caller left: the grant is given back.
+// servePlaced receives the decision about a waiting stream. If the stream's caller has
+// left, nothing waits for the decision and a grant is returned.
 func (m *Member) servePlaced(_ context.Context, _ string, body []byte) (any, error) {
 	var p Placed
 	if err := codec.Unmarshal(body, &p); err != nil {
--- a/internal/cluster/place_test.go
+++ b/internal/cluster/place_test.go
@@ -16,7 +16,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// placingRouter is a router that takes what it is granted.
+// placingRouter is a router that requests engines for streams.
 type placingRouter struct {
 	*testVM
 	closing atomic.Bool
@@ -44,29 +44,29 @@
 	}, v.closing.Load)
 }
 
-// startReading starts a control VM with one engine and two routers, of which the first
-// has been granted the engine and has a prompt read there.
-func startReading(t *testing.T, ctx context.Context, n *peertest.Net) (reads, other *placingRouter) {
+// startPrefilling starts a control VM with one engine and two routers. The first router
+// has been granted the engine, which is prefilling its prompt.
+func startPrefilling(t *testing.T, ctx context.Context, n *peertest.Net) (prefilling, other *placingRouter) {
 	h := startHub(ctx, n, "c1", controls[:1])
 	h.hub.TakeList(modelsList(1))
 	go h.hub.Run(ctx)
-	reads, other = startPlacing(ctx, n, "r1"), startPlacing(ctx, n, "r2")
+	prefilling, other = startPlacing(ctx, n, "r1"), startPlacing(ctx, n, "r2")
 	time.Sleep(time.Second)
-	first, ok := reads.place(ctx, "1")
+	first, ok := prefilling.place(ctx, "1")
 	if !ok || first.Outcome != scheduler.Granted || first.Server != "e0" {
-		t.Fatalf("first: %+v, %t", first, ok)
+		t.Fatalf("first stream: got %+v, decided %t, want a grant of e0", first, ok)
 	}
-	reads.uses(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600, Prompt: 8000}})
-	reads.member.Took(first.Number)
-	return reads, other
+	prefilling.setUse(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600, Prompt: 8000}})
+	prefilling.member.Took(first.Number)
+	return prefilling, other
 }
 
-// Two routers ask for the one free engine at the same moment. One gets it; the other's
-// stream waits, and is told as soon as the first prompt has been read. Neither router
-// knows of the other.
-func TestStreamsWaitForTheOneEngine(t *testing.T) {
+// Two routers, which don't know of each other, request the only engine. The stream of the
+// second must wait, and must be granted the engine as soon as the first prompt has been
+// prefilled.
+func TestStreamWaitsForPrefill(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
-		a, b := startReading(t, ctx, n)
+		a, b := startPrefilling(t, ctx, n)
 		type answer struct {
 			p  scheduler.Answer
 			ok bool
@@ -80,23 +80,23 @@
 		time.Sleep(time.Second)
 		select {
 		case got := <-second:
-			t.Fatalf("placed beside a prompt that is being read: %+v", got)
+			t.Fatalf("second stream was decided during the prefill of the first: %+v", got)
 		default:
 		}
-		a.uses(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600}})
+		a.setUse(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600}})
 		read := time.Now()
 		a.member.UseChanged()
 		got := <-second
 		if !got.ok || got.p.Outcome != scheduler.Granted || got.at.Sub(read) > 20*time.Millisecond {
-			t.Errorf("second: %+v after %v", got.p, got.at.Sub(read))
+			t.Errorf("second stream: got %+v after %v, want a grant within 20ms", got.p, got.at.Sub(read))
 		}
 	})
 }
 
-// The control VM that decides freezes. In order: a stream asks it and gets no answer;
-// its router asks the next control VM within a tenth of a second, and goes on doing so;
-// where none answers, the router is told to decide for itself.
-func TestAnotherControlVMDecides(t *testing.T) {
+// The scheduling control VM freezes. After placeTimeout the router must ask its successor,
+// and must continue to do so for later streams. If no control VM answers, Place must
+// return false, and the router places the stream by itself.
+func TestSchedulerFailover(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
@@ -107,83 +107,84 @@
 		n.Kill("c1")
 		began := time.Now()
 		if p, ok := v.place(ctx, "1"); !ok || p.Outcome != scheduler.Granted || time.Since(began) > placeTimeout+20*time.Millisecond {
-			t.Errorf("%+v, %t after %v", p, ok, time.Since(began))
+			t.Errorf("first stream: got %+v, decided %t after %v, want a grant within placeTimeout", p, ok, time.Since(began))
 		}
 		began = time.Now()
 		if _, ok := v.place(ctx, "2"); !ok || time.Since(began) > 20*time.Millisecond {
-			t.Errorf("the second stream asked the lost control VM again: %v", time.Since(began))
+			t.Errorf("second stream was decided after %v, want within 20ms without asking the lost control VM", time.Since(began))
 		}
 		n.Kill("c2")
 		n.Kill("c3")
 		began = time.Now()
 		if _, ok := v.place(ctx, "3"); ok || time.Since(began) > 2*placeTimeout+20*time.Millisecond {
-			t.Errorf("decided by nobody: %t after %v", ok, time.Since(began))
+			t.Errorf("third stream: decided %t after %v, want no decision within twice placeTimeout", ok, time.Since(began))
 		}
 	})
 }
 
-// A caller leaves while its stream waits. The engine that is granted to it later is
-// given back at once, or it would stand idle until the grant expires.
-func TestGrantForACallerWhoLeft(t *testing.T) {
+// A caller leaves while its stream waits. A grant that arrives later must be returned at
+// once; otherwise the engine stays idle until the grant expires.
+func TestGrantAfterCallerLeft(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
-		a, b := startReading(t, ctx, n)
+		a, b := startPrefilling(t, ctx, n)
 		caller, leave := context.WithCancel(ctx)
 		time.AfterFunc(100*time.Millisecond, leave)
 		if _, ok := b.place(caller, "2"); ok {
-			t.Fatal("a stream whose caller left was placed")
+			t.Fatal("a stream whose caller has left was decided")
 		}
-		a.uses(nil)
+		a.setUse(nil)
 		a.member.UseChanged()
 		time.Sleep(50 * time.Millisecond)
 		began := time.Now()
 		if p, ok := a.place(ctx, "3"); !ok || p.Outcome != scheduler.Granted || time.Since(began) > 20*time.Millisecond {
-			t.Errorf("%+v, %t after %v", p, ok, time.Since(began))
+			t.Errorf("third stream: got %+v, decided %t after %v, want a grant within 20ms", p, ok, time.Since(began))
 		}
 	})
 }
 
-// What a router told last may be overtaken on its way. Taken for new it would bring a
-// run back that has ended, and the engine would stand idle.
-func TestOvertakenUse(t *testing.T) {
-	c := newSchedule(peertest.New(1).VM("c1"), zerolog.Nop())
+// A report of engine use may arrive after a later one of the same process. If it were
+// applied, a run that has ended would count again and the engine would stay idle.
+func TestOutOfOrderUseReport(t *testing.T) {
+	c := newSchedulerService(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(1))
 	busy := map[string]placement.Use{"e0": {Requests: 1, Prompt: 8000}}
-	c.told("r1", &Told{Life: 7, Turn: 2})
-	c.told("r1", &Told{Life: 7, Turn: 1, Use: busy})
-	c.s.Ask(scheduler.Stream{ID: "1", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
-	if p := c.runFor("1"); p.Outcome != scheduler.Granted {
-		t.Errorf("outcome %d", p.Outcome)
+	c.receiveReport("r1", &Told{Life: 7, Turn: 2})
+	c.receiveReport("r1", &Told{Life: 7, Turn: 1, Use: busy})
+	c.scheduler.Ask(scheduler.Stream{ID: "1", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
+	if p := c.decide("1"); p.Outcome != scheduler.Granted {
+		t.Errorf("got outcome %d after an outdated report, want Granted", p.Outcome)
 	}
-	c.told("r1", &Told{Life: 8, Turn: 1, Use: busy}) // the process was started again
-	c.s.Ask(scheduler.Stream{ID: "2", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
-	if p := c.runFor("2"); p.Outcome != scheduler.Waiting {
-		t.Errorf("outcome %d beside a prompt that is being read", p.Outcome)
+	c.receiveReport("r1", &Told{Life: 8, Turn: 1, Use: busy}) // the process has restarted
+	c.scheduler.Ask(scheduler.Stream{ID: "2", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
+	if p := c.decide("2"); p.Outcome != scheduler.Waiting {
+		t.Errorf("got outcome %d during a prefill, want Waiting", p.Outcome)
 	}
 }
 
-// All VMs lose power. The callers' connections hang, and they come for the rest twenty
-// seconds later: their copies are gone, and the engines still have the prompts.
-func TestWhereAStreamRanIsKnownLonger(t *testing.T) {
+// All VMs lose power. The callers' connections hang, and they reconnect 20 s later. Their
+// backup copies have expired, but the engines still cache the prompts; therefore the
+// engines must be known.
+func TestOrphanOutlivesCopy(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
 		left := forward.Left{Copy: forward.Copy{Address: "e2:1", ID: "q1"}, Ran: "e1:1"}
-		h.hub.note("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: left}}})
+		h.hub.recordHeartbeat("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: left}}})
 		if got, ok := v.member.Find(ctx, 7); !ok || got != left {
-			t.Errorf("at once: %+v, %t", got, ok)
+			t.Errorf("at once: got %+v, found %t, want the copy and the engine", got, ok)
 		}
 		time.Sleep(20 * time.Second)
 		if got, ok := v.member.Find(ctx, 7); !ok || got != (forward.Left{Ran: "e1:1"}) {
-			t.Errorf("after 20 s: %+v, %t", got, ok)
+			t.Errorf("after 20 s: got %+v, found %t, want the engine only", got, ok)
 		}
 	})
 }
 
-// Streams ask the control VM that decides; the others know neither how much memory an
-// engine has nor who waits. A router must hear from that one that memory is short: told by
-// another, it orders copies all the same.
-func TestShortMemoryIsHeardFromWhoDecides(t *testing.T) {
+// Only the scheduling control VM knows the engines' memory and the waiting streams. A
+// router must learn from it that memory is low. With the summary of another control VM it
+// would continue to request backup copies.
+func TestLowMemoryComesFromScheduler(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
@@ -192,80 +193,81 @@
 		v := startPlacing(ctx, n, "r1")
 		time.Sleep(time.Second)
 		first, _ := v.place(ctx, "1")
-		v.uses(map[string]placement.Use{"e0": {Requests: 8, Tokens: 70_000}})
+		v.setUse(map[string]placement.Use{"e0": {Requests: 8, Tokens: 70_000}})
 		v.member.Took(first.Number)
 		for range 6 {
 			time.Sleep(NoticeEvery)
-			if a := v.heard.Load(); a == nil || len(a.Short) != 1 {
-				t.Fatalf("heard that %v is short of memory", a)
+			if a := v.peers.Load(); a == nil || len(a.Short) != 1 {
+				t.Fatalf("received %v, want one service with low memory", a)
 			}
 		}
 	})
 }
 
-// A router shuts down while a stream waits for an engine. It is told in time that waiting
-// on is no use: kept until the process ends, the caller would get no answer at all.
-func TestWaitingEndsWithTheRouter(t *testing.T) {
+// A router shuts down while a stream waits for an engine. Place must return while there is
+// time to answer. A caller kept until the process ends would get no answer at all.
+func TestWaitEndsWhenRouterCloses(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
-		v, _ := startReading(t, ctx, n)
+		v, _ := startPrefilling(t, ctx, n)
 		time.AfterFunc(2400*time.Millisecond, func() { v.closing.Store(true) })
 		began := time.Now()
 		p, ok := v.place(ctx, "2")
 		if !ok || p.Outcome != scheduler.Waiting || time.Since(began) > 4*time.Second {
-			t.Errorf("%+v, %t after %v", p, ok, time.Since(began))
+			t.Errorf("got %+v, decided %t after %v, want Waiting within 4s", p, ok, time.Since(began))
 		}
 	})
 }
 
-// Two prompts meet on the one engine. In order: a router has a prompt read there; the
-// control VM that granted it and the next one are lost; another router asks the third,
-// which was not told of the use of engines so far. It must know of the prompt by the
-// next notice, and have the stream wait.
-func TestThirdControlVMLearnsOfUse(t *testing.T) {
+// Guards against two prompts on the only engine. While it prefills one router's prompt,
+// the control VM that granted it and its successor are lost. Another router asks the third
+// control VM, which has received no reports of engine use so far. It must learn of the
+// prompt with the next heartbeat and make the stream wait.
+func TestThirdControlVMKnowsUse(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
 			h.hub.TakeList(modelsList(1))
 			go h.hub.Run(ctx)
 		}
-		reads, other := startPlacing(ctx, n, "r1"), startPlacing(ctx, n, "r2")
+		prefilling, other := startPlacing(ctx, n, "r1"), startPlacing(ctx, n, "r2")
 		time.Sleep(time.Second)
-		first, ok := reads.place(ctx, "1")
+		first, ok := prefilling.place(ctx, "1")
 		if !ok || first.Outcome != scheduler.Granted {
-			t.Fatalf("first: %+v, %t", first, ok)
+			t.Fatalf("first stream: got %+v, decided %t, want a grant", first, ok)
 		}
-		reads.uses(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600, Prompt: 8000}})
-		reads.member.Took(first.Number)
+		prefilling.setUse(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600, Prompt: 8000}})
+		prefilling.member.Took(first.Number)
 		n.Kill(controls[0])
 		n.Kill(controls[1])
-		time.Sleep(presentFor + 2*NoticeEvery)
+		time.Sleep(presenceTimeout + 2*NoticeEvery)
 		asking, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		defer cancel()
 		if p, ok := other.place(asking, "2"); ok {
-			t.Errorf("%+v while another router's prompt is read", p)
+			t.Errorf("got %+v during the prefill of another router's prompt, want no decision", p)
 		}
 	})
 }
 
-// What a router doubts comes with its notices alone. A message of its use that leaves
-// it out changes nothing in it; one of another life of the process does.
-func TestDoubtIsKeptBetweenNotices(t *testing.T) {
-	c := newSchedule(peertest.New(1).VM("c1"), zerolog.Nop())
+// Only heartbeats carry the servers that a router suspects. A report between heartbeats
+// that omits them must leave them unchanged, unless it comes from a new incarnation of the
+// router.
+func TestSuspicionIsKeptBetweenHeartbeats(t *testing.T) {
+	c := newSchedulerService(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(2))
 	use := map[string]placement.Use{"e1": {Requests: 1}}
-	doubted := func() []string { return c.turns["r1"].Doubt }
-	c.told("r1", &Told{Life: 1, Turn: 1, Doubt: []string{"e0"}})
-	c.told("r1", &Told{Life: 1, Turn: 2, Use: use, SameDoubt: true})
-	if got := doubted(); len(got) != 1 {
-		t.Errorf("%v is doubted after a message of use", got)
+	suspected := func() []string { return c.lastReports["r1"].Doubt }
+	c.receiveReport("r1", &Told{Life: 1, Turn: 1, Doubt: []string{"e0"}})
+	c.receiveReport("r1", &Told{Life: 1, Turn: 2, Use: use, SameDoubt: true})
+	if got := suspected(); len(got) != 1 {
+		t.Errorf("got suspects %v after a report without them, want 1", got)
 	}
-	c.told("r1", &Told{Life: 1, Turn: 3, Use: use})
-	if got := doubted(); len(got) != 0 {
-		t.Errorf("%v is doubted after a notice that doubts nothing", got)
+	c.receiveReport("r1", &Told{Life: 1, Turn: 3, Use: use})
+	if got := suspected(); len(got) != 0 {
+		t.Errorf("got suspects %v after a heartbeat with none, want none", got)
 	}
-	c.told("r1", &Told{Life: 1, Turn: 4, Doubt: []string{"e0"}})
-	c.told("r1", &Told{Life: 2, Turn: 1, Use: use, SameDoubt: true})
-	if got := doubted(); len(got) != 0 {
-		t.Errorf("%v is doubted by a process that has just started", got)
+	c.receiveReport("r1", &Told{Life: 1, Turn: 4, Doubt: []string{"e0"}})
+	c.receiveReport("r1", &Told{Life: 2, Turn: 1, Use: use, SameDoubt: true})
+	if got := suspected(); len(got) != 0 {
+		t.Errorf("got suspects %v of a restarted process, want none", got)
 	}
 }
--- /dev/null
+++ b/internal/cluster/read_schedule.go
@@ -0,0 +1,57 @@
+package cluster
+
+import "time"
+
+// This file decides when a control VM reads the list of backend servers from the platform.
+//
+// The load pattern. The platform answers a limited number of calls per second from all
+// VMs together, and the list of a large deployment has dozens of pages. If all VMs are
+// killed at once, they restart without a list. If every control VM read it then, none
+// would fetch all pages before its timeout, all would start over, and no caller would be
+// served for half a minute.
+//
+// Therefore one control VM reads at a time: the leader. If the list is missing or becomes
+// old, which is the sign of a frozen or partitioned reader, the others take over in order
+// of rank, each with a further delay. A list that takes long to read is read less often,
+// and its takeover age is higher.
+
+// Constants of the read schedule.
+const (
+	readInterval = 400 * time.Millisecond
+	// maxReadShare is the largest share of time that is spent on reading.
+	maxReadShare = 0.6
+	// takeoverAge is the age from which the reader of the list counts as lost.
+	// takeoverAgePerRow is added for each row, because one more read may take that long.
+	takeoverAge       = 1100 * time.Millisecond
+	takeoverAgePerRow = 700 * time.Microsecond
+	// standbyDelay is the delay between the takeovers of two consecutive ranks.
+	standbyDelay = 300 * time.Millisecond
+)
+
+// ReadSchedule holds the facts by which a control VM decides whether to read the list.
+type Reading struct {
+	Leads bool
+	Rank  int // among the control VMs
+	// HasList reports whether the VM holds a list; Rows and Age describe it.
+	Listed bool
+	Rows   int
+	Age    time.Duration
+	// Uptime is the uptime of the VM, SinceLastRead the time since it last began to read,
+	// and LastReadDuration how long that read took.
+	Up, Since, Took time.Duration
+}
+
+// Due reports whether the VM must read the list now.
+func (r Reading) Due() bool {
+	if r.Since < max(readInterval, time.Duration(float64(r.Took)/maxReadShare)) {
+		return false
+	}
+	turn := time.Duration(r.Rank) * standbyDelay
+	switch {
+	case r.Leads:
+		return true
+	case !r.Listed:
+		return r.Up >= turn
+	}
+	return r.Age > takeoverAge+turn+time.Duration(r.Rows)*takeoverAgePerRow
+}
--- /dev/null
+++ b/internal/cluster/retry_spending_test.go
@@ -0,0 +1,130 @@
+package cluster
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"github.com/amaranthshelf/amaranthshelf/internal/forward"
+	"github.com/amaranthshelf/amaranthshelf/internal/peer/peertest"
+	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
+)
+
+// retryingRouter is a router that spends one service's retry budget.
+type retryingRouter struct {
+	member *Member
+	stop   context.CancelFunc
+
+	mu     sync.Mutex
+	own    forward.Spent
+	others forward.Spent
+}
+
+func startRetryingRouter(ctx context.Context, n *peertest.Net, id string) *retryingRouter {
+	s := &retryingRouter{}
+	s.member = NewMember(id, n.VM(id), controls, NewHeld(func(upstream.List) {}), Local{
+		Spent: func() map[string]forward.Spent {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			return map[string]forward.Spent{"m": s.own}
+		},
+		LearnSpent: func(others map[string]forward.Spent) {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.others = others["m"]
+		},
+	}, zerolog.Nop())
+	ctx, s.stop = context.WithCancel(ctx)
+	go s.member.Run(ctx)
+	go s.member.RunSpending(ctx)
+	return s
+}
+
+func (s *retryingRouter) retry() {
+	s.mu.Lock()
+	s.own.Repeats++
+	s.mu.Unlock()
+	s.member.Spending()
+}
+
+func (s *retryingRouter) knownRetries() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.others.Repeats
+}
+
+// Many engines are lost, and every VM retries one stream within 30 ms. Before its next
+// retry a VM must know the others' retries, long before the next heartbeats. This must
+// hold also while one control VM is partitioned.
+func TestRetriesAreReportedAtOnce(t *testing.T) {
+	for _, cut := range []bool{false, true} {
+		t.Run(fmt.Sprint("control VM partitioned: ", cut), func(t *testing.T) {
+			inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
+				for _, id := range controls {
+					startHub(ctx, n, id, controls)
+				}
+				var vms []*retryingRouter
+				for i := range 9 {
+					vms = append(vms, startRetryingRouter(ctx, n, fmt.Sprint("r", i)))
+				}
+				time.Sleep(2 * time.Second)
+				if cut {
+					n.Isolate("c3")
+					time.Sleep(time.Second)
+				}
+				for _, vm := range vms {
+					vm.retry()
+					time.Sleep(3 * time.Millisecond)
+				}
+				vms[0].retry()
+				time.Sleep(10 * time.Millisecond)
+				if got := vms[0].knownRetries(); got != 8 {
+					t.Errorf("got %d retries of other VMs, want 8", got)
+				}
+			})
+		})
+	}
+}
+
+// A restarted router does not know its former retries. The other VMs must count them,
+// together with those of the new process, while they are in the budgets' window.
+func TestFormerIncarnationCounts(t *testing.T) {
+	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
+		for _, id := range controls {
+			startHub(ctx, n, id, controls)
+		}
+		first, other := startRetryingRouter(ctx, n, "r1"), startRetryingRouter(ctx, n, "r2")
+		time.Sleep(2 * time.Second)
+		first.retry()
+		first.retry()
+		time.Sleep(100 * time.Millisecond)
+		first.stop()
+		restarted := startRetryingRouter(ctx, n, "r1")
+		time.Sleep(time.Second)
+		restarted.retry()
+		time.Sleep(time.Second)
+		if other.knownRetries() != 3 || restarted.knownRetries() != 2 {
+			t.Errorf("another VM knows %d retries, the restarted VM %d of its former incarnation; want 3 and 2", other.knownRetries(), restarted.knownRetries())
+		}
+		time.Sleep(10 * time.Second)
+		if other.knownRetries() != 1 {
+			t.Errorf("got %d retries after the window, want 1", other.knownRetries())
+		}
+	})
+}
+
+func TestOutOfOrderSpending(t *testing.T) {
+	b, now := spendingTable{}, time.Now()
+	report := func(seq uint64, retries int) Spending {
+		return Spending{Life: 7, Turn: seq, Spent: map[string]forward.Spent{"m": {Repeats: retries}}}
+	}
+	b.record(report(2, 5), now)
+	b.record(report(1, 3), now)
+	if got := b.others(0, now)["m"].Repeats; got != 5 {
+		t.Errorf("got %d retries, want 5 of the later report", got)
+	}
+}
--- a/internal/cluster/signal.go
+++ b/internal/cluster/signal.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// signal says that there is something to do. What is raised while the last is under way
-// is one more, however often: whoever does it sees the newest state.
+// signal announces pending work. Any number of calls of raise while the work is in
+// progress cause one more run, which sees the latest state.
 type signal chan struct{}
 
 func newSignal() signal { return make(signal, 1) }
 
-// raise does not wait.
+// raise does not block.
 func (s signal) raise() {
 	select {
 	case s <- struct{}{}:
@@ -16,7 +16,7 @@
 	}
 }
 
-// each calls f for what is raised, until ctx ends.
+// each calls f after the signal is raised, one call at a time, until ctx ends.
 func (s signal) each(ctx context.Context, f func(context.Context)) {
 	for {
 		select {
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -17,120 +17,122 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/scheduler"
 )
 
-// The load pattern. Hundreds of VMs ask one control VM, some times a second each, what
-// all the others do. Summed and encoded for each of them, that takes a time which grows
-// with the square of the VMs, until the control VM answers nobody in time and is taken
-// for lost by all of them.
+// The load pattern. Hundreds of VMs each ask one control VM several times a second for
+// the reports of all others. If the sum were computed and encoded for each VM, the work
+// would grow with the square of the number of VMs, until the control VM answered none in
+// time and all took it for lost.
 //
-// So the sum is made and encoded once for all who ask within a moment, the asker's own
-// part included, which is told beside it and which the asker takes off.
+// Therefore the sum is computed and encoded once for all requests within a short time. It
+// includes the requesting VM's own share, which the reply states separately and which
+// that VM subtracts.
 //
-// Told whole each time, the names of hundreds of VMs and the use of hundreds of engines
-// are some kilobytes, some times a second for each VM over a thin link. So the names
-// come where they have changed, and the use of engines seldom: only a VM that must place
-// streams alone, or orders a copy, goes by it.
+// The names of hundreds of VMs and the use of hundreds of engines take kilobytes. Sent
+// with every reply, they would load each VM's narrow link several times a second.
+// Therefore the names are sent only when they have changed, and the use of engines
+// rarely: only a VM that places streams by itself or requests a backup copy needs it.
 
 const (
-	// summaryFor is how long a summary is told: far below the time between two notices,
-	// by which every part of it is older.
-	summaryFor = 50 * time.Millisecond
-	// useEvery is how often a VM wants the use of engines, and usePerEngine bounds the
-	// traffic where there are many: an engine's use takes some 25 bytes.
-	useEvery     = 3 * NoticeEvery
-	usePerEngine = 6 * time.Millisecond
+	// summaryTTL is how long a summary is reused. It is far shorter than the heartbeat
+	// interval, by which any part of it may be older anyway.
+	summaryTTL = 50 * time.Millisecond
+	// useInterval is how often a VM requests the use of engines. useIntervalPerEngine
+	// bounds the traffic with many engines: the use of one takes about 25 bytes.
+	useInterval          = 3 * NoticeEvery
+	useIntervalPerEngine = 6 * time.Millisecond
 )
 
-// Summary is what all VMs told a control VM.
+// Summary combines the reports of all VMs that a control VM received.
 type Summary struct {
-	// Calls under way, by backend server: of those that run no streams.
+	// Calls are the calls in flight by backend server, for servers that run no streams.
 	Calls  map[string]int   `cbor:"1,keyasint,omitempty"`
 	Deaths []recovery.Death `cbor:"2,keyasint,omitempty"`
-	Dead   []string         `cbor:"3,keyasint,omitempty"` // judged dead lately
-	// Short names the services whose memory is needed for prompts.
+	Dead   []string         `cbor:"3,keyasint,omitempty"` // backend servers recently judged dead
+	// LowMemory names the services whose engine memory is needed for prompts. No
+	// backup copies should be made there.
 	Short []string `cbor:"4,keyasint,omitempty"`
-	// Paces of the services' engines: a VM that has just started, or carries few streams,
-	// has observed none.
+	// Paces are those of the services' engines. A VM that has just started or has few
+	// streams has observed none itself.
 	Paces map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
-	// RoutersDigest is of the names of all VMs that take callers.
+	// RoutersDigest is the digest of the ids of all VMs that accept callers.
 	RoutersDigest uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Known is what a VM has learnt of all others together.
+// PeerReports combines the reports of all other VMs, as a VM last received them.
 type Known struct {
 	Summary
-	Routers []string                 // VMs that take callers, by id
-	Use     map[string]placement.Use // of backend servers, by the others
-	// Spent is what the others spent of the retry budgets, by service.
+	Routers []string                 // ids of VMs that accept callers
+	Use     map[string]placement.Use // of backend servers by the other VMs
+	// Spent is what the other VMs spent of the retry budgets, by service.
 	Spent map[string]forward.Spent
 }
 
-// summary is a Summary as it is told.
-type summary struct {
-	made      time.Time
-	encoded   cbor.RawMessage
-	use       cbor.RawMessage // of engines
-	routers   []string
-	digest    uint64                              // of routers
-	entrances []string                            // of routers, by address
-	parts     map[string]map[string]placement.Use // what each VM told of its use
+// encodedSummary is a Summary in its wire form, with the parts that are sent on request.
+type encodedSummary struct {
+	builtAt       time.Time
+	encoded       cbor.RawMessage
+	encodedUse    cbor.RawMessage // of engines
+	routers       []string
+	routersDigest uint64                              // of routers
+	endpoints     []string                            // addresses of the routers
+	useByVM       map[string]map[string]placement.Use // each VM's own use
 }
 
-// summarize returns the summary that is told now.
-func (h *Hub) summarize() (*summary, error) {
+// summarize returns the current summary, rebuilt if it has expired.
+func (h *Hub) summarize() (*encodedSummary, error) {
 	h.mu.Lock()
-	s := h.summed
+	s := h.summary
 	h.mu.Unlock()
-	if s != nil && time.Since(s.made) < summaryFor {
+	if s != nil && time.Since(s.builtAt) < summaryTTL {
 		return s, nil
 	}
-	told := Summary{}
-	told.Short, told.Paces = h.schedule.outlook()
+	summary := Summary{}
+	summary.Short, summary.Paces = h.scheduling.memoryAndPaces()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s, err := h.sum(&told, time.Now())
+	s, err := h.buildSummary(&summary, time.Now())
 	if err == nil {
-		h.summed = s
+		h.summary = s
 	}
 	return s, err
 }
 
-// sum adds to a Summary what VMs told, and encodes it. It needs h.mu.
-func (h *Hub) sum(told *Summary, now time.Time) (*summary, error) {
-	s := &summary{made: now, parts: map[string]map[string]placement.Use{}}
-	told.Deaths = h.recentDeaths(now)
+// buildSummary adds the VMs' reports to a Summary and encodes it. It needs h.mu.
+func (h *Hub) buildSummary(out *Summary, now time.Time) (*encodedSummary, error) {
+	s := &encodedSummary{builtAt: now, useByVM: map[string]map[string]placement.Use{}}
+	out.Deaths = h.recentDeaths(now)
 	use := map[string]placement.Use{}
-	var ready []seen
+	var ready []vmState
 	for vm, v := range h.vms {
-		if now.Sub(v.at) > presentFor {
+		if now.Sub(v.at) > presenceTimeout {
 			continue
 		}
-		s.parts[vm] = v.notice.Told.Use
-		for id, u := range v.notice.Told.Use {
+		s.useByVM[vm] = v.heartbeat.Told.Use
+		for id, u := range v.heartbeat.Told.Use {
 			use[id] = use[id].Add(u)
 		}
-		told.Dead = append(told.Dead, v.notice.Dead...)
-		if v.takesCallers() {
+		out.Dead = append(out.Dead, v.heartbeat.Dead...)
+		if v.acceptsCallers() {
 			ready = append(ready, v)
 		}
 	}
-	slices.SortFunc(ready, func(a, b seen) int { return strings.Compare(a.notice.Callers, b.notice.Callers) })
+	slices.SortFunc(ready, func(a, b vmState) int { return strings.Compare(a.heartbeat.Callers, b.heartbeat.Callers) })
 	for _, v := range ready {
 		s.routers = append(s.routers, v.vm)
-		s.entrances = append(s.entrances, v.notice.Callers)
+		s.endpoints = append(s.endpoints, v.heartbeat.Callers)
 	}
-	s.digest = xxhash.Sum64String(strings.Join(s.routers, " "))
-	told.RoutersDigest = s.digest
-	slices.Sort(told.Dead)
-	told.Dead = slices.Compact(told.Dead)
-	told.Calls = takeCalls(use)
+	s.routersDigest = xxhash.Sum64String(strings.Join(s.routers, " "))
+	out.RoutersDigest = s.routersDigest
+	slices.Sort(out.Dead)
+	out.Dead = slices.Compact(out.Dead)
+	out.Calls = extractCalls(use)
 	var errUse, err error
-	s.use, errUse = codec.Marshal(use)
-	s.encoded, err = codec.Marshal(told)
+	s.encodedUse, errUse = codec.Marshal(use)
+	s.encoded, err = codec.Marshal(out)
 	return s, errors.Join(err, errUse)
 }
 
-// takeCalls moves the servers that run calls alone out of a sum.
-func takeCalls(use map[string]placement.Use) map[string]int {
+// extractCalls removes the servers that run only calls from use and returns their calls.
+func extractCalls(use map[string]placement.Use) map[string]int {
 	calls := map[string]int{}
 	for id, u := range use {
 		if u == (placement.Use{Requests: u.Requests}) {
@@ -141,20 +143,20 @@
 	return calls
 }
 
-// tell adds to an answer what its asker wants and does not hold.
-func (s *summary) tell(a *Answer, from string, n *Notice) {
-	a.Encoded, a.Own = s.encoded, s.parts[from]
+// addTo adds to a reply what its receiver requested and does not hold.
+func (s *encodedSummary) addTo(a *Answer, from string, n *Notice) {
+	a.Encoded, a.Own = s.encoded, s.useByVM[from]
 	if n.WantUse {
-		a.EncodedUse = s.use
+		a.EncodedUse = s.encodedUse
 	}
-	if n.RoutersHeld != s.digest {
+	if n.RoutersHeld != s.routersDigest {
 		a.Routers = s.routers
 	}
 }
 
-// recentDeaths needs h.mu.
+// recentDeaths drops expired reports and returns the others. It needs h.mu.
 func (h *Hub) recentDeaths(now time.Time) []recovery.Death {
-	h.deaths = slices.DeleteFunc(h.deaths, func(d toldDeath) bool { return now.Sub(d.at) > deathsFor })
+	h.deaths = slices.DeleteFunc(h.deaths, func(d reportedDeath) bool { return now.Sub(d.at) > deathReportTTL })
 	out := make([]recovery.Death, 0, len(h.deaths))
 	for _, d := range h.deaths {
 		out = append(out, d.death)
@@ -162,24 +164,24 @@
 	return out
 }
 
-// others is what a VM holds of what it was told of all others. It is not safe for
+// peerState is what a VM retains of the summaries that it received. It is not safe for
 // concurrent use.
-type others struct {
-	routers []string
-	digest  uint64                   // of routers
-	engines map[string]placement.Use // as of usedAt
-	usedAt  time.Time
+type peerState struct {
+	routers       []string
+	routersDigest uint64                   // of routers
+	use           map[string]placement.Use // as of useUpdatedAt
+	useUpdatedAt  time.Time
 }
 
-// wantsUse reports whether the use of engines is wanted again.
-func (o *others) wantsUse(now time.Time) bool {
-	every := max(useEvery, time.Duration(len(o.engines))*usePerEngine)
-	return now.Sub(o.usedAt) > every-NoticeEvery/2
+// wantsUse reports whether the use of engines must be requested again.
+func (o *peerState) wantsUse(now time.Time) bool {
+	every := max(useInterval, time.Duration(len(o.use))*useIntervalPerEngine)
+	return now.Sub(o.useUpdatedAt) > every-NoticeEvery/2
 }
 
-// learn takes an answer, and returns all that is known by it. own are the servers that
-// this VM itself said are dead.
-func (o *others) learn(a *Answer, own []string, now time.Time) (Known, error) {
+// learn applies a reply and returns the resulting reports of the other VMs. own are the
+// servers that this VM itself reported dead.
+func (o *peerState) learn(a *Answer, own []string, now time.Time) (Known, error) {
 	var k Known
 	if err := codec.Unmarshal(a.Encoded, &k.Summary); err != nil {
 		return k, err
@@ -189,18 +191,18 @@
 		if err := codec.Unmarshal(a.EncodedUse, &use); err != nil {
 			return k, err
 		}
-		o.engines, o.usedAt = use, now
+		o.use, o.useUpdatedAt = use, now
 		for id, u := range a.Own {
 			if _, ok := use[id]; ok {
 				use[id] = use[id].Add(u.Negative())
 			}
 		}
 	}
-	if k.RoutersDigest != o.digest && len(a.Routers) > 0 {
-		o.routers, o.digest = a.Routers, k.RoutersDigest
+	if k.RoutersDigest != o.routersDigest && len(a.Routers) > 0 {
+		o.routers, o.routersDigest = a.Routers, k.RoutersDigest
 	}
 	k.Routers, k.Spent = o.routers, a.Spent
-	k.Use = maps.Clone(o.engines)
+	k.Use = maps.Clone(o.use)
 	if k.Use == nil {
 		k.Use = map[string]placement.Use{}
 	}
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -8,86 +8,86 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/scheduler"
 )
 
-// controlBytes is what a VM may spend on control, in bytes a second.
-const controlBytes = 11_000
+// controlBytesPerSecond is the limit of a VM's control traffic.
+const controlBytesPerSecond = 11_000
 
-// Hundreds of routers ask for what the others do, on links of 10 Mbit/s, while a zone
-// is lost and every router doubts its engines. Counted are a second of answers of the
-// control VM that decides, with the use of engines as often as a router wants it.
+// Hundreds of routers on 10 Mbit/s links request summaries while a zone is lost and every
+// router suspects its engines. The test measures the replies of the scheduling control VM
+// to one router, with the use of engines as often as the router requests it.
 func TestSummaryTraffic(t *testing.T) { synctest.Test(t, testSummaryTraffic) }
 
 func testSummaryTraffic(t *testing.T) {
 	for _, size := range []struct{ routers, engines int }{{9, 36}, {67, 178}, {200, 163}, {330, 710}} {
-		f := newFullHub(t, size.routers, size.engines)
-		var o others
-		now, total := f.hub.summed.made, 0
-		const notices = 50
-		for range notices {
-			a, n := f.serve(t, 0, f.notice(t, 0, o.wantsUse(now), o.digest))
+		f := newLoadedHub(t, size.routers, size.engines)
+		var o peerState
+		now, total := f.hub.summary.builtAt, 0
+		const heartbeats = 50
+		for range heartbeats {
+			a, n := f.serve(t, 0, f.heartbeat(t, 0, o.wantsUse(now), o.routersDigest))
 			if _, err := o.learn(&a, nil, now); err != nil {
 				t.Fatal(err)
 			}
 			total += n
 			now = now.Add(NoticeEvery)
 		}
-		perSecond := int(float64(total) / (notices * NoticeEvery.Seconds()))
+		perSecond := int(float64(total) / (heartbeats * NoticeEvery.Seconds()))
 		t.Logf("%d routers, %d engines: %d B/s", size.routers, size.engines, perSecond)
-		if perSecond > controlBytes/2 {
-			t.Errorf("%d routers, %d engines: %d B/s of answers, half of %d at most", size.routers, size.engines, perSecond, controlBytes)
+		if perSecond > controlBytesPerSecond/2 {
+			t.Errorf("%d routers, %d engines: got %d B/s of replies, want at most half of %d", size.routers, size.engines, perSecond, controlBytesPerSecond)
 		}
-		if len(o.routers) != size.routers || len(o.engines) == 0 {
-			t.Errorf("%d routers and %d engines are known", len(o.routers), len(o.engines))
+		if len(o.routers) != size.routers || len(o.use) == 0 {
+			t.Errorf("the router knows %d routers and %d engines, want all routers and some engines", len(o.routers), len(o.use))
 		}
 	}
 }
 
-// A router goes by the others' use alone. In order: it hears of all, itself included;
-// its own part is taken off, of streams and of calls; a server without a call left is
-// not in what it hears next; names of routers come again only when they change.
-func TestOwnPartIsTakenOff(t *testing.T) { synctest.Test(t, testOwnPartIsTakenOff) }
+// A router must place by the other routers' use only. It receives the use of all routers
+// including its own share, which it subtracts for streams and for calls. The names of
+// routers and the use of engines must not be sent again unless requested or changed.
+func TestOwnUseIsSubtracted(t *testing.T) { synctest.Test(t, testOwnUseIsSubtracted) }
 
-func testOwnPartIsTakenOff(t *testing.T) {
-	f := newFullHub(t, 3, 4)
-	var o others
-	now := f.hub.summed.made
-	a, _ := f.serve(t, 1, f.notice(t, 1, true, 0))
+func testOwnUseIsSubtracted(t *testing.T) {
+	f := newLoadedHub(t, 3, 4)
+	var o peerState
+	now := f.hub.summary.builtAt
+	a, _ := f.serve(t, 1, f.heartbeat(t, 1, true, 0))
 	k, err := o.learn(&a, nil, now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := k.Use["call"].Requests; got != 2 {
-		t.Errorf("%d calls of the other two", got)
+		t.Errorf("got %d calls, want the 2 of the other routers", got)
 	}
 	if got := k.Use[f.engines[1].ID]; got.Requests != 0 || got.Tokens != 9000 {
-		t.Errorf("%+v on the engine that runs its stream and another's copy, want the copy", got)
+		t.Errorf("got %+v on the engine with its own stream and another's copy, want the copy only", got)
 	}
 	if len(k.Routers) != 3 {
-		t.Errorf("routers %v", k.Routers)
+		t.Errorf("got routers %v, want 3", k.Routers)
 	}
-	b, _ := f.serve(t, 1, f.notice(t, 1, false, o.digest))
+	b, _ := f.serve(t, 1, f.heartbeat(t, 1, false, o.routersDigest))
 	if len(b.Routers) > 0 || len(b.EncodedUse) > 0 {
-		t.Errorf("told again: %v, %d bytes of use", b.Routers, len(b.EncodedUse))
+		t.Errorf("got routers %v and %d bytes of use again, want none", b.Routers, len(b.EncodedUse))
 	}
 	if k, err = o.learn(&b, nil, now); err != nil || len(k.Routers) != 3 || k.Use[f.engines[1].ID].Tokens != 9000 {
-		t.Errorf("known after that: %+v, %v", k, err)
+		t.Errorf("got %+v, error %v, want the former routers and use", k, err)
 	}
 }
 
-// A router that has carried no stream so far shuts down, and must know how long streams
-// take. It hears what all others observed.
-func TestPacesAreToldToAll(t *testing.T) { synctest.Test(t, testPacesAreToldToAll) }
+// A router that shuts down needs to know how long streams take, even if it has had none.
+// It must receive the paces that the other routers observed.
+func TestPacesReachAllRouters(t *testing.T) { synctest.Test(t, testPacesReachAllRouters) }
 
-func testPacesAreToldToAll(t *testing.T) {
-	f := newFullHub(t, 3, 4)
+func testPacesReachAllRouters(t *testing.T) {
+	f := newLoadedHub(t, 3, 4)
 	pace := scheduler.Pace{PerToken: 125 * time.Microsecond, Run: 5 * time.Second, Events: 140}
-	f.hub.schedule.told(f.routers[0], &Told{Life: 1, Turn: 99, Paces: map[string]scheduler.Pace{"models": pace}})
+	f.hub.scheduling.receiveReport(f.routers[0], &Told{Life: 1, Turn: 99, Paces: map[string]scheduler.Pace{"models": pace}})
 	f.hub.mu.Lock()
-	f.hub.summed = nil
+	f.hub.summary = nil
 	f.hub.mu.Unlock()
-	var o others
-	a, _ := f.serve(t, 1, f.notice(t, 1, false, 0))
+	var o peerState
+	a, _ := f.serve(t, 1, f.heartbeat(t, 1, false, 0))
 	k, err := o.learn(&a, nil, time.Now())
 	if err != nil || k.Paces["models"] != pace {
-		t.Errorf("heard of %+v, %v", k.Paces, err)
+		t.Errorf("got paces %+v, error %v", k.Paces, err)
 	}
 }
