--- a/internal/routes/bench_test.go
+++ b/internal/routes/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// benchList is a list with names as random as operators' are.
+// benchList returns a list with random names, which compress as poorly as real ones.
 func benchList(routes, workspaces int) *List {
 	rng := rand.New(rand.NewPCG(1, 2))
 	word := func(n int) string {
@@ -31,19 +31,19 @@
 	return l
 }
 
-// What a change of the list costs each router: bytes on its link, time to unpack,
-// decode and prepare it.
+// BenchmarkChange measures the cost of a changed list for one router: the bytes on its link
+// and the time to unpack, decode and index the list.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []struct{ routes, workspaces int }{{1_400, 24}, {4_248, 24}, {4_248, 6_600}} {
 		b.Run(fmt.Sprintf("%d_routes_%d_workspaces", size.routes, size.workspaces), func(b *testing.B) {
-			p := &Part{held: *benchList(size.routes, size.workspaces)}
-			whole := p.Changes(0)
-			packed, err := codec.Pack(whole)
+			p := &Part{list: *benchList(size.routes, size.workspaces)}
+			encoded := p.Changes(0)
+			packed, err := codec.Pack(encoded)
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				plain, err := codec.Unpack(packed, len(whole))
+				plain, err := codec.Unpack(packed, len(encoded))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -53,7 +53,7 @@
 				}
 				NewTable(&l)
 			}
-			b.ReportMetric(float64(len(whole)), "bytes")
+			b.ReportMetric(float64(len(encoded)), "bytes")
 			b.ReportMetric(float64(len(packed)), "packed-bytes")
 		})
 	}
--- a/internal/routes/text.go
+++ b/internal/routes/parse.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// text is the project's own form of a route list, JSON. Unknown fields are
-// refused: a misspelt limit would be no limit.
-type text struct {
+// routeListJSON is the native JSON format of a route list. Unknown fields are rejected,
+// because a misspelled limit would otherwise have no effect.
+type routeListJSON struct {
 	Version    uint64          `json:"version"`
-	Routes     []textRoute     `json:"routes"`
-	Services   []textService   `json:"services"`
-	Workspaces []textWorkspace `json:"workspaces"`
+	Routes     []routeJSON     `json:"routes"`
+	Services   []serviceJSON   `json:"services"`
+	Workspaces []workspaceJSON `json:"workspaces"`
 	Limits     struct {
 		BodyBytes       int64 `json:"body_bytes"`
 		HeaderBytes     int   `json:"header_bytes"`
@@ -23,7 +23,7 @@
 	} `json:"limits"`
 }
 
-type textRoute struct {
+type routeJSON struct {
 	Name        string       `json:"name"`
 	Host        string       `json:"host"`
 	Prefix      string       `json:"prefix"`
@@ -35,15 +35,15 @@
 	PauseMS     int64        `json:"pause_ms"`
 	Priority    int          `json:"priority"`
 	MaxAttempts int          `json:"max_attempts"`
-	Targets     []textTarget `json:"targets"`
+	Targets     []targetJSON `json:"targets"`
 }
 
-type textTarget struct {
+type targetJSON struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
 
-type textService struct {
+type serviceJSON struct {
 	Name   string `json:"name"`
 	Engine *struct {
 		Slots         int   `json:"slots"`
@@ -54,29 +54,30 @@
 	} `json:"engine"`
 }
 
-type textWorkspace struct {
+type workspaceJSON struct {
 	Name     string   `json:"name"`
 	Keys     []string `json:"keys"`
 	Priority *int     `json:"priority"`
 }
 
-var textKinds = map[string]Kind{"once": Once, "idempotent": Idempotent, "stream": Stream}
+var kindsByName = map[string]Kind{"once": Once, "idempotent": Idempotent, "stream": Stream}
 
-// Parse reads and checks a list in the project's own form.
+// Parse decodes and validates a list in the native JSON format. Its errors carry
+// result.InvalidRouteList.
 func Parse(data []byte) (*List, error) {
-	var t text
+	var t routeListJSON
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&t); err != nil {
-		return nil, invalid("not readable: %v", err)
+		return nil, invalidList("list could not be decoded: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return nil, invalid("text behind the list")
+		return nil, invalidList("data after the end of the list")
 	}
 	l := &List{Version: t.Version, Keyed: len(t.Workspaces) > 0, Source: data}
 	l.Limits = Limits{
 		MaxBodyBytes: t.Limits.BodyBytes, MaxHeaderBytes: t.Limits.HeaderBytes,
-		HeaderTimeout: ms(t.Limits.HeaderTimeoutMS), IdleTimeout: ms(t.Limits.IdleTimeoutMS),
+		HeaderTimeout: milliseconds(t.Limits.HeaderTimeoutMS), IdleTimeout: milliseconds(t.Limits.IdleTimeoutMS),
 	}
 	for i := range t.Routes {
 		r, err := t.Routes[i].route()
@@ -94,14 +95,14 @@
 	return l, l.Validate()
 }
 
-func (t *textRoute) route() (Route, error) {
-	kind, ok := textKinds[t.Kind]
+func (t *routeJSON) route() (Route, error) {
+	kind, ok := kindsByName[t.Kind]
 	if !ok {
-		return Route{}, invalid("route %q has kind %q; allowed: once, idempotent, stream", t.Name, t.Kind)
+		return Route{}, invalidList("route %q has kind %q; allowed: once, idempotent, stream", t.Name, t.Kind)
 	}
 	r := Route{
 		Name: t.Name, Host: t.Host, Prefix: t.Prefix, Kind: kind, Resumable: t.Resumable, Public: t.Public,
-		Timeout: ms(t.TimeoutMS), Objective: ms(t.ObjectiveMS), PauseObjective: ms(t.PauseMS),
+		Timeout: milliseconds(t.TimeoutMS), Objective: milliseconds(t.ObjectiveMS), PauseObjective: milliseconds(t.PauseMS),
 		Priority: t.Priority, MaxAttempts: t.MaxAttempts,
 	}
 	for _, target := range t.Targets {
@@ -110,15 +111,15 @@
 	return r, nil
 }
 
-func (t *textService) service() Service {
+func (t *serviceJSON) service() Service {
 	s := Service{Name: t.Name}
 	if e := t.Engine; e != nil {
 		s.Engine = &EngineTraits{
 			Slots: e.Slots, KVTokens: e.KVTokens, KeepCopies: e.KeepCopies,
-			CopiesOnOrder: e.CopiesOnOrder, CopyLife: ms(e.CopyLifeMS),
+			CopiesOnOrder: e.CopiesOnOrder, CopyLife: milliseconds(e.CopyLifeMS),
 		}
 	}
 	return s
 }
 
-func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/routes/text_test.go
+++ b/internal/routes/parse_test.go
@@ -21,17 +21,17 @@
 	}
 	r := l.Routes[0]
 	if l.Version != 1 || !l.Keyed || r.Kind != Stream || r.PauseObjective != 700*time.Millisecond || l.Services[0].Engine.CopyLife != 4*time.Second {
-		t.Errorf("%+v", l)
+		t.Errorf("got %+v, want the list of the example", l)
 	}
 	for name, text := range map[string]string{
-		"misspelt field": strings.Replace(string(data), "timeout_ms", "time_out", 1),
-		"unknown kind":   strings.Replace(string(data), `"stream"`, `"flow"`, 1),
-		"cut short":      string(data[:len(data)/2]),
-		"text behind it": string(data) + "{}",
-		"no timeout":     strings.Replace(string(data), "25000", "0", 1),
+		"misspelled field": strings.Replace(string(data), "timeout_ms", "time_out", 1),
+		"unknown kind":     strings.Replace(string(data), `"stream"`, `"flow"`, 1),
+		"truncated":        string(data[:len(data)/2]),
+		"trailing data":    string(data) + "{}",
+		"no timeout":       strings.Replace(string(data), "25000", "0", 1),
 	} {
 		if _, err := Parse([]byte(text)); !errors.Is(err, result.New(result.InvalidRouteList)) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want InvalidRouteList", name, err)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	f.Add(`{"version":1,"routes":[{"name":"r","host":"h","prefix":"/","kind":"once","timeout_ms":1,"targets":[{"service":"s","weight":1}]}],"services":[{"name":"s"}]}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		if l, err := Parse([]byte(text)); err == nil && l.Validate() != nil {
-			t.Errorf("an improper list was taken: %s", text)
+			t.Errorf("an invalid list was accepted: %s", text)
 		}
 	})
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,82 +1,82 @@
-// Package routes is the aggregate of the route list: which host and path leads
-// to which service, what may be repeated there, the services' limits, and the
-// workspaces with their keys. One list is in force at a time; the highest
-// version wins, and a list is checked whole before it is taken. The package is
-// pure; its Part is state of the control group, and Table answers lookups.
+// Package routes defines the route list: which host and path are routed to which service,
+// which requests may be retried there, the limits for callers, and the workspaces with
+// their keys. One list is in force at a time. The list with the highest version wins, and
+// a list is accepted only if all of it is valid. The package does no I/O. Its StateMachine
+// is part of the control group's replicated state, and Table serves lookups.
 package routes
 
 import "time"
 
-// Kind says how often a request of a route may run.
+// Kind states whether a request of a route may be executed more than once.
 type Kind uint8
 
-// The kinds. The numbers are on disk.
+// The kinds. Their numbers are stored on disk.
 const (
-	Once       Kind = 0 // non-idempotent: at most one run an attempt
+	Once       Kind = 0 // non-idempotent: an attempt is executed at most once
 	Idempotent Kind = 1
-	Stream     Kind = 2 // server-sent events; repeatable only where Resumable
+	Stream     Kind = 2 // server-sent events; may be retried only if Resumable
 )
 
-// Target is one service that a route leads to, with its share of the requests.
+// Target is one service of a route and the weight of its share of the requests.
 type Target struct {
 	Service string `cbor:"1,keyasint"`
 	Weight  int    `cbor:"2,keyasint"`
 }
 
-// Route leads requests of a host and path prefix to services.
+// Route directs the requests with a host and path prefix to services.
 type Route struct {
 	Name    string   `cbor:"1,keyasint"`
 	Host    string   `cbor:"2,keyasint"`
 	Prefix  string   `cbor:"3,keyasint"`
 	Kind    Kind     `cbor:"4,keyasint"`
 	Targets []Target `cbor:"5,keyasint"`
-	// Resumable streams may go on at another engine behind the last event.
+	// Resumable streams may resume on another engine after the last event.
 	Resumable bool `cbor:"6,keyasint,omitempty"`
 	// Public requests need no key.
 	Public bool `cbor:"7,keyasint,omitempty"`
-	// Timeout is the longest a caller is kept waiting for the whole answer.
+	// Timeout bounds the time to the complete answer.
 	Timeout time.Duration `cbor:"8,keyasint"`
-	// Objective is the time to the answer, or to a stream's first event.
+	// Objective is the target for the time to the answer, or to a stream's first event.
 	Objective time.Duration `cbor:"9,keyasint,omitempty"`
-	// PauseObjective is the longest pause between two events.
+	// PauseObjective is the target for the longest pause between two events.
 	PauseObjective time.Duration `cbor:"10,keyasint,omitempty"`
 	Priority       int           `cbor:"11,keyasint"` // 0 is the highest
-	// MaxAttempts is how many engines one request may run on.
+	// MaxAttempts is how many engines may execute one request.
 	MaxAttempts int `cbor:"12,keyasint"`
 }
 
-// Repeatable reports whether a second run of a request does no harm.
+// Repeatable reports whether a request of the route may be executed again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// EngineTraits are what a model engine of a service declares.
+// EngineTraits are the capabilities of a service's model engines.
 type EngineTraits struct {
 	Slots      int  `cbor:"1,keyasint"`           // requests in one batch
-	KVTokens   int  `cbor:"2,keyasint"`           // memory, in tokens
-	KeepCopies bool `cbor:"3,keyasint,omitempty"` // keeps copies of other engines' runs
-	// CopiesOnOrder: a run's memory can be copied while it goes on. CopyLife is how
-	// long such a copy is kept.
+	KVTokens   int  `cbor:"2,keyasint"`           // KV cache memory, in tokens
+	KeepCopies bool `cbor:"3,keyasint,omitempty"` // can hold backup copies of other engines' runs
+	// CopiesOnOrder reports that a run's memory can be copied on request while the run
+	// continues. CopyLife is how long such a copy is kept.
 	CopiesOnOrder bool          `cbor:"4,keyasint,omitempty"`
 	CopyLife      time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Service is a group of equal backend servers.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name       string        `cbor:"1,keyasint"`
 	HealthPath string        `cbor:"2,keyasint,omitempty"`
-	MaxConns   int           `cbor:"3,keyasint,omitempty"` // of one backend server, from all VMs
-	Engine     *EngineTraits `cbor:"4,keyasint,omitempty"` // nil: a plain service
+	MaxConns   int           `cbor:"3,keyasint,omitempty"` // to one backend server, from all VMs together
+	Engine     *EngineTraits `cbor:"4,keyasint,omitempty"` // nil: the servers are not model engines
 }
 
-// Workspace is a customer with its keys.
+// Workspace is a customer and its API keys.
 type Workspace struct {
 	Name     string   `cbor:"1,keyasint"`
 	Keys     []string `cbor:"2,keyasint"`
-	Priority *int     `cbor:"3,keyasint,omitempty"` // goes before the route's
+	Priority *int     `cbor:"3,keyasint,omitempty"` // overrides the route's; nil: it does not
 }
 
-// Limits bound what a caller may send. Zero: the default.
+// Limits bound the requests of callers. A zero field stands for the default.
 type Limits struct {
 	MaxHeaderBytes int           `cbor:"1,keyasint,omitempty"`
 	MaxBodyBytes   int64         `cbor:"2,keyasint,omitempty"`
@@ -84,16 +84,16 @@
 	IdleTimeout    time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// List is one version of the whole.
+// List is one version of the route list.
 type List struct {
 	Version    uint64      `cbor:"1,keyasint"`
 	Routes     []Route     `cbor:"2,keyasint"`
 	Services   []Service   `cbor:"3,keyasint"`
 	Workspaces []Workspace `cbor:"4,keyasint"`
-	// Keyed says that the list names workspaces: requests need a key.
+	// Keyed reports that the list names workspaces. Requests then need a key.
 	Keyed  bool   `cbor:"5,keyasint,omitempty"`
 	Limits Limits `cbor:"6,keyasint"`
-	// Source is the operator's own text, given back on a read. VMs that only
-	// route do not get it.
+	// Source is the operator's text, which is returned on a read. It is not sent to VMs
+	// that only route.
 	Source []byte `cbor:"7,keyasint,omitempty"`
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -10,8 +10,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// proper is a list that passes every check.
-func proper(version uint64) *List {
+// validList returns a list that passes every check.
+func validList(version uint64) *List {
 	return &List{
 		Version: version,
 		Routes: []Route{
@@ -26,15 +26,15 @@
 
 func TestValidate(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(*List)
-		names string // what the error must name; empty: no error
+		name   string
+		change func(*List)
+		names  string // what the error must name; empty: no error
 	}{
-		{"proper", func(*List) {}, ""},
+		{"valid", func(*List) {}, ""},
 		{"no version", func(l *List) { l.Version = 0 }, "version"},
 		{"no timeout", func(l *List) { l.Routes[1].Timeout = 0 }, "deep"},
 		{"unknown service", func(l *List) { l.Routes[1].Targets[1].Service = "u" }, `"u"`},
-		{"same place twice", func(l *List) { l.Routes[1].Prefix = "/" }, "deep"},
+		{"same host and prefix twice", func(l *List) { l.Routes[1].Prefix = "/" }, "deep"},
 		{"weights add up to 0", func(l *List) { l.Routes[0].Targets[0].Weight = 0 }, "all"},
 		{"no targets", func(l *List) { l.Routes[0].Targets = nil }, "all"},
 		{"negative weight", func(l *List) { l.Routes[1].Targets[1].Weight = -1 }, "deep"},
@@ -43,22 +43,22 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := proper(1)
-			tt.spoil(l)
+			l := validList(1)
+			tt.change(l)
 			err := l.Validate()
 			switch {
 			case tt.names == "" && err != nil:
 				t.Error(err)
 			case tt.names == "":
 			case !errors.Is(err, result.New(result.InvalidRouteList)) || !strings.Contains(err.Error(), tt.names):
-				t.Errorf("error %v does not name %s", err, tt.names)
+				t.Errorf("got error %v, want one that names %s", err, tt.names)
 			}
 		})
 	}
 }
 
 func TestMatch(t *testing.T) {
-	table := NewTable(proper(1))
+	table := NewTable(validList(1))
 	tests := []struct{ host, path, want string }{
 		{"h", "/", "all"},
 		{"h", "/b/c", "all"},
@@ -73,30 +73,29 @@
 			got = r.Name
 		}
 		if got != tt.want {
-			t.Errorf("%s%s leads to %q, want %q", tt.host, tt.path, got, tt.want)
+			t.Errorf("%s%s matches route %q, want %q", tt.host, tt.path, got, tt.want)
 		}
 	}
 	if w := table.Holder("k2"); w == nil || w.Name != "nelson" {
-		t.Errorf("k2 is held by %v", w)
+		t.Errorf("key k2 belongs to %v, want workspace nelson", w)
 	}
 }
 
 func TestPickByWeight(t *testing.T) {
-	r := proper(1).Routes[1]
+	r := validList(1).Routes[1]
 	count := map[string]int{}
 	for n := range 10 {
 		count[r.Pick(func(int) int { return n })]++
 	}
 	if count["s"] != 9 || count["t"] != 1 {
-		t.Errorf("drawn %v", count)
+		t.Errorf("got picks %v, want s 9 times and t once", count)
 	}
 }
 
-// Operators race: each of their lists comes again, late, or under a version that
-// another list holds. What was acknowledged stays, and nobody is told that a list
-// holds which does not.
-func TestPartOutcomes(t *testing.T) {
-	other := proper(2)
+// Operators race: a list may arrive twice, late, or with the version of another list. An
+// accepted list must stay, and no operator may be told that a list is in force that is not.
+func TestStateMachineOutcomes(t *testing.T) {
+	other := validList(2)
 	other.Source = []byte("another operator's text")
 	steps := []struct {
 		name    string
@@ -104,11 +103,11 @@
 		outcome Outcome
 		held    uint64
 	}{
-		{"first", proper(2), Accepted, 2},
-		{"sent again", proper(2), Held, 2},
+		{"first", validList(2), Accepted, 2},
+		{"retried", validList(2), Held, 2},
 		{"other content, same version", other, Conflict, 2},
-		{"higher", proper(5), Accepted, 5},
-		{"older, late", proper(2), Overtaken, 5},
+		{"higher", validList(5), Accepted, 5},
+		{"late, lower", validList(2), Overtaken, 5},
 	}
 	p := NewPart()
 	for _, s := range steps {
@@ -121,17 +120,17 @@
 			t.Fatal(err)
 		}
 		if r.Outcome != s.outcome || r.Version != s.held {
-			t.Errorf("%s: outcome %d, version %d", s.name, r.Outcome, r.Version)
+			t.Errorf("%s: got outcome %d, version %d", s.name, r.Outcome, r.Version)
 		}
 	}
-	if string(p.List().Source) != string(proper(5).Source) {
-		t.Error("the operator's text is not what was sent")
+	if string(p.List().Source) != string(validList(5).Source) {
+		t.Error("the operator's text differs from the text that was sent")
 	}
 }
 
-func TestPartSnapshot(t *testing.T) {
+func TestStateMachineSnapshot(t *testing.T) {
 	p := NewPart()
-	p.put(*proper(3))
+	p.replace(*validList(3))
 	data, err := p.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -141,13 +140,13 @@
 		t.Fatal(err)
 	}
 	if q.Version() != 3 || string(q.List().Source) != string(p.List().Source) {
-		t.Errorf("restored version %d", q.Version())
+		t.Errorf("restored version %d, want 3 with the operator's text", q.Version())
 	}
 	var sent List
 	if err := codec.Unmarshal(q.Changes(0), &sent); err != nil || sent.Source != nil || len(sent.Routes) != 2 {
-		t.Errorf("watchers get %d routes and %d bytes of text, %v", len(sent.Routes), len(sent.Source), err)
+		t.Errorf("watchers get %d routes, %d bytes of text and error %v; want 2 routes, no text and no error", len(sent.Routes), len(sent.Source), err)
 	}
 	if q.Apply(0, []byte{0xff}); q.Version() != 3 {
-		t.Error("an unreadable command changed the list")
+		t.Error("a command that cannot be decoded changed the list")
 	}
 }
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Table is a list prepared for lookups. It never changes, so that a request
-// keeps the version that it began with.
+// Table is an index of a list for lookups. It is immutable: a request uses the same
+// version from start to end.
 type Table struct {
-	List     *List
-	byHost   map[string][]*Route // longest prefix first
-	holders  map[string]*Workspace
-	services map[string]*Service
+	List            *List
+	byHost          map[string][]*Route // longest prefix first
+	workspacesByKey map[string]*Workspace
+	services        map[string]*Service
 }
 
-// NewTable prepares a list that has been validated.
+// NewTable indexes a list. The list must be valid and must not be changed afterwards.
 func NewTable(l *List) *Table {
 	t := &Table{
-		List: l, byHost: map[string][]*Route{}, holders: map[string]*Workspace{}, services: map[string]*Service{},
+		List: l, byHost: map[string][]*Route{}, workspacesByKey: map[string]*Workspace{}, services: map[string]*Service{},
 	}
 	for i := range l.Routes {
 		r := &l.Routes[i]
@@ -30,7 +30,7 @@
 	}
 	for i := range l.Workspaces {
 		for _, key := range l.Workspaces[i].Keys {
-			t.holders[key] = &l.Workspaces[i]
+			t.workspacesByKey[key] = &l.Workspaces[i]
 		}
 	}
 	for i := range l.Services {
@@ -39,12 +39,12 @@
 	return t
 }
 
-// Match returns the route with the longest prefix of the raw path, or nil.
+// Match returns the host's route with the longest prefix of the raw path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes, ok := t.byHost[host]
 	if !ok {
-		name, _, _ := strings.Cut(host, ":") // callers may name the port
+		name, _, _ := strings.Cut(host, ":") // the Host header may contain a port
 		routes = t.byHost[name]
 	}
 	for _, r := range routes {
@@ -55,13 +55,14 @@
 	return nil
 }
 
-// Holder returns the workspace that holds a key, or nil.
-func (t *Table) Holder(key string) *Workspace { return t.holders[key] }
+// WorkspaceByKey returns the workspace that holds a key, or nil.
+func (t *Table) Holder(key string) *Workspace { return t.workspacesByKey[key] }
 
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pick draws one of a route's services by weight.
+// Pick returns one of the route's services at random by weight. rng returns a random
+// number in [0, n).
 func (r *Route) Pick(rng func(n int) int) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -76,7 +77,7 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Draw is Pick with the process's own randomness.
+// PickRandom is Pick with the random source of math/rand/v2.
 func (r *Route) Draw() string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
