--- a/internal/bulk/bulk.go
+++ b/internal/bulk/bulk.go
@@ -45,9 +45,9 @@
 
 // Errors returned by Fetch.
 var (
-	ErrGone    = errors.New("bulk: no source holds the value any more")
-	ErrSilent  = errors.New("bulk: no source answers")
-	ErrDamaged = errors.New("bulk: value does not match its reference")
+	ErrGone        = errors.New("bulk: no source holds the value any more")
+	ErrUnreachable = errors.New("bulk: no source answers")
+	ErrDamaged     = errors.New("bulk: value does not match its reference")
 )
 
 // Ref names a value by its content. Equal values have equal references on every VM.
@@ -130,7 +130,7 @@
 
 // StillOffers reports whether the content of a Value from an earlier Offer is still
 // available.
-func (s *Store) Offers(v Value) bool { return v.Ref.Size == 0 || s.Holds(v.Ref) }
+func (s *Store) StillOffers(v Value) bool { return v.Ref.Size == 0 || s.Holds(v.Ref) }
 
 // Holds reports whether the Store holds a value.
 func (s *Store) Holds(ref Ref) bool {
@@ -206,7 +206,7 @@
 		}
 		f.timeout = min(2*f.timeout, maxPieceTimeout)
 	}
-	return ErrSilent
+	return ErrUnreachable
 }
 
 // ask requests a piece from the current source. An empty piece without an error means that
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -25,15 +25,15 @@
 
 func newLoadedHub(tb testing.TB, routers, engines int) *loadedHub {
 	tb.Helper()
-	list := NewHeld(func(upstream.List) {})
+	list := NewListReplica(func(upstream.List) {})
 	f := &loadedHub{hub: NewHub(peertest.New(1).VM("c1"), list, func() []string { return controls }, zerolog.Nop())}
 	l := modelsList(engines)
 	for i := range l.Backends {
 		l.Backends[i].ID = fmt.Sprintf("i-%010x", i*7919)
 	}
-	list.Take(l.Backends, 0)
-	f.hub.TakeList(l)
-	_, f.digest, _, _ = list.Now()
+	list.Update(l.Backends, 0)
+	f.hub.SetBackends(l)
+	_, f.digest, _, _ = list.Current()
 	f.engines = l.Backends
 	for r := range routers {
 		f.routers = append(f.routers, fmt.Sprintf("10.%d.%d.10:7221", r/40, r%40))
@@ -46,18 +46,18 @@
 // that it holds.
 func (f *loadedHub) heartbeat(tb testing.TB, router int, wantUse bool, routersDigest uint64) []byte {
 	f.seq++
-	n := Notice{
-		Zone: "a", Callers: f.routers[router], Ready: true, Held: f.digest, HeldAge: 100,
-		WantLoad: true, WantUse: wantUse, RoutersHeld: routersDigest,
+	n := Heartbeat{
+		Zone: "a", Endpoint: f.routers[router], Ready: true, ListDigest: f.digest, ListAgeMS: 100,
+		WantSummary: true, WantUse: wantUse, RoutersDigest: routersDigest,
 	}
 	id := func(i int) string { return f.engines[i%len(f.engines)].ID }
-	n.Told = Told{Life: uint64(router + 1), Turn: f.seq, Use: map[string]placement.Use{
+	n.UseReport = UseReport{Incarnation: uint64(router + 1), Seq: f.seq, Use: map[string]placement.Use{
 		id(router): {Requests: 1, Tokens: 9000}, id(router + 7): {Tokens: 9000, Copies: 9000}, "call": {Requests: 1},
 	}}
 	for i := 0; i < len(f.engines); i += 5 {
-		n.Told.Doubt = append(n.Told.Doubt, id(i))
+		n.UseReport.Suspected = append(n.UseReport.Suspected, id(i))
 	}
-	n.Spent = Spending{Life: uint64(router + 1), Turn: f.seq}
+	n.Spent = RetrySpending{Incarnation: uint64(router + 1), Seq: f.seq}
 	data, err := codec.Marshal(n)
 	if err != nil {
 		tb.Fatal(err)
@@ -66,7 +66,7 @@
 }
 
 // serve returns the reply to a heartbeat and its size in bytes.
-func (f *loadedHub) serve(tb testing.TB, router int, heartbeat []byte) (Answer, int) {
+func (f *loadedHub) serve(tb testing.TB, router int, heartbeat []byte) (HeartbeatReply, int) {
 	out, err := f.hub.serve(context.Background(), f.routers[router], heartbeat)
 	if err != nil {
 		tb.Fatal(err)
@@ -75,7 +75,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var a Answer
+	var a HeartbeatReply
 	if err := codec.Unmarshal(data, &a); err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -33,7 +33,7 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats of a VM. A restarted engine
 	// is usable again only once its new incarnation has arrived with a heartbeat reply.
-	NoticeEvery = 400 * time.Millisecond
+	HeartbeatInterval = 400 * time.Millisecond
 	// initialHeartbeatInterval applies until the VM holds its first list of backend
 	// servers. Control VMs and routers start together, and a router may be ready first.
 	initialHeartbeatInterval = 100 * time.Millisecond
@@ -71,25 +71,25 @@
 )
 
 // Heartbeat is the periodic report of a VM about itself.
-type Notice struct {
-	Zone     string           `cbor:"1,keyasint"`
-	Callers  string           `cbor:"2,keyasint,omitempty"` // ip:port for callers; empty: accepts none
-	Ready    bool             `cbor:"3,keyasint,omitempty"`
-	Told     Told             `cbor:"4,keyasint"` // empty for control VMs that do not schedule
-	Deaths   []recovery.Death `cbor:"5,keyasint,omitempty"`
-	Held     uint64           `cbor:"6,keyasint,omitempty"`  // of the list of backend servers; 0: the VM holds none
-	HeldAge  int64            `cbor:"7,keyasint,omitempty"`  // of that list
-	WantLoad bool             `cbor:"8,keyasint,omitempty"`  // requests a Summary
-	Dead     []string         `cbor:"9,keyasint,omitempty"`  // backend servers recently judged dead
-	Kept     []forward.Kept   `cbor:"10,keyasint,omitempty"` // streams of this VM, with their engines and backup copies
-	Spent    Spending         `cbor:"11,keyasint"`           // of the services' retry budgets
-	Control  bool             `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
+type Heartbeat struct {
+	Zone        string           `cbor:"1,keyasint"`
+	Endpoint    string           `cbor:"2,keyasint,omitempty"` // ip:port for callers; empty: accepts none
+	Ready       bool             `cbor:"3,keyasint,omitempty"`
+	UseReport   UseReport        `cbor:"4,keyasint"` // empty for control VMs that do not schedule
+	Deaths      []recovery.Death `cbor:"5,keyasint,omitempty"`
+	ListDigest  uint64           `cbor:"6,keyasint,omitempty"`  // of the list of backend servers; 0: the VM holds none
+	ListAgeMS   int64            `cbor:"7,keyasint,omitempty"`  // of that list
+	WantSummary bool             `cbor:"8,keyasint,omitempty"`  // requests a Summary
+	Dead        []string         `cbor:"9,keyasint,omitempty"`  // backend servers recently judged dead
+	Runs        []forward.Kept   `cbor:"10,keyasint,omitempty"` // streams of this VM, with their engines and backup copies
+	Spent       RetrySpending    `cbor:"11,keyasint"`           // of the services' retry budgets
+	Control     bool             `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
 	// WantEndpoints requests the directory. Only an Observer sets it.
-	WantEntrances bool `cbor:"13,keyasint,omitempty"`
+	WantEndpoints bool `cbor:"13,keyasint,omitempty"`
 	// WantUse requests the use of engines with the Summary. RoutersDigest is the digest
 	// of the router names that this VM already holds.
-	WantUse     bool   `cbor:"14,keyasint,omitempty"`
-	RoutersHeld uint64 `cbor:"15,keyasint,omitempty"`
+	WantUse       bool   `cbor:"14,keyasint,omitempty"`
+	RoutersDigest uint64 `cbor:"15,keyasint,omitempty"`
 	// WantChanges requests the changes of the list since ListDigest.
 	WantChanges bool `cbor:"16,keyasint,omitempty"`
 	// Rollouts are this VM's observations of the roll-outs in progress.
@@ -97,26 +97,26 @@
 }
 
 // HeartbeatReply is a control VM's reply to a Heartbeat.
-type Answer struct {
+type HeartbeatReply struct {
 	Controls []string `cbor:"1,keyasint"`
 	// EncodedSummary is the requested Summary and EncodedUse the requested use of
 	// engines. OwnUse is the receiver's own share of both. Routers are the VMs that
 	// accept callers; it is empty if the receiver already holds these names.
-	Encoded    cbor.RawMessage          `cbor:"3,keyasint,omitempty"`
-	Own        map[string]placement.Use `cbor:"4,keyasint,omitempty"`
-	EncodedUse cbor.RawMessage          `cbor:"9,keyasint,omitempty"`
-	Routers    []string                 `cbor:"11,keyasint,omitempty"`
+	EncodedSummary cbor.RawMessage          `cbor:"3,keyasint,omitempty"`
+	OwnUse         map[string]placement.Use `cbor:"4,keyasint,omitempty"`
+	EncodedUse     cbor.RawMessage          `cbor:"9,keyasint,omitempty"`
+	Routers        []string                 `cbor:"11,keyasint,omitempty"`
 	// ListDigest and ListAgeMS describe the control VM's list, and Changes leads to it
 	// from the receiver's list. If Changes is missing and the digests differ, the
 	// receiver fetches the whole list.
-	Digest  uint64            `cbor:"5,keyasint,omitempty"`
-	AgeMS   int64             `cbor:"6,keyasint"`
-	Listed  bool              `cbor:"7,keyasint,omitempty"`
-	Changed *PackedDifference `cbor:"15,keyasint,omitempty"`
+	ListDigest uint64            `cbor:"5,keyasint,omitempty"`
+	ListAgeMS  int64             `cbor:"6,keyasint"`
+	HasList    bool              `cbor:"7,keyasint,omitempty"`
+	Changes    *PackedDifference `cbor:"15,keyasint,omitempty"`
 	// Spent is what all other VMs spent of the retry budgets, by service.
 	Spent map[string]forward.Spent `cbor:"10,keyasint,omitempty"`
 	// Endpoints are the addresses of all VMs that accept callers.
-	Entrances []string `cbor:"12,keyasint,omitempty"`
+	Endpoints []string `cbor:"12,keyasint,omitempty"`
 	// Observer reports that the sender is an Observer, whose reply holds only Controls.
 	Observer bool `cbor:"13,keyasint,omitempty"`
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -21,15 +21,15 @@
 // testHub is a control VM, which also runs a Member towards the others.
 type testHub struct {
 	hub  *Hub
-	list *Held
+	list *ListReplica
 }
 
 // testVM is a router.
 type testVM struct {
 	member   *Member
-	list     *Held
+	list     *ListReplica
 	use      atomic.Pointer[map[string]placement.Use]
-	peers    atomic.Pointer[Known]
+	peers    atomic.Pointer[PeerReports]
 	notReady atomic.Bool
 	stop     context.CancelFunc
 }
@@ -38,7 +38,7 @@
 func (v *testVM) setUse(use map[string]placement.Use) { v.use.Store(&use) }
 
 func startHub(ctx context.Context, n *peertest.Net, id string, all []string) *testHub {
-	h := &testHub{list: NewHeld(func(upstream.List) {})}
+	h := &testHub{list: NewListReplica(func(upstream.List) {})}
 	t := n.VM(id)
 	h.hub = NewHub(t, h.list, func() []string { return all }, zerolog.Nop())
 	m := NewMember(id, t, all, h.list, Local{}, zerolog.Nop())
@@ -49,10 +49,10 @@
 func startRouter(ctx context.Context, n *peertest.Net, id string, seeds []string, requests int) *testVM {
 	v := &testVM{}
 	v.setUse(map[string]placement.Use{"e1": {Requests: requests}})
-	v.list = NewHeld(func(upstream.List) {})
+	v.list = NewListReplica(func(upstream.List) {})
 	v.member = NewMember(id, n.VM(id), seeds, v.list, Local{
-		Callers: id + ":80", Ready: func() bool { return !v.notReady.Load() },
-		Use: func() map[string]placement.Use { return *v.use.Load() }, Learn: func(k Known) { v.peers.Store(&k) },
+		Endpoint: id + ":80", Ready: func() bool { return !v.notReady.Load() },
+		Use: func() map[string]placement.Use { return *v.use.Load() }, Learn: func(k PeerReports) { v.peers.Store(&k) },
 	}, zerolog.Nop())
 	ctx, v.stop = context.WithCancel(ctx)
 	go v.member.Run(ctx)
@@ -88,16 +88,16 @@
 		}
 		time.Sleep(2 * time.Second)
 		for i, h := range hubs {
-			if got := h.hub.Entrances(64); len(got) != 3 {
+			if got := h.hub.Endpoints(64); len(got) != 3 {
 				t.Fatalf("control VM %d lists %v, want 3 routers, each configured with one seed", i, got)
 			}
 		}
 		vms[0].stop()
 		time.Sleep(1500 * time.Millisecond)
 		vms[1].notReady.Store(true)
-		time.Sleep(NoticeEvery + 50*time.Millisecond)
+		time.Sleep(HeartbeatInterval + 50*time.Millisecond)
 		for i, h := range hubs {
-			if got := h.hub.Entrances(64); !slices.Equal(got, []string{"r2:80"}) {
+			if got := h.hub.Endpoints(64); !slices.Equal(got, []string{"r2:80"}) {
 				t.Errorf("control VM %d lists %v, want [r2:80]", i, got)
 			}
 		}
@@ -133,9 +133,9 @@
 		}
 		v := startRouter(ctx, n, "r1", controls, 0)
 		time.Sleep(time.Second)
-		hubs["c1"].list.Take([]upstream.Backend{{ID: "e1"}, {ID: "e2"}}, 0)
-		time.Sleep(NoticeEvery + 50*time.Millisecond)
-		if rows, _, age, ok := v.list.Now(); !ok || len(rows) != 2 || age > time.Second {
+		hubs["c1"].list.Update([]upstream.Backend{{ID: "e1"}, {ID: "e2"}}, 0)
+		time.Sleep(HeartbeatInterval + 50*time.Millisecond)
+		if rows, _, age, ok := v.list.Current(); !ok || len(rows) != 2 || age > time.Second {
 			t.Fatalf("router holds %d rows of age %v, want 2 rows of at most 1s", len(rows), age)
 		}
 		for _, other := range []string{"c2", "c3", "r1"} {
@@ -143,12 +143,12 @@
 			n.Cut(other, "c1")
 		}
 		time.Sleep(time.Second)
-		hubs["c2"].list.Take([]upstream.Backend{{ID: "e1"}}, 0)
+		hubs["c2"].list.Update([]upstream.Backend{{ID: "e1"}}, 0)
 		time.Sleep(time.Second)
 		n.HealAll()
 		time.Sleep(2 * time.Second)
-		for name, list := range map[string]*Held{"router": v.list, "c1": hubs["c1"].list, "c3": hubs["c3"].list} {
-			if rows, _, _, _ := list.Now(); len(rows) != 1 {
+		for name, list := range map[string]*ListReplica{"router": v.list, "c1": hubs["c1"].list, "c3": hubs["c3"].list} {
+			if rows, _, _, _ := list.Current(); len(rows) != 1 {
 				t.Errorf("%s holds %d rows, want 1", name, len(rows))
 			}
 		}
@@ -178,19 +178,19 @@
 // The age of a list counts from its read, across all VMs that forwarded it.
 func TestListAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := NewHeld(func(upstream.List) {})
-		h.Take([]upstream.Backend{{ID: "e1"}}, 300*time.Millisecond)
+		h := NewListReplica(func(upstream.List) {})
+		h.Update([]upstream.Backend{{ID: "e1"}}, 300*time.Millisecond)
 		time.Sleep(time.Second)
-		_, digest, age, _ := h.Now()
+		_, digest, age, _ := h.Current()
 		if age != 1300*time.Millisecond {
 			t.Errorf("got age %v, want 1.3s", age)
 		}
 		h.Confirm(digest+1, 0)
-		if _, _, age, _ := h.Now(); age != 1300*time.Millisecond {
+		if _, _, age, _ := h.Current(); age != 1300*time.Millisecond {
 			t.Error("the confirmation of another list changed the age")
 		}
 		h.Confirm(digest, 100*time.Millisecond)
-		if _, _, age, _ := h.Now(); age != 100*time.Millisecond {
+		if _, _, age, _ := h.Current(); age != 100*time.Millisecond {
 			t.Errorf("got age %v after a confirmation, want 100ms", age)
 		}
 	})
@@ -210,9 +210,9 @@
 			t.Error("the router has received no reply after two initial intervals")
 		}
 		v.notReady.Store(false)
-		v.member.Nudge()
+		v.member.NotifyNow()
 		time.Sleep(20 * time.Millisecond)
-		if got := h.hub.Entrances(64); len(got) != 1 {
+		if got := h.hub.Endpoints(64); len(got) != 1 {
 			t.Errorf("directory lists %v, want 1 router", got)
 		}
 	})
@@ -226,18 +226,18 @@
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
 		a, b := forward.Copy{Address: "e1:1", ID: "q1"}, forward.Copy{Address: "e2:1", ID: "q2"}
-		h.hub.recordHeartbeat("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}, {Identity: 8, Left: forward.Left{Copy: a}}}})
-		h.hub.recordHeartbeat("alive", Notice{Kept: []forward.Kept{{Identity: 8, Left: forward.Left{Copy: b}}}})
+		h.hub.recordHeartbeat("dead", Heartbeat{Runs: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}, {Identity: 8, Left: forward.Left{Copy: a}}}})
+		h.hub.recordHeartbeat("alive", Heartbeat{Runs: []forward.Kept{{Identity: 8, Left: forward.Left{Copy: b}}}})
 		for _, tt := range []struct {
 			identity uint64
 			want     forward.Copy
 		}{{7, a}, {8, forward.Copy{}}, {9, forward.Copy{}}} {
-			if got, ok := v.member.Find(ctx, tt.identity); got.Copy != tt.want || ok != (tt.want.Address != "") {
+			if got, ok := v.member.FindOrphan(ctx, tt.identity); got.Copy != tt.want || ok != (tt.want.Address != "") {
 				t.Errorf("identity %d: got %+v, found %t", tt.identity, got, ok)
 			}
 		}
 		time.Sleep(copyLifetime + time.Second)
-		if _, ok := v.member.Find(ctx, 7); ok {
+		if _, ok := v.member.FindOrphan(ctx, 7); ok {
 			t.Error("an expired copy is returned")
 		}
 	})
@@ -252,20 +252,20 @@
 		processCtx, kill := context.WithCancel(ctx)
 		h := startHub(processCtx, n, "c1", controls[:1])
 		a := forward.Copy{Address: "e1:1", ID: "q1"}
-		go h.hub.Remember(processCtx, disk, "/data")
-		h.hub.recordHeartbeat("router", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}}})
+		go h.hub.RunSaver(processCtx, disk, "/data")
+		h.hub.recordHeartbeat("router", Heartbeat{Runs: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}}})
 		time.Sleep(2 * saveInterval)
 		kill()
 		time.Sleep(time.Second)
 		restarted := startHub(ctx, n, "c1", controls[:1])
-		restarted.hub.Recall(disk, "/data")
+		restarted.hub.LoadRuns(disk, "/data")
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(500 * time.Millisecond)
-		if got, ok := v.member.Find(ctx, 7); got.Copy != a || !ok {
+		if got, ok := v.member.FindOrphan(ctx, 7); got.Copy != a || !ok {
 			t.Errorf("got %+v, found %t, want the saved copy", got, ok)
 		}
 		time.Sleep(copyLifetime)
-		if _, ok := v.member.Find(ctx, 7); ok {
+		if _, ok := v.member.FindOrphan(ctx, 7); ok {
 			t.Error("an expired copy is returned")
 		}
 	})
@@ -277,10 +277,10 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		disk := waltest.New()
 		h := startHub(ctx, n, "c1", controls[:1])
-		go h.hub.Remember(ctx, disk, "/data")
+		go h.hub.RunSaver(ctx, disk, "/data")
 		written := func() string {
 			for i := range uint64(20) {
-				h.hub.recordHeartbeat(fmt.Sprint("r", i), Notice{Kept: []forward.Kept{{Identity: i, Left: forward.Left{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
+				h.hub.recordHeartbeat(fmt.Sprint("r", i), Heartbeat{Runs: []forward.Kept{{Identity: i, Left: forward.Left{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
 			}
 			time.Sleep(2 * saveInterval)
 			data, err := disk.ReadFile("/data/" + copiesFile)
@@ -305,11 +305,11 @@
 		h := startHub(ctx, n, "c1", controls[:1])
 		const vms, limit, answers = 300, 64, 300
 		for i := range vms {
-			h.hub.recordHeartbeat(fmt.Sprint("r", i), Notice{Ready: true, Callers: fmt.Sprint("10.0.0.", i, ":80")})
+			h.hub.recordHeartbeat(fmt.Sprint("r", i), Heartbeat{Ready: true, Endpoint: fmt.Sprint("10.0.0.", i, ":80")})
 		}
 		named := map[string]int{}
 		for range answers {
-			got := h.hub.Entrances(limit)
+			got := h.hub.Endpoints(limit)
 			if len(got) != limit || !slices.IsSorted(got) || len(slices.Compact(got)) != limit {
 				t.Fatalf("got %d addresses, want 64 sorted ones without duplicates: %v", len(got), got)
 			}
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -43,8 +43,8 @@
 
 // Packed returns the complete current list in its wire form; ok is false while there
 // is none.
-func (h *Held) Packed() (p PackedList, ok bool, err error) {
-	rows, digest, age, ok := h.Now()
+func (h *ListReplica) Packed() (p PackedList, ok bool, err error) {
+	rows, digest, age, ok := h.Current()
 	if !ok {
 		return p, false, nil
 	}
@@ -113,7 +113,7 @@
 	m.mu.Lock()
 	w := m.pendingFetch
 	m.mu.Unlock()
-	if _, digest, _, ok := m.list.Now(); ok && digest == w.digest {
+	if _, digest, _, ok := m.list.Current(); ok && digest == w.digest {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, listFetchTimeout)
@@ -171,29 +171,29 @@
 
 // applyChanges applies what a heartbeat reply says about the list of backend servers.
 // roundTrip is added to the list's age, which grew while the reply was in flight.
-func (m *Member) applyChanges(vm string, n *Notice, a *Answer, roundTrip time.Duration) {
-	age := time.Duration(a.AgeMS)*time.Millisecond + roundTrip
-	if a.Listed {
+func (m *Member) applyChanges(vm string, n *Heartbeat, a *HeartbeatReply, roundTrip time.Duration) {
+	age := time.Duration(a.ListAgeMS)*time.Millisecond + roundTrip
+	if a.HasList {
 		m.recordListAge(vm, age)
 	}
 	switch {
-	case !a.Listed:
-	case a.Changed != nil:
+	case !a.HasList:
+	case a.Changes != nil:
 		m.applyDifference(vm, a, age)
-	case a.Digest == n.Held:
-		m.list.Confirm(a.Digest, age)
-	case n.Held == 0 || n.WantChanges && a.AgeMS < n.HeldAge:
-		m.requestList(vm, a.Digest)
+	case a.ListDigest == n.ListDigest:
+		m.list.Confirm(a.ListDigest, age)
+	case n.ListDigest == 0 || n.WantChanges && a.ListAgeMS < n.ListAgeMS:
+		m.requestList(vm, a.ListDigest)
 	}
 }
 
 // applyDifference applies the changes of a heartbeat reply. If the result is not the
 // control VM's list, the whole list is fetched.
-func (m *Member) applyDifference(vm string, a *Answer, age time.Duration) {
-	d, err := a.Changed.unpack()
-	if err == nil && m.list.Patch(d, a.Digest, age) {
+func (m *Member) applyDifference(vm string, a *HeartbeatReply, age time.Duration) {
+	d, err := a.Changes.unpack()
+	if err == nil && m.list.Patch(d, a.ListDigest, age) {
 		return
 	}
-	m.log.Error().Err(err).Str("control", vm).Int("rows", len(d.Rows)).Int("gone", len(d.Gone)).Msg("changes of the list of backend servers do not match its digest; fetching the whole list")
-	m.requestList(vm, a.Digest)
+	m.log.Error().Err(err).Str("control", vm).Int("rows", len(d.Rows)).Int("gone", len(d.Removed)).Msg("changes of the list of backend servers do not match its digest; fetching the whole list")
+	m.requestList(vm, a.ListDigest)
 }
--- a/internal/cluster/fetch_test.go
+++ b/internal/cluster/fetch_test.go
@@ -35,17 +35,17 @@
 		readFor := func() {
 			for range 5 {
 				for _, id := range ids {
-					hubs[id].list.Take(list, 0)
+					hubs[id].list.Update(list, 0)
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
 		}
 		c := peertest.NewMeter(n.VM("r1"))
-		replica := NewHeld(ignoreList)
+		replica := NewListReplica(ignoreList)
 		m := NewMember("r1", c, ids[:1], replica, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		readFor()
-		if got, _, _, _ := replica.Now(); len(got) != len(list) {
+		if got, _, _, _ := replica.Current(); len(got) != len(list) {
 			t.Fatalf("got %d rows, want 3000", len(got))
 		}
 		if got := c.Take(); got.ByKind[peer.KindList] != 1 || got.Bytes > linkBytesPerSecond/10 {
@@ -53,7 +53,7 @@
 		}
 		list = slices.Concat(list[600:], rows(3600)[3000:])
 		readFor()
-		if got, _, _, _ := replica.Now(); len(got) != len(list) {
+		if got, _, _, _ := replica.Current(); len(got) != len(list) {
 			t.Errorf("got %d rows after the change, want 3000", len(got))
 		}
 		if got := c.Take(); got.ByKind[peer.KindList] != 0 || got.Bytes > linkBytesPerSecond/10 {
@@ -67,14 +67,14 @@
 func TestListFetchFailover(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
-			startHub(ctx, n, id, controls).list.Take(rows(3), 0)
+			startHub(ctx, n, id, controls).list.Update(rows(3), 0)
 		}
-		replica := NewHeld(ignoreList)
+		replica := NewListReplica(ignoreList)
 		m := NewMember("r1", n.VM("r1"), controls, replica, Local{}, zerolog.Nop())
 		m.requestList("gone", 1)
 		go m.Run(ctx)
 		time.Sleep(initialHeartbeatInterval + 50*time.Millisecond)
-		if got, _, _, _ := replica.Now(); len(got) != 3 {
+		if got, _, _, _ := replica.Current(); len(got) != 3 {
 			t.Errorf("got %d rows, want 3", len(got))
 		}
 	})
@@ -93,22 +93,22 @@
 				reader = h
 			}
 		}
-		replica := NewHeld(ignoreList)
+		replica := NewListReplica(ignoreList)
 		m := NewMember("r1", n.VM("r1"), ids, replica, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		list := rows(5)
 		readFor := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); {
-				reader.list.Take(list, 0)
-				time.Sleep(NoticeEvery / 4)
+				reader.list.Update(list, 0)
+				time.Sleep(HeartbeatInterval / 4)
 			}
 		}
 		readFor(3 * time.Second)
 		for i := range 10 {
 			list = slices.Concat(list[1:], rows(6 + i)[5+i:])
-			readFor(NoticeEvery + NoticeEvery/4)
-			if got, _, _, _ := replica.Now(); !slices.Contains(got, list[4]) {
-				t.Errorf("change %d has not arrived after %v", i, NoticeEvery+NoticeEvery/4)
+			readFor(HeartbeatInterval + HeartbeatInterval/4)
+			if got, _, _, _ := replica.Current(); !slices.Contains(got, list[4]) {
+				t.Errorf("change %d has not arrived after %v", i, HeartbeatInterval+HeartbeatInterval/4)
 			}
 			readFor(time.Duration(i) * 70 * time.Millisecond)
 		}
@@ -149,24 +149,24 @@
 }
 
 func differencesArePacked(t *testing.T) {
-	h := NewHeld(func(upstream.List) {})
-	h.KeepFormer()
+	h := NewListReplica(func(upstream.List) {})
+	h.KeepHistory()
 	rows := make([]upstream.Backend, 3000)
 	for i := range rows {
 		rows[i] = upstream.Backend{
 			ID: fmt.Sprintf("i-%08x", i*2654435761%(1<<32)), Service: "models", Address: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), Zone: "zone1", Slots: 16,
 		}
 	}
-	h.Take(rows, 0)
-	_, before, _, _ := h.Now()
+	h.Update(rows, 0)
+	_, before, _, _ := h.Current()
 	next := slices.Clone(rows)
 	for i := range 1000 {
 		next[i].ID += "x"
 	}
 	time.Sleep(time.Millisecond)
-	h.Take(next, 0)
-	d, _, ok := h.Since(before)
-	p, digest, found, err := h.PackedSince(before)
+	h.Update(next, 0)
+	d, _, ok := h.DifferenceSince(before)
+	p, digest, found, err := h.PackedDifferenceSince(before)
 	if !ok || !found || err != nil {
 		t.Fatal(ok, found, err)
 	}
@@ -178,10 +178,10 @@
 		t.Errorf("%d packed bytes of %d, want at most half", len(p.Data), len(plain))
 	}
 	got, err := p.unpack()
-	if err != nil || len(got.Rows) != 1000 || len(got.Gone) != 1000 {
-		t.Errorf("got %d rows, %d removed, error %v; want 1000 of each and no error", len(got.Rows), len(got.Gone), err)
+	if err != nil || len(got.Rows) != 1000 || len(got.Removed) != 1000 {
+		t.Errorf("got %d rows, %d removed, error %v; want 1000 of each and no error", len(got.Rows), len(got.Removed), err)
 	}
-	if _, now, _, _ := h.Now(); now != digest {
+	if _, now, _, _ := h.Current(); now != digest {
 		t.Error("the packed difference leads to another list")
 	}
 }
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -20,7 +20,7 @@
 // Hub receives the heartbeats of all VMs on a control VM and keeps the directory of
 // those that are present. Safe for concurrent use.
 type Hub struct {
-	list     *Held
+	list     *ListReplica
 	controls func() []string
 	log      zerolog.Logger
 
@@ -42,11 +42,11 @@
 
 type vmState struct {
 	vm        string
-	heartbeat Notice
+	heartbeat Heartbeat
 	at        time.Time
 }
 
-func (s vmState) acceptsCallers() bool { return s.heartbeat.Ready && s.heartbeat.Callers != "" }
+func (s vmState) acceptsCallers() bool { return s.heartbeat.Ready && s.heartbeat.Endpoint != "" }
 
 type reportedDeath struct {
 	death recovery.Death
@@ -55,9 +55,9 @@
 
 // NewHub returns a Hub and registers its message handlers with t. controls returns the
 // ids of the control VMs.
-func NewHub(t peer.Transport, list *Held, controls func() []string, log zerolog.Logger) *Hub {
+func NewHub(t peer.Transport, list *ListReplica, controls func() []string, log zerolog.Logger) *Hub {
 	h := &Hub{list: list, controls: controls, vms: map[string]vmState{}, loggedSilent: map[string]bool{}, retrySpending: spendingTable{}, ledger: rollout.NewLedger(), log: log, scheduling: newSchedulerService(t, log)}
-	list.KeepFormer()
+	list.KeepHistory()
 	t.Handle(peer.KindNotice, h.serve)
 	t.Handle(peer.KindList, h.serveList)
 	t.Handle(peer.KindKept, h.serveOrphan)
@@ -68,54 +68,54 @@
 }
 
 func (h *Hub) serve(_ context.Context, from string, body []byte) (any, error) {
-	var n Notice
+	var n Heartbeat
 	if err := codec.Unmarshal(body, &n); err != nil {
 		return nil, err
 	}
 	h.recordHeartbeat(from, n)
-	h.scheduling.receiveReport(from, &n.Told)
-	a := Answer{Controls: h.controls()}
-	if n.WantLoad || n.WantEntrances {
+	h.scheduling.receiveReport(from, &n.UseReport)
+	a := HeartbeatReply{Controls: h.controls()}
+	if n.WantSummary || n.WantEndpoints {
 		if err := h.addPeerReports(from, &n, &a); err != nil {
 			return nil, err
 		}
 	}
-	_, digest, age, ok := h.list.Now()
+	_, digest, age, ok := h.list.Current()
 	if !ok {
 		return a, nil
 	}
-	a.Listed, a.Digest, a.AgeMS = true, digest, age.Milliseconds()
+	a.HasList, a.ListDigest, a.ListAgeMS = true, digest, age.Milliseconds()
 	// A VM whose list is younger than this one needs no changes.
-	if n.WantChanges && digest != n.Held && a.AgeMS < n.HeldAge {
-		changed, digest, ok, err := h.list.PackedSince(n.Held)
+	if n.WantChanges && digest != n.ListDigest && a.ListAgeMS < n.ListAgeMS {
+		changed, digest, ok, err := h.list.PackedDifferenceSince(n.ListDigest)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
-			a.Changed, a.Digest = &changed, digest
+			a.Changes, a.ListDigest = &changed, digest
 		}
 	}
 	return a, nil
 }
 
 // addPeerReports adds the requested reports of all VMs to a reply.
-func (h *Hub) addPeerReports(from string, n *Notice, a *Answer) error {
+func (h *Hub) addPeerReports(from string, n *Heartbeat, a *HeartbeatReply) error {
 	s, err := h.summarize()
 	if err != nil {
 		return err
 	}
-	if n.WantLoad {
+	if n.WantSummary {
 		s.addTo(a, from, n)
-		a.Spent = h.spentByOthers(n.Spent.Life)
+		a.Spent = h.spentByOthers(n.Spent.Incarnation)
 	}
-	if n.WantEntrances {
-		a.Entrances = s.endpoints
+	if n.WantEndpoints {
+		a.Endpoints = s.endpoints
 	}
 	return nil
 }
 
 // SetBackends sets the backend servers that may be scheduled.
-func (h *Hub) TakeList(l upstream.List) { h.scheduling.setServers(l) }
+func (h *Hub) SetBackends(l upstream.List) { h.scheduling.setServers(l) }
 
 // Totals returns the state of the streams that are scheduled here.
 func (h *Hub) Totals() Totals { return h.scheduling.totals() }
@@ -160,7 +160,7 @@
 func (h *Hub) allRuns(now time.Time) []forward.Kept {
 	var out []forward.Kept
 	for _, s := range h.vms {
-		out = append(out, withoutExpiredCopies(s.heartbeat.Kept, now.Sub(s.at) > copyLifetime)...)
+		out = append(out, withoutExpiredCopies(s.heartbeat.Runs, now.Sub(s.at) > copyLifetime)...)
 	}
 	return out
 }
@@ -178,7 +178,7 @@
 	return out
 }
 
-func (h *Hub) recordHeartbeat(from string, n Notice) {
+func (h *Hub) recordHeartbeat(from string, n Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -192,7 +192,7 @@
 	}
 	h.vms[from] = v
 	h.retrySpending.record(n.Spent, now)
-	h.ledger.Note(n.Spent.Life, n.Rollouts, now)
+	h.ledger.Note(n.Spent.Incarnation, n.Rollouts, now)
 	h.expireVMs(now)
 	for _, d := range n.Deaths {
 		h.deaths = append(h.deaths, reportedDeath{d, now})
@@ -207,7 +207,7 @@
 }
 
 // RetainEvidence drops the observations of all roll-outs except those under way.
-func (h *Hub) KeepEvidence(underWay map[string]uint64) {
+func (h *Hub) RetainEvidence(underWay map[string]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ledger.Keep(underWay)
@@ -231,7 +231,7 @@
 }
 
 // Endpoints returns at most limit addresses of VMs that accept callers, sorted.
-func (h *Hub) Entrances(limit int) []string {
+func (h *Hub) Endpoints(limit int) []string {
 	s, err := h.summarize()
 	if err != nil {
 		h.log.Error().Err(err).Msg("summary of heartbeats could not be encoded; returning no addresses")
--- a/internal/cluster/list.go
+++ b/internal/cluster/list.go
@@ -27,9 +27,9 @@
 // Difference holds the changes from one list of backend servers to another.
 type Difference struct {
 	// Base is the digest of the list that the changes apply to; 0: the empty list.
-	Base uint64             `cbor:"1,keyasint,omitempty"`
-	Rows []upstream.Backend `cbor:"2,keyasint,omitempty"` // new or changed
-	Gone []string           `cbor:"3,keyasint,omitempty"` // ids of removed rows
+	Base    uint64             `cbor:"1,keyasint,omitempty"`
+	Rows    []upstream.Backend `cbor:"2,keyasint,omitempty"` // new or changed
+	Removed []string           `cbor:"3,keyasint,omitempty"` // ids of removed rows
 }
 
 // PackedDifference is a Difference in its wire form. It is compressed because the loss
@@ -55,7 +55,7 @@
 // them from the platform and share no counter. The age is measured on the monotonic
 // clock and on the wall clock, and the larger value counts. A VM that was suspended must
 // not forward an old list as fresh.
-type Held struct {
+type ListReplica struct {
 	mu                sync.Mutex
 	list              upstream.List
 	digest            uint64
@@ -77,11 +77,13 @@
 
 // NewListReplica returns an empty ListReplica that calls onUpdate with each list that
 // it accepts.
-func NewHeld(onUpdate func(upstream.List)) *Held { return &Held{onUpdate: onUpdate} }
+func NewListReplica(onUpdate func(upstream.List)) *ListReplica {
+	return &ListReplica{onUpdate: onUpdate}
+}
 
 // KeepHistory makes the replica keep former lists, from which a control VM computes the
 // changes for other VMs. Other VMs don't need it and save up to eight lists of memory.
-func (h *Held) KeepFormer() {
+func (h *ListReplica) KeepHistory() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.keepsHistory = true
@@ -89,7 +91,7 @@
 
 // Update replaces the list by rows that were read age ago, unless the current list was
 // read later.
-func (h *Held) Take(rows []upstream.Backend, age time.Duration) {
+func (h *ListReplica) Update(rows []upstream.Backend, age time.Duration) {
 	rows = slices.Clone(rows)
 	slices.SortStableFunc(rows, compareID)
 	// A duplicate row would get lost in every difference and make the digests differ.
@@ -101,7 +103,7 @@
 
 // Confirm records that the list with this digest was still the platform's list age ago.
 // It does nothing if the current list has another digest.
-func (h *Held) Confirm(digest uint64, age time.Duration) {
+func (h *ListReplica) Confirm(digest uint64, age time.Duration) {
 	h.mu.Lock()
 	same := h.hasList && h.digest == digest
 	rows := h.list.Backends
@@ -115,7 +117,7 @@
 // if the result has another digest: the current rows are then not those that the sender
 // assumed, and the caller must fetch the whole list. A difference whose base is no
 // longer the current list arrived late and is ignored.
-func (h *Held) Patch(d Difference, digest uint64, age time.Duration) bool {
+func (h *ListReplica) Patch(d Difference, digest uint64, age time.Duration) bool {
 	h.mu.Lock()
 	current, rows := h.digest, h.list.Backends
 	h.mu.Unlock()
@@ -136,7 +138,7 @@
 	return true
 }
 
-func (h *Held) store(rows []upstream.Backend, digest uint64, age time.Duration) {
+func (h *ListReplica) store(rows []upstream.Backend, digest uint64, age time.Duration) {
 	h.mu.Lock()
 	asOf := time.Now().Add(-age)
 	if h.hasList && !asOf.After(h.list.AsOf) {
@@ -154,7 +156,7 @@
 }
 
 // appendHistory needs h.mu.
-func (h *Held) appendHistory(f listVersion) {
+func (h *ListReplica) appendHistory(f listVersion) {
 	h.differences, h.packedDifferences = map[uint64]Difference{}, map[uint64]PackedDifference{}
 	h.history = append(h.history, f)
 	if len(h.history) > maxListHistory {
@@ -164,7 +166,7 @@
 
 // Current returns the current rows with their digest and age; ok is false before the
 // first list. The rows must not be changed.
-func (h *Held) Now() (rows []upstream.Backend, digest uint64, age time.Duration, ok bool) {
+func (h *ListReplica) Current() (rows []upstream.Backend, digest uint64, age time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -176,7 +178,7 @@
 // list, and the digest of the latter. ok is false if the former list is no longer known
 // or if the changes would have more rows than the list. The result is computed once for
 // all VMs with the same list.
-func (h *Held) Since(digest uint64) (d Difference, current uint64, ok bool) {
+func (h *ListReplica) DifferenceSince(digest uint64) (d Difference, current uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	d, ok = h.differenceFrom(digest)
@@ -184,7 +186,7 @@
 }
 
 // differenceFrom returns the changes since the list with this digest. It needs h.mu.
-func (h *Held) differenceFrom(digest uint64) (d Difference, ok bool) {
+func (h *ListReplica) differenceFrom(digest uint64) (d Difference, ok bool) {
 	if d, ok := h.differences[digest]; ok {
 		return d, true
 	}
@@ -192,7 +194,7 @@
 		if f.digest != digest {
 			continue
 		}
-		if from := computeDifference(f, h.list.Backends); len(from.Rows)+len(from.Gone) < len(h.list.Backends) {
+		if from := computeDifference(f, h.list.Backends); len(from.Rows)+len(from.Removed) < len(h.list.Backends) {
 			h.differences[digest] = from
 			return from, true
 		}
@@ -202,7 +204,7 @@
 
 // PackedDifferenceSince returns DifferenceSince in its wire form, packed once for all
 // VMs with the same list.
-func (h *Held) PackedSince(digest uint64) (p PackedDifference, current uint64, ok bool, err error) {
+func (h *ListReplica) PackedDifferenceSince(digest uint64) (p PackedDifference, current uint64, ok bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p, ok := h.packedDifferences[digest]; ok {
@@ -229,14 +231,14 @@
 		}
 		delete(former, row.ID)
 	}
-	d.Gone = slices.Sorted(maps.Keys(former))
+	d.Removed = slices.Sorted(maps.Keys(former))
 	return d
 }
 
 // apply returns rows with the changes applied, sorted by id.
 func (d Difference) apply(rows []upstream.Backend) []upstream.Backend {
 	next := rowsByID(rows)
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		delete(next, id)
 	}
 	for _, row := range d.Rows {
--- a/internal/cluster/list_test.go
+++ b/internal/cluster/list_test.go
@@ -33,8 +33,8 @@
 // whichever servers started, stopped or changed in the meantime.
 func TestDifferencesLeadToTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	control, vm := NewHeld(ignoreList), NewHeld(ignoreList)
-	control.KeepFormer()
+	control, vm := NewListReplica(ignoreList), NewListReplica(ignoreList)
+	control.KeepHistory()
 	now, next := rows(40), 40
 	for step := range 400 {
 		for range rng.IntN(4) {
@@ -49,20 +49,20 @@
 			}
 		}
 		rng.Shuffle(len(now), func(i, k int) { now[i], now[k] = now[k], now[i] })
-		control.Take(now, time.Duration(400-step)*time.Second)
+		control.Update(now, time.Duration(400-step)*time.Second)
 		if rng.IntN(3) > 0 {
 			continue
 		}
-		_, heldDigest, _, _ := vm.Now()
-		want, _, age, _ := control.Now()
-		d, digest, ok := control.Since(heldDigest)
+		_, heldDigest, _, _ := vm.Current()
+		want, _, age, _ := control.Current()
+		d, digest, ok := control.DifferenceSince(heldDigest)
 		if !ok {
 			d, digest = Difference{Rows: want}, digestOf(want)
 		}
 		if !vm.Patch(d, digest, age) {
 			t.Fatalf("step %d: the difference leads to another list", step)
 		}
-		if got, _, _, _ := vm.Now(); !slices.Equal(got, want) {
+		if got, _, _, _ := vm.Current(); !slices.Equal(got, want) {
 			t.Fatalf("step %d: got %d rows, want the control VM's %d", step, len(got), len(want))
 		}
 	}
@@ -71,13 +71,13 @@
 // In a large deployment one of 710 engines starts. Each of 330 VMs must be sent at most a
 // few hundred bytes for it, not the whole list.
 func TestDifferenceSize(t *testing.T) {
-	control := NewHeld(ignoreList)
-	control.KeepFormer()
-	control.Take(rows(710), 2*time.Second)
-	_, before, _, _ := control.Now()
-	control.Take(rows(711), time.Second)
+	control := NewListReplica(ignoreList)
+	control.KeepHistory()
+	control.Update(rows(710), 2*time.Second)
+	_, before, _, _ := control.Current()
+	control.Update(rows(711), time.Second)
 	size := func(since uint64) int {
-		d, _, ok := control.Since(since)
+		d, _, ok := control.DifferenceSince(since)
 		if !ok {
 			t.Fatal("no difference")
 		}
@@ -90,7 +90,7 @@
 	if one := size(before); one > 200 {
 		t.Errorf("one change takes %d bytes, want at most 200", one)
 	}
-	if _, _, ok := control.Since(0); ok {
+	if _, _, ok := control.DifferenceSince(0); ok {
 		t.Error("got a difference for a VM without a list, want none")
 	}
 }
@@ -106,18 +106,18 @@
 	}{
 		{"one more", Difference{Base: base, Rows: []upstream.Backend{row(3)}}, digestOf(rows(4)), true, 4},
 		{"complete list", Difference{Rows: rows(2)}, digestOf(rows(2)), true, 2},
-		{"all gone", Difference{Base: base, Gone: []string{row(0).ID, row(1).ID, row(2).ID}}, digestOf(nil), true, 0},
-		{"base is a former list", Difference{Base: 7, Gone: []string{row(0).ID}}, digestOf(rows(1)), true, 3},
-		{"digest does not match", Difference{Base: base, Gone: []string{row(0).ID}}, digestOf(rows(9)), false, 3},
+		{"all gone", Difference{Base: base, Removed: []string{row(0).ID, row(1).ID, row(2).ID}}, digestOf(nil), true, 0},
+		{"base is a former list", Difference{Base: 7, Removed: []string{row(0).ID}}, digestOf(rows(1)), true, 3},
+		{"digest does not match", Difference{Base: base, Removed: []string{row(0).ID}}, digestOf(rows(9)), false, 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := NewHeld(ignoreList)
-			h.Take(rows(3), time.Minute)
+			h := NewListReplica(ignoreList)
+			h.Update(rows(3), time.Minute)
 			if ok := h.Patch(tt.d, tt.digest, time.Second); ok != tt.ok {
 				t.Errorf("Patch returned %t", ok)
 			}
-			if got, _, _, _ := h.Now(); len(got) != tt.want {
+			if got, _, _, _ := h.Current(); len(got) != tt.want {
 				t.Errorf("got %d rows, want %d", len(got), tt.want)
 			}
 		})
@@ -139,12 +139,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 				h := startHub(ctx, n, "c1", controls[:1])
-				h.list.Take(tt.rows, 0)
-				replica := NewHeld(ignoreList)
+				h.list.Update(tt.rows, 0)
+				replica := NewListReplica(ignoreList)
 				m := NewMember("r1", n.VM("r1"), controls[:1], replica, Local{}, zerolog.Nop())
 				go m.Run(ctx)
 				time.Sleep(time.Second)
-				if got, _, _, ok := replica.Now(); !ok || len(got) != tt.want {
+				if got, _, _, ok := replica.Current(); !ok || len(got) != tt.want {
 					t.Errorf("got %d rows, has a list: %t", len(got), ok)
 				}
 			})
@@ -156,17 +156,17 @@
 func TestFullFetchAfterBadDifference(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
-		h.list.Take(rows(5), 0)
-		replica := NewHeld(ignoreList)
+		h.list.Update(rows(5), 0)
+		replica := NewListReplica(ignoreList)
 		m := NewMember("r1", n.VM("r1"), controls[:1], replica, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		time.Sleep(time.Second)
 		replica.mu.Lock()
 		replica.list.Backends = replica.list.Backends[1:] // simulated fault: the digest stays
 		replica.mu.Unlock()
-		h.list.Take(rows(6), 0)
-		time.Sleep(2 * NoticeEvery)
-		if got, _, _, _ := replica.Now(); len(got) != 6 {
+		h.list.Update(rows(6), 0)
+		time.Sleep(2 * HeartbeatInterval)
+		if got, _, _, _ := replica.Current(); len(got) != 6 {
 			t.Errorf("got %d rows, want 6", len(got))
 		}
 	})
@@ -180,10 +180,10 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
-		time.Sleep(NoticeEvery/2 + 10*time.Millisecond)
-		h.list.Take([]upstream.Backend{{ID: "e1"}}, 0)
+		time.Sleep(HeartbeatInterval/2 + 10*time.Millisecond)
+		h.list.Update([]upstream.Backend{{ID: "e1"}}, 0)
 		time.Sleep(initialHeartbeatInterval + 10*time.Millisecond)
-		if _, _, _, listed := v.list.Now(); !listed {
+		if _, _, _, listed := v.list.Current(); !listed {
 			t.Error("the router has no list after the initial interval")
 		}
 	})
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -23,21 +23,21 @@
 // Local connects a Member to its VM: the values that it reports and the functions that
 // take what it receives. A nil function is not called.
 type Local struct {
-	Zone    string
-	Callers string
-	Ready   func() bool
-	Use     func() map[string]placement.Use
-	Deaths  func() []recovery.Death
-	Dead    func() []string
-	Kept    func() []forward.Kept
-	Spent   func() map[string]forward.Spent
+	Zone     string
+	Endpoint string
+	Ready    func() bool
+	Use      func() map[string]placement.Use
+	Deaths   func() []recovery.Death
+	Dead     func() []string
+	Runs     func() []forward.Kept
+	Spent    func() map[string]forward.Spent
 	// Opinion returns this VM's view of the backend servers, and Paces the pace that it
 	// observed for each service.
 	Opinion func() upstream.Opinion
 	Paces   func() map[string]scheduler.Pace
 	// Learn takes the reports of the other VMs, and LearnSpent what all of them spent of
 	// the retry budgets, by service.
-	Learn      func(Known)
+	Learn      func(PeerReports)
 	LearnSpent func(map[string]forward.Spent)
 	// Rollouts returns what this VM observed of roll-outs. Urgent reports whether the
 	// control VMs need it soon.
@@ -46,7 +46,7 @@
 	// Control reports that this VM is a control VM with a disk.
 	Control bool
 	// LearnEndpoints takes the directory: the addresses of VMs that accept callers.
-	LearnEntrances func([]string)
+	LearnEndpoints func([]string)
 }
 
 // Member is a VM's client of the control VMs: it sends heartbeats and applies the
@@ -55,7 +55,7 @@
 	self  string
 	t     peer.Transport
 	local Local
-	list  *Held
+	list  *ListReplica
 	log   zerolog.Logger
 
 	mu              sync.Mutex
@@ -78,7 +78,7 @@
 
 // NewMember returns a Member of the VM self. seeds are the ids of control VMs from the
 // settings; some may be outdated.
-func NewMember(self string, t peer.Transport, seeds []string, list *Held, local Local, log zerolog.Logger) *Member {
+func NewMember(self string, t peer.Transport, seeds []string, list *ListReplica, local Local, log zerolog.Logger) *Member {
 	m := &Member{
 		self: self, t: t, local: local, list: list, log: log, seeds: seeds,
 		learnedControls: map[string]time.Time{}, observers: map[string]time.Time{}, lastAnswers: map[string]time.Time{}, loggedSilent: map[string]bool{}, heartbeatSignal: newSignal(),
@@ -132,7 +132,7 @@
 // restart of all VMs the control VMs answer a few tenths of a second before they have
 // read the list.
 func (m *Member) interval() time.Duration {
-	_, _, _, listed := m.list.Now()
+	_, _, _, listed := m.list.Current()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.lastAnswers) == 0 || !listed {
@@ -141,7 +141,7 @@
 	if m.local.Urgent != nil && m.local.Urgent() {
 		return urgentHeartbeatInterval
 	}
-	return NoticeEvery
+	return HeartbeatInterval
 }
 
 // waitNext waits for d or until NotifyNow is called. It returns false once ctx ends.
@@ -159,11 +159,11 @@
 
 // NotifyNow makes Run send the next heartbeat at once and does not block. Without it, a
 // VM that has just become ready would stay out of the directory for an interval.
-func (m *Member) Nudge() { m.heartbeatSignal.raise() }
+func (m *Member) NotifyNow() { m.heartbeatSignal.raise() }
 
 // SendNow sends heartbeats and waits for the replies. A VM that shuts down uses it
 // because it cannot wait for the next interval.
-func (m *Member) Tell(ctx context.Context) { m.sendHeartbeats(ctx) }
+func (m *Member) SendNow(ctx context.Context) { m.sendHeartbeats(ctx) }
 
 func (m *Member) sendHeartbeats(ctx context.Context) {
 	var deaths []recovery.Death
@@ -206,17 +206,17 @@
 }
 
 // heartbeatFor returns the variant of a heartbeat for one control VM.
-func (m *Member) heartbeatFor(n Notice, vm string, to *recipients) Notice {
+func (m *Member) heartbeatFor(n Heartbeat, vm string, to *recipients) Heartbeat {
 	if len(to.useReports) > 0 && !slices.Contains(to.useReports, vm) {
-		n.Told = Told{}
+		n.UseReport = UseReport{}
 	}
 	n.WantChanges = n.WantChanges || vm == to.changes
-	n.WantEntrances = vm == to.endpoints && m.local.LearnEntrances != nil
-	n.WantLoad = vm == to.summary && (m.local.Learn != nil || m.local.LearnSpent != nil)
-	if n.WantLoad {
+	n.WantEndpoints = vm == to.endpoints && m.local.LearnEndpoints != nil
+	n.WantSummary = vm == to.summary && (m.local.Learn != nil || m.local.LearnSpent != nil)
+	if n.WantSummary {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		n.RoutersHeld, n.WantUse = m.peers.routersDigest, m.peers.wantsUse(time.Now())
+		n.RoutersDigest, n.WantUse = m.peers.routersDigest, m.peers.wantsUse(time.Now())
 	}
 	return n
 }
@@ -235,24 +235,24 @@
 	return best
 }
 
-func (m *Member) heartbeat(deaths []recovery.Death) Notice {
-	n := Notice{Zone: m.local.Zone, Callers: m.local.Callers, Deaths: deaths, Control: m.local.Control}
+func (m *Member) heartbeat(deaths []recovery.Death) Heartbeat {
+	n := Heartbeat{Zone: m.local.Zone, Endpoint: m.local.Endpoint, Deaths: deaths, Control: m.local.Control}
 	if m.local.Ready != nil {
 		n.Ready = m.local.Ready()
 	}
 	if m.local.Dead != nil {
 		n.Dead = m.local.Dead()
 	}
-	if m.local.Kept != nil {
-		n.Kept = m.local.Kept()
+	if m.local.Runs != nil {
+		n.Runs = m.local.Runs()
 	}
 	if m.local.Rollouts != nil {
 		n.Rollouts = m.local.Rollouts()
 	}
 	n.Spent = m.ownSpending()
-	n.Told = m.fullUseReport()
-	if _, digest, age, ok := m.list.Now(); ok {
-		n.Held, n.HeldAge = digest, age.Milliseconds()
+	n.UseReport = m.fullUseReport()
+	if _, digest, age, ok := m.list.Current(); ok {
+		n.ListDigest, n.ListAgeMS = digest, age.Milliseconds()
 		// While the list is young, routers ask a single control VM for changes. Otherwise
 		// each control VM would send the changes that the loss of a zone causes.
 		n.WantChanges = m.local.Control || age > staleListAge
@@ -260,9 +260,9 @@
 	return n
 }
 
-func (m *Member) exchange(ctx context.Context, vm string, n Notice) {
+func (m *Member) exchange(ctx context.Context, vm string, n Heartbeat) {
 	sent := time.Now()
-	var a Answer
+	var a HeartbeatReply
 	if err := m.t.Call(ctx, vm, peer.KindNotice, n, &a); err != nil {
 		m.recordFailure(vm, err)
 		return
@@ -272,17 +272,17 @@
 		return
 	}
 	m.applyChanges(vm, &n, &a, time.Since(sent))
-	if n.WantEntrances {
-		m.local.LearnEntrances(a.Entrances)
+	if n.WantEndpoints {
+		m.local.LearnEndpoints(a.Endpoints)
 	}
-	if !n.WantLoad {
+	if !n.WantSummary {
 		return
 	}
 	m.learnPeerReports(vm, &a, n.Dead)
 }
 
 // learnPeerReports decodes the reports of all VMs in a reply and passes them on.
-func (m *Member) learnPeerReports(vm string, a *Answer, dead []string) {
+func (m *Member) learnPeerReports(vm string, a *HeartbeatReply, dead []string) {
 	m.mu.Lock()
 	k, err := m.peers.learn(a, dead, time.Now())
 	m.mu.Unlock()
@@ -298,7 +298,7 @@
 
 // FindOrphan asks a control VM for the orphan with an identity: the engine and the backup
 // copy of a stream that another VM ran. It returns false if there is none or no reply.
-func (m *Member) Find(ctx context.Context, identity uint64) (forward.Left, bool) {
+func (m *Member) FindOrphan(ctx context.Context, identity uint64) (forward.Left, bool) {
 	ctx, cancel := context.WithTimeout(ctx, orphanLookupTimeout)
 	defer cancel()
 	var out forward.Left
@@ -309,7 +309,7 @@
 	return out, out != (forward.Left{})
 }
 
-func (m *Member) recordAnswer(vm string, a *Answer) {
+func (m *Member) recordAnswer(vm string, a *HeartbeatReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
--- a/internal/cluster/observer.go
+++ b/internal/cluster/observer.go
@@ -46,14 +46,14 @@
 // serve replies to a heartbeat with the ids of the voters. A voter whose seeds have all
 // been replaced may know only this VM; it becomes known here by its own heartbeats.
 func (o *Observer) serve(_ context.Context, from string, body []byte) (any, error) {
-	var n Notice
+	var n Heartbeat
 	if err := codec.Unmarshal(body, &n); err != nil {
 		return nil, err
 	}
 	if n.Control {
 		o.recordVoter(from)
 	}
-	return Answer{Observer: true, Controls: o.Controls()}, nil
+	return HeartbeatReply{Observer: true, Controls: o.Controls()}, nil
 }
 
 func (o *Observer) recordVoter(vm string) {
@@ -79,7 +79,7 @@
 }
 
 // LearnEndpoints stores the directory as received from a voter.
-func (o *Observer) LearnEntrances(addrs []string) {
+func (o *Observer) LearnEndpoints(addrs []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.endpoints, o.endpointsAt = addrs, time.Now()
@@ -87,7 +87,7 @@
 
 // Endpoints returns at most limit addresses of VMs that accept callers, sorted. It
 // returns none if the directory has expired.
-func (o *Observer) Entrances(limit int) []string {
+func (o *Observer) Endpoints(limit int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if time.Since(o.endpointsAt) > endpointsTTL {
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -62,7 +62,7 @@
 
 // deliver passes a decision to the stream that waits for it. It returns false if none
 // does.
-func (p *placing) deliver(d Placed) bool {
+func (p *placing) deliver(d PlaceDecision) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ch := p.waiting[d.ID]
@@ -96,22 +96,22 @@
 }
 
 // useReport returns the report of engine use between heartbeats, without Suspected.
-func (m *Member) useReport() Told {
+func (m *Member) useReport() UseReport {
 	t := m.fullUseReport()
-	t.Doubt, t.SameDoubt = nil, true
+	t.Suspected, t.SuspectedUnchanged = nil, true
 	return t
 }
 
 // fullUseReport returns the report of engine use for heartbeats, with Suspected.
-func (m *Member) fullUseReport() Told {
+func (m *Member) fullUseReport() UseReport {
 	if m.local.Use == nil {
-		return Told{}
+		return UseReport{}
 	}
 	turn, taken := m.placing.nextReport()
-	t := Told{Life: m.incarnation, Turn: turn, Taken: taken, Use: m.local.Use()}
+	t := UseReport{Incarnation: m.incarnation, Seq: turn, LastGrant: taken, Use: m.local.Use()}
 	if m.local.Opinion != nil {
 		o := m.local.Opinion()
-		t.Avoid, t.Doubt, t.Alive = o.Avoid, o.Doubt, o.Alive
+		t.Avoid, t.Suspected, t.Alive = o.Avoid, o.Doubt, o.Alive
 	}
 	if m.local.Paces != nil {
 		t.Paces = m.local.Paces()
@@ -124,9 +124,9 @@
 func (m *Member) Place(ctx context.Context, st scheduler.Stream, abandon func() bool) (scheduler.Answer, bool) {
 	decided, end := m.placing.wait(st.ID)
 	defer end()
-	a := PlaceAsk{Stream: st}
+	a := PlaceRequest{Stream: st}
 	for retry := false; ; retry = true {
-		a.DueMS, a.LeftMS = time.Until(st.Due).Milliseconds(), time.Until(st.Deadline).Milliseconds()
+		a.DueMS, a.DeadlineMS = time.Until(st.Due).Milliseconds(), time.Until(st.Deadline).Milliseconds()
 		p, ok := m.requestPlace(ctx, &a, retry)
 		if !ok || p.Outcome != scheduler.Waiting {
 			return p, ok
@@ -151,15 +151,15 @@
 //
 // Only the first request for a stream carries this VM's use of engines, because hundreds
 // of streams may wait and repeat their requests.
-func (m *Member) requestPlace(ctx context.Context, a *PlaceAsk, retry bool) (scheduler.Answer, bool) {
+func (m *Member) requestPlace(ctx context.Context, a *PlaceRequest, retry bool) (scheduler.Answer, bool) {
 	for range placeAttempts {
 		vm := m.scheduler()
 		if vm == "" || ctx.Err() != nil {
 			break
 		}
-		a.Told = Told{}
+		a.Report = UseReport{}
 		if !retry {
-			a.Told = m.useReport()
+			a.Report = m.useReport()
 		}
 		asking, cancel := context.WithTimeout(ctx, placeTimeout)
 		var p scheduler.Answer
@@ -226,7 +226,7 @@
 
 // RunUseReports reports changes of engine use until ctx ends. Changes that occur while a
 // report is in flight are combined into the next one.
-func (m *Member) RunUse(ctx context.Context) { m.placing.useSignal.each(ctx, m.sendUseReport) }
+func (m *Member) RunUseReports(ctx context.Context) { m.placing.useSignal.each(ctx, m.sendUseReport) }
 
 func (m *Member) sendUseReport(ctx context.Context) {
 	vm := m.scheduler()
@@ -243,7 +243,7 @@
 // servePlaced receives the decision about a waiting stream. If the stream's caller has
 // left, nothing waits for the decision and a grant is returned.
 func (m *Member) servePlaced(_ context.Context, _ string, body []byte) (any, error) {
-	var p Placed
+	var p PlaceDecision
 	if err := codec.Unmarshal(body, &p); err != nil {
 		return nil, err
 	}
--- a/internal/cluster/place_test.go
+++ b/internal/cluster/place_test.go
@@ -24,7 +24,7 @@
 
 func startPlacing(ctx context.Context, n *peertest.Net, id string) *placingRouter {
 	v := &placingRouter{testVM: startRouter(ctx, n, id, controls, 0)}
-	go v.member.RunUse(ctx)
+	go v.member.RunUseReports(ctx)
 	return v
 }
 
@@ -48,7 +48,7 @@
 // has been granted the engine, which is prefilling its prompt.
 func startPrefilling(t *testing.T, ctx context.Context, n *peertest.Net) (prefilling, other *placingRouter) {
 	h := startHub(ctx, n, "c1", controls[:1])
-	h.hub.TakeList(modelsList(1))
+	h.hub.SetBackends(modelsList(1))
 	go h.hub.Run(ctx)
 	prefilling, other = startPlacing(ctx, n, "r1"), startPlacing(ctx, n, "r2")
 	time.Sleep(time.Second)
@@ -100,7 +100,7 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
-			h.hub.TakeList(modelsList(6))
+			h.hub.SetBackends(modelsList(6))
 		}
 		v := startPlacing(ctx, n, "r1")
 		time.Sleep(time.Second)
@@ -148,13 +148,13 @@
 	c := newSchedulerService(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(1))
 	busy := map[string]placement.Use{"e0": {Requests: 1, Prompt: 8000}}
-	c.receiveReport("r1", &Told{Life: 7, Turn: 2})
-	c.receiveReport("r1", &Told{Life: 7, Turn: 1, Use: busy})
+	c.receiveReport("r1", &UseReport{Incarnation: 7, Seq: 2})
+	c.receiveReport("r1", &UseReport{Incarnation: 7, Seq: 1, Use: busy})
 	c.scheduler.Ask(scheduler.Stream{ID: "1", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
 	if p := c.decide("1"); p.Outcome != scheduler.Granted {
 		t.Errorf("got outcome %d after an outdated report, want Granted", p.Outcome)
 	}
-	c.receiveReport("r1", &Told{Life: 8, Turn: 1, Use: busy}) // the process has restarted
+	c.receiveReport("r1", &UseReport{Incarnation: 8, Seq: 1, Use: busy}) // the process has restarted
 	c.scheduler.Ask(scheduler.Stream{ID: "2", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
 	if p := c.decide("2"); p.Outcome != scheduler.Waiting {
 		t.Errorf("got outcome %d during a prefill, want Waiting", p.Outcome)
@@ -170,12 +170,12 @@
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
 		left := forward.Left{Copy: forward.Copy{Address: "e2:1", ID: "q1"}, Ran: "e1:1"}
-		h.hub.recordHeartbeat("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: left}}})
-		if got, ok := v.member.Find(ctx, 7); !ok || got != left {
+		h.hub.recordHeartbeat("dead", Heartbeat{Runs: []forward.Kept{{Identity: 7, Left: left}}})
+		if got, ok := v.member.FindOrphan(ctx, 7); !ok || got != left {
 			t.Errorf("at once: got %+v, found %t, want the copy and the engine", got, ok)
 		}
 		time.Sleep(20 * time.Second)
-		if got, ok := v.member.Find(ctx, 7); !ok || got != (forward.Left{Ran: "e1:1"}) {
+		if got, ok := v.member.FindOrphan(ctx, 7); !ok || got != (forward.Left{Ran: "e1:1"}) {
 			t.Errorf("after 20 s: got %+v, found %t, want the engine only", got, ok)
 		}
 	})
@@ -188,7 +188,7 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
-			h.hub.TakeList(modelsList(1))
+			h.hub.SetBackends(modelsList(1))
 		}
 		v := startPlacing(ctx, n, "r1")
 		time.Sleep(time.Second)
@@ -196,8 +196,8 @@
 		v.setUse(map[string]placement.Use{"e0": {Requests: 8, Tokens: 70_000}})
 		v.member.Took(first.Number)
 		for range 6 {
-			time.Sleep(NoticeEvery)
-			if a := v.peers.Load(); a == nil || len(a.Short) != 1 {
+			time.Sleep(HeartbeatInterval)
+			if a := v.peers.Load(); a == nil || len(a.LowMemory) != 1 {
 				t.Fatalf("received %v, want one service with low memory", a)
 			}
 		}
@@ -226,7 +226,7 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
-			h.hub.TakeList(modelsList(1))
+			h.hub.SetBackends(modelsList(1))
 			go h.hub.Run(ctx)
 		}
 		prefilling, other := startPlacing(ctx, n, "r1"), startPlacing(ctx, n, "r2")
@@ -239,7 +239,7 @@
 		prefilling.member.Took(first.Number)
 		n.Kill(controls[0])
 		n.Kill(controls[1])
-		time.Sleep(presenceTimeout + 2*NoticeEvery)
+		time.Sleep(presenceTimeout + 2*HeartbeatInterval)
 		asking, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		defer cancel()
 		if p, ok := other.place(asking, "2"); ok {
@@ -255,18 +255,18 @@
 	c := newSchedulerService(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(2))
 	use := map[string]placement.Use{"e1": {Requests: 1}}
-	suspected := func() []string { return c.lastReports["r1"].Doubt }
-	c.receiveReport("r1", &Told{Life: 1, Turn: 1, Doubt: []string{"e0"}})
-	c.receiveReport("r1", &Told{Life: 1, Turn: 2, Use: use, SameDoubt: true})
+	suspected := func() []string { return c.lastReports["r1"].Suspected }
+	c.receiveReport("r1", &UseReport{Incarnation: 1, Seq: 1, Suspected: []string{"e0"}})
+	c.receiveReport("r1", &UseReport{Incarnation: 1, Seq: 2, Use: use, SuspectedUnchanged: true})
 	if got := suspected(); len(got) != 1 {
 		t.Errorf("got suspects %v after a report without them, want 1", got)
 	}
-	c.receiveReport("r1", &Told{Life: 1, Turn: 3, Use: use})
+	c.receiveReport("r1", &UseReport{Incarnation: 1, Seq: 3, Use: use})
 	if got := suspected(); len(got) != 0 {
 		t.Errorf("got suspects %v after a heartbeat with none, want none", got)
 	}
-	c.receiveReport("r1", &Told{Life: 1, Turn: 4, Doubt: []string{"e0"}})
-	c.receiveReport("r1", &Told{Life: 2, Turn: 1, Use: use, SameDoubt: true})
+	c.receiveReport("r1", &UseReport{Incarnation: 1, Seq: 4, Suspected: []string{"e0"}})
+	c.receiveReport("r1", &UseReport{Incarnation: 2, Seq: 1, Use: use, SuspectedUnchanged: true})
 	if got := suspected(); len(got) != 0 {
 		t.Errorf("got suspects %v of a restarted process, want none", got)
 	}
--- a/internal/cluster/read_schedule.go
+++ b/internal/cluster/read_schedule.go
@@ -29,29 +29,29 @@
 )
 
 // ReadSchedule holds the facts by which a control VM decides whether to read the list.
-type Reading struct {
-	Leads bool
-	Rank  int // among the control VMs
+type ReadSchedule struct {
+	Leader bool
+	Rank   int // among the control VMs
 	// HasList reports whether the VM holds a list; Rows and Age describe it.
-	Listed bool
-	Rows   int
-	Age    time.Duration
+	HasList bool
+	Rows    int
+	Age     time.Duration
 	// Uptime is the uptime of the VM, SinceLastRead the time since it last began to read,
 	// and LastReadDuration how long that read took.
-	Up, Since, Took time.Duration
+	Uptime, SinceLastRead, LastReadDuration time.Duration
 }
 
 // Due reports whether the VM must read the list now.
-func (r Reading) Due() bool {
-	if r.Since < max(readInterval, time.Duration(float64(r.Took)/maxReadShare)) {
+func (r ReadSchedule) Due() bool {
+	if r.SinceLastRead < max(readInterval, time.Duration(float64(r.LastReadDuration)/maxReadShare)) {
 		return false
 	}
 	turn := time.Duration(r.Rank) * standbyDelay
 	switch {
-	case r.Leads:
+	case r.Leader:
 		return true
-	case !r.Listed:
-		return r.Up >= turn
+	case !r.HasList:
+		return r.Uptime >= turn
 	}
 	return r.Age > takeoverAge+turn+time.Duration(r.Rows)*takeoverAgePerRow
 }
--- a/internal/cluster/read_schedule_test.go
+++ b/internal/cluster/read_schedule_test.go
@@ -11,18 +11,18 @@
 	second := time.Second
 	tests := []struct {
 		name string
-		r    Reading
+		r    ReadSchedule
 		want bool
 	}{
-		{"leader", Reading{Leads: true, Listed: true, Since: second}, true},
-		{"leader that has just read", Reading{Leads: true, Listed: true, Since: second / 4}, false},
-		{"leader after a long read", Reading{Leads: true, Listed: true, Since: second, Took: second}, false},
-		{"standby", Reading{Rank: 1, Listed: true, Age: second, Since: 9 * second}, false},
-		{"standby with an old list", Reading{Rank: 1, Listed: true, Age: 2 * second, Since: 9 * second}, true},
-		{"standby with an old and long list", Reading{Rank: 1, Listed: true, Rows: 3000, Age: 2 * second, Since: 9 * second}, false},
-		{"first standby without a list", Reading{Since: 9 * second}, true},
-		{"later standby without a list", Reading{Rank: 9, Up: second, Since: 9 * second}, false},
-		{"later standby without a list, after its delay", Reading{Rank: 9, Up: 3 * second, Since: 9 * second}, true},
+		{"leader", ReadSchedule{Leader: true, HasList: true, SinceLastRead: second}, true},
+		{"leader that has just read", ReadSchedule{Leader: true, HasList: true, SinceLastRead: second / 4}, false},
+		{"leader after a long read", ReadSchedule{Leader: true, HasList: true, SinceLastRead: second, LastReadDuration: second}, false},
+		{"standby", ReadSchedule{Rank: 1, HasList: true, Age: second, SinceLastRead: 9 * second}, false},
+		{"standby with an old list", ReadSchedule{Rank: 1, HasList: true, Age: 2 * second, SinceLastRead: 9 * second}, true},
+		{"standby with an old and long list", ReadSchedule{Rank: 1, HasList: true, Rows: 3000, Age: 2 * second, SinceLastRead: 9 * second}, false},
+		{"first standby without a list", ReadSchedule{SinceLastRead: 9 * second}, true},
+		{"later standby without a list", ReadSchedule{Rank: 9, Uptime: second, SinceLastRead: 9 * second}, false},
+		{"later standby without a list, after its delay", ReadSchedule{Rank: 9, Uptime: 3 * second, SinceLastRead: 9 * second}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -89,9 +89,9 @@
 			q.After(time.Duration(tick)*50*time.Millisecond, func() {
 				for vm := range controls {
 					up := q.Now().Sub(start)
-					r := Reading{Rank: vm, Up: up, Since: q.Now().Sub(began[vm]), Took: took[vm]}
+					r := ReadSchedule{Rank: vm, Uptime: up, SinceLastRead: q.Now().Sub(began[vm]), LastReadDuration: took[vm]}
 					if !got.IsZero() && q.Now().Sub(got) > spread {
-						r.Listed, r.Rows = true, 50*pages
+						r.HasList, r.Rows = true, 50*pages
 					}
 					if !reading[vm] && r.Due() {
 						reading[vm], began[vm] = true, q.Now()
--- a/internal/cluster/retry_spending.go
+++ b/internal/cluster/retry_spending.go
@@ -26,10 +26,10 @@
 // service. A restarted process does not know what it spent before; that part continues to
 // count under the former incarnation. Seq grows with each message, and a message that
 // arrives after a later one is ignored.
-type Spending struct {
-	Life  uint64                   `cbor:"1,keyasint"`
-	Turn  uint64                   `cbor:"2,keyasint"`
-	Spent map[string]forward.Spent `cbor:"3,keyasint,omitempty"`
+type RetrySpending struct {
+	Incarnation uint64                   `cbor:"1,keyasint"`
+	Seq         uint64                   `cbor:"2,keyasint"`
+	Spent       map[string]forward.Spent `cbor:"3,keyasint,omitempty"`
 }
 
 // spendingTable holds the last report of each incarnation.
@@ -41,11 +41,11 @@
 	at    time.Time
 }
 
-func (b spendingTable) record(s Spending, now time.Time) {
-	if s.Life == 0 || s.Turn < b[s.Life].seq {
+func (b spendingTable) record(s RetrySpending, now time.Time) {
+	if s.Incarnation == 0 || s.Seq < b[s.Incarnation].seq {
 		return // from a control process, which makes no retries, or out of order
 	}
-	b[s.Life] = receivedSpending{s.Turn, s.Spent, now}
+	b[s.Incarnation] = receivedSpending{s.Seq, s.Spent, now}
 	for incarnation, t := range b {
 		if now.Sub(t.at) > spendingTTL {
 			delete(b, incarnation)
@@ -78,22 +78,22 @@
 }
 
 func (h *Hub) serveSpent(_ context.Context, _ string, body []byte) (any, error) {
-	var s Spending
+	var s RetrySpending
 	if err := codec.Unmarshal(body, &s); err != nil {
 		return nil, err
 	}
 	h.mu.Lock()
 	h.retrySpending.record(s, time.Now())
 	h.mu.Unlock()
-	return h.spentByOthers(s.Life), nil
+	return h.spentByOthers(s.Incarnation), nil
 }
 
 // ownSpending returns this VM's next report; it is empty for a VM that sends no requests.
-func (m *Member) ownSpending() Spending {
+func (m *Member) ownSpending() RetrySpending {
 	if m.local.Spent == nil {
-		return Spending{}
+		return RetrySpending{}
 	}
-	return Spending{m.incarnation, m.spendingSeq.Add(1), m.local.Spent()}
+	return RetrySpending{m.incarnation, m.spendingSeq.Add(1), m.local.Spent()}
 }
 
 func (m *Member) learnSpent(others map[string]forward.Spent) {
@@ -103,10 +103,10 @@
 }
 
 // NotifyRetry triggers a report of this VM's retries to the control VMs. It does not block.
-func (m *Member) Spending() { m.spendingSignal.raise() }
+func (m *Member) NotifyRetry() { m.spendingSignal.raise() }
 
 // RunRetryReports reports retries to the control VMs until ctx ends.
-func (m *Member) RunSpending(ctx context.Context) { m.spendingSignal.each(ctx, m.reportSpending) }
+func (m *Member) RunRetryReports(ctx context.Context) { m.spendingSignal.each(ctx, m.reportSpending) }
 
 // reportSpending sends a report to every control VM and takes from one of them what the
 // others spent. It waits for that one only, because waiting for a lost control VM would
@@ -123,7 +123,7 @@
 	}
 }
 
-func (m *Member) reportSpendingTo(ctx context.Context, vm string, s Spending) (others map[string]forward.Spent, ok bool) {
+func (m *Member) reportSpendingTo(ctx context.Context, vm string, s RetrySpending) (others map[string]forward.Spent, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, spendingTimeout)
 	defer cancel()
 	if err := m.t.Call(ctx, vm, peer.KindSpent, s, &others); err != nil {
--- a/internal/cluster/retry_spending_test.go
+++ b/internal/cluster/retry_spending_test.go
@@ -26,7 +26,7 @@
 
 func startRetryingRouter(ctx context.Context, n *peertest.Net, id string) *retryingRouter {
 	s := &retryingRouter{}
-	s.member = NewMember(id, n.VM(id), controls, NewHeld(func(upstream.List) {}), Local{
+	s.member = NewMember(id, n.VM(id), controls, NewListReplica(func(upstream.List) {}), Local{
 		Spent: func() map[string]forward.Spent {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	}, zerolog.Nop())
 	ctx, s.stop = context.WithCancel(ctx)
 	go s.member.Run(ctx)
-	go s.member.RunSpending(ctx)
+	go s.member.RunRetryReports(ctx)
 	return s
 }
 
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	s.own.Repeats++
 	s.mu.Unlock()
-	s.member.Spending()
+	s.member.NotifyRetry()
 }
 
 func (s *retryingRouter) knownRetries() int {
@@ -119,8 +119,8 @@
 
 func TestOutOfOrderSpending(t *testing.T) {
 	b, now := spendingTable{}, time.Now()
-	report := func(seq uint64, retries int) Spending {
-		return Spending{Life: 7, Turn: seq, Spent: map[string]forward.Spent{"m": {Repeats: retries}}}
+	report := func(seq uint64, retries int) RetrySpending {
+		return RetrySpending{Incarnation: 7, Seq: seq, Spent: map[string]forward.Spent{"m": {Repeats: retries}}}
 	}
 	b.record(report(2, 5), now)
 	b.record(report(1, 3), now)
--- a/internal/cluster/saved_runs.go
+++ b/internal/cluster/saved_runs.go
@@ -40,7 +40,7 @@
 
 // LoadRuns reads the stream runs that a former process saved in dir, unless they are older
 // than forgetAfter. A file that cannot be read is logged and ignored.
-func (h *Hub) Recall(fsys wal.FS, dir string) {
+func (h *Hub) LoadRuns(fsys wal.FS, dir string) {
 	data, err := wal.ReadFile(fsys, filepath.Join(dir, copiesFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return
@@ -65,7 +65,7 @@
 
 // RunSaver saves the stream runs of all VMs in dir until ctx ends. A slow or full disk
 // only loses the locations of copies and blocks nothing else.
-func (h *Hub) Remember(ctx context.Context, fsys wal.FS, dir string) {
+func (h *Hub) RunSaver(ctx context.Context, fsys wal.FS, dir string) {
 	var last []byte
 	failing := false
 	for timer.Sleep(ctx, saveInterval) == nil {
--- a/internal/cluster/scheduler_service.go
+++ b/internal/cluster/scheduler_service.go
@@ -20,33 +20,33 @@
 // reports that they received, and some prompts may be placed on the same engine.
 
 // UseReport is a router's report of its use of engines.
-type Told struct {
-	Life uint64                   `cbor:"1,keyasint"` // of the router's process; 0: not a router
-	Turn uint64                   `cbor:"2,keyasint"` // grows with each report
-	Use  map[string]placement.Use `cbor:"3,keyasint,omitempty"`
+type UseReport struct {
+	Incarnation uint64                   `cbor:"1,keyasint"` // of the router's process; 0: not a router
+	Seq         uint64                   `cbor:"2,keyasint"` // grows with each report
+	Use         map[string]placement.Use `cbor:"3,keyasint,omitempty"`
 	// LastGrant is the number of the last grant that Use includes.
-	Taken uint64                    `cbor:"4,keyasint,omitempty"`
-	Avoid []string                  `cbor:"5,keyasint,omitempty"`
-	Paces map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
-	Doubt []string                  `cbor:"7,keyasint,omitempty"`
-	Alive []string                  `cbor:"8,keyasint,omitempty"`
+	LastGrant uint64                    `cbor:"4,keyasint,omitempty"`
+	Avoid     []string                  `cbor:"5,keyasint,omitempty"`
+	Paces     map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
+	Suspected []string                  `cbor:"7,keyasint,omitempty"`
+	Alive     []string                  `cbor:"8,keyasint,omitempty"`
 	// SuspectedUnchanged reports that Suspected is omitted and the same as in the last
 	// report. After the loss of a zone it names all engines there, and a router reports
 	// its use with each stream.
-	SameDoubt bool `cbor:"9,keyasint,omitempty"`
+	SuspectedUnchanged bool `cbor:"9,keyasint,omitempty"`
 }
 
 // PlaceRequest requests an engine for one stream. Its times are relative to the sending,
 // because the VMs' clocks may differ.
-type PlaceAsk struct {
-	Told   Told             `cbor:"1,keyasint"`
-	Stream scheduler.Stream `cbor:"2,keyasint"`
-	DueMS  int64            `cbor:"3,keyasint"`
-	LeftMS int64            `cbor:"4,keyasint"`
+type PlaceRequest struct {
+	Report     UseReport        `cbor:"1,keyasint"`
+	Stream     scheduler.Stream `cbor:"2,keyasint"`
+	DueMS      int64            `cbor:"3,keyasint"`
+	DeadlineMS int64            `cbor:"4,keyasint"`
 }
 
 // PlaceDecision is the decision about a stream.
-type Placed struct {
+type PlaceDecision struct {
 	ID     string           `cbor:"1,keyasint"` // of the request
 	Answer scheduler.Answer `cbor:"2,keyasint"`
 }
@@ -71,14 +71,14 @@
 
 	mu          sync.Mutex
 	scheduler   *scheduler.Scheduler
-	lastReports map[string]Told // by router; only Incarnation, Seq and Suspected
+	lastReports map[string]UseReport // by router; only Incarnation, Seq and Suspected
 	// loggedAt is when the state was last logged.
 	loggedAt         time.Time
 	granted, refused uint64
 }
 
 func newSchedulerService(t peer.Transport, log zerolog.Logger) *schedulerService {
-	return &schedulerService{t: t, log: log, scheduler: scheduler.New(nil), lastReports: map[string]Told{}}
+	return &schedulerService{t: t, log: log, scheduler: scheduler.New(nil), lastReports: map[string]UseReport{}}
 }
 
 // setServers sets the backend servers. A draining server receives no new streams.
@@ -97,7 +97,7 @@
 
 // receiveReport applies a router's report and schedules. A report that arrives after a
 // later one is ignored.
-func (c *schedulerService) receiveReport(from string, t *Told) {
+func (c *schedulerService) receiveReport(from string, t *UseReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recordReport(from, t)
@@ -105,19 +105,19 @@
 }
 
 // recordReport needs c.mu.
-func (c *schedulerService) recordReport(from string, t *Told) {
-	if t.Life == 0 {
+func (c *schedulerService) recordReport(from string, t *UseReport) {
+	if t.Incarnation == 0 {
 		return // from a control process, which sends no streams
 	}
 	last := c.lastReports[from]
-	if last.Life == t.Life && t.Turn < last.Turn {
+	if last.Incarnation == t.Incarnation && t.Seq < last.Seq {
 		return
 	}
-	if t.SameDoubt && last.Life == t.Life {
-		t.Doubt = last.Doubt
+	if t.SuspectedUnchanged && last.Incarnation == t.Incarnation {
+		t.Suspected = last.Suspected
 	}
-	c.lastReports[from] = Told{Life: t.Life, Turn: t.Turn, Doubt: t.Doubt}
-	c.scheduler.Told(from, scheduler.Report{Use: t.Use, Taken: t.Taken, Avoid: t.Avoid, Doubt: t.Doubt, Alive: t.Alive, Paces: t.Paces}, time.Now())
+	c.lastReports[from] = UseReport{Incarnation: t.Incarnation, Seq: t.Seq, Suspected: t.Suspected}
+	c.scheduler.Told(from, scheduler.Report{Use: t.Use, Taken: t.LastGrant, Avoid: t.Avoid, Doubt: t.Suspected, Alive: t.Alive, Paces: t.Paces}, time.Now())
 }
 
 // memoryAndPaces returns the services without memory for backup copies, and the known
@@ -137,22 +137,22 @@
 }
 
 func (c *schedulerService) servePlace(_ context.Context, from string, body []byte) (any, error) {
-	var a PlaceAsk
+	var a PlaceRequest
 	if err := codec.Unmarshal(body, &a); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recordReport(from, &a.Told)
+	c.recordReport(from, &a.Report)
 	now, st := time.Now(), a.Stream
 	st.VM = from
-	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.LeftMS)*time.Millisecond)
+	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.DeadlineMS)*time.Millisecond)
 	c.scheduler.Ask(st, now)
 	return c.decide(st.ID), nil
 }
 
 func (c *schedulerService) serveUse(_ context.Context, from string, body []byte) (any, error) {
-	var t Told
+	var t UseReport
 	if err := codec.Unmarshal(body, &t); err != nil {
 		return nil, err
 	}
@@ -192,7 +192,7 @@
 func (c *schedulerService) decideAll() { c.decide("") }
 
 func (c *schedulerService) sendDecision(st *scheduler.Stream, a scheduler.Answer) {
-	if err := c.t.Send(st.VM, peer.KindPlaced, Placed{st.ID, a}); err != nil {
+	if err := c.t.Send(st.VM, peer.KindPlaced, PlaceDecision{st.ID, a}); err != nil {
 		// The router repeats its request; a grant that it never received expires.
 		c.log.Debug().Err(err).Str("request", st.ID).Str("router", st.VM).Msg("decision about a stream could not be sent; its router asks again")
 	}
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -37,7 +37,7 @@
 	summaryTTL = 50 * time.Millisecond
 	// useInterval is how often a VM requests the use of engines. useIntervalPerEngine
 	// bounds the traffic with many engines: the use of one takes about 25 bytes.
-	useInterval          = 3 * NoticeEvery
+	useInterval          = 3 * HeartbeatInterval
 	useIntervalPerEngine = 6 * time.Millisecond
 )
 
@@ -49,7 +49,7 @@
 	Dead   []string         `cbor:"3,keyasint,omitempty"` // backend servers recently judged dead
 	// LowMemory names the services whose engine memory is needed for prompts. No
 	// backup copies should be made there.
-	Short []string `cbor:"4,keyasint,omitempty"`
+	LowMemory []string `cbor:"4,keyasint,omitempty"`
 	// Paces are those of the services' engines. A VM that has just started or has few
 	// streams has observed none itself.
 	Paces map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
@@ -58,7 +58,7 @@
 }
 
 // PeerReports combines the reports of all other VMs, as a VM last received them.
-type Known struct {
+type PeerReports struct {
 	Summary
 	Routers []string                 // ids of VMs that accept callers
 	Use     map[string]placement.Use // of backend servers by the other VMs
@@ -86,7 +86,7 @@
 		return s, nil
 	}
 	summary := Summary{}
-	summary.Short, summary.Paces = h.scheduling.memoryAndPaces()
+	summary.LowMemory, summary.Paces = h.scheduling.memoryAndPaces()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, err := h.buildSummary(&summary, time.Now())
@@ -106,8 +106,8 @@
 		if now.Sub(v.at) > presenceTimeout {
 			continue
 		}
-		s.useByVM[vm] = v.heartbeat.Told.Use
-		for id, u := range v.heartbeat.Told.Use {
+		s.useByVM[vm] = v.heartbeat.UseReport.Use
+		for id, u := range v.heartbeat.UseReport.Use {
 			use[id] = use[id].Add(u)
 		}
 		out.Dead = append(out.Dead, v.heartbeat.Dead...)
@@ -115,10 +115,10 @@
 			ready = append(ready, v)
 		}
 	}
-	slices.SortFunc(ready, func(a, b vmState) int { return strings.Compare(a.heartbeat.Callers, b.heartbeat.Callers) })
+	slices.SortFunc(ready, func(a, b vmState) int { return strings.Compare(a.heartbeat.Endpoint, b.heartbeat.Endpoint) })
 	for _, v := range ready {
 		s.routers = append(s.routers, v.vm)
-		s.endpoints = append(s.endpoints, v.heartbeat.Callers)
+		s.endpoints = append(s.endpoints, v.heartbeat.Endpoint)
 	}
 	s.routersDigest = xxhash.Sum64String(strings.Join(s.routers, " "))
 	out.RoutersDigest = s.routersDigest
@@ -144,12 +144,12 @@
 }
 
 // addTo adds to a reply what its receiver requested and does not hold.
-func (s *encodedSummary) addTo(a *Answer, from string, n *Notice) {
-	a.Encoded, a.Own = s.encoded, s.useByVM[from]
+func (s *encodedSummary) addTo(a *HeartbeatReply, from string, n *Heartbeat) {
+	a.EncodedSummary, a.OwnUse = s.encoded, s.useByVM[from]
 	if n.WantUse {
 		a.EncodedUse = s.encodedUse
 	}
-	if n.RoutersHeld != s.routersDigest {
+	if n.RoutersDigest != s.routersDigest {
 		a.Routers = s.routers
 	}
 }
@@ -176,14 +176,14 @@
 // wantsUse reports whether the use of engines must be requested again.
 func (o *peerState) wantsUse(now time.Time) bool {
 	every := max(useInterval, time.Duration(len(o.use))*useIntervalPerEngine)
-	return now.Sub(o.useUpdatedAt) > every-NoticeEvery/2
+	return now.Sub(o.useUpdatedAt) > every-HeartbeatInterval/2
 }
 
 // learn applies a reply and returns the resulting reports of the other VMs. own are the
 // servers that this VM itself reported dead.
-func (o *peerState) learn(a *Answer, own []string, now time.Time) (Known, error) {
-	var k Known
-	if err := codec.Unmarshal(a.Encoded, &k.Summary); err != nil {
+func (o *peerState) learn(a *HeartbeatReply, own []string, now time.Time) (PeerReports, error) {
+	var k PeerReports
+	if err := codec.Unmarshal(a.EncodedSummary, &k.Summary); err != nil {
 		return k, err
 	}
 	if len(a.EncodedUse) > 0 {
@@ -192,7 +192,7 @@
 			return k, err
 		}
 		o.use, o.useUpdatedAt = use, now
-		for id, u := range a.Own {
+		for id, u := range a.OwnUse {
 			if _, ok := use[id]; ok {
 				use[id] = use[id].Add(u.Negative())
 			}
@@ -207,7 +207,7 @@
 		k.Use = map[string]placement.Use{}
 	}
 	for id, calls := range k.Calls {
-		k.Use[id] = placement.Use{Requests: calls - a.Own[id].Requests}
+		k.Use[id] = placement.Use{Requests: calls - a.OwnUse[id].Requests}
 	}
 	k.Dead = slices.DeleteFunc(k.Dead, func(id string) bool { return slices.Contains(own, id) })
 	return k, nil
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -28,9 +28,9 @@
 				t.Fatal(err)
 			}
 			total += n
-			now = now.Add(NoticeEvery)
+			now = now.Add(HeartbeatInterval)
 		}
-		perSecond := int(float64(total) / (heartbeats * NoticeEvery.Seconds()))
+		perSecond := int(float64(total) / (heartbeats * HeartbeatInterval.Seconds()))
 		t.Logf("%d routers, %d engines: %d B/s", size.routers, size.engines, perSecond)
 		if perSecond > controlBytesPerSecond/2 {
 			t.Errorf("%d routers, %d engines: got %d B/s of replies, want at most half of %d", size.routers, size.engines, perSecond, controlBytesPerSecond)
@@ -80,7 +80,7 @@
 func testPacesReachAllRouters(t *testing.T) {
 	f := newLoadedHub(t, 3, 4)
 	pace := scheduler.Pace{PerToken: 125 * time.Microsecond, Run: 5 * time.Second, Events: 140}
-	f.hub.scheduling.receiveReport(f.routers[0], &Told{Life: 1, Turn: 99, Paces: map[string]scheduler.Pace{"models": pace}})
+	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, Paces: map[string]scheduler.Pace{"models": pace}})
 	f.hub.mu.Lock()
 	f.hub.summary = nil
 	f.hub.mu.Unlock()
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -295,7 +295,7 @@
 	if err := q.authorize(table); err != nil {
 		return q, err
 	}
-	q.service = table.Service(route.Draw())
+	q.service = table.Service(route.PickRandom())
 	if route.Kind == routes.Stream && h.o.TooLate(true, h.expected(q)) {
 		return q, result.New(result.ShuttingDown).WithRetryAfter(elsewhere)
 	}
@@ -338,7 +338,7 @@
 	if !table.List.Keyed {
 		return nil
 	}
-	holder := table.Holder(q.Key)
+	holder := table.WorkspaceByKey(q.Key)
 	if q.Key == "" || holder == nil {
 		if q.route.Public {
 			return nil
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -76,7 +76,7 @@
 			t.Errorf("%s%s matches route %q, want %q", tt.host, tt.path, got, tt.want)
 		}
 	}
-	if w := table.Holder("k2"); w == nil || w.Name != "nelson" {
+	if w := table.WorkspaceByKey("k2"); w == nil || w.Name != "nelson" {
 		t.Errorf("key k2 belongs to %v, want workspace nelson", w)
 	}
 }
@@ -104,12 +104,12 @@
 		held    uint64
 	}{
 		{"first", validList(2), Accepted, 2},
-		{"retried", validList(2), Held, 2},
+		{"retried", validList(2), Unchanged, 2},
 		{"other content, same version", other, Conflict, 2},
 		{"higher", validList(5), Accepted, 5},
-		{"late, lower", validList(2), Overtaken, 5},
+		{"late, lower", validList(2), Superseded, 5},
 	}
-	p := NewPart()
+	p := NewStateMachine()
 	for _, s := range steps {
 		data, err := codec.Marshal(s.list)
 		if err != nil {
@@ -129,13 +129,13 @@
 }
 
 func TestStateMachineSnapshot(t *testing.T) {
-	p := NewPart()
+	p := NewStateMachine()
 	p.replace(*validList(3))
 	data, err := p.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := NewPart()
+	q := NewStateMachine()
 	if err := q.Restore(data); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routes/state_machine.go
+++ b/internal/routes/state_machine.go
@@ -13,8 +13,8 @@
 // The outcomes.
 const (
 	Accepted   Outcome = 1
-	Held       Outcome = 2 // the same list is already in force
-	Overtaken  Outcome = 3 // a higher version is in force; nothing changed
+	Unchanged  Outcome = 2 // the same list is already in force
+	Superseded Outcome = 3 // a higher version is in force; nothing changed
 	Conflict   Outcome = 4 // other content is held under this version
 	Unreadable Outcome = 5
 )
@@ -30,19 +30,19 @@
 //
 // Versions are compared where the log is applied. Two operators who send different lists
 // with the same version at the same time therefore cannot both have theirs accepted.
-type Part struct{ list List }
+type StateMachine struct{ list List }
 
 // NewStateMachine returns a StateMachine without a list.
-func NewPart() *Part { return &Part{} }
+func NewStateMachine() *StateMachine { return &StateMachine{} }
 
 // Version returns the version of the list in force; 0: none yet.
-func (p *Part) Version() uint64 { return p.list.Version }
+func (p *StateMachine) Version() uint64 { return p.list.Version }
 
 // List returns the list in force; Version 0: none yet. It must not be changed.
-func (p *Part) List() *List { return &p.list }
+func (p *StateMachine) List() *List { return &p.list }
 
 // Apply replaces the list by an encoded List and returns an encoded Reply.
-func (p *Part) Apply(_ int64, cmd []byte) []byte {
+func (p *StateMachine) Apply(_ int64, cmd []byte) []byte {
 	var l List
 	outcome := Unreadable
 	if err := codec.Unmarshal(cmd, &l); err == nil {
@@ -55,32 +55,32 @@
 	return out
 }
 
-func (p *Part) replace(l List) Outcome {
+func (p *StateMachine) replace(l List) Outcome {
 	switch {
 	case l.Version > p.list.Version:
 		p.list = l
 		return Accepted
 	case l.Version < p.list.Version:
-		return Overtaken
+		return Superseded
 	case bytes.Equal(l.Source, p.list.Source):
-		return Held
+		return Unchanged
 	}
 	return Conflict
 }
 
 // Changes returns the whole encoded list without the operator's text. It ignores the
 // version of the watcher.
-func (p *Part) Changes(uint64) []byte {
+func (p *StateMachine) Changes(uint64) []byte {
 	l := p.list
 	l.Source = nil
 	return mustMarshal(&l)
 }
 
 // Snapshot returns the encoded list with the operator's text.
-func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.list) }
+func (p *StateMachine) Snapshot() ([]byte, error) { return codec.Marshal(&p.list) }
 
 // Restore replaces the list by a snapshot.
-func (p *Part) Restore(data []byte) error {
+func (p *StateMachine) Restore(data []byte) error {
 	var l List
 	if err := codec.Unmarshal(data, &l); err != nil {
 		return fmt.Errorf("routes: snapshot: %w", err)
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -56,7 +56,7 @@
 }
 
 // WorkspaceByKey returns the workspace that holds a key, or nil.
-func (t *Table) Holder(key string) *Workspace { return t.workspacesByKey[key] }
+func (t *Table) WorkspaceByKey(key string) *Workspace { return t.workspacesByKey[key] }
 
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
@@ -78,7 +78,7 @@
 }
 
 // PickRandom is Pick with the random source of math/rand/v2.
-func (r *Route) Draw() string {
+func (r *Route) PickRandom() string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
