--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -218,8 +218,8 @@
 	})
 }
 
-// A dead router's backup copies are found for a few seconds. The lookup never returns the
-// copy of another request: two runs with equal identity are not distinguishable.
+// A dead router's backup copies are found for a few seconds. The lookup must not return the
+// copy of another request: if two runs have the same identity, it returns neither.
 func TestFindOrphan(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -206,7 +206,7 @@
 	return h.ledger.Sum(service, number, time.Now())
 }
 
-// RetainEvidence drops the observations of all roll-outs except those under way.
+// RetainEvidence drops the observations of all roll-outs except those in progress.
 func (h *Hub) RetainEvidence(underWay map[string]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/cluster/list_test.go
+++ b/internal/cluster/list_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// In a large deployment one of 710 engines starts. Each of 330 VMs must be sent at most a
-// few hundred bytes for it, not the whole list.
+// In a large deployment one of 710 engines starts. Each of 330 VMs must be sent at most 200
+// bytes for it, not the whole list.
 func TestDifferenceSize(t *testing.T) {
 	control := NewListReplica(ignoreList)
 	control.KeepHistory()
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -21,7 +21,8 @@
 )
 
 // Local connects a Member to its VM: the values that it reports and the functions that
-// take what it receives. A nil function is not called.
+// take what it receives. A function without a comment returns the value of the Heartbeat
+// field with its name. A nil function is not called.
 type Local struct {
 	Zone     string
 	Endpoint string
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -88,7 +88,7 @@
 // nextReport returns the sequence number of a report and the last grant that it includes.
 // It is called before the use is read. A use that includes later grants counts them
 // twice for a moment, whereas one that lacks a stated grant would lose a run.
-func (p *placing) nextReport() (turn, taken uint64) {
+func (p *placing) nextReport() (seq, lastGrant uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reportSeq++
@@ -107,8 +107,8 @@
 	if m.local.Use == nil {
 		return UseReport{}
 	}
-	turn, taken := m.placing.nextReport()
-	t := UseReport{Incarnation: m.incarnation, Seq: turn, LastGrant: taken, Use: m.local.Use()}
+	seq, lastGrant := m.placing.nextReport()
+	t := UseReport{Incarnation: m.incarnation, Seq: seq, LastGrant: lastGrant, Use: m.local.Use()}
 	if m.local.Opinion != nil {
 		o := m.local.Opinion()
 		t.Avoid, t.Suspected, t.Alive = o.Avoid, o.Doubt, o.Alive
@@ -161,9 +161,9 @@
 		if !retry {
 			a.Report = m.useReport()
 		}
-		asking, cancel := context.WithTimeout(ctx, placeTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, placeTimeout)
 		var p scheduler.Answer
-		err := m.t.Call(asking, vm, peer.KindPlace, a, &p)
+		err := m.t.Call(callCtx, vm, peer.KindPlace, a, &p)
 		cancel()
 		if err == nil {
 			return p, true
--- a/internal/cluster/read_schedule.go
+++ b/internal/cluster/read_schedule.go
@@ -46,12 +46,12 @@
 	if r.SinceLastRead < max(readInterval, time.Duration(float64(r.LastReadDuration)/maxReadShare)) {
 		return false
 	}
-	turn := time.Duration(r.Rank) * standbyDelay
+	delay := time.Duration(r.Rank) * standbyDelay
 	switch {
 	case r.Leader:
 		return true
 	case !r.HasList:
-		return r.Uptime >= turn
+		return r.Uptime >= delay
 	}
-	return r.Age > takeoverAge+turn+time.Duration(r.Rows)*takeoverAgePerRow
+	return r.Age > takeoverAge+delay+time.Duration(r.Rows)*takeoverAgePerRow
 }
--- a/internal/cluster/scheduler_service.go
+++ b/internal/cluster/scheduler_service.go
@@ -26,10 +26,10 @@
 	Use         map[string]placement.Use `cbor:"3,keyasint,omitempty"`
 	// LastGrant is the number of the last grant that Use includes.
 	LastGrant uint64                    `cbor:"4,keyasint,omitempty"`
-	Avoid     []string                  `cbor:"5,keyasint,omitempty"`
-	Paces     map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
-	Suspected []string                  `cbor:"7,keyasint,omitempty"`
-	Alive     []string                  `cbor:"8,keyasint,omitempty"`
+	Avoid     []string                  `cbor:"5,keyasint,omitempty"` // servers that the router itself found unusable
+	Paces     map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"` // by service
+	Suspected []string                  `cbor:"7,keyasint,omitempty"` // servers suspected with their zone or by peer reports
+	Alive     []string                  `cbor:"8,keyasint,omitempty"` // servers that have just answered the router
 	// SuspectedUnchanged reports that Suspected is omitted and the same as in the last
 	// report. After the loss of a zone it names all engines there, and a router reports
 	// its use with each stream.
@@ -122,7 +122,7 @@
 
 // memoryAndPaces returns the services without memory for backup copies, and the known
 // paces of all services.
-func (c *schedulerService) memoryAndPaces() (short []string, paces map[string]scheduler.Pace) {
+func (c *schedulerService) memoryAndPaces() (lowMemory []string, paces map[string]scheduler.Pace) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scheduler.Short(time.Now()), c.scheduler.Paces()
--- a/internal/routes/state_machine.go
+++ b/internal/routes/state_machine.go
@@ -15,8 +15,8 @@
 	Accepted   Outcome = 1
 	Unchanged  Outcome = 2 // the same list is already in force
 	Superseded Outcome = 3 // a higher version is in force; nothing changed
-	Conflict   Outcome = 4 // other content is held under this version
-	Unreadable Outcome = 5
+	Conflict   Outcome = 4 // another list with this version is in force
+	Unreadable Outcome = 5 // the list could not be decoded
 )
 
 // Reply is the reply to an operator: the outcome and the version in force after it.
