--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -51,7 +51,7 @@
 		WantSummary: true, WantUse: wantUse, RoutersDigest: routersDigest,
 	}
 	id := func(i int) string { return f.engines[i%len(f.engines)].ID }
-	n.UseReport = UseReport{Incarnation: uint64(router + 1), Seq: f.seq, Use: map[string]placement.Use{
+	n.UseReport = UseReport{Incarnation: uint64(router + 1), Seq: f.seq, Use: map[string]placement.Usage{
 		id(router): {Requests: 1, Tokens: 9000}, id(router + 7): {Tokens: 9000, Copies: 9000}, "call": {Requests: 1},
 	}}
 	for i := 0; i < len(f.engines); i += 5 {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -102,10 +102,10 @@
 	// EncodedSummary is the requested Summary and EncodedUse the requested use of
 	// engines. OwnUse is the receiver's own share of both. Routers are the VMs that
 	// accept callers; it is empty if the receiver already holds these names.
-	EncodedSummary cbor.RawMessage          `cbor:"3,keyasint,omitempty"`
-	OwnUse         map[string]placement.Use `cbor:"4,keyasint,omitempty"`
-	EncodedUse     cbor.RawMessage          `cbor:"9,keyasint,omitempty"`
-	Routers        []string                 `cbor:"11,keyasint,omitempty"`
+	EncodedSummary cbor.RawMessage            `cbor:"3,keyasint,omitempty"`
+	OwnUse         map[string]placement.Usage `cbor:"4,keyasint,omitempty"`
+	EncodedUse     cbor.RawMessage            `cbor:"9,keyasint,omitempty"`
+	Routers        []string                   `cbor:"11,keyasint,omitempty"`
 	// ListDigest and ListAgeMS describe the control VM's list, and Changes leads to it
 	// from the receiver's list. If Changes is missing and the digests differ, the
 	// receiver fetches the whole list.
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -28,14 +28,14 @@
 type testVM struct {
 	member   *Member
 	list     *ListReplica
-	use      atomic.Pointer[map[string]placement.Use]
+	use      atomic.Pointer[map[string]placement.Usage]
 	peers    atomic.Pointer[PeerReports]
 	notReady atomic.Bool
 	stop     context.CancelFunc
 }
 
 // setUse sets the use of engines that the router reports.
-func (v *testVM) setUse(use map[string]placement.Use) { v.use.Store(&use) }
+func (v *testVM) setUse(use map[string]placement.Usage) { v.use.Store(&use) }
 
 func startHub(ctx context.Context, n *peertest.Net, id string, all []string) *testHub {
 	h := &testHub{list: NewListReplica(func(upstream.List) {})}
@@ -48,11 +48,11 @@
 
 func startRouter(ctx context.Context, n *peertest.Net, id string, seeds []string, requests int) *testVM {
 	v := &testVM{}
-	v.setUse(map[string]placement.Use{"e1": {Requests: requests}})
+	v.setUse(map[string]placement.Usage{"e1": {Requests: requests}})
 	v.list = NewListReplica(func(upstream.List) {})
 	v.member = NewMember(id, n.VM(id), seeds, v.list, Local{
 		Endpoint: id + ":80", Ready: func() bool { return !v.notReady.Load() },
-		Use: func() map[string]placement.Use { return *v.use.Load() }, Learn: func(k PeerReports) { v.peers.Store(&k) },
+		Use: func() map[string]placement.Usage { return *v.use.Load() }, Learn: func(k PeerReports) { v.peers.Store(&k) },
 	}, zerolog.Nop())
 	ctx, v.stop = context.WithCancel(ctx)
 	go v.member.Run(ctx)
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -27,7 +27,7 @@
 	Zone     string
 	Endpoint string
 	Ready    func() bool
-	Use      func() map[string]placement.Use
+	Use      func() map[string]placement.Usage
 	Deaths   func() []recovery.Death
 	Dead     func() []string
 	Runs     func() []forward.Kept
@@ -35,7 +35,7 @@
 	// Opinion returns this VM's view of the backend servers, and Paces the pace that it
 	// observed for each service.
 	Opinion func() upstream.Opinion
-	Paces   func() map[string]scheduler.Pace
+	Paces   func() map[string]scheduler.EngineTiming
 	// Learn takes the reports of the other VMs, and LearnSpent what all of them spent of
 	// the retry budgets, by service.
 	Learn      func(PeerReports)
--- a/internal/cluster/place_test.go
+++ b/internal/cluster/place_test.go
@@ -56,7 +56,7 @@
 	if !ok || first.Outcome != scheduler.Granted || first.Server != "e0" {
 		t.Fatalf("first stream: got %+v, decided %t, want a grant of e0", first, ok)
 	}
-	prefilling.setUse(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600, Prompt: 8000}})
+	prefilling.setUse(map[string]placement.Usage{"e0": {Requests: 1, Tokens: 8600, PendingPrompt: 8000}})
 	prefilling.member.Took(first.Number)
 	return prefilling, other
 }
@@ -83,7 +83,7 @@
 			t.Fatalf("second stream was decided during the prefill of the first: %+v", got)
 		default:
 		}
-		a.setUse(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600}})
+		a.setUse(map[string]placement.Usage{"e0": {Requests: 1, Tokens: 8600}})
 		read := time.Now()
 		a.member.UseChanged()
 		got := <-second
@@ -147,15 +147,15 @@
 func TestOutOfOrderUseReport(t *testing.T) {
 	c := newSchedulerService(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(1))
-	busy := map[string]placement.Use{"e0": {Requests: 1, Prompt: 8000}}
+	busy := map[string]placement.Usage{"e0": {Requests: 1, PendingPrompt: 8000}}
 	c.receiveReport("r1", &UseReport{Incarnation: 7, Seq: 2})
 	c.receiveReport("r1", &UseReport{Incarnation: 7, Seq: 1, Use: busy})
-	c.scheduler.Ask(scheduler.Stream{ID: "1", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
+	c.scheduler.Enqueue(scheduler.Stream{ID: "1", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
 	if p := c.decide("1"); p.Outcome != scheduler.Granted {
 		t.Errorf("got outcome %d after an outdated report, want Granted", p.Outcome)
 	}
 	c.receiveReport("r1", &UseReport{Incarnation: 8, Seq: 1, Use: busy}) // the process has restarted
-	c.scheduler.Ask(scheduler.Stream{ID: "2", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
+	c.scheduler.Enqueue(scheduler.Stream{ID: "2", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
 	if p := c.decide("2"); p.Outcome != scheduler.Waiting {
 		t.Errorf("got outcome %d during a prefill, want Waiting", p.Outcome)
 	}
@@ -193,7 +193,7 @@
 		v := startPlacing(ctx, n, "r1")
 		time.Sleep(time.Second)
 		first, _ := v.place(ctx, "1")
-		v.setUse(map[string]placement.Use{"e0": {Requests: 8, Tokens: 70_000}})
+		v.setUse(map[string]placement.Usage{"e0": {Requests: 8, Tokens: 70_000}})
 		v.member.Took(first.Number)
 		for range 6 {
 			time.Sleep(HeartbeatInterval)
@@ -235,7 +235,7 @@
 		if !ok || first.Outcome != scheduler.Granted {
 			t.Fatalf("first stream: got %+v, decided %t, want a grant", first, ok)
 		}
-		prefilling.setUse(map[string]placement.Use{"e0": {Requests: 1, Tokens: 8600, Prompt: 8000}})
+		prefilling.setUse(map[string]placement.Usage{"e0": {Requests: 1, Tokens: 8600, PendingPrompt: 8000}})
 		prefilling.member.Took(first.Number)
 		n.Kill(controls[0])
 		n.Kill(controls[1])
@@ -254,7 +254,7 @@
 func TestSuspicionIsKeptBetweenHeartbeats(t *testing.T) {
 	c := newSchedulerService(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(2))
-	use := map[string]placement.Use{"e1": {Requests: 1}}
+	use := map[string]placement.Usage{"e1": {Requests: 1}}
 	suspected := func() []string { return c.lastReports["r1"].Suspected }
 	c.receiveReport("r1", &UseReport{Incarnation: 1, Seq: 1, Suspected: []string{"e0"}})
 	c.receiveReport("r1", &UseReport{Incarnation: 1, Seq: 2, Use: use, SuspectedUnchanged: true})
--- a/internal/cluster/scheduler_service.go
+++ b/internal/cluster/scheduler_service.go
@@ -21,15 +21,15 @@
 
 // UseReport is a router's report of its use of engines.
 type UseReport struct {
-	Incarnation uint64                   `cbor:"1,keyasint"` // of the router's process; 0: not a router
-	Seq         uint64                   `cbor:"2,keyasint"` // grows with each report
-	Use         map[string]placement.Use `cbor:"3,keyasint,omitempty"`
+	Incarnation uint64                     `cbor:"1,keyasint"` // of the router's process; 0: not a router
+	Seq         uint64                     `cbor:"2,keyasint"` // grows with each report
+	Use         map[string]placement.Usage `cbor:"3,keyasint,omitempty"`
 	// LastGrant is the number of the last grant that Use includes.
-	LastGrant uint64                    `cbor:"4,keyasint,omitempty"`
-	Avoid     []string                  `cbor:"5,keyasint,omitempty"` // servers that the router itself found unusable
-	Paces     map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"` // by service
-	Suspected []string                  `cbor:"7,keyasint,omitempty"` // servers suspected with their zone or by peer reports
-	Alive     []string                  `cbor:"8,keyasint,omitempty"` // servers that have just answered the router
+	LastGrant uint64                            `cbor:"4,keyasint,omitempty"`
+	Avoid     []string                          `cbor:"5,keyasint,omitempty"` // servers that the router itself found unusable
+	Paces     map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"` // by service
+	Suspected []string                          `cbor:"7,keyasint,omitempty"` // servers suspected with their zone or by peer reports
+	Alive     []string                          `cbor:"8,keyasint,omitempty"` // servers that have just answered the router
 	// SuspectedUnchanged reports that Suspected is omitted and the same as in the last
 	// report. After the loss of a zone it names all engines there, and a router reports
 	// its use with each stream.
@@ -117,15 +117,15 @@
 		t.Suspected = last.Suspected
 	}
 	c.lastReports[from] = UseReport{Incarnation: t.Incarnation, Seq: t.Seq, Suspected: t.Suspected}
-	c.scheduler.Told(from, scheduler.Report{Use: t.Use, Taken: t.LastGrant, Avoid: t.Avoid, Doubt: t.Suspected, Alive: t.Alive, Paces: t.Paces}, time.Now())
+	c.scheduler.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.LastGrant, Avoid: t.Avoid, Suspected: t.Suspected, Alive: t.Alive, EngineTimings: t.Paces}, time.Now())
 }
 
 // memoryAndPaces returns the services without memory for backup copies, and the known
 // paces of all services.
-func (c *schedulerService) memoryAndPaces() (lowMemory []string, paces map[string]scheduler.Pace) {
+func (c *schedulerService) memoryAndPaces() (lowMemory []string, paces map[string]scheduler.EngineTiming) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.scheduler.Short(time.Now()), c.scheduler.Paces()
+	return c.scheduler.ShortOfMemory(time.Now()), c.scheduler.EngineTimings()
 }
 
 // forget removes a silent router.
@@ -147,7 +147,7 @@
 	now, st := time.Now(), a.Stream
 	st.VM = from
 	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.DeadlineMS)*time.Millisecond)
-	c.scheduler.Ask(st, now)
+	c.scheduler.Enqueue(st, now)
 	return c.decide(st.ID), nil
 }
 
@@ -164,7 +164,7 @@
 // decisions to their routers. It needs c.mu.
 func (c *schedulerService) decide(id string) scheduler.Answer {
 	var out scheduler.Answer
-	for _, d := range c.scheduler.Run(time.Now()) {
+	for _, d := range c.scheduler.Decide(time.Now()) {
 		c.countDecision(&d)
 		if d.Stream.ID == id {
 			out = d.Answer
@@ -222,7 +222,7 @@
 			return
 		}
 		c.mu.Lock()
-		if c.scheduler.Waits() {
+		if c.scheduler.HasWaiting() {
 			c.decideAll()
 			c.logState()
 		}
@@ -239,8 +239,8 @@
 	c.loggedAt = now
 	for _, st := range c.scheduler.States(now) {
 		c.log.Info().Str("service", st.Service).Int("interrupted", st.Interrupted).Int("in_time", st.InTime).Int("late", st.Late).
-			Int("servers", st.Servers).Int("usable", st.Usable).Int("reading", st.Reading).Int("runs", st.Use.Requests).
-			Int("tokens", st.Use.Tokens).Int("copies", st.Use.Copies).Float64("begun_per_s", st.Rate).
-			Dur("per_token", st.Pace.PerToken).Dur("run", st.Pace.Run).Msg("streams wait")
+			Int("servers", st.Servers).Int("usable", st.Usable).Int("reading", st.Prefilling).Int("runs", st.Usage.Requests).
+			Int("tokens", st.Usage.Tokens).Int("copies", st.Usage.Copies).Float64("begun_per_s", st.StartRate).
+			Dur("per_token", st.EngineTiming.PrefillPerToken).Dur("run", st.EngineTiming.RunDuration).Msg("streams wait")
 	}
 }
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -52,7 +52,7 @@
 	LowMemory []string `cbor:"4,keyasint,omitempty"`
 	// Paces are those of the services' engines. A VM that has just started or has few
 	// streams has observed none itself.
-	Paces map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
+	Paces map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
 	// RoutersDigest is the digest of the ids of all VMs that accept callers.
 	RoutersDigest uint64 `cbor:"5,keyasint,omitempty"`
 }
@@ -60,8 +60,8 @@
 // PeerReports combines the reports of all other VMs, as a VM last received them.
 type PeerReports struct {
 	Summary
-	Routers []string                 // ids of VMs that accept callers
-	Use     map[string]placement.Use // of backend servers by the other VMs
+	Routers []string                   // ids of VMs that accept callers
+	Use     map[string]placement.Usage // of backend servers by the other VMs
 	// Spent is what the other VMs spent of the retry budgets, by service.
 	Spent map[string]forward.Spent
 }
@@ -72,9 +72,9 @@
 	encoded       cbor.RawMessage
 	encodedUse    cbor.RawMessage // of engines
 	routers       []string
-	routersDigest uint64                              // of routers
-	endpoints     []string                            // addresses of the routers
-	useByVM       map[string]map[string]placement.Use // each VM's own use
+	routersDigest uint64                                // of routers
+	endpoints     []string                              // addresses of the routers
+	useByVM       map[string]map[string]placement.Usage // each VM's own use
 }
 
 // summarize returns the current summary, rebuilt if it has expired.
@@ -98,9 +98,9 @@
 
 // buildSummary adds the VMs' reports to a Summary and encodes it. It needs h.mu.
 func (h *Hub) buildSummary(out *Summary, now time.Time) (*encodedSummary, error) {
-	s := &encodedSummary{builtAt: now, useByVM: map[string]map[string]placement.Use{}}
+	s := &encodedSummary{builtAt: now, useByVM: map[string]map[string]placement.Usage{}}
 	out.Deaths = h.recentDeaths(now)
-	use := map[string]placement.Use{}
+	use := map[string]placement.Usage{}
 	var ready []vmState
 	for vm, v := range h.vms {
 		if now.Sub(v.at) > presenceTimeout {
@@ -132,10 +132,10 @@
 }
 
 // extractCalls removes the servers that run only calls from use and returns their calls.
-func extractCalls(use map[string]placement.Use) map[string]int {
+func extractCalls(use map[string]placement.Usage) map[string]int {
 	calls := map[string]int{}
 	for id, u := range use {
-		if u == (placement.Use{Requests: u.Requests}) {
+		if u == (placement.Usage{Requests: u.Requests}) {
 			calls[id] = u.Requests
 			delete(use, id)
 		}
@@ -168,8 +168,8 @@
 // concurrent use.
 type peerState struct {
 	routers       []string
-	routersDigest uint64                   // of routers
-	use           map[string]placement.Use // as of useUpdatedAt
+	routersDigest uint64                     // of routers
+	use           map[string]placement.Usage // as of useUpdatedAt
 	useUpdatedAt  time.Time
 }
 
@@ -187,14 +187,14 @@
 		return k, err
 	}
 	if len(a.EncodedUse) > 0 {
-		use := map[string]placement.Use{}
+		use := map[string]placement.Usage{}
 		if err := codec.Unmarshal(a.EncodedUse, &use); err != nil {
 			return k, err
 		}
 		o.use, o.useUpdatedAt = use, now
 		for id, u := range a.OwnUse {
 			if _, ok := use[id]; ok {
-				use[id] = use[id].Add(u.Negative())
+				use[id] = use[id].Add(u.Negated())
 			}
 		}
 	}
@@ -204,10 +204,10 @@
 	k.Routers, k.Spent = o.routers, a.Spent
 	k.Use = maps.Clone(o.use)
 	if k.Use == nil {
-		k.Use = map[string]placement.Use{}
+		k.Use = map[string]placement.Usage{}
 	}
 	for id, calls := range k.Calls {
-		k.Use[id] = placement.Use{Requests: calls - a.OwnUse[id].Requests}
+		k.Use[id] = placement.Usage{Requests: calls - a.OwnUse[id].Requests}
 	}
 	k.Dead = slices.DeleteFunc(k.Dead, func(id string) bool { return slices.Contains(own, id) })
 	return k, nil
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -79,8 +79,8 @@
 
 func testPacesReachAllRouters(t *testing.T) {
 	f := newLoadedHub(t, 3, 4)
-	pace := scheduler.Pace{PerToken: 125 * time.Microsecond, Run: 5 * time.Second, Events: 140}
-	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, Paces: map[string]scheduler.Pace{"models": pace}})
+	pace := scheduler.EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
+	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, Paces: map[string]scheduler.EngineTiming{"models": pace}})
 	f.hub.mu.Lock()
 	f.hub.summary = nil
 	f.hub.mu.Unlock()
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -118,7 +118,7 @@
 func (h *Handler) Kept() []Kept { return h.kept.all() }
 
 // Paces are what was observed of each service's engines.
-func (h *Handler) Paces() map[string]scheduler.Pace { return h.paces.all() }
+func (h *Handler) Paces() map[string]scheduler.EngineTiming { return h.paces.all() }
 
 // SetVMs says how many VMs share the services' retry budgets.
 func (h *Handler) SetVMs(n int) {
@@ -131,7 +131,7 @@
 }
 
 // SetPaces takes what all VMs observed of each service's engines.
-func (h *Handler) SetPaces(paces map[string]scheduler.Pace) { h.paces.learn(paces) }
+func (h *Handler) SetPaces(paces map[string]scheduler.EngineTiming) { h.paces.learn(paces) }
 
 // SetShort names the services whose memory is needed for prompts: no copies are made.
 func (h *Handler) SetShort(services []string) {
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -176,7 +176,7 @@
 
 func (r *Router) learnSpent(others map[string]forward.Spent) { r.handler.SetSpent(others) }
 
-func (r *Router) paces() map[string]scheduler.Pace { return r.handler.Paces() }
+func (r *Router) paces() map[string]scheduler.EngineTiming { return r.handler.Paces() }
 
 func (r *Router) spent() map[string]forward.Spent { return r.handler.Spent() }
 
--- a/internal/upstream/fleet.go
+++ b/internal/upstream/fleet.go
@@ -63,7 +63,7 @@
 // Fleet; Backend never changes but for Draining, which the Fleet reads.
 type Server struct {
 	Backend
-	use      placement.Use
+	use      placement.Usage
 	died     chan struct{} // closed when it is judged dead
 	doubt    chan struct{} // closed when others give reason to ask it
 	heard    time.Time
@@ -92,7 +92,7 @@
 	servers map[string]*Server
 	order   []*Server // of the list
 	inUse   inUse
-	others  map[string]placement.Use
+	others  map[string]placement.Usage
 	outage  recovery.Outage
 	self    string
 	routers []string             // VMs that place requests, this one included
@@ -160,7 +160,7 @@
 }
 
 // SetOthers takes what other VMs have running on each server.
-func (f *Fleet) SetOthers(use map[string]placement.Use) {
+func (f *Fleet) SetOthers(use map[string]placement.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.others = use
@@ -183,18 +183,18 @@
 // times a second while hundreds of VMs are restarted in turn. It needs f.mu.
 func (f *Fleet) turn(s *Server) int {
 	if s.turnOf != f.changes {
-		s.turn, s.turnOf = placement.Turn(s.ID, f.self, f.routers), f.changes
+		s.turn, s.turnOf = placement.RendezvousRank(s.ID, f.self, f.routers), f.changes
 	}
 	return s.turn
 }
 
 // Mine is what this VM has running on each server.
-func (f *Fleet) Mine() map[string]placement.Use {
+func (f *Fleet) Mine() map[string]placement.Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := map[string]placement.Use{}
+	out := map[string]placement.Usage{}
 	for id, s := range f.servers {
-		if s.use != (placement.Use{}) {
+		if s.use != (placement.Usage{}) {
 			out[id] = s.use
 		}
 	}
@@ -220,8 +220,8 @@
 	out := make([]placement.Candidate, 0, len(servers))
 	for _, s := range servers {
 		out = append(out, placement.Candidate{
-			ID: s.ID, Zone: s.Zone, Slots: s.Slots, KVTokens: kvTokens, Use: f.useOf(s, now),
-			Turn: f.turn(s), Avoid: s.avoided(now), Slow: slowness(s.latency, usual),
+			ID: s.ID, Zone: s.Zone, Slots: s.Slots, KVTokens: kvTokens, Usage: f.useOf(s, now),
+			RendezvousRank: f.turn(s), Avoid: s.avoided(now), Slowdown: slowness(s.latency, usual),
 		})
 	}
 	return servers, out
@@ -239,7 +239,7 @@
 		out = append(out, placement.CallCandidate{
 			Zone: s.Zone, Slots: s.Slots, Own: s.use.Requests, Others: f.others[s.ID].Requests,
 			Reported: s.reported, ReportAge: now.Sub(s.told), CallTime: time.Duration(s.latency * float64(time.Millisecond)),
-			Avoid: s.avoided(now), Slow: slowness(s.latency, usual),
+			Avoid: s.avoided(now), Slowdown: slowness(s.latency, usual),
 		})
 	}
 	return servers, out
@@ -265,7 +265,7 @@
 	return out
 }
 
-func (f *Fleet) useOf(s *Server, now time.Time) placement.Use {
+func (f *Fleet) useOf(s *Server, now time.Time) placement.Usage {
 	use := s.use.Add(f.others[s.ID])
 	if now.Sub(s.told) < loadFor {
 		use.Requests = max(use.Requests, s.use.Requests+s.reported)
@@ -346,7 +346,7 @@
 }
 
 // UseOf is what is known to run on a server, of this VM and the others.
-func (f *Fleet) UseOf(s *Server) placement.Use {
+func (f *Fleet) UseOf(s *Server) placement.Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.useOf(s, f.now())
@@ -365,15 +365,15 @@
 }
 
 // Take notes what a request uses of a server.
-func (f *Fleet) Take(s *Server, u placement.Use) {
+func (f *Fleet) Take(s *Server, u placement.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.use = s.use.Add(u)
 }
 
 // Give takes it off again.
-func (f *Fleet) Give(s *Server, u placement.Use) {
-	f.Take(s, u.Negative())
+func (f *Fleet) Give(s *Server, u placement.Usage) {
+	f.Take(s, u.Negated())
 }
 
 // Died is closed when the server is judged dead.
--- a/internal/upstream/fleet_test.go
+++ b/internal/upstream/fleet_test.go
@@ -134,8 +134,8 @@
 // Loads that other VMs report count beside this VM's own.
 func TestOthersLoadCounts(t *testing.T) {
 	f := newTestFleet(1)
-	f.Take(f.Lookup("a0"), placement.Use{Requests: 1, Tokens: 10})
-	f.SetOthers(map[string]placement.Use{"a0": {Requests: 2, Tokens: 30}})
+	f.Take(f.Lookup("a0"), placement.Usage{Requests: 1, Tokens: 10})
+	f.SetOthers(map[string]placement.Usage{"a0": {Requests: 2, Tokens: 30}})
 	if u := f.UseOf(f.Lookup("a0")); u.Requests != 3 || u.Tokens != 40 {
 		t.Errorf("use %+v", u)
 	}
