--- a/internal/recovery/budget.go
+++ b/internal/recovery/budget.go
@@ -1,35 +1,35 @@
 package recovery
 
-// Figures of the budgets.
+// Bounds of the token budgets.
 const (
-	// suspicionShare bounds the work done twice on suspicion, where an engine was
-	// given up that may live, to a share of all tokens generated. Beyond it the
-	// detector waits for its ceiling: suspicion that is often wrong is worse than
-	// none.
+	// suspicionShare bounds duplicate work on suspicion, where an engine is given up that
+	// may be alive, to a share of all generated tokens. Beyond it the detector waits for
+	// its ceiling: suspicion that is often wrong is worse than none.
 	suspicionShare = 0.05
 
-	// budgetBurst is what may have been saved up: the streams of two engines.
-	budgetBurst = 100_000 // tokens
+	// budgetBurstTokens caps what a budget saves up. It covers the streams of two engines.
+	budgetBurstTokens = 100_000
 )
 
-// Budget is a bucket of tokens that grows with useful work. Under overload it
-// grows no faster than work gets done, so retries cannot feed on themselves.
-// It is not safe for concurrent use.
+// Budget is a token bucket that is refilled by useful work. Under overload it grows no
+// faster than work completes, so retries cannot amplify themselves. It is not safe for
+// concurrent use.
 type Budget struct {
 	share float64
 	left  float64
 }
 
-// NewBudget returns a full bucket that gains share of all useful work.
-func NewBudget(share float64) *Budget { return &Budget{share: share, left: budgetBurst} }
+// NewBudget returns a full bucket that gains the given share of all useful tokens.
+func NewBudget(share float64) *Budget { return &Budget{share: share, left: budgetBurstTokens} }
 
-// NewSuspicionBudget returns the budget for work done twice on suspicion.
+// NewSuspicionBudget returns the budget for work that is duplicated on suspicion.
 func NewSuspicionBudget() *Budget { return NewBudget(suspicionShare) }
 
-// Earn adds the share of useful tokens.
-func (b *Budget) Earn(tokens int) { b.left = min(budgetBurst, b.left+b.share*float64(tokens)) }
+// Earn credits the budget's share of tokens of useful work.
+func (b *Budget) Earn(tokens int) { b.left = min(budgetBurstTokens, b.left+b.share*float64(tokens)) }
 
-// Spend takes tokens if there are any left; one piece of work may overdraw.
+// Spend deducts tokens if the budget is not empty, and reports whether it did. One piece of
+// work may overdraw the budget.
 func (b *Budget) Spend(tokens int) bool {
 	if b.share == 0 || b.left <= 0 {
 		return false
@@ -38,5 +38,5 @@
 	return true
 }
 
-// Empty reports whether nothing is left.
+// Empty reports whether the budget is used up.
 func (b *Budget) Empty() bool { return b.left <= 0 }
--- a/internal/recovery/content.go
+++ b/internal/recovery/content.go
@@ -5,96 +5,98 @@
 	"time"
 )
 
-// The load pattern. A request ends each backend server that begins to run it; its
-// caller sends it again, under another id and at any VM. Without a memory of its
-// content it goes through the servers of a service one after the other.
+// The failure that this file answers: a request crashes each backend server that begins to
+// run it, and its caller sends it again under another id and to any VM. Without a memory of
+// the request's content, it takes down the servers of a service one after the other.
 //
-// The same evidence comes from innocent requests: a content that many callers ask
-// for is under way on every server that dies. What tells them apart is that the
-// innocent succeed: any success clears a content. So holding one back begins short,
-// is lifted at once by a success elsewhere, and grows only while each trial ends
-// another server.
+// Harmless requests leave the same evidence, because content that many callers ask for is
+// in flight on every server that dies. The difference is that harmless content succeeds
+// elsewhere, and any success clears it. Quarantine therefore starts short, is lifted at
+// once by a success on another server, and grows only while each new attempt ends another
+// server.
 
-// Figures of content that is held back.
+// Bounds of the quarantine of suspect content.
 const (
-	// suspectDeaths servers that died under a content hold it back for the first
-	// time: one death is a neighbour's as likely.
-	suspectDeaths = 2
-	// killerDeaths: a run that is under way is given up, too.
-	killerDeaths = 3
-	// contentLife is how long a content is remembered after its last death.
-	contentLife = 10 * time.Minute
+	// quarantineDeaths servers must die under a content before it is quarantined. A single
+	// death may as likely be caused by another request on the same server.
+	quarantineDeaths = 2
+	// abortDeaths servers must die under a content before its runs in flight are given up
+	// too.
+	abortDeaths = 3
+	// contentTTL is how long a content is remembered after its last death.
+	contentTTL  = 10 * time.Minute
 	maxContents = 1 << 14
 )
 
-// holdFor is how long a content is held back after its last death: some seconds at
-// first, for an innocent one that is asked for often to succeed elsewhere.
-func holdFor(deaths int) time.Duration {
+// quarantineDuration returns how long a content is quarantined after its last death. The
+// first quarantine lasts seconds, so that harmless content that is often asked for can
+// succeed elsewhere.
+func quarantineDuration(deaths int) time.Duration {
 	switch {
-	case deaths < suspectDeaths:
+	case deaths < quarantineDeaths:
 		return 0
-	case deaths == suspectDeaths:
+	case deaths == quarantineDeaths:
 		return 3 * time.Second
-	case deaths == killerDeaths:
+	case deaths == abortDeaths:
 		return time.Minute
 	}
-	return contentLife
+	return contentTTL
 }
 
-// Contents remembers under which contents of requests servers died, by digest. It
-// is not safe for concurrent use.
-type Contents struct{ blamed map[uint64]*blamedContent }
+// SuspectContents records under which request contents servers died, by digest of the
+// content. It is not safe for concurrent use.
+type Contents struct{ byDigest map[uint64]*suspectContent }
 
-type blamedContent struct {
+type suspectContent struct {
 	servers map[string]bool
 	last    time.Time
 }
 
-// NewContents returns an empty memory.
-func NewContents() *Contents { return &Contents{blamed: map[uint64]*blamedContent{}} }
+// NewSuspectContents returns an empty record.
+func NewContents() *Contents { return &Contents{byDigest: map[uint64]*suspectContent{}} }
 
-// Died notes that a server died while it ran a content.
+// ServerDied records that a server died while it ran a content.
 func (c *Contents) Died(digest uint64, server string, now time.Time) {
-	b := c.blamed[digest]
-	if b == nil || now.Sub(b.last) > contentLife {
+	s := c.byDigest[digest]
+	if s == nil || now.Sub(s.last) > contentTTL {
 		c.expire(now)
-		b = &blamedContent{servers: map[string]bool{}}
-		c.blamed[digest] = b
+		s = &suspectContent{servers: map[string]bool{}}
+		c.byDigest[digest] = s
 	}
-	b.servers[server] = true
-	b.last = now
+	s.servers[server] = true
+	s.last = now
 }
 
-// Succeeded clears a content.
-func (c *Contents) Succeeded(digest uint64) { delete(c.blamed, digest) }
+// Succeeded clears a content that a server has answered.
+func (c *Contents) Succeeded(digest uint64) { delete(c.byDigest, digest) }
 
-// Held reports whether a content must not begin now, and until when.
-func (c *Contents) Held(digest uint64, now time.Time) (until time.Time, held bool) {
-	b := c.blamed[digest]
-	if b == nil {
+// Quarantined reports whether a content must not start now, and when its quarantine ends.
+func (c *Contents) Held(digest uint64, now time.Time) (until time.Time, quarantined bool) {
+	s := c.byDigest[digest]
+	if s == nil {
 		return time.Time{}, false
 	}
-	until = b.last.Add(holdFor(len(b.servers)))
+	until = s.last.Add(quarantineDuration(len(s.servers)))
 	return until, now.Before(until)
 }
 
-// Suspect reports whether a server died under a content that has not succeeded
-// since.
-func (c *Contents) Suspect(digest uint64) bool { return c.blamed[digest] != nil }
+// Suspect reports whether a server died under a content that has not succeeded since.
+func (c *Contents) Suspect(digest uint64) bool { return c.byDigest[digest] != nil }
 
-// Kills reports whether a run under way must not go on at another server.
+// MustAbort reports whether a run in flight must not be resumed on another server, because
+// abortDeaths servers died under its content.
 func (c *Contents) Kills(digest uint64) bool {
-	b := c.blamed[digest]
-	return b != nil && len(b.servers) >= killerDeaths
+	s := c.byDigest[digest]
+	return s != nil && len(s.servers) >= abortDeaths
 }
 
-// expire makes room: it forgets what is old, or else everything that has one
-// death only.
+// expire makes room when the record is full. It drops the expired contents and all those
+// with fewer than quarantineDeaths deaths.
 func (c *Contents) expire(now time.Time) {
-	if len(c.blamed) < maxContents {
+	if len(c.byDigest) < maxContents {
 		return
 	}
-	maps.DeleteFunc(c.blamed, func(_ uint64, b *blamedContent) bool {
-		return now.Sub(b.last) > contentLife || len(b.servers) < suspectDeaths
+	maps.DeleteFunc(c.byDigest, func(_ uint64, s *suspectContent) bool {
+		return now.Sub(s.last) > contentTTL || len(s.servers) < quarantineDeaths
 	})
 }
--- a/internal/recovery/content_test.go
+++ b/internal/recovery/content_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// A content that ends every server that runs it is let through again and again,
-// each time later: over ten minutes it ends five servers, not hundreds.
-func TestContentThatEndsEveryServer(t *testing.T) {
+// Guards against one request that takes down a whole service: its content ends every server
+// that runs it. Each quarantine is longer than the last, so it ends four servers in ten
+// minutes instead of hundreds.
+func TestPoisonContentIsQuarantined(t *testing.T) {
 	c := NewContents()
 	start := time.Unix(1000, 0)
 	ended := 0
@@ -21,31 +22,32 @@
 		c.Died(7, fmt.Sprint("server", ended), now)
 	}
 	if ended != 4 || !c.Kills(7) {
-		t.Errorf("%d servers ended", ended)
+		t.Errorf("%d servers ended, want 4, and runs in flight aborted", ended)
 	}
 }
 
-// A content that many callers ask for is under way on two servers that die at
-// once. It is held back only until another server has answered it.
+// Guards against the refusal of harmless content: many callers ask for it, so it is in
+// flight on two servers that die at once. Its quarantine ends when another server answers
+// it.
 func TestInnocentContentIsCleared(t *testing.T) {
 	c := NewContents()
 	now := time.Unix(1000, 0)
 	c.Died(7, "a", now)
 	if _, held := c.Held(7, now); held {
-		t.Error("held back after one death")
+		t.Error("quarantined after one death")
 	}
 	c.Died(7, "a", now)
 	if _, held := c.Held(7, now); held {
-		t.Error("two reports of one death count as two")
+		t.Error("quarantined after two reports of the same death")
 	}
 	c.Died(7, "b", now)
 	until, held := c.Held(7, now.Add(time.Second))
 	if !held || until.Sub(now) != 3*time.Second || c.Kills(7) {
-		t.Errorf("held %t until %v", held, until.Sub(now))
+		t.Errorf("quarantined %t for %v, want a quarantine of 3s without abort", held, until.Sub(now))
 	}
 	c.Succeeded(7)
 	if _, held := c.Held(7, now.Add(time.Second)); held {
-		t.Error("held back though it succeeded")
+		t.Error("quarantined although it succeeded")
 	}
 }
 
@@ -55,7 +57,7 @@
 	for i := range 3 * maxContents {
 		c.Died(uint64(i), "a", now)
 	}
-	if len(c.blamed) > maxContents {
-		t.Errorf("%d contents remembered", len(c.blamed))
+	if len(c.byDigest) > maxContents {
+		t.Errorf("got %d contents, want at most maxContents", len(c.byDigest))
 	}
 }
--- a/internal/recovery/detector.go
+++ b/internal/recovery/detector.go
@@ -5,106 +5,110 @@
 	"time"
 )
 
-// Figures of the detector.
+// Constants of the detector.
 const (
-	gapGain = 0.05 // of one gap: the last twenty events of an engine count
-
-	// manyStreams that are silent together are stronger evidence than one: the
-	// bound shrinks by manyFactor, not below manyFloor.
-	manyStreams = 3
-	manyFactor  = 0.6
-
-	// oneFactor: while other streams of the engine go on, a silent one is more
-	// likely held up there than lost; it gets this much longer.
-	oneFactor = 3
-
-	// queuedFloor: a stream without first token on an engine that serves others
-	// waits in its queue. It is suspected only far beyond the usual wait.
-	queuedFloor  = 20 * time.Second
-	queuedFactor = 6
-
-	// firstFloor: without any other sign of life, a first token may take this
-	// long: the prefill of 50,000 tokens.
-	firstFloor = 5 * time.Second
-
-	// recheck is the longest time between two checks: the evidence of the other
-	// streams changes, and a bound found long ago no longer holds.
-	recheck = 250 * time.Millisecond
-
-	// ownPause: checks this far apart mean that this VM itself stood still. Its
-	// engines were not silent; their events wait to be read.
-	ownPause = 4 * recheck
-
-	// reportLife: an engine that answered a poll this recently lives. Its streams
-	// may still be stalled, which oneFactor covers.
-	reportLife = 2 * time.Second
+	// gapWeight is the weight of one gap in the moving averages, so about the last twenty
+	// events of an engine count.
+	gapWeight = 0.05
+
+	// corroboratingStreams that are silent together are stronger evidence than one. Their
+	// bound shrinks by corroboratedFactor, but not below the policy's floor.
+	corroboratingStreams = 3
+	corroboratedFactor   = 0.6
+
+	// soleSilentFactor lengthens the bound of a silent stream while other streams of the
+	// engine make progress. Such a stream is more likely delayed there than lost.
+	soleSilentFactor = 3
+
+	// minQueuedWait and queuedFactor bound the wait for the first token on an engine that
+	// serves other streams. The stream waits in the engine's queue, so it is suspected only
+	// far beyond the usual wait.
+	minQueuedWait = 20 * time.Second
+	queuedFactor  = 6
+
+	// maxFirstTokenWait bounds the wait for a first token without any other sign of life.
+	// It is the prefill time of 50,000 tokens.
+	maxFirstTokenWait = 5 * time.Second
+
+	// maxRecheckInterval is the longest time between two checks of a stream. The evidence
+	// of the other streams changes, so a bound computed earlier no longer holds.
+	maxRecheckInterval = 250 * time.Millisecond
+
+	// localPauseThreshold between two checks means that this VM itself was paused. Its
+	// engines were not silent; their events are still waiting to be read.
+	localPauseThreshold = 4 * maxRecheckInterval
+
+	// pollTTL is how long an answered poll proves that an engine is alive. Its streams may
+	// still be stalled, which soleSilentFactor covers.
+	pollTTL = 2 * time.Second
 )
 
-// Detector judges the silence of engines. It is not safe for concurrent use.
+// Detector decides from the silence of streams whether an engine is suspected. It is not
+// safe for concurrent use.
 type Detector struct {
-	policy  Policy
-	engines map[string]*watched
-	patient bool
-	checked time.Time // last check of any stream
-	awake   time.Time // when this VM last went on after a pause of its own
+	policy      Policy
+	engines     map[string]*engineStats
+	ceilingOnly bool
+	lastCheck   time.Time // of any stream
+	resumedAt   time.Time // when this VM last resumed after a local pause
 }
 
-// watched is what is known of one engine.
-type watched struct {
-	gap, dev  float64 // seconds between events of one stream
-	first     float64 // seconds to a first token
-	streams   int
-	started   int
-	lastEvent time.Time
-	lastPoll  time.Time
+// engineStats holds what is known of one engine.
+type engineStats struct {
+	gap, dev   float64 // averages in seconds, between events of one stream
+	firstToken float64 // average in seconds until a first token
+	streams    int
+	started    int // streams with a first token
+	lastEvent  time.Time
+	lastPoll   time.Time
 }
 
-// Stream is one attempt on an engine.
+// Stream is one attempt of a request on an engine.
 type Stream struct {
-	engine  *watched
+	engine  *engineStats
 	begun   time.Time
 	last    time.Time
 	started bool
 	ended   bool
 }
 
-// NewDetector returns a Detector with the figures of an objective.
+// NewDetector returns a Detector that uses the bounds of a policy.
 func NewDetector(p Policy) *Detector {
-	return &Detector{policy: p, engines: map[string]*watched{}}
+	return &Detector{policy: p, engines: map[string]*engineStats{}}
 }
 
-// SetPatient makes the detector wait for the ceiling: the budget for work done
-// twice is used up.
-func (d *Detector) SetPatient(on bool) { d.patient = on }
+// SetCeilingOnly makes the detector suspect an engine only at the policy's ceiling. It is
+// set while the budget for duplicate work is used up.
+func (d *Detector) SetPatient(on bool) { d.ceilingOnly = on }
 
-func (d *Detector) watch(name string) *watched {
+func (d *Detector) statsOf(name string) *engineStats {
 	w := d.engines[name]
 	if w == nil {
-		w = &watched{}
+		w = &engineStats{}
 		d.engines[name] = w
 	}
 	return w
 }
 
-// Begin starts watching an attempt.
+// Begin starts watching an attempt on the named engine.
 func (d *Detector) Begin(name string, now time.Time) *Stream {
-	w := d.watch(name)
+	w := d.statsOf(name)
 	w.streams++
-	d.checked = now // before the first stream nothing was checked
+	d.lastCheck = now // no stream was checked before the first one
 	return &Stream{engine: w, begun: now, last: now}
 }
 
-// Event notes an event of a stream.
+// Event records an event of a stream.
 func (d *Detector) Event(s *Stream, now time.Time) {
 	w := s.engine
 	gap := now.Sub(s.last).Seconds()
 	if s.started {
-		w.dev += gapGain * (math.Abs(gap-w.gap) - w.dev)
-		w.gap += gapGain * (gap - w.gap)
+		w.dev += gapWeight * (math.Abs(gap-w.gap) - w.dev)
+		w.gap += gapWeight * (gap - w.gap)
 	} else {
 		s.started = true
 		w.started++
-		w.first += gapGain * (gap - w.first)
+		w.firstToken += gapWeight * (gap - w.firstToken)
 	}
 	s.last, w.lastEvent = now, now
 }
@@ -121,77 +125,77 @@
 	}
 }
 
-// Polled notes that an engine answered a poll of its load.
-func (d *Detector) Polled(name string, now time.Time) { d.watch(name).lastPoll = now }
+// Polled records that an engine answered a poll of its load.
+func (d *Detector) Polled(name string, now time.Time) { d.statsOf(name).lastPoll = now }
 
-// Lost forgets the figures of an engine that died.
+// ResetStats drops the timing statistics of an engine that died.
 func (d *Detector) Lost(name string) {
-	w := d.watch(name)
-	w.gap, w.dev, w.first = 0, 0, 0
+	w := d.statsOf(name)
+	w.gap, w.dev, w.firstToken = 0, 0, 0
 }
 
-// Check reports whether a stream's silence makes its engine suspect, and else
-// after how long to check again.
+// Check reports whether the silence of a stream makes its engine suspect. If it does not,
+// Check returns the time until the next check.
 func (d *Detector) Check(s *Stream, now time.Time) (bool, time.Duration) {
-	d.noticePause(now)
+	d.noteLocalPause(now)
 	since := s.last
-	if d.awake.After(since) {
-		since = d.awake
+	if d.resumedAt.After(since) {
+		since = d.resumedAt
 	}
 	left := since.Add(d.bound(s, now)).Sub(now)
 	if left <= 0 {
 		return true, 0
 	}
-	return false, min(max(left, time.Millisecond), recheck)
+	return false, min(max(left, time.Millisecond), maxRecheckInterval)
 }
 
-// noticePause keeps this VM's own pause from looking like the death of every
-// engine at once. Streams are checked at least every recheck while there are any.
-func (d *Detector) noticePause(now time.Time) {
-	if !d.checked.IsZero() && now.Sub(d.checked) > ownPause {
-		d.awake = now
+// noteLocalPause keeps a pause of this VM from looking like the death of all engines at
+// once. While there are streams, they are checked at least every maxRecheckInterval.
+func (d *Detector) noteLocalPause(now time.Time) {
+	if !d.lastCheck.IsZero() && now.Sub(d.lastCheck) > localPauseThreshold {
+		d.resumedAt = now
 	}
-	d.checked = now
+	d.lastCheck = now
 }
 
-// HedgeDue reports whether a stream has been silent long enough to hedge.
+// HedgeDue reports whether a stream has been silent long enough to start a hedged attempt.
 func (d *Detector) HedgeDue(s *Stream, now time.Time) bool {
 	after := time.Duration(d.policy.HedgeAfter * float64(d.bound(s, now)))
-	return d.policy.HedgeShare > 0 && s.started && now.Sub(s.last) >= after && now.Sub(d.awake) >= after
+	return d.policy.HedgeShare > 0 && s.started && now.Sub(s.last) >= after && now.Sub(d.resumedAt) >= after
 }
 
-// bound is how long a stream may be silent now.
+// bound returns how long a stream may be silent before its engine is suspected.
 func (d *Detector) bound(s *Stream, now time.Time) time.Duration {
 	w := s.engine
-	base := d.base(w)
+	base := d.baseBound(w)
 	served := now.Sub(w.lastEvent) < base && w.lastEvent.After(s.last)
 	if !s.started {
-		return w.firstBound(base, served || now.Sub(w.lastPoll) < reportLife)
+		return w.firstBound(base, served || now.Sub(w.lastPoll) < pollTTL)
 	}
 	switch {
 	case served:
-		return oneFactor * base
-	case w.started >= manyStreams && !d.patient:
-		return max(d.policy.Floor, time.Duration(manyFactor*float64(base)))
+		return soleSilentFactor * base
+	case w.started >= corroboratingStreams && !d.ceilingOnly:
+		return max(d.policy.Floor, time.Duration(corroboratedFactor*float64(base)))
 	default:
 		return base
 	}
 }
 
-func (d *Detector) base(w *watched) time.Duration {
-	if d.patient {
+func (d *Detector) baseBound(w *engineStats) time.Duration {
+	if d.ceilingOnly {
 		return d.policy.Ceiling
 	}
 	usual := time.Duration((w.gap + d.policy.Deviations*w.dev) * float64(time.Second))
 	return min(d.policy.Ceiling, max(d.policy.Floor, usual))
 }
 
-// firstBound is the bound of a stream without a first token: being queued is
-// not being dead.
-func (w *watched) firstBound(base time.Duration, alive bool) time.Duration {
-	usual := time.Duration(queuedFactor * w.first * float64(time.Second))
+// firstBound returns the bound of a stream without a first token. A stream on an engine
+// that is alive is queued, so it gets at least minQueuedWait.
+func (w *engineStats) firstBound(base time.Duration, alive bool) time.Duration {
+	usual := time.Duration(queuedFactor * w.firstToken * float64(time.Second))
 	if alive {
-		return max(queuedFloor, usual)
+		return max(minQueuedWait, usual)
 	}
-	return max(base, min(firstFloor, max(base, usual)))
+	return max(base, min(maxFirstTokenWait, max(base, usual)))
 }
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Figures of the pacer.
+// Bounds of the pacer.
 const (
-	// prefillPerEngine is the re-prefill, in tokens, that may be under way for
-	// each engine of the pool at one time: some half a second of its prefill, the
-	// stall that the streams already there can bear.
-	prefillPerEngine = 6000
+	// prefillTokensPerEngine bounds the tokens of resumes in prefill at one time, for each
+	// engine of the pool. It is about half a second of an engine's prefill, a stall that
+	// the streams on the engine can bear.
+	prefillTokensPerEngine = 6000
 
-	// maxHold bounds how long a resume may be held back: beyond it the caller
-	// waits longer for the pacing than for the work.
-	maxHold = 3 * time.Second
+	// maxResumeDelay bounds how long a resume may be delayed. Beyond it the caller would
+	// wait longer for the pacing than for the work.
+	maxResumeDelay = 3 * time.Second
 )
 
-// Resume is a stream that has to go on elsewhere.
+// Resume is a stream that must be resumed on another engine.
 type Resume struct {
-	Deadline time.Time // zero: none
-	Priority int
-	Prefill  int // tokens to compute again: prompt and journal
-	since    time.Time
-	state    resumeState
+	Deadline   time.Time // zero: none
+	Priority   int
+	Prefill    int // tokens to prefill again: prompt and journal
+	enqueuedAt time.Time
+	state      resumeState
 }
 
 type resumeState uint8
@@ -38,34 +38,33 @@
 // Granted reports whether the resume may start.
 func (r *Resume) Granted() bool { return r.state == resumeGranted }
 
-// Pacer lets the resumes of one pool start as the engines can prefill them. The
-// first token of one lets the next start, so the pace follows what the engines
-// manage and needs no rate. It is not safe for concurrent use.
+// Pacer starts the resumes of one pool at the rate at which the engines can prefill them.
+// The first token of one resume lets the next one start, so the pace follows the engines
+// and no rate is configured. It is not safe for concurrent use.
 type Pacer struct {
-	limit    int // tokens of prefill under way
-	underway int
-	waiting  []*Resume
+	limit          int // tokens in prefill
+	inFlightTokens int
+	waiting        []*Resume
 }
 
-// SetEngines tells how many engines of the pool serve, and how many routers
-// share them.
+// SetEngines sets how many engines serve the pool and how many routers share them.
 func (p *Pacer) SetEngines(n, routers int) {
-	p.limit = max(1, prefillPerEngine*n/max(1, routers))
+	p.limit = max(1, prefillTokensPerEngine*n/max(1, routers))
 }
 
-// Waiting is the number of resumes that are held back.
+// Waiting returns the number of queued resumes.
 func (p *Pacer) Waiting() int { return len(p.waiting) }
 
-// Enter queues a resume.
+// Enqueue adds a resume to the queue.
 func (p *Pacer) Enter(r *Resume, now time.Time) {
-	r.since, r.state = now, resumeWaiting
-	at, _ := slices.BinarySearchFunc(p.waiting, r, order)
+	r.enqueuedAt, r.state = now, resumeWaiting
+	at, _ := slices.BinarySearchFunc(p.waiting, r, compareResumes)
 	p.waiting = slices.Insert(p.waiting, at, r)
 }
 
-// order puts the higher priority first, then the earlier deadline, then what is
-// cheaper to bring back.
-func order(a, b *Resume) int {
+// compareResumes orders by higher priority first, then by earlier deadline, then by fewer
+// tokens to prefill.
+func compareResumes(a, b *Resume) int {
 	if c := cmp.Compare(b.Priority, a.Priority); c != 0 {
 		return c
 	}
@@ -78,14 +77,14 @@
 	return cmp.Or(a.Deadline.Compare(b.Deadline), cmp.Compare(a.Prefill, b.Prefill))
 }
 
-// Next grants the next resume, or returns nil. One is always granted when none
-// is under way, however large; and none is held longer than maxHold.
+// Next grants the next resume, or returns nil. If none is in flight, one is granted however
+// large it is, and none is delayed longer than maxResumeDelay.
 func (p *Pacer) Next(now time.Time) *Resume {
 	for i, r := range p.waiting {
-		fits := p.underway == 0 || p.underway+r.Prefill <= p.limit
-		if i == 0 && fits || now.Sub(r.since) >= maxHold {
+		fits := p.inFlightTokens == 0 || p.inFlightTokens+r.Prefill <= p.limit
+		if i == 0 && fits || now.Sub(r.enqueuedAt) >= maxResumeDelay {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
-			p.underway += r.Prefill
+			p.inFlightTokens += r.Prefill
 			r.state = resumeGranted
 			return r
 		}
@@ -93,14 +92,14 @@
 	return nil
 }
 
-// Leave ends a resume: its first token came, its attempt failed, or its caller
-// is gone. It may be called twice.
+// Release ends a resume because its first token came, its attempt failed or its caller
+// disconnected. It may be called twice.
 func (p *Pacer) Leave(r *Resume) {
 	switch r.state {
 	case resumeWaiting:
 		p.waiting = slices.DeleteFunc(p.waiting, func(o *Resume) bool { return o == r })
 	case resumeGranted:
-		p.underway -= r.Prefill
+		p.inFlightTokens -= r.Prefill
 	case resumeIdle:
 	}
 	r.state = resumeIdle
--- a/internal/recovery/poison.go
+++ b/internal/recovery/poison.go
@@ -5,42 +5,45 @@
 	"time"
 )
 
-// Figures of blame.
+// Bounds of poison suspicion.
 const (
-	// engineLimit engines that died under a request without it getting past the
-	// point of the first death: it is refused. One death is the engine's or a
-	// neighbour's as likely; the second comes when it runs with few neighbours.
-	engineLimit = 2
-
-	// passedTokens: a suspect that generates this many tokens on another engine is
-	// past what killed the first one, and is cleared. Up to some ten tokens can
-	// be lost on the way from a dying engine.
-	passedTokens = 16
-
-	// blameLife: blame expires, since engines are mended and callers change what
-	// they send.
-	blameLife = 10 * time.Minute
-
-	// massDeaths engines that die within massWindow die of a common cause (a zone,
-	// a rack, a bad order), unless one request ran on that many of them: blame of
-	// a single death is taken back, and of two one is left.
-	massDeaths = 3
-	massWindow = 3 * time.Second
-
-	// sameDeath: two reports on one engine within this time are one death.
-	sameDeath = 3 * time.Second
-
-	maxBlamed = 1 << 14
+	// poisonDeaths is the number of engines that must die under a request before it is
+	// refused, if it never got past the point of the first death. A single death may as
+	// likely be caused by the engine or by another request; the second one happens while
+	// the suspect runs beside few others.
+	poisonDeaths = 2
+
+	// clearingTokens generated on another engine show that a suspect is past the point that
+	// killed the first engine, so it is cleared. Up to about ten tokens can be lost on the
+	// way from a dying engine.
+	clearingTokens = 16
+
+	// suspicionTTL is how long a suspicion lasts. Engines are repaired and callers change
+	// what they send.
+	suspicionTTL = 10 * time.Minute
+
+	// commonCauseDeaths engines that die within commonCauseWindow have a common cause such
+	// as a lost zone, a failed rack or a bad deployment, unless one request ran on that
+	// many of them. A suspicion from a single death in the window is withdrawn, and one
+	// from two deaths is reduced to one.
+	commonCauseDeaths = 3
+	commonCauseWindow = 3 * time.Second
+
+	// sameDeathWindow is the time within which two reports on one engine count as one
+	// death.
+	sameDeathWindow = 3 * time.Second
+
+	maxSuspects = 1 << 14
 )
 
-// Death is one engine that died under a request, as VMs tell each other.
+// Death is the death of one engine under a request, as VMs report it to each other.
 type Death struct {
 	Digest uint64    `cbor:"1,keyasint"` // of the request's content
 	Engine string    `cbor:"2,keyasint"`
 	At     time.Time `cbor:"-"`
 }
 
-// Standing is what blame says about a request.
+// Standing is the decision on a request that follows from past deaths.
 type Standing int
 
 // Standings.
@@ -55,102 +58,104 @@
 	at     time.Time
 }
 
-type blame struct {
+type suspectRequest struct {
 	deaths []death
 	last   time.Time
 }
 
-// Blame remembers which requests were running when engines died, by the digest
-// of their content, so that a resend under a new id is known. It is not safe
-// for concurrent use.
+// PoisonSuspicion records which requests were running when engines died. It identifies a
+// request by the digest of its content, so a resend under a new id is recognised. It is not
+// safe for concurrent use.
 type Blame struct {
-	byDigest map[uint64]*blame
-	recent   []death // of engines
+	byDigest map[uint64]*suspectRequest
+	recent   []death // deaths of engines within commonCauseWindow
 }
 
-// NewBlame returns an empty ledger.
-func NewBlame() *Blame { return &Blame{byDigest: map[uint64]*blame{}} }
-
-// EngineDied notes that an engine died while it ran a request. passed is the
-// number of tokens that the request got there: a suspect that got past its
-// first death is not blamed for the second.
-func (b *Blame) EngineDied(d Death, passed int) Standing {
-	b.noteEngine(d)
-	b.add(d, passed)
-	if len(b.recent) >= massDeaths {
-		b.withdraw(d.At)
+// NewPoisonSuspicion returns an empty record.
+func NewBlame() *Blame { return &Blame{byDigest: map[uint64]*suspectRequest{}} }
+
+// EngineDied records that an engine died while it ran a request, and returns the request's
+// standing. passed is the number of tokens that the request generated on that engine. A
+// suspect that got past the point of its first death there is not suspected for the first
+// death any longer.
+func (p *Blame) EngineDied(d Death, passed int) Standing {
+	p.noteEngineDeath(d)
+	p.add(d, passed)
+	if len(p.recent) >= commonCauseDeaths {
+		p.withdrawCommonCause(d.At)
 	}
-	return b.Standing(d.Digest, d.At)
+	return p.Standing(d.Digest, d.At)
 }
 
-func (b *Blame) add(d Death, passed int) {
-	e := b.byDigest[d.Digest]
-	if e == nil || d.At.Sub(e.last) > blameLife {
-		b.expire(d.At)
-		e = &blame{}
-		b.byDigest[d.Digest] = e
+func (p *Blame) add(d Death, passed int) {
+	e := p.byDigest[d.Digest]
+	if e == nil || d.At.Sub(e.last) > suspicionTTL {
+		p.expire(d.At)
+		e = &suspectRequest{}
+		p.byDigest[d.Digest] = e
 	}
-	same := func(o death) bool { return o.engine == d.Engine && d.At.Sub(o.at) < sameDeath }
+	same := func(o death) bool { return o.engine == d.Engine && d.At.Sub(o.at) < sameDeathWindow }
 	if slices.ContainsFunc(e.deaths, same) {
 		return
 	}
-	if passed >= passedTokens {
-		e.deaths = e.deaths[:0] // it ran past what killed the engines before
+	if passed >= clearingTokens {
+		e.deaths = e.deaths[:0] // it ran past the point that killed the earlier engines
 	}
 	e.deaths = append(e.deaths, death{d.Engine, d.At})
 	e.last = d.At
 }
 
-// Passed clears a suspect that has generated tokens on another engine, and
-// reports whether it did so now.
-func (b *Blame) Passed(digest uint64, tokens int) bool {
-	if e := b.byDigest[digest]; e == nil || tokens < passedTokens || len(e.deaths) >= engineLimit {
+// NoteProgress clears a suspect that has generated enough tokens on another engine, and
+// reports whether it cleared it now.
+func (p *Blame) Passed(digest uint64, tokens int) bool {
+	if e := p.byDigest[digest]; e == nil || tokens < clearingTokens || len(e.deaths) >= poisonDeaths {
 		return false
 	}
-	delete(b.byDigest, digest)
+	delete(p.byDigest, digest)
 	return true
 }
 
-// Standing judges a request by its content.
-func (b *Blame) Standing(digest uint64, now time.Time) Standing {
-	e := b.byDigest[digest]
+// Standing returns the standing of a request by the digest of its content.
+func (p *Blame) Standing(digest uint64, now time.Time) Standing {
+	e := p.byDigest[digest]
 	switch {
-	case e == nil || len(e.deaths) == 0 || now.Sub(e.last) > blameLife:
+	case e == nil || len(e.deaths) == 0 || now.Sub(e.last) > suspicionTTL:
 		return Innocent
-	case len(e.deaths) >= engineLimit:
+	case len(e.deaths) >= poisonDeaths:
 		return Poison
 	default:
 		return Suspect
 	}
 }
 
-// Expires is when a request's blame will have expired.
-func (b *Blame) Expires(digest uint64) time.Time {
-	if e := b.byDigest[digest]; e != nil {
-		return e.last.Add(blameLife)
+// Expires returns when the suspicion of a request expires; zero: it is not suspected.
+func (p *Blame) Expires(digest uint64) time.Time {
+	if e := p.byDigest[digest]; e != nil {
+		return e.last.Add(suspicionTTL)
 	}
 	return time.Time{}
 }
 
-func (b *Blame) noteEngine(d Death) {
-	b.recent = slices.DeleteFunc(b.recent, func(o death) bool { return d.At.Sub(o.at) > massWindow })
-	if !slices.ContainsFunc(b.recent, func(o death) bool { return o.engine == d.Engine }) {
-		b.recent = append(b.recent, death{d.Engine, d.At})
+func (p *Blame) noteEngineDeath(d Death) {
+	p.recent = slices.DeleteFunc(p.recent, func(o death) bool { return d.At.Sub(o.at) > commonCauseWindow })
+	if !slices.ContainsFunc(p.recent, func(o death) bool { return o.engine == d.Engine }) {
+		p.recent = append(p.recent, death{d.Engine, d.At})
 	}
 }
 
-// withdraw takes back the blame for the deaths of a common cause. A request
-// that was on massDeaths of the engines is the cause, and keeps it.
-func (b *Blame) withdraw(now time.Time) {
-	for digest, e := range b.byDigest {
-		recent := func(o death) bool { return now.Sub(o.at) <= massWindow }
+// withdrawCommonCause withdraws suspicions that stem from deaths with a common cause. A
+// request that ran on commonCauseDeaths of the engines is itself the cause and stays
+// suspected.
+func (p *Blame) withdrawCommonCause(now time.Time) {
+	for digest, e := range p.byDigest {
+		recent := func(o death) bool { return now.Sub(o.at) <= commonCauseWindow }
 		n := 0
 		for _, o := range e.deaths {
 			if recent(o) {
 				n++
 			}
 		}
-		if n == 0 || n >= massDeaths {
+		if n == 0 || n >= commonCauseDeaths {
 			continue
 		}
 		e.deaths = slices.DeleteFunc(e.deaths, recent)
@@ -158,26 +163,26 @@
 			e.deaths = append(e.deaths, death{engine: "common cause", at: now})
 		}
 		if len(e.deaths) == 0 {
-			delete(b.byDigest, digest)
+			delete(p.byDigest, digest)
 		}
 	}
 }
 
-func (b *Blame) expire(now time.Time) {
-	if len(b.byDigest) < maxBlamed {
+func (p *Blame) expire(now time.Time) {
+	if len(p.byDigest) < maxSuspects {
 		return
 	}
 	oldest, found := uint64(0), false
-	for digest, e := range b.byDigest {
-		if now.Sub(e.last) > blameLife {
-			delete(b.byDigest, digest)
+	for digest, e := range p.byDigest {
+		if now.Sub(e.last) > suspicionTTL {
+			delete(p.byDigest, digest)
 			continue
 		}
-		if !found || e.last.Before(b.byDigest[oldest].last) {
+		if !found || e.last.Before(p.byDigest[oldest].last) {
 			oldest, found = digest, true
 		}
 	}
-	if len(b.byDigest) >= maxBlamed {
-		delete(b.byDigest, oldest)
+	if len(p.byDigest) >= maxSuspects {
+		delete(p.byDigest, oldest)
 	}
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// streams feeds events of n streams of one engine, gap apart, until end.
+// streams feeds events of n streams of one engine, each gap apart, until end.
 func streams(d *Detector, engine string, n int, gap time.Duration, end time.Time) []*Stream {
 	var out []*Stream
 	for range n {
@@ -21,7 +21,7 @@
 	return out
 }
 
-// suspectedAfter is the silence at which Check first suspects.
+// suspectedAfter returns the silence after which Check first suspects the engine.
 func suspectedAfter(t *testing.T, d *Detector, s *Stream, from time.Time, each func(time.Time)) time.Duration {
 	t.Helper()
 	for now := from; now.Before(from.Add(time.Minute)); now = now.Add(10 * time.Millisecond) {
@@ -30,15 +30,15 @@
 		}
 		if suspect, again := d.Check(s, now); suspect {
 			return now.Sub(from)
-		} else if again <= 0 || again > recheck {
-			t.Fatalf("check again after %s", again)
+		} else if again <= 0 || again > maxRecheckInterval {
+			t.Fatalf("got a recheck after %s, want it above zero and within maxRecheckInterval", again)
 		}
 	}
 	return time.Minute
 }
 
-// What the caller of a silent stream waits before its answer moves on, by what
-// the engine's other streams show.
+// Guards against one fixed timeout for all silent streams. The time until an engine is
+// suspected depends on what its other streams and its polls show.
 func TestSuspicionFollowsTheEvidence(t *testing.T) {
 	end := start.Add(5 * time.Second)
 	cases := []struct {
@@ -50,7 +50,7 @@
 		{"all streams silent, latency", ResumeLatency, func(d *Detector) time.Duration {
 			return suspectedAfter(t, d, streams(d, "e", 10, 20*time.Millisecond, end)[0], end, nil)
 		}, 500 * time.Millisecond, time.Second},
-		{"all streams silent, extra work: a pause of 2 s passes", ExtraWork, func(d *Detector) time.Duration {
+		{"all streams silent, extra work tolerates a pause of 2 s", ExtraWork, func(d *Detector) time.Duration {
 			return suspectedAfter(t, d, streams(d, "e", 10, 20*time.Millisecond, end)[0], end, nil)
 		}, 2100 * time.Millisecond, 4 * time.Second},
 		{"one stream stalled beside others", ResumeLatency, func(d *Detector) time.Duration {
@@ -61,7 +61,7 @@
 				}
 			})
 		}, 2 * time.Second, 5 * time.Second},
-		{"queued behind others: not dead", ResumeLatency, func(d *Detector) time.Duration {
+		{"queued behind others, not dead", ResumeLatency, func(d *Detector) time.Duration {
 			all := streams(d, "e", 10, 20*time.Millisecond, end)
 			queued := d.Begin("e", end)
 			return suspectedAfter(t, d, queued, end, func(now time.Time) {
@@ -69,14 +69,14 @@
 					d.Event(s, now)
 				}
 			})
-		}, queuedFloor, time.Minute},
+		}, minQueuedWait, time.Minute},
 		{"queued alone on an engine that answers polls", ResumeLatency, func(d *Detector) time.Duration {
 			return suspectedAfter(t, d, d.Begin("e", end), end, func(now time.Time) { d.Polled("e", now) })
-		}, queuedFloor, time.Minute},
+		}, minQueuedWait, time.Minute},
 		{"no sign of life at all", ExtraWork, func(d *Detector) time.Duration {
 			return suspectedAfter(t, d, d.Begin("e", end), end, nil)
-		}, time.Second, firstFloor},
-		{"a slow engine's gaps are its own", ResumeLatency, func(d *Detector) time.Duration {
+		}, time.Second, maxFirstTokenWait},
+		{"a slow engine is judged by its own gaps", ResumeLatency, func(d *Detector) time.Duration {
 			s := d.Begin("e", start)
 			now := start
 			for n := range 100 {
@@ -85,7 +85,7 @@
 			}
 			return suspectedAfter(t, d, s, now, nil)
 		}, 1500 * time.Millisecond, 2 * time.Second},
-		{"an engine with wild gaps: the ceiling holds", ResumeLatency, func(d *Detector) time.Duration {
+		{"an engine with irregular gaps is bounded by the ceiling", ResumeLatency, func(d *Detector) time.Duration {
 			s := d.Begin("e", start)
 			now := start
 			for n := range 100 {
@@ -94,21 +94,21 @@
 			}
 			return suspectedAfter(t, d, s, now, nil)
 		}, 2 * time.Second, 2100 * time.Millisecond},
-		{"budget used up: patient", ResumeLatency, func(d *Detector) time.Duration {
+		{"budget used up, ceiling only", ResumeLatency, func(d *Detector) time.Duration {
 			d.SetPatient(true)
 			return suspectedAfter(t, d, streams(d, "e", 10, 20*time.Millisecond, end)[0], end, nil)
 		}, 2 * time.Second, 2100 * time.Millisecond},
 	}
 	for _, c := range cases {
 		if got := c.run(NewDetector(PolicyOf(c.objective))); got < c.low || got > c.high {
-			t.Errorf("%s: suspected after %s, want %s to %s", c.name, got, c.low, c.high)
+			t.Errorf("%s: got suspicion after %s, want %s to %s", c.name, got, c.low, c.high)
 		}
 	}
 }
 
-// This VM stands still for five seconds. When it goes on, its timers fire
-// before it has read what the engines sent meanwhile: none of them is suspected.
-func TestOwnPauseIsNoSilenceOfTheEngines(t *testing.T) {
+// Guards against suspicion of all engines after a local pause: this VM is paused for five
+// seconds, and its timers fire before it has read what the engines sent meanwhile.
+func TestLocalPauseRaisesNoSuspicion(t *testing.T) {
 	end := start.Add(5 * time.Second)
 	d := NewDetector(PolicyOf(ResumeLatency))
 	all := streams(d, "e", 4, 20*time.Millisecond, end)
@@ -116,35 +116,35 @@
 	back := end.Add(5 * time.Second)
 	for _, s := range all {
 		if suspect, _ := d.Check(s, back); suspect {
-			t.Fatal("suspected at once after the VM's own pause")
+			t.Fatal("got suspicion at once after a local pause, want none")
 		}
 	}
 	if after := suspectedAfter(t, d, all[0], back, nil); after > 2*time.Second {
-		t.Errorf("a silence after the pause was noticed after %s", after)
+		t.Errorf("got suspicion %s after the local pause, want at most 2s", after)
 	}
 }
 
-func TestMoveOffASlowEnginePaysOff(t *testing.T) {
+func TestWorthMoving(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		slowness      float64
 		left, prefill int
 		want          bool
 	}{
-		{"full, not slow", 1.8, 4000, 1000, false},
+		{"loaded, not slow", 1.8, 4000, 1000, false},
 		{"slow, minutes left", 8, 4000, 1000, true},
 		{"slow, nearly done", 8, 5, 1000, false},
-		{"slow, little left behind a huge prompt", 4, 100, 100_000, false},
+		{"slow, little left after a huge prompt", 4, 100, 100_000, false},
 	} {
 		if got := WorthMoving(c.slowness, c.left, c.prefill); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: got WorthMoving %v, want the opposite", c.name, got)
 		}
 	}
 }
 
-// Forty streams of a dead engine would prefill 200,000 tokens on the survivors
-// at once and stall every stream there. They start as the survivors manage, the
-// earliest deadline first, and none is held for long.
+// Guards against a stall of the surviving engines: forty streams of a dead engine would
+// prefill 200,000 tokens there at once. They must start at the engines' pace, the earliest
+// deadline first, and none may be delayed beyond maxResumeDelay.
 func TestResumesArePacedByDeadline(t *testing.T) {
 	p := &Pacer{}
 	p.SetEngines(4, 1)
@@ -154,41 +154,41 @@
 		all = append(all, r)
 		p.Enter(r, start)
 	}
-	underway := 0
+	granted := 0
 	for p.Next(start) != nil {
-		underway++
+		granted++
 	}
-	if underway != 4 {
-		t.Fatalf("%d resumes at once on 4 engines", underway)
+	if granted != 4 {
+		t.Fatalf("got %d resumes at once on 4 engines, want 4", granted)
 	}
 	if !all[39].Granted() || all[0].Granted() {
-		t.Error("the earliest deadline did not go first")
+		t.Error("the resume with the earliest deadline was not granted first")
 	}
 	p.Leave(all[39])
 	if r := p.Next(start); r != all[35] {
-		t.Error("an ended resume did not let the next one start")
+		t.Error("a released resume did not let the next one start")
 	}
-	for p.Next(start.Add(maxHold)) != nil {
-		underway++
+	for p.Next(start.Add(maxResumeDelay)) != nil {
+		granted++
 	}
 	if p.Waiting() != 0 {
-		t.Errorf("%d resumes held beyond %s", p.Waiting(), maxHold)
+		t.Errorf("got %d resumes delayed beyond %s, want none", p.Waiting(), maxResumeDelay)
 	}
 	for _, r := range all {
 		p.Leave(r)
 		p.Leave(r)
 	}
-	if p.underway != 0 {
-		t.Errorf("%d tokens under way after the end", p.underway)
+	if p.inFlightTokens != 0 {
+		t.Errorf("got %d tokens in flight after all resumes were released, want 0", p.inFlightTokens)
 	}
 }
 
-func TestOneHugeResumeIsNotHeldForever(t *testing.T) {
+func TestResumeLargerThanLimitIsGranted(t *testing.T) {
 	p := &Pacer{}
 	p.SetEngines(1, 11)
 	p.Enter(&Resume{Prefill: 1 << 20}, start)
 	if p.Next(start) == nil {
-		t.Error("a resume larger than the limit never starts")
+		t.Error("a resume larger than the limit was not granted")
 	}
 }
 
@@ -201,97 +201,97 @@
 			spent += 500
 		}
 	}
-	if most := int(0.05*10_000_000) + budgetBurst + 500; spent > most {
-		t.Errorf("%d tokens spent, most %d", spent, most)
+	if most := int(0.05*10_000_000) + budgetBurstTokens + 500; spent > most {
+		t.Errorf("got %d tokens spent, want at most %d", spent, most)
 	}
 	if NewBudget(0).Spend(1) {
-		t.Error("a budget of nothing was spent")
+		t.Error("a budget with share 0 allowed spending")
 	}
 }
 
-func (b *Blame) dies(engine string, at time.Time, digests ...uint64) {
+func (p *Blame) engineDied(engine string, at time.Time, digests ...uint64) {
 	for _, d := range digests {
-		b.EngineDied(Death{Digest: d, Engine: engine, At: at}, 0)
+		p.EngineDied(Death{Digest: d, Engine: engine, At: at}, 0)
 	}
 }
 
-// A caller's request crashes the engine it runs on, with nineteen innocent ones
-// beside it. All twenty are suspects once. The innocent ones run past the point
-// on other engines and are cleared; the bad one takes down a second engine, and
-// then it is refused, also under new ids, until the blame expires.
-func TestPoisonIsRefusedAfterTwoEnginesAndInnocentsNever(t *testing.T) {
+// Guards against a request that crashes engine after engine, and against the refusal of the
+// harmless requests beside it. All requests on the first engine become suspects. The
+// harmless ones pass that point on other engines and are cleared. The bad one takes down a
+// second engine and is then refused until the suspicion expires, also under new ids.
+func TestPoisonIsRefusedAfterTwoEngines(t *testing.T) {
 	b := NewBlame()
 	const bad = 7
-	b.dies("e1", start, 1, 2, 3, 4, 5, 6, bad)
+	b.engineDied("e1", start, 1, 2, 3, 4, 5, 6, bad)
 	for d := uint64(1); d <= bad; d++ {
 		if got := b.Standing(d, start); got != Suspect {
-			t.Fatalf("request %d after one death: %v", d, got)
+			t.Fatalf("request %d after one death: got standing %v, want Suspect", d, got)
 		}
 	}
 	later := start.Add(10 * time.Second)
 	for d := uint64(1); d < bad; d++ {
-		if !b.Passed(d, passedTokens) || b.Standing(d, later) != Innocent {
-			t.Errorf("request %d ran past the death and is not cleared", d)
+		if !b.Passed(d, clearingTokens) || b.Standing(d, later) != Innocent {
+			t.Errorf("request %d ran past the point of the death and was not cleared", d)
 		}
 	}
-	b.dies("e2", later, bad)
+	b.engineDied("e2", later, bad)
 	if got := b.Standing(bad, later); got != Poison {
-		t.Fatalf("after two engines: %v", got)
+		t.Fatalf("after two engines: got standing %v, want Poison", got)
 	}
 	if b.Passed(bad, 1000) {
-		t.Error("poison cleared by a late event")
+		t.Error("a late event cleared a poison request")
 	}
-	if got := b.Standing(bad, later.Add(blameLife+time.Second)); got != Innocent {
-		t.Errorf("blame did not expire: %v", got)
+	if got := b.Standing(bad, later.Add(suspicionTTL+time.Second)); got != Innocent {
+		t.Errorf("after suspicionTTL: got standing %v, want Innocent", got)
 	}
 }
 
-// Two engines die in a row under one long answer. It had gone on for minutes on
-// the second one, so it is not what killed both.
-func TestSecondDeathFarBehindTheFirstIsNoPoison(t *testing.T) {
+// Guards against the refusal of a long answer under which two engines die in a row. It ran
+// for minutes on the second engine, so it cannot be what killed both.
+func TestSecondDeathAfterProgressIsNotPoison(t *testing.T) {
 	b := NewBlame()
 	b.EngineDied(Death{Digest: 1, Engine: "e1", At: start}, 500)
 	if got := b.EngineDied(Death{Digest: 1, Engine: "e2", At: start.Add(time.Minute)}, 300); got != Suspect {
-		t.Errorf("got %v", got)
+		t.Errorf("got standing %v, want Suspect", got)
 	}
 }
 
-// A zone is lost: eight engines die within two seconds, and some streams had
-// just been moved from one of them to another. Nobody is to blame.
-func TestCommonCauseBlamesNobody(t *testing.T) {
+// Guards against refusals after the loss of a zone: eight engines die within two seconds,
+// and some streams had just been moved from one of them to another.
+func TestCommonCauseIsNotPoison(t *testing.T) {
 	b := NewBlame()
 	for n := range 8 {
 		at := start.Add(time.Duration(n) * 200 * time.Millisecond)
-		b.dies([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[n], at, uint64(n), uint64(n+1))
+		b.engineDied([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[n], at, uint64(n), uint64(n+1))
 	}
 	for d := range uint64(9) {
 		if got := b.Standing(d, start.Add(2*time.Second)); got == Poison {
-			t.Errorf("request %d is refused for a lost zone", d)
+			t.Errorf("got Poison for request %d after the loss of a zone, want Innocent or Suspect", d)
 		}
 	}
 }
 
-// The same bad content comes under ten ids at once and takes down an engine
-// each. That is no common cause: it was on all of them.
-func TestPoisonSentManyTimesAtOnceIsStillFound(t *testing.T) {
+// Guards against a poison request that passes for a common cause: the same content is sent
+// under several ids at once and takes down one engine each. It ran on all of them.
+func TestPoisonUnderSeveralIDsIsFound(t *testing.T) {
 	b := NewBlame()
 	for n := range 4 {
-		b.dies([]string{"a", "b", "c", "d"}[n], start.Add(time.Duration(n)*100*time.Millisecond), 7, uint64(100+n))
+		b.engineDied([]string{"a", "b", "c", "d"}[n], start.Add(time.Duration(n)*100*time.Millisecond), 7, uint64(100+n))
 	}
 	if got := b.Standing(7, start.Add(time.Second)); got != Poison {
-		t.Errorf("the common request is %v", got)
+		t.Errorf("got standing %v for the common request, want Poison", got)
 	}
 	if got := b.Standing(101, start.Add(time.Second)); got != Innocent {
-		t.Errorf("its neighbour is %v", got)
+		t.Errorf("got standing %v for a request beside it, want Innocent", got)
 	}
 }
 
-func TestBlameIsBounded(t *testing.T) {
+func TestPoisonSuspicionIsBounded(t *testing.T) {
 	b := NewBlame()
-	for n := range maxBlamed + 20 {
+	for n := range maxSuspects + 20 {
 		b.add(Death{Digest: uint64(n), Engine: "e", At: start.Add(time.Duration(n) * time.Millisecond)}, 0)
-		if len(b.byDigest) > maxBlamed {
-			t.Fatal("more than the bound")
+		if len(b.byDigest) > maxSuspects {
+			t.Fatal("more than maxSuspects requests are recorded")
 		}
 	}
 }
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -23,42 +23,42 @@
 
 const (
 	// slotLength is the time whose answers are compared with one another.
-	slotLength = time.Second
+	intervalLength = time.Second
 	// recentSlots, and as many more as have recentAnswers, are tested by themselves: a
 	// version may go bad after a long good time.
-	recentSlots   = 3
-	recentAnswers = 24
+	minRecentIntervals   = 3
+	minRecentAnswers = 24
 	// priorWeight is how many answers of the whole time stand beside those of a moment.
 	priorWeight = 10
 	// slowBuckets above the other version's median an answer is slow, 2.4 times as long, if
 	// it is leastSlow longer too: a busy VM delays short answers by as much.
 	slowBuckets = bucketsPerOctave + 1
-	leastSlow   = 20 * time.Millisecond
+	minSlowExcess   = 20 * time.Millisecond
 	// rateSlack and rateFloor: this much worse is no fault of the version.
 	rateSlack = 1.25
 	rateFloor = 0.005
 	// badSurprise is the evidence that a version is bad: chance brings it about in less
 	// than one of a thousand roll-outs, with some hundred looks at it.
-	badSurprise = 8
+	badLLR = 8
 	// badAnswers are needed at least: what has failed twice may be chance.
-	badAnswers = 3
+	minBadAnswers = 3
 	// oddSurprise is the evidence at which one server is told apart from its version.
-	oddSurprise = 2
+	outlierLLR = 2
 )
 
 // slot is the answers of a moment.
-type slot struct {
+type interval struct {
 	former, target map[Cell]Servers
 	// judged is the new version's part by server, once it and the slot behind it are over.
 	judged map[Cell]map[string]verdict
 }
 
 // since returns the answers that have come between two sums.
-func since(now, before *Evidence) slot {
-	return slot{former: newIn(now.Former, before.Former), target: newIn(now.Target, before.Target)}
+func intervalBetween(now, before *Evidence) interval {
+	return interval{former: increments(now.Former, before.Former), target: increments(now.Target, before.Target)}
 }
 
-func newIn(now, before map[Cell]Servers) map[Cell]Servers {
+func increments(now, before map[Cell]Servers) map[Cell]Servers {
 	out := make(map[Cell]Servers, len(now))
 	for cell, servers := range now {
 		out[cell] = make(Servers, len(servers))
@@ -72,7 +72,7 @@
 }
 
 // settle forgets what waits, when the moment is over: it is in the next one, or answered.
-func (s *slot) settle() {
+func (s *interval) dropWaiting() {
 	for _, cells := range []map[Cell]Servers{s.former, s.target} {
 		for _, servers := range cells {
 			for server, c := range servers {
@@ -84,7 +84,7 @@
 }
 
 // answers of the new version.
-func (s *slot) answers() int {
+func (s *interval) answers() int {
 	n := 0
 	for cell, servers := range s.target {
 		if cell.Measure == Whole {
@@ -97,11 +97,11 @@
 }
 
 // recent is how many of the last slots are judged by themselves.
-func recent(slots []slot) int {
+func recentCount(slots []interval) int {
 	answers := 0
 	for n := 1; n <= len(slots); n++ {
 		answers += slots[len(slots)-n].answers()
-		if n >= recentSlots && answers >= recentAnswers {
+		if n >= minRecentIntervals && answers >= minRecentAnswers {
 			return n
 		}
 	}
@@ -126,13 +126,13 @@
 }
 
 func (t *tally) isBad() bool {
-	return t.bad >= badAnswers && t.surprise() >= badSurprise
+	return t.bad >= minBadAnswers && t.llr() >= badLLR
 }
 
 // atMostWorseBy reports whether the version is worse by less than an excess of the rate,
 // but for one time in chance.
 func (t *tally) atMostWorseBy(excess, chance float64) bool {
-	return atMost(t.bad, t.n, t.expectedRate()+excess) <= chance
+	return binomialCDF(t.bad, t.n, t.expectedRate()+excess) <= chance
 }
 
 // verdict is the tallies of one cell.
@@ -162,13 +162,13 @@
 }
 
 // compare judges the last n slots. overall is the other version's answers of all slots.
-func compare(slots []slot, n int, overall map[Cell]Servers) comparison {
+func compare(slots []interval, n int, overall map[Cell]Servers) comparison {
 	out := comparison{cells: map[Cell]*verdict{}}
 	byServer := map[Cell]map[string]verdict{}
 	for i := max(0, len(slots)-n); i < len(slots); i++ {
 		judged := slots[i].judged
 		if judged == nil {
-			judged = judgeSlot(slots, i, overall)
+			judged = judgeInterval(slots, i, overall)
 		}
 		for cell, servers := range judged {
 			if byServer[cell] == nil {
@@ -193,11 +193,11 @@
 
 // judgeSlot counts the new version's answers of a slot against what the other version
 // did around it.
-func judgeSlot(slots []slot, i int, overall map[Cell]Servers) map[Cell]map[string]verdict {
+func judgeInterval(slots []interval, i int, overall map[Cell]Servers) map[Cell]map[string]verdict {
 	out := map[Cell]map[string]verdict{}
 	for cell, servers := range slots[i].target {
-		faulty := faultyOf(overall[cell])
-		near := formerOf(slots[max(0, i-1):min(len(slots), i+2)], cell)
+		faulty := faultyServer(overall[cell])
+		near := sumFormer(slots[max(0, i-1):min(len(slots), i+2)], cell)
 		e := expect(near.without(faulty), overall[cell].without(faulty))
 		out[cell] = make(map[string]verdict, len(servers))
 		for server, c := range servers {
@@ -207,7 +207,7 @@
 	return out
 }
 
-func formerOf(slots []slot, cell Cell) Servers {
+func sumFormer(slots []interval, cell Cell) Servers {
 	sum := Servers{}
 	for i := range slots {
 		for server, c := range slots[i].former[cell] {
@@ -229,7 +229,7 @@
 }
 
 // faultyOf names the server that fails far more often than the others; "": none does.
-func faultyOf(s Servers) string {
+func faultyServer(s Servers) string {
 	answers, failures := 0, 0
 	for _, c := range s {
 		answers += c.Answers
@@ -243,7 +243,7 @@
 			continue
 		}
 		rate := rateSlack*float64(failures-c.Failures)/float64(others) + rateFloor
-		if v := surprise(float64(c.Failures), float64(c.Answers), min(rate, 1-rateFloor)); v > most && v >= badSurprise {
+		if v := logLikelihoodRatio(float64(c.Failures), float64(c.Answers), min(rate, 1-rateFloor)); v > most && v >= badLLR {
 			faulty, most = id, v
 		}
 	}
@@ -253,27 +253,27 @@
 // expectation is what the other version would have done.
 type expectation struct {
 	failed, slow float64
-	slowFrom     int // bucket; 0: the other version's times are not known
+	slowFromBucket     int // bucket; 0: the other version's times are not known
 }
 
 func expect(near, overall Counts) expectation {
-	e := expectation{failed: blend(near.Failures, near.Answers, overall.Failures, overall.Answers)}
+	e := expectation{failed: smoothedRate(near.Failures, near.Answers, overall.Failures, overall.Answers)}
 	times := near.Times
-	if sumOf(times) < priorWeight {
+	if countOf(times) < priorWeight {
 		times = overall.Times
 	}
-	if sumOf(times) == 0 {
+	if countOf(times) == 0 {
 		return e
 	}
-	median := medianOf(times)
-	e.slowFrom = max(median+slowBuckets, int(bucketOf(timeOf(median)+leastSlow)))
-	waiting := above(near.Waiting, e.slowFrom)
-	e.slow = blend(waiting+above(near.Times, e.slowFrom), waiting+sumOf(near.Times), above(overall.Times, e.slowFrom), sumOf(overall.Times))
+	median := medianBucket(times)
+	e.slowFromBucket = max(median+slowBuckets, int(bucketOf(bucketTime(median)+minSlowExcess)))
+	waiting := countFrom(near.Waiting, e.slowFromBucket)
+	e.slow = smoothedRate(waiting+countFrom(near.Times, e.slowFromBucket), waiting+countOf(near.Times), countFrom(overall.Times, e.slowFromBucket), countOf(overall.Times))
 	return e
 }
 
 // blend is a moment's rate, with some answers of the whole time beside it.
-func blend(x, n, allX, all int) float64 {
+func smoothedRate(x, n, allX, all int) float64 {
 	rate := 0.0
 	if all > 0 {
 		rate = float64(allX) / float64(all)
@@ -285,10 +285,10 @@
 func (e *expectation) judge(c Counts) verdict {
 	n := float64(c.Answers)
 	v := verdict{failed: tally{n: n, bad: float64(c.Failures), expected: n * e.failed}}
-	if e.slowFrom > 0 {
-		waiting := above(c.Waiting, e.slowFrom) // slow already, whenever they are answered
-		timed := float64(waiting + sumOf(c.Times))
-		v.slow = tally{n: timed, bad: float64(waiting + above(c.Times, e.slowFrom)), expected: timed * e.slow}
+	if e.slowFromBucket > 0 {
+		waiting := countFrom(c.Waiting, e.slowFromBucket) // slow already, whenever they are answered
+		timed := float64(waiting + countOf(c.Times))
+		v.slow = tally{n: timed, bad: float64(waiting + countFrom(c.Times, e.slowFromBucket)), expected: timed * e.slow}
 	}
 	return v
 }
@@ -296,13 +296,13 @@
 // withoutWorst sums all servers but the one that stands out most by its bad answers, if
 // others have answered too.
 func withoutWorst(byServer map[string]verdict) verdict {
-	worst, most := "", float64(oddSurprise)
+	worst, most := "", float64(outlierLLR)
 	var sum verdict
 	for _, server := range slices.Sorted(maps.Keys(byServer)) {
 		v := byServer[server]
 		sum.add(&v)
-		if v.surprise() > most {
-			worst, most = server, v.surprise()
+		if v.llr() > most {
+			worst, most = server, v.llr()
 		}
 	}
 	if worst == "" || len(byServer) < 2 {
@@ -312,12 +312,12 @@
 	return sum.minus(&v)
 }
 
-func (v *verdict) surprise() float64 { return max(v.failed.surprise(), v.slow.surprise()) }
+func (v *verdict) llr() float64 { return max(v.failed.llr(), v.slow.llr()) }
 
-func (t *tally) surprise() float64 { return surprise(t.bad, t.n, t.expectedRate()) }
+func (t *tally) llr() float64 { return logLikelihoodRatio(t.bad, t.n, t.expectedRate()) }
 
 // bad returns why the version is bad, "" where nothing says so.
-func (c *comparison) bad() string {
+func (c *comparison) whyBad() string {
 	if c.all.failed.isBad() || c.all.slow.isBad() {
 		return "all routes: " + c.all.String()
 	}
@@ -330,7 +330,7 @@
 	return ""
 }
 
-func sumOf(times map[uint8]int) int {
+func countOf(times map[uint8]int) int {
 	n := 0
 	for _, c := range times {
 		n += c
@@ -338,7 +338,7 @@
 	return n
 }
 
-func above(times map[uint8]int, from int) int {
+func countFrom(times map[uint8]int, from int) int {
 	n := 0
 	for b, c := range times {
 		if int(b) >= from {
@@ -348,8 +348,8 @@
 	return n
 }
 
-func medianOf(times map[uint8]int) int {
-	half, n := (sumOf(times)+1)/2, 0
+func medianBucket(times map[uint8]int) int {
+	half, n := (countOf(times)+1)/2, 0
 	for _, b := range slices.Sorted(maps.Keys(times)) {
 		if n += times[b]; n >= half {
 			return int(b)
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -36,7 +36,7 @@
 }
 
 // timeOf is the time in the middle of a bucket.
-func timeOf(bucket int) time.Duration {
+func bucketTime(bucket int) time.Duration {
 	return time.Duration(float64(firstBucket) * math.Exp2(float64(bucket)/bucketsPerOctave))
 }
 
@@ -123,7 +123,7 @@
 const formerGroups = 16
 
 // groupOf is the group of a server of the other version.
-func groupOf(server string) string {
+func serverGroup(server string) string {
 	return strconv.FormatUint(xxhash.Sum64String(server)%formerGroups, 16)
 }
 
@@ -145,16 +145,16 @@
 }
 
 // watched is one roll-out as a router observes it.
-type watched struct {
+type observedRollout struct {
 	number   uint64
 	requests map[string]int
 	sent     int
 	rows     map[rowKey]*Counts
-	open     map[uint64]openRun
+	open     map[uint64]pendingRequest
 }
 
 // openRun is a request at a server that has not answered.
-type openRun struct {
+type pendingRequest struct {
 	key   rowKey
 	began time.Time
 }
@@ -172,29 +172,29 @@
 	now func() time.Time
 
 	mu       sync.Mutex
-	services map[string]*watched
+	services map[string]*observedRollout
 	runs     uint64
 }
 
 // NewBook returns an empty Book.
-func NewBook(now func() time.Time) *Book { return &Book{now: now, services: map[string]*watched{}} }
+func NewBook(now func() time.Time) *Book { return &Book{now: now, services: map[string]*observedRollout{}} }
 
 // Watch says which roll-outs are under way. The others are forgotten.
 func (b *Book) Watch(underWay map[string]uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	maps.DeleteFunc(b.services, func(service string, w *watched) bool { return underWay[service] != w.number })
+	maps.DeleteFunc(b.services, func(service string, w *observedRollout) bool { return underWay[service] != w.number })
 	for service, number := range underWay {
 		if b.services[service] == nil {
-			b.services[service] = &watched{
-				number: number, requests: map[string]int{}, rows: map[rowKey]*Counts{}, open: map[uint64]openRun{},
+			b.services[service] = &observedRollout{
+				number: number, requests: map[string]int{}, rows: map[rowKey]*Counts{}, open: map[uint64]pendingRequest{},
 			}
 		}
 	}
 }
 
 // at returns a roll-out under way, or nil. It needs b.mu.
-func (b *Book) at(service string, number uint64) *watched {
+func (b *Book) lookup(service string, number uint64) *observedRollout {
 	w := b.services[service]
 	if w == nil || w.number != number {
 		return nil
@@ -209,7 +209,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if w := b.at(service, c.Number); w != nil {
+	if w := b.lookup(service, c.Number); w != nil {
 		w.requests[route]++
 	}
 }
@@ -222,7 +222,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if w := b.at(service, c.Number); w != nil {
+	if w := b.lookup(service, c.Number); w != nil {
 		w.sent++
 	}
 }
@@ -234,12 +234,12 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(service, c.Number)
+	w := b.lookup(service, c.Number)
 	if w == nil {
 		return Ticket{}
 	}
 	b.runs++
-	w.open[b.runs] = openRun{keyOf(Cell{Route: route}, c, server), b.now()}
+	w.open[b.runs] = pendingRequest{keyOf(Cell{Route: route}, c, server), b.now()}
 	return Ticket{service, c.Number, b.runs}
 }
 
@@ -247,13 +247,13 @@
 	if c.Target {
 		return rowKey{cell, true, server}
 	}
-	return rowKey{cell, false, groupOf(server)}
+	return rowKey{cell, false, serverGroup(server)}
 }
 
 // End notes the server's answer, or its first event. A server that has just started is
 // cold: its time is not compared.
 func (b *Book) End(t Ticket, failed, cold bool) {
-	b.close(t, func(w *watched, run openRun) {
+	b.close(t, func(w *observedRollout, run pendingRequest) {
 		took := b.now().Sub(run.began)
 		if cold {
 			took = 0
@@ -263,15 +263,15 @@
 }
 
 // Drop forgets a request that was broken off or refused: that says nothing of the version.
-func (b *Book) Drop(t Ticket) { b.close(t, func(*watched, openRun) {}) }
+func (b *Book) Drop(t Ticket) { b.close(t, func(*observedRollout, pendingRequest) {}) }
 
-func (b *Book) close(t Ticket, note func(*watched, openRun)) {
+func (b *Book) close(t Ticket, note func(*observedRollout, pendingRequest)) {
 	if t.run == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(t.service, t.number)
+	w := b.lookup(t.service, t.number)
 	if w == nil {
 		return
 	}
@@ -288,12 +288,12 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if w := b.at(service, c.Number); w != nil {
+	if w := b.lookup(service, c.Number); w != nil {
 		w.row(keyOf(Cell{route, Pace}, c, server)).note(false, gap)
 	}
 }
 
-func (w *watched) row(k rowKey) *Counts {
+func (w *observedRollout) row(k rowKey) *Counts {
 	if w.rows[k] == nil {
 		w.rows[k] = &Counts{}
 	}
@@ -316,7 +316,7 @@
 }
 
 // withWaiting returns the rows, with the requests that wait now.
-func (w *watched) withWaiting(now time.Time) map[rowKey]Counts {
+func (w *observedRollout) withWaiting(now time.Time) map[rowKey]Counts {
 	out := make(map[rowKey]Counts, len(w.rows))
 	for k, c := range w.rows {
 		out[k] = Counts{Answers: c.Answers, Failures: c.Failures, Times: maps.Clone(c.Times)}
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -29,39 +29,39 @@
 
 // waitingFor is how long a router's word counts of requests that wait: one that is gone
 // waits for nothing.
-const waitingFor = 1500 * time.Millisecond
+const waitingTTL = 1500 * time.Millisecond
 
 // Ledger holds what each life of a router told last. One that has ended goes on to
 // count: what it sent was sent. It is not safe for concurrent use.
-type Ledger struct{ lives map[uint64]map[string]noted }
+type Ledger struct{ incarnations map[uint64]map[string]timedReport }
 
 // noted is what a life told of one service.
-type noted struct {
-	told Told
+type timedReport struct {
+	report Told
 	at   time.Time
 }
 
 // NewLedger returns an empty Ledger.
-func NewLedger() *Ledger { return &Ledger{lives: map[uint64]map[string]noted{}} }
+func NewLedger() *Ledger { return &Ledger{incarnations: map[uint64]map[string]timedReport{}} }
 
 // Note takes what a life told. What it observes only grows: a message that was
 // overtaken on its way changes nothing.
 func (l *Ledger) Note(life uint64, told []Told, now time.Time) {
 	for i := range told {
 		t := &told[i]
-		held, ok := l.lives[life][t.Service]
-		if ok && (t.Number < held.told.Number || t.Number == held.told.Number && t.weight() < held.told.weight()) {
+		held, ok := l.incarnations[life][t.Service]
+		if ok && (t.Number < held.report.Number || t.Number == held.report.Number && t.observations() < held.report.observations()) {
 			continue
 		}
-		if l.lives[life] == nil {
-			l.lives[life] = map[string]noted{}
+		if l.incarnations[life] == nil {
+			l.incarnations[life] = map[string]timedReport{}
 		}
-		l.lives[life][t.Service] = noted{*t, now}
+		l.incarnations[life][t.Service] = timedReport{*t, now}
 	}
 }
 
 // weight grows with all that is observed.
-func (t *Told) weight() int {
+func (t *Told) observations() int {
 	n := t.Sent
 	for _, r := range t.Requests {
 		n += r
@@ -74,13 +74,13 @@
 
 // Keep forgets what was told of other roll-outs than those under way.
 func (l *Ledger) Keep(underWay map[string]uint64) {
-	for life, services := range l.lives {
-		maps.DeleteFunc(services, func(service string, n noted) bool {
+	for life, services := range l.incarnations {
+		maps.DeleteFunc(services, func(service string, n timedReport) bool {
 			number, ok := underWay[service]
-			return !ok || n.told.Number < number
+			return !ok || n.report.Number < number
 		})
 		if len(services) == 0 {
-			delete(l.lives, life)
+			delete(l.incarnations, life)
 		}
 	}
 }
@@ -88,9 +88,9 @@
 // Sum returns what was told of a roll-out.
 func (l *Ledger) Sum(service string, number uint64, now time.Time) Evidence {
 	e := NewEvidence()
-	for _, services := range l.lives {
-		if n, ok := services[service]; ok && n.told.Number == number {
-			e.add(&n.told, now.Sub(n.at) <= waitingFor)
+	for _, services := range l.incarnations {
+		if n, ok := services[service]; ok && n.report.Number == number {
+			e.add(&n.report, now.Sub(n.at) <= waitingTTL)
 		}
 	}
 	return e
--- a/internal/rollout/part.go
+++ b/internal/rollout/part.go
@@ -44,11 +44,11 @@
 
 const (
 	// firstShare of the requests goes to a new version until its rates are known.
-	firstShare = 0.05
+	initialShare = 0.05
 	// repeatedFor is how long after an order the same one is a resend, and not a new
 	// attempt at a version that was reverted meanwhile. An operator whose answers are
 	// lost sends again for some seconds; clocks of two leaders may differ by as many.
-	repeatedFor = 10_000 // ms
+	resendWindowMS = 10_000 // ms
 	// maxBarred versions are remembered by service; older ones have long ended.
 	maxBarred = 64
 )
@@ -115,12 +115,12 @@
 		return Busy
 	case known && !last.Phase.Over(), known && last.Phase == Completed && last.To == o.To:
 		return Repeated
-	case same && nowMS-last.OrderedMS <= repeatedFor:
+	case same && nowMS-last.OrderedMS <= resendWindowMS:
 		return Repeated
 	}
 	p.number++
 	next := Record{
-		Order: *o, Number: p.number, Phase: Trial, DefaultShare: firstShare, OrderedMS: nowMS, StepMS: nowMS,
+		Order: *o, Number: p.number, Phase: Trial, DefaultShare: initialShare, OrderedMS: nowMS, StepMS: nowMS,
 		From: last.From, Barred: barred(&last, o.To),
 	}
 	if last.Phase == Completed {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -147,11 +147,11 @@
 
 // fewest servers have the requests of a trial: one that is faulty by itself shows beside
 // the others.
-const fewest = 3
+const minTrialServers = 3
 
 // Few is how many servers have the requests of a trial, such that each has as much to do
 // as one of the other version's.
-func Few(part float64, others int) int { return max(fewest, int(math.Ceil(part*float64(others)))) }
+func Few(part float64, others int) int { return max(minTrialServers, int(math.Ceil(part*float64(others)))) }
 
 // Choice is where one request goes.
 type Choice struct {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -87,7 +87,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	sent := 0
 	for range routers {
-		s := stateAt(Record{Order: toV2, Number: 1, Phase: Trial, DefaultShare: firstShare})
+		s := stateAt(Record{Order: toV2, Number: 1, Phase: Trial, DefaultShare: initialShare})
 		for range each {
 			if s.Choose("desk", "book", rng.Float64()).Target {
 				sent++
@@ -95,7 +95,7 @@
 		}
 	}
 	all := float64(routers * each)
-	if allowed := DefaultLimits.Share*all + DefaultLimits.Slack; float64(sent) > allowed || math.Abs(float64(sent)-firstShare*all) > 100 {
+	if allowed := DefaultLimits.Share*all + DefaultLimits.Slack; float64(sent) > allowed || math.Abs(float64(sent)-initialShare*all) > 100 {
 		t.Errorf("%d of %.0f requests, allowed %.0f", sent, all, allowed)
 	}
 }
@@ -136,12 +136,12 @@
 	if e.Sent != 3 || e.Requests["book"] != 4 || target.Answers != 3 || target.Failures != 2 || e.Former[cell].without("").Answers != 1 {
 		t.Errorf("%+v", e)
 	}
-	if sumOf(target.Waiting) != 1 {
+	if countOf(target.Waiting) != 1 {
 		t.Errorf("waiting: %v", target.Waiting)
 	}
 	// The router ended: what it sent counts on, what it waited for does not.
-	e = l.Sum("desk", 1, now.Add(2*waitingFor))
-	if e.Sent != 3 || sumOf(e.Target[cell].without("").Waiting) != 0 {
+	e = l.Sum("desk", 1, now.Add(2*waitingTTL))
+	if e.Sent != 3 || countOf(e.Target[cell].without("").Waiting) != 0 {
 		t.Errorf("after its end: %+v", e)
 	}
 	b.Drop(waits)
@@ -166,7 +166,7 @@
 	e := NewEvidence()
 	good := Counts{Answers: 40, Times: map[uint8]int{20: 40}}
 	for at := time.Duration(0); at < r.Duration; at += 100 * time.Millisecond {
-		if at == slotLength {
+		if at == intervalLength {
 			e = NewEvidence()
 			e.Requests["book"] = 80
 			e.Former[Cell{Route: "book"}] = Servers{"a": good}
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -18,8 +18,8 @@
 type simRoute struct {
 	name    string
 	rate    float64 // a second
-	fails   float64 // of itself
-	work    time.Duration
+	failShare   float64 // of itself
+	latency    time.Duration
 	spread  float64
 	streams bool
 }
@@ -44,33 +44,33 @@
 // simVersion is how a version behaves.
 type simVersion struct {
 	name      string
-	fails     float64 // part of the answers that fail
-	slow      float64 // part that is slower
-	times     float64 // as many times
-	from      float64 // part of the duration after which it is bad
+	failShare     float64 // part of the answers that fail
+	slowShare      float64 // part that is slower
+	slowFactor     float64 // as many times
+	badFromShare      float64 // part of the duration after which it is bad
 	underLoad bool    // only once it has most of the requests
 	route     int     // the one route that is bad; -1: all are
 	// faint: too like a good one, or bad for too short a time, to be told apart always.
-	faint bool
+	hardToDetect bool
 }
 
-func (v *simVersion) good() bool { return v.fails == 0 && v.slow == 0 }
+func (v *simVersion) good() bool { return v.failShare == 0 && v.slowShare == 0 }
 
 func simVersions() []simVersion {
 	out := []simVersion{{name: "good", route: -1}}
 	for _, part := range []float64{0.05, 0.2, 0.5, 1} {
-		out = append(out, simVersion{name: fmt.Sprintf("fails %.0f%%", 100*part), fails: part, route: -1, faint: part < 0.2})
+		out = append(out, simVersion{name: fmt.Sprintf("fails %.0f%%", 100*part), failShare: part, route: -1, hardToDetect: part < 0.2})
 	}
 	for _, times := range []float64{2, 4, 8} {
-		out = append(out, simVersion{name: fmt.Sprintf("slow x%.0f", times), slow: 0.6, times: times, route: -1, faint: times < 4})
+		out = append(out, simVersion{name: fmt.Sprintf("slow x%.0f", times), slowShare: 0.6, slowFactor: times, route: -1, hardToDetect: times < 4})
 	}
 	return append(out,
-		simVersion{name: "fails 40% late", fails: 0.4, from: 0.4, route: -1},
-		simVersion{name: "slow x4 late", slow: 0.6, times: 4, from: 0.4, route: -1},
-		simVersion{name: "fails 40% with all requests", fails: 0.4, underLoad: true, route: -1, faint: true},
-		simVersion{name: "slow x4 with all requests", slow: 0.6, times: 4, underLoad: true, route: -1, faint: true},
-		simVersion{name: "fails 50% on one route", fails: 0.5, route: 1},
-		simVersion{name: "fails 50% on a small route", fails: 0.5, route: -2},
+		simVersion{name: "fails 40% late", failShare: 0.4, badFromShare: 0.4, route: -1},
+		simVersion{name: "slow x4 late", slowShare: 0.6, slowFactor: 4, badFromShare: 0.4, route: -1},
+		simVersion{name: "fails 40% with all requests", failShare: 0.4, underLoad: true, route: -1, hardToDetect: true},
+		simVersion{name: "slow x4 with all requests", slowShare: 0.6, slowFactor: 4, underLoad: true, route: -1, hardToDetect: true},
+		simVersion{name: "fails 50% on one route", failShare: 0.5, route: 1},
+		simVersion{name: "fails 50% on a small route", failShare: 0.5, route: -2},
 	)
 }
 
@@ -97,7 +97,7 @@
 	simApply      = 150 * time.Millisecond // until routers apply a step
 	simStart      = 1200 * time.Millisecond
 	rollbackAfter = 5 * time.Second
-	badBound      = 50
+	badAnswersBound      = 50
 	simSeed       = 7
 )
 
@@ -117,7 +117,7 @@
 	rng      *rand.Rand
 	kind     simKind
 	version  simVersion
-	troubles bool
+	disturbances bool
 	duration time.Duration
 
 	record  Record
@@ -129,15 +129,15 @@
 	out     simOutcome
 	badAt   time.Duration // of the 50th bad answer; 0: not yet
 	bad     int
-	grey    string // a faulty server of the new version
-	greyOld float64
-	lost    [2]time.Duration // a third of the old servers answers nothing
-	crowd   [2]time.Duration // more callers, and slower answers of all
+	faultyTarget    string // a faulty server of the new version
+	faultyFormerShare float64
+	outage    [2]time.Duration // a third of the old servers answers nothing
+	burst   [2]time.Duration // more callers, and slower answers of all
 }
 
 func newSim(rng *rand.Rand, k simKind, v simVersion, d time.Duration, troubles bool) *sim {
-	s := &sim{rng: rng, kind: k, version: v, duration: d, troubles: troubles, applyAt: -1}
-	s.record = Record{Order: Order{Service: "s", To: "v2", Duration: d}, Number: 1, Phase: Trial, DefaultShare: firstShare}
+	s := &sim{rng: rng, kind: k, version: v, duration: d, disturbances: troubles, applyAt: -1}
+	s.record = Record{Order: Order{Service: "s", To: "v2", Duration: d}, Number: 1, Phase: Trial, DefaultShare: initialShare}
 	s.applied = s.record
 	s.sums = NewEvidence()
 	if troubles {
@@ -145,11 +145,11 @@
 			from := time.Duration(rng.Float64() * float64(d))
 			return [2]time.Duration{from, from + 2500*time.Millisecond}
 		}
-		s.lost, s.crowd = at(), at()
+		s.outage, s.burst = at(), at()
 		if rng.IntN(2) == 0 {
-			s.grey = "t0"
+			s.faultyTarget = "t0"
 		} else {
-			s.greyOld = 1 / float64(k.servers)
+			s.faultyFormerShare = 1 / float64(k.servers)
 		}
 	}
 	return s
@@ -167,7 +167,7 @@
 		if t < s.duration {
 			total += s.arrive(t)
 		}
-		s.take(t)
+		s.deliver(t)
 		if !s.record.Phase.Over() && t%(200*time.Millisecond) == 0 {
 			s.look(j, t)
 		}
@@ -197,7 +197,7 @@
 
 func (s *sim) arrive(t time.Duration) int {
 	crowd := 1.0
-	if within(t, s.crowd) {
+	if within(t, s.burst) {
 		crowd = 1.8
 	}
 	n := 0
@@ -228,23 +228,23 @@
 	}
 	s.sums.Requests[r.name]++
 	a := simAnswer{cell: Cell{Route: r.name}, target: c.Target, server: fmt.Sprint("t", s.rng.IntN(s.kind.servers))}
-	took := float64(r.work) * math.Exp(r.spread*s.rng.NormFloat64())
-	if within(t, s.crowd) {
+	took := float64(r.latency) * math.Exp(r.spread*s.rng.NormFloat64())
+	if within(t, s.burst) {
 		took *= 1.7
 	}
-	a.failed = s.rng.Float64() < r.fails
+	a.failed = s.rng.Float64() < r.failShare
 	if c.Target {
 		s.out.sent++
 		s.sums.Sent++
 		if s.badAt > 0 && t > s.badAt+rollbackAfter {
 			s.out.tooLate++
 		}
-		a.failed = a.failed || a.server == s.grey && s.rng.Float64() < 0.45
-		took *= s.spoil(&a, t, route)
+		a.failed = a.failed || a.server == s.faultyTarget && s.rng.Float64() < 0.45
+		took *= s.degrade(&a, t, route)
 	} else {
 		a.server = fmt.Sprint("f", s.rng.IntN(s.kind.servers))
-		a.failed = a.failed || s.greyOld > 0 && a.server == "f0" && s.rng.Float64() < 0.45
-		if within(t, s.lost) && s.rng.IntN(3) == 0 {
+		a.failed = a.failed || s.faultyFormerShare > 0 && a.server == "f0" && s.rng.Float64() < 0.45
+		if within(t, s.outage) && s.rng.IntN(3) == 0 {
 			return // broken off: no answer
 		}
 	}
@@ -264,24 +264,24 @@
 
 // spoil makes an answer of a bad version bad, and returns how many times longer it
 // takes.
-func (s *sim) spoil(a *simAnswer, t time.Duration, route int) float64 {
+func (s *sim) degrade(a *simAnswer, t time.Duration, route int) float64 {
 	v := &s.version
 	small := v.route == -2 && route == len(s.kind.routes)-1
 	hit := v.route == -1 || v.route == route || small
-	late := float64(t) >= v.from*float64(s.duration)
+	late := float64(t) >= v.badFromShare*float64(s.duration)
 	loaded := !v.underLoad || s.applied.Phase.switched() || s.applied.DefaultShare >= 0.5
 	if !hit || !late || !loaded {
 		return 1
 	}
 	times := 1.0
-	failed := s.rng.Float64() < v.fails
-	slow := s.rng.Float64() < v.slow
+	failed := s.rng.Float64() < v.failShare
+	slow := s.rng.Float64() < v.slowShare
 	a.failed = a.failed || failed
 	if slow {
-		times = v.times
+		times = v.slowFactor
 	}
 	if failed || slow {
-		if s.bad++; s.bad == badBound {
+		if s.bad++; s.bad == badAnswersBound {
 			s.badAt = t
 		}
 	}
@@ -289,7 +289,7 @@
 }
 
 // take brings answers to the control VM.
-func (s *sim) take(t time.Duration) {
+func (s *sim) deliver(t time.Duration) {
 	kept := s.queue[:0]
 	for _, a := range s.queue {
 		if a.at > t {
@@ -356,7 +356,7 @@
 		}
 	}
 	rate := func(c Counts) float64 { return float64(c.Failures) / float64(max(1, c.Answers)) }
-	worse := rate(target) > rate(former)+0.1 || target.Answers > 0 && medianOf(target.Times) > medianOf(former.Times)+4
+	worse := rate(target) > rate(former)+0.1 || target.Answers > 0 && medianBucket(target.Times) > medianBucket(former.Times)+4
 	switch {
 	case target.Answers >= 10 && worse:
 		s.Phase = Reverted
@@ -424,7 +424,7 @@
 					switch {
 					case v.good() && k.name == "calls" && judge.intime < judge.runs*8/10:
 						t.Errorf("a good version was completed in time %d times of %d", judge.intime, judge.runs)
-					case !v.good() && !v.faint && judge.completed+judge.exceeded > 0:
+					case !v.good() && !v.hardToDetect && judge.completed+judge.exceeded > 0:
 						t.Errorf("a bad version was completed %d times, and got more than it may %d times", judge.completed, judge.exceeded)
 					}
 				})
--- a/internal/rollout/stats.go
+++ b/internal/rollout/stats.go
@@ -4,7 +4,7 @@
 
 // surprise is how much better a rate of x in n explains what was seen than the expected
 // rate p does, as a log likelihood ratio. Zero where there was not more than expected.
-func surprise(x, n, p float64) float64 {
+func logLikelihoodRatio(x, n, p float64) float64 {
 	if n <= 0 || x/n <= p {
 		return 0
 	}
@@ -17,7 +17,7 @@
 }
 
 // atMost is the probability of x or fewer of n where each has probability p.
-func atMost(x, n, p float64) float64 {
+func binomialCDF(x, n, p float64) float64 {
 	if p >= 1 {
 		return 0
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -24,19 +24,19 @@
 	// DialTimeout: VMs and backend servers are milliseconds apart. A dark server
 	// must not use up a caller's objective.
 	DialTimeout = 200 * time.Millisecond
-	readBuffer  = 4 << 10
+	readBufferBytes  = 4 << 10
 	// inlineBody is a body that fits the socket buffers, so that writing it whole
 	// before reading cannot block on a server that answers before it reads on.
-	inlineBody = 16 << 10
+	inlineBodyBytes = 16 << 10
 	// writeTimeout bounds the write of a request to a server that does not read.
 	writeTimeout = 2 * time.Second
 	// statedShare of the idle time that a server states is used: its clock starts
 	// before ours, and a request must not cross its close.
-	statedShare = 0.6
+	keepAliveShare = 0.6
 	// unstatedIdle is for servers that state none.
-	unstatedIdle = 2 * time.Second
+	defaultIdle = 2 * time.Second
 	// maxInterim bounds the 1xx answers before an answer.
-	maxInterim = 8
+	maxInterimResponses = 8
 )
 
 // Errors of an exchange.
@@ -60,12 +60,12 @@
 	br      *bufio.Reader
 	key     string
 	reused  bool
-	idleTo  time.Time
-	writing chan error // of a body written beside the answer; nil: none
+	idleUntil  time.Time
+	bodyWritten chan error // of a body written beside the answer; nil: none
 }
 
 func newConn(raw net.Conn, key string) *Conn {
-	return &Conn{raw: raw, br: bufio.NewReaderSize(raw, readBuffer), key: key}
+	return &Conn{raw: raw, br: bufio.NewReaderSize(raw, readBufferBytes), key: key}
 }
 
 // Reused reports whether the connection carried an exchange before.
@@ -81,7 +81,7 @@
 func (c *Conn) Send(r *Request) (left bool, err error) {
 	head := r.head()
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= inlineBodyBytes {
 		n, err := c.raw.Write(append(head, r.Body...))
 		return n > 0 || err == nil, err
 	}
@@ -90,7 +90,7 @@
 		return n > 0, err
 	}
 	done := make(chan error, 1)
-	c.writing = done
+	c.bodyWritten = done
 	go func() {
 		_, err := c.raw.Write(r.Body)
 		done <- err
@@ -116,7 +116,7 @@
 // ReadHead reads the head of the answer, past interim answers.
 func (c *Conn) ReadHead(method string) (*http.Response, error) {
 	req := &http.Request{Method: method}
-	for range maxInterim {
+	for range maxInterimResponses {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBroken, err)
@@ -162,19 +162,19 @@
 	if resp.Close || !resp.ProtoAtLeast(1, 1) || !Framed(resp) || c.br.Buffered() > 0 {
 		return false
 	}
-	if c.writing != nil {
+	if c.bodyWritten != nil {
 		select {
-		case err := <-c.writing:
+		case err := <-c.bodyWritten:
 			if err != nil {
 				return false
 			}
-			c.writing = nil
+			c.bodyWritten = nil
 		default:
 			return false // answered before the body was in
 		}
 	}
 	keep := idleTime(resp.Header.Get("Keep-Alive"))
-	c.idleTo = now.Add(keep)
+	c.idleUntil = now.Add(keep)
 	return keep > 0
 }
 
@@ -188,14 +188,14 @@
 		if err != nil || seconds <= 0 {
 			return 0
 		}
-		return time.Duration(statedShare * float64(seconds) * float64(time.Second))
+		return time.Duration(keepAliveShare * float64(seconds) * float64(time.Second))
 	}
-	return unstatedIdle
+	return defaultIdle
 }
 
 // quiet reports whether an idle connection is open with nothing to read. A
 // closed one, or one with an answer nobody waits for, must not carry a request.
-func (c *Conn) quiet() bool {
+func (c *Conn) isIdle() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -14,7 +14,7 @@
 )
 
 // answers is a server in memory that answers each request with the next text.
-func answers(t *testing.T, texts ...string) (*Pool, *[]string) {
+func newAnsweringPool(t *testing.T, texts ...string) (*Pool, *[]string) {
 	var heads []string
 	dial := func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
@@ -84,7 +84,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p, _ := answers(t, tt.answer, okHead+"\r\nok")
+				p, _ := newAnsweringPool(t, tt.answer, okHead+"\r\nok")
 				r := &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}}
 				if got, _ := exchange(t, p, r); got != "ok" {
 					t.Fatalf("body %q", got)
@@ -106,7 +106,7 @@
 // The request goes out as the caller sent it, byte by byte.
 func TestRequestIsUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, heads := answers(t, okHead+"\r\nok", okHead+"\r\nok")
+		p, heads := newAnsweringPool(t, okHead+"\r\nok", okHead+"\r\nok")
 		exchange(t, p, &Request{Method: "POST", URI: "/a/../b//%2f?q=%zz", Host: "h.example", Header: http.Header{}, Body: []byte("x y")})
 		_, c := exchange(t, p, &Request{Method: "GET", URI: "/c", Host: "h.example", Header: http.Header{}})
 		c.Close()
@@ -134,13 +134,13 @@
 // Idle connections to a server that has left do not stay open.
 func TestSweep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := answers(t, okHead+"\r\nok")
+		p, _ := newAnsweringPool(t, okHead+"\r\nok")
 		exchange(t, p, &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
 		p.Sweep()
 		if p.Idle() != 1 {
 			t.Fatal("a usable connection was closed")
 		}
-		time.Sleep(unstatedIdle)
+		time.Sleep(defaultIdle)
 		p.Sweep()
 		if n := p.Idle(); n != 0 {
 			t.Errorf("%d connections left", n)
--- a/internal/upstream/fleet.go
+++ b/internal/upstream/fleet.go
@@ -36,27 +36,27 @@
 	// avoidFirst and avoidMost: a server that could not be reached, or failed, is
 	// avoided for this long, doubled each time in a row. A process restarts within
 	// a second; a dark one stays for several.
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 4 * time.Second
+	minAvoid = 500 * time.Millisecond
+	maxAvoid  = 4 * time.Second
 	// deadFor: a dead server comes back under another id; under its own only where
 	// it was cut off, which lasts for seconds.
-	deadFor = 4 * time.Second
+	deadAvoid = 4 * time.Second
 	// heardLately: a server that sent something within this time lives. An engine
 	// that reads a prompt sends an event each 250 ms at least.
-	heardLately = 250 * time.Millisecond
+	livenessWindow = 250 * time.Millisecond
 	// tellFor is how long other VMs are told of a death: some notices.
-	tellFor = 1200 * time.Millisecond
+	deathReportWindow = 1200 * time.Millisecond
 	// fullFor: a full server refused; its queue moves within some tens of ms.
-	fullFor = 60 * time.Millisecond
+	fullAvoid = 60 * time.Millisecond
 	// failuresToAvoid failed answers in a row: single ones are the service's own.
 	failuresToAvoid = 3
 	// loadFor is how long a reported load counts: about one call's time.
-	loadFor = 300 * time.Millisecond
+	reportedLoadTTL = 300 * time.Millisecond
 	// slowShare is the weight of the newest latency in the average.
-	slowShare = 0.2
+	latencyWeight = 0.2
 	// slowAfter is how much longer than its neighbours a server takes before it
 	// counts as slow; below it the difference is chance.
-	slowAfter = 1.6
+	slowRatio = 1.6
 )
 
 // Server is what this VM knows of one backend server. Its fields belong to the
@@ -65,20 +65,20 @@
 	Backend
 	use      placement.Use
 	died     chan struct{} // closed when it is judged dead
-	doubt    chan struct{} // closed when others give reason to ask it
-	heard    time.Time
+	suspicion    chan struct{} // closed when others give reason to ask it
+	lastHeard    time.Time
 	diedAt   time.Time // when it was last judged dead, here or by another VM
-	turn     int       // this VM's place in its line, among the routers of turnOf
-	turnOf   int
-	avoid    time.Time // until; by what this VM found
-	doubted  time.Time // until; by what befell its neighbours, or by hearsay
-	strikes  int       // failures to reach it in a row
-	failures int       // failed answers in a row
+	rank     int       // this VM's place in its line, among the routers of turnOf
+	rankVersion   int
+	avoidUntil    time.Time // until; by what this VM found
+	suspectedUntil  time.Time // until; by what befell its neighbours, or by hearsay
+	faultsInRow  int       // failures to reach it in a row
+	failuresInRow int       // failed answers in a row
 	stale    bool      // another incarnation answers at the address
-	latency  float64   // average, in ms
-	work     float64   // the same without what a call waited for a slot
-	reported int       // requests of other VMs there, as its last answer said
-	told     time.Time
+	latencyMS  float64   // average, in ms
+	serviceTimeMS     float64   // the same without what a call waited for a slot
+	reportedRequests int       // requests of other VMs there, as its last answer said
+	reportedAt     time.Time
 }
 
 // Fleet is what this VM knows of all backend servers. Safe for concurrent use.
@@ -90,14 +90,14 @@
 	mu      sync.Mutex
 	asOf    time.Time
 	servers map[string]*Server
-	order   []*Server // of the list
-	inUse   inUse
-	others  map[string]placement.Use
+	listed   []*Server // of the list
+	inUse   versionsInUse
+	peerUse  map[string]placement.Use
 	outage  recovery.Outage
 	self    string
 	routers []string             // VMs that place requests, this one included
-	changes int                  // of routers
-	dead    map[string]time.Time // judged dead here, when
+	routersVersion int                  // of routers
+	deadSince    map[string]time.Time // judged dead here, when
 }
 
 // open reports whether requests may be sent there: it is not leaving, and no other
@@ -107,7 +107,7 @@
 // NewFleet returns an empty Fleet that forgets the connections of servers which
 // have left the list.
 func NewFleet(pool *Pool, log zerolog.Logger) *Fleet {
-	return &Fleet{pool: pool, log: log, now: time.Now, servers: map[string]*Server{}, dead: map[string]time.Time{}}
+	return &Fleet{pool: pool, log: log, now: time.Now, servers: map[string]*Server{}, deadSince: map[string]time.Time{}}
 }
 
 // Apply takes a list that was read later than the one held, and reports whether
@@ -125,7 +125,7 @@
 	for _, b := range l.Backends {
 		s := f.servers[b.ID]
 		if s == nil || s.Address != b.Address || s.Service != b.Service {
-			s = &Server{Backend: b, died: make(chan struct{}), doubt: make(chan struct{}), turnOf: -1}
+			s = &Server{Backend: b, died: make(chan struct{}), suspicion: make(chan struct{}), rankVersion: -1}
 		}
 		s.Draining, s.Cold = b.Draining, b.Cold
 		next[b.ID] = s
@@ -138,7 +138,7 @@
 		}
 	}
 	added := len(next) + len(gone) - len(f.servers)
-	f.servers, f.order = next, order
+	f.servers, f.listed = next, order
 	f.inUse = f.inUse.next(l.Backends)
 	f.mu.Unlock()
 	if added > 0 || len(gone) > 0 {
@@ -163,7 +163,7 @@
 func (f *Fleet) SetOthers(use map[string]placement.Use) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.others = use
+	f.peerUse = use
 }
 
 // SetRouters names this VM and those that place requests: each server has a line
@@ -175,17 +175,17 @@
 		return
 	}
 	f.self, f.routers = self, routers
-	f.changes++
+	f.routersVersion++
 }
 
 // turn is this VM's place in a server's line. It is worked out where it is needed, which
 // is seldom: for all servers at each change of routers it would take milliseconds, some
 // times a second while hundreds of VMs are restarted in turn. It needs f.mu.
-func (f *Fleet) turn(s *Server) int {
-	if s.turnOf != f.changes {
-		s.turn, s.turnOf = placement.Turn(s.ID, f.self, f.routers), f.changes
+func (f *Fleet) rank(s *Server) int {
+	if s.rankVersion != f.routersVersion {
+		s.rank, s.rankVersion = placement.Turn(s.ID, f.self, f.routers), f.routersVersion
 	}
-	return s.turn
+	return s.rank
 }
 
 // Mine is what this VM has running on each server.
@@ -205,7 +205,7 @@
 func (f *Fleet) Work(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Duration(s.work * float64(time.Millisecond))
+	return time.Duration(s.serviceTimeMS * float64(time.Millisecond))
 }
 
 // Candidates are the servers of a service that may take a request, and the same
@@ -215,13 +215,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	usual := f.usualLatency(service)
+	usual := f.meanLatencyMS(service)
 	servers := f.usable(service, v, skip)
 	out := make([]placement.Candidate, 0, len(servers))
 	for _, s := range servers {
 		out = append(out, placement.Candidate{
 			ID: s.ID, Zone: s.Zone, Slots: s.Slots, KVTokens: kvTokens, Use: f.useOf(s, now),
-			Turn: f.turn(s), Avoid: s.avoided(now), Slow: slowness(s.latency, usual),
+			Turn: f.rank(s), Avoid: s.avoided(now), Slow: slowness(s.latencyMS, usual),
 		})
 	}
 	return servers, out
@@ -232,14 +232,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	usual := f.usualLatency(service)
+	usual := f.meanLatencyMS(service)
 	servers := f.usable(service, v, skip)
 	out := make([]placement.CallCandidate, 0, len(servers))
 	for _, s := range servers {
 		out = append(out, placement.CallCandidate{
-			Zone: s.Zone, Slots: s.Slots, Own: s.use.Requests, Others: f.others[s.ID].Requests,
-			Reported: s.reported, ReportAge: now.Sub(s.told), CallTime: time.Duration(s.latency * float64(time.Millisecond)),
-			Avoid: s.avoided(now), Slow: slowness(s.latency, usual),
+			Zone: s.Zone, Slots: s.Slots, Own: s.use.Requests, Others: f.peerUse[s.ID].Requests,
+			Reported: s.reportedRequests, ReportAge: now.Sub(s.reportedAt), CallTime: time.Duration(s.latencyMS * float64(time.Millisecond)),
+			Avoid: s.avoided(now), Slow: slowness(s.latencyMS, usual),
 		})
 	}
 	return servers, out
@@ -250,7 +250,7 @@
 	version := f.inUse.version(service, v)
 	var out []*Server
 	others := 0
-	for _, s := range f.order {
+	for _, s := range f.listed {
 		switch {
 		case s.Service != service || !s.open():
 		case s.Version != version:
@@ -260,25 +260,25 @@
 		}
 	}
 	if v.Part > 0 {
-		return few(out, rollout.Few(v.Part, others), f.now())
+		return firstServers(out, rollout.Few(v.Part, others), f.now())
 	}
 	return out
 }
 
 func (f *Fleet) useOf(s *Server, now time.Time) placement.Use {
-	use := s.use.Add(f.others[s.ID])
-	if now.Sub(s.told) < loadFor {
-		use.Requests = max(use.Requests, s.use.Requests+s.reported)
+	use := s.use.Add(f.peerUse[s.ID])
+	if now.Sub(s.reportedAt) < reportedLoadTTL {
+		use.Requests = max(use.Requests, s.use.Requests+s.reportedRequests)
 	}
 	return use
 }
 
 // usualLatency is the mean over the servers of a service, in ms.
-func (f *Fleet) usualLatency(service string) float64 {
+func (f *Fleet) meanLatencyMS(service string) float64 {
 	sum, n := 0.0, 0
-	for _, s := range f.order {
-		if s.Service == service && s.latency > 0 {
-			sum += s.latency
+	for _, s := range f.listed {
+		if s.Service == service && s.latencyMS > 0 {
+			sum += s.latencyMS
 			n++
 		}
 	}
@@ -289,14 +289,14 @@
 }
 
 func slowness(latency, usual float64) float64 {
-	if usual == 0 || latency < slowAfter*usual {
+	if usual == 0 || latency < slowRatio*usual {
 		return 1
 	}
 	return latency / usual
 }
 
 // avoided reports whether there is a reason not to send anything there.
-func (s *Server) avoided(now time.Time) bool { return now.Before(s.avoid) || now.Before(s.doubted) }
+func (s *Server) avoided(now time.Time) bool { return now.Before(s.avoidUntil) || now.Before(s.suspectedUntil) }
 
 // Opinion is what this VM would tell others of servers, by id.
 type Opinion struct {
@@ -311,13 +311,13 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	var o Opinion
-	for _, s := range f.order {
+	for _, s := range f.listed {
 		switch {
-		case s.stale || now.Before(s.avoid):
+		case s.stale || now.Before(s.avoidUntil):
 			o.Avoid = append(o.Avoid, s.ID)
-		case now.Sub(s.heard) < heardLately:
+		case now.Sub(s.lastHeard) < livenessWindow:
 			o.Alive = append(o.Alive, s.ID)
-		case now.Before(s.doubted):
+		case now.Before(s.suspectedUntil):
 			o.Doubt = append(o.Doubt, s.ID)
 		}
 	}
@@ -341,7 +341,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	listed := f.servers[s.ID] == s && s.open()
-	dead := s.diedAt.After(s.heard) && f.now().Sub(s.diedAt) <= deadFor
+	dead := s.diedAt.After(s.lastHeard) && f.now().Sub(s.diedAt) <= deadAvoid
 	return !listed || dead
 }
 
@@ -356,7 +356,7 @@
 func (f *Fleet) At(service, addr string) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.order {
+	for _, s := range f.listed {
 		if s.Service == service && s.Address == addr && s.open() {
 			return s
 		}
@@ -388,19 +388,19 @@
 func (f *Fleet) Doubted(s *Server) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.doubt
+	return s.suspicion
 }
 
 // Heard notes that bytes came from the server.
 func (f *Fleet) Heard(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.heard = f.now()
+	s.lastHeard = f.now()
 }
 
 // HeardAgo is how long the server has been silent towards this VM.
 func (f *Fleet) HeardAgo(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now().Sub(s.heard)
+	return f.now().Sub(s.lastHeard)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -41,7 +41,7 @@
 // fresh asks for a new one: an idle connection may have gone silent unnoticed.
 func (p *Pool) Get(ctx context.Context, key, addr string, fresh bool) (*Conn, error) {
 	if !fresh {
-		if c := p.take(key); c != nil {
+		if c := p.takeIdle(key); c != nil {
 			return c, nil
 		}
 	}
@@ -57,7 +57,7 @@
 	return newConn(raw, key), nil
 }
 
-func (p *Pool) take(key string) *Conn {
+func (p *Pool) takeIdle(key string) *Conn {
 	for {
 		p.mu.Lock()
 		list := p.idle[key]
@@ -68,7 +68,7 @@
 		c := list[len(list)-1]
 		p.idle[key] = list[:len(list)-1]
 		p.mu.Unlock()
-		if p.now().Before(c.idleTo) && c.quiet() {
+		if p.now().Before(c.idleUntil) && c.isIdle() {
 			c.reused = true
 			return c
 		}
@@ -93,7 +93,7 @@
 }
 
 // maxAsked bounds the answer to a question.
-const maxAsked = 4 << 20
+const maxAskBytes = 4 << 20
 
 // Ask sends a request of this system's own on a new connection and reads the whole
 // answer: a kept connection may have gone silent by itself while the server lives.
@@ -113,7 +113,7 @@
 		c.Close()
 		return nil, nil, err
 	}
-	body, err := ReadBody(resp, maxAsked)
+	body, err := ReadBody(resp, maxAskBytes)
 	if err != nil {
 		c.Close()
 		return nil, nil, err
@@ -133,7 +133,7 @@
 	for key, list := range p.idle {
 		keep := list[:0]
 		for _, c := range list {
-			if now.Before(c.idleTo) {
+			if now.Before(c.idleUntil) {
 				keep = append(keep, c)
 			} else {
 				expired = append(expired, c)
--- a/internal/upstream/verdict.go
+++ b/internal/upstream/verdict.go
@@ -10,27 +10,27 @@
 func (f *Fleet) Suspect(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.strike(s)
+	f.backOff(s)
 }
 
 // strike needs f.mu.
-func (f *Fleet) strike(s *Server) {
-	d := min(avoidFirst<<min(s.strikes, 8), avoidMost)
-	s.strikes++
+func (f *Fleet) backOff(s *Server) {
+	d := min(minAvoid<<min(s.faultsInRow, 8), maxAvoid)
+	s.faultsInRow++
 	f.avoidFor(s, d)
 }
 
 // avoidFor needs f.mu.
 func (f *Fleet) avoidFor(s *Server, d time.Duration) {
-	if until := f.now().Add(d); until.After(s.avoid) {
-		s.avoid = until
+	if until := f.now().Add(d); until.After(s.avoidUntil) {
+		s.avoidUntil = until
 	}
 }
 
 // Unreachable notes that the server took no connection.
 func (f *Fleet) Unreachable(s *Server) {
 	f.mu.Lock()
-	f.strike(s)
+	f.backOff(s)
 	f.noteDeath(s)
 	f.mu.Unlock()
 	f.pool.Forget(s.ID)
@@ -40,13 +40,13 @@
 // since one silent stream is a witness for its neighbours.
 func (f *Fleet) Dead(s *Server) {
 	f.mu.Lock()
-	f.avoidFor(s, deadFor)
-	f.dead[s.ID] = f.now()
+	f.avoidFor(s, deadAvoid)
+	f.deadSince[s.ID] = f.now()
 	s.diedAt = f.now()
 	f.noteDeath(s)
 	close(s.died)
 	s.died = make(chan struct{})
-	silent := f.now().Sub(s.heard)
+	silent := f.now().Sub(s.lastHeard)
 	f.mu.Unlock()
 	f.log.Warn().Str("server", s.ID).Str("zone", s.Zone).Dur("silent", silent).Msg("server judged dead")
 	f.pool.Forget(s.ID)
@@ -58,31 +58,31 @@
 // roll-out is completed, and the others are to carry on.
 func (f *Fleet) noteDeath(s *Server) {
 	now := f.now()
-	if !f.outage.Note(s.Service+"/"+s.Zone+"/"+s.Version, s.ID, f.beside(s), now) {
+	if !f.outage.Note(s.Service+"/"+s.Zone+"/"+s.Version, s.ID, f.countNeighbours(s), now) {
 		return
 	}
 	avoided := 0
-	for _, o := range f.order {
-		if !o.isBeside(s) || now.Sub(o.heard) < heardLately {
+	for _, o := range f.listed {
+		if !o.isNeighbour(s) || now.Sub(o.lastHeard) < livenessWindow {
 			continue
 		}
 		avoided++
-		o.doubted = now.Add(recovery.OutageFor)
-		f.raiseDoubt(o)
+		o.suspectedUntil = now.Add(recovery.OutageFor)
+		f.signalSuspicion(o)
 	}
 	f.log.Warn().Str("service", s.Service).Str("zone", s.Zone).Int("avoided", avoided).Msg("zone taken for lost")
 }
 
 // isBeside reports whether a server shares another's service, zone and version.
-func (s *Server) isBeside(o *Server) bool {
+func (s *Server) isNeighbour(o *Server) bool {
 	return s.Service == o.Service && s.Zone == o.Zone && s.Version == o.Version
 }
 
 // beside counts the servers beside one, itself included. It needs f.mu.
-func (f *Fleet) beside(s *Server) int {
+func (f *Fleet) countNeighbours(s *Server) int {
 	n := 0
-	for _, o := range f.order {
-		if o.isBeside(s) {
+	for _, o := range f.listed {
+		if o.isNeighbour(s) {
 			n++
 		}
 	}
@@ -90,9 +90,9 @@
 }
 
 // raiseDoubt needs f.mu.
-func (f *Fleet) raiseDoubt(s *Server) {
-	close(s.doubt)
-	s.doubt = make(chan struct{})
+func (f *Fleet) signalSuspicion(s *Server) {
+	close(s.suspicion)
+	s.suspicion = make(chan struct{})
 }
 
 // Dying are the servers that this VM judged dead lately, to tell the others.
@@ -100,9 +100,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for id, at := range f.dead {
-		if f.now().Sub(at) > tellFor {
-			delete(f.dead, id)
+	for id, at := range f.deadSince {
+		if f.now().Sub(at) > deathReportWindow {
+			delete(f.deadSince, id)
 			continue
 		}
 		out = append(out, id)
@@ -117,15 +117,15 @@
 	defer f.mu.Unlock()
 	for _, id := range ids {
 		s := f.servers[id]
-		if s == nil || f.now().Sub(s.heard) < heardLately {
+		if s == nil || f.now().Sub(s.lastHeard) < livenessWindow {
 			continue
 		}
 		s.diedAt = f.now()
 		if s.avoided(f.now()) {
 			continue
 		}
-		s.doubted = f.now().Add(recovery.OutageFor)
-		f.raiseDoubt(s)
+		s.suspectedUntil = f.now().Add(recovery.OutageFor)
+		f.signalSuspicion(s)
 		f.noteDeath(s)
 	}
 }
@@ -134,7 +134,7 @@
 func (f *Fleet) Full(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.avoidFor(s, fullFor)
+	f.avoidFor(s, fullAvoid)
 }
 
 // Stale notes that another incarnation holds the server's address: nothing is
@@ -151,9 +151,9 @@
 func (f *Fleet) Failed(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.failures++
-	if s.failures >= failuresToAvoid {
-		f.strike(s)
+	s.failuresInRow++
+	if s.failuresInRow >= failuresToAvoid {
+		f.backOff(s)
 	}
 }
 
@@ -161,23 +161,23 @@
 func (f *Fleet) Succeeded(s *Server, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.failures, s.strikes = 0, 0
-	s.heard, s.doubted = f.now(), time.Time{}
+	s.failuresInRow, s.faultsInRow = 0, 0
+	s.lastHeard, s.suspectedUntil = f.now(), time.Time{}
 	if took <= 0 {
 		return
 	}
 	ms := float64(took) / float64(time.Millisecond)
-	s.latency = average(s.latency, ms)
+	s.latencyMS = movingAverage(s.latencyMS, ms)
 	// A call that found all slots taken waited for as many calls as were before it.
-	there := float64(max(1, s.use.Requests+s.reported)) / float64(max(1, s.Slots))
-	s.work = average(s.work, ms/max(1, there))
+	there := float64(max(1, s.use.Requests+s.reportedRequests)) / float64(max(1, s.Slots))
+	s.serviceTimeMS = movingAverage(s.serviceTimeMS, ms/max(1, there))
 }
 
-func average(old, next float64) float64 {
+func movingAverage(old, next float64) float64 {
 	if old == 0 {
 		return next
 	}
-	return old + slowShare*(next-old)
+	return old + latencyWeight*(next-old)
 }
 
 // Reported takes the load that a server states: requests that run and wait there
@@ -185,5 +185,5 @@
 func (f *Fleet) Reported(s *Server, requests int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.reported, s.told = max(0, requests-s.use.Requests), f.now()
+	s.reportedRequests, s.reportedAt = max(0, requests-s.use.Requests), f.now()
 }
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -14,14 +14,14 @@
 // A roll-out's order and the list of backend servers come to a VM by different ways. The
 // new version's servers may be on the list first, and must get nothing before the order
 // is known: the version in use stays the one that it was for as long as it has servers.
-type inUse struct {
+type versionsInUse struct {
 	versions map[string]string         // in use, by service
 	listed   map[string]map[string]int // servers that are not leaving, by service and version
 }
 
 // next is the same after another list.
-func (u inUse) next(list []Backend) inUse {
-	out := inUse{versions: map[string]string{}, listed: map[string]map[string]int{}}
+func (u versionsInUse) next(list []Backend) versionsInUse {
+	out := versionsInUse{versions: map[string]string{}, listed: map[string]map[string]int{}}
 	for i := range list {
 		b := &list[i]
 		if out.listed[b.Service] == nil {
@@ -37,14 +37,14 @@
 		case known && (listed[former] > 0 || len(listed) == 0):
 			out.versions[service] = former
 		default:
-			out.versions[service] = mostOf(listed, nil)
+			out.versions[service] = mostCommon(listed, nil)
 		}
 	}
 	return out
 }
 
 // version is the one version that may run a request.
-func (u inUse) version(service string, v rollout.Versions) string {
+func (u versionsInUse) version(service string, v rollout.Versions) string {
 	if v.Only != "" {
 		return v.Only
 	}
@@ -52,14 +52,14 @@
 	if !slices.Contains(v.Except, version) {
 		return version
 	}
-	if other := mostOf(u.listed[service], v.Except); other != "" {
+	if other := mostCommon(u.listed[service], v.Except); other != "" {
 		return other
 	}
 	return v.Else
 }
 
 // mostOf is the version with the most servers that is not excepted; "": there is none.
-func mostOf(listed map[string]int, except []string) string {
+func mostCommon(listed map[string]int, except []string) string {
 	versions := slices.DeleteFunc(slices.Sorted(maps.Keys(listed)), func(v string) bool { return slices.Contains(except, v) })
 	if len(versions) == 0 {
 		return ""
@@ -68,7 +68,7 @@
 }
 
 // few are the first servers by id that are not avoided, or the first ones if all are.
-func few(servers []*Server, n int, now time.Time) []*Server {
+func firstServers(servers []*Server, n int, now time.Time) []*Server {
 	out := slices.Clone(servers)
 	slices.SortFunc(out, func(a, b *Server) int { return cmp.Compare(a.ID, b.ID) })
 	good := slices.DeleteFunc(slices.Clone(out), func(s *Server) bool { return s.avoided(now) })
