--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-func (p *Blame) engineDied(engine string, at time.Time, digests ...uint64) {
+func (p *Blame) recordDeaths(engine string, at time.Time, digests ...uint64) {
 	for _, d := range digests {
 		p.EngineDied(Death{Digest: d, Engine: engine, At: at}, 0)
 	}
@@ -222,7 +222,7 @@
 func TestPoisonIsRefusedAfterTwoEngines(t *testing.T) {
 	b := NewBlame()
 	const bad = 7
-	b.engineDied("e1", start, 1, 2, 3, 4, 5, 6, bad)
+	b.recordDeaths("e1", start, 1, 2, 3, 4, 5, 6, bad)
 	for d := uint64(1); d <= bad; d++ {
 		if got := b.Standing(d, start); got != Suspect {
 			t.Fatalf("request %d after one death: got standing %v, want Suspect", d, got)
@@ -234,7 +234,7 @@
 			t.Errorf("request %d ran past the point of the death and was not cleared", d)
 		}
 	}
-	b.engineDied("e2", later, bad)
+	b.recordDeaths("e2", later, bad)
 	if got := b.Standing(bad, later); got != Poison {
 		t.Fatalf("after two engines: got standing %v, want Poison", got)
 	}
@@ -262,7 +262,7 @@
 	b := NewBlame()
 	for n := range 8 {
 		at := start.Add(time.Duration(n) * 200 * time.Millisecond)
-		b.engineDied([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[n], at, uint64(n), uint64(n+1))
+		b.recordDeaths([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[n], at, uint64(n), uint64(n+1))
 	}
 	for d := range uint64(9) {
 		if got := b.Standing(d, start.Add(2*time.Second)); got == Poison {
@@ -276,7 +276,7 @@
 func TestPoisonUnderSeveralIDsIsFound(t *testing.T) {
 	b := NewBlame()
 	for n := range 4 {
-		b.engineDied([]string{"a", "b", "c", "d"}[n], start.Add(time.Duration(n)*100*time.Millisecond), 7, uint64(100+n))
+		b.recordDeaths([]string{"a", "b", "c", "d"}[n], start.Add(time.Duration(n)*100*time.Millisecond), 7, uint64(100+n))
 	}
 	if got := b.Standing(7, start.Add(time.Second)); got != Poison {
 		t.Errorf("got standing %v for the common request, want Poison", got)
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkRoutersChange is the news that a router has come or gone, at a router that
-// knows 330 of them before 710 engines. While all are restarted in turn it comes with
+// BenchmarkRoutersChange measures a change of the router set at a router that knows 330
+// routers and 710 engines. While all VMs are restarted in turn, such a change comes with
 // every notice.
 func BenchmarkRoutersChange(b *testing.B) {
 	f := NewFleet(NewPool(), zerolog.Nop())
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,8 +1,9 @@
-// Package upstream reaches backend servers: HTTP/1.1 connections that are kept
-// and checked before reuse, and what this VM knows of each backend server.
+// Package upstream connects to backend servers. It keeps HTTP/1.1 connections, checks them
+// before reuse, and records what this VM knows of the health and load of each backend
+// server.
 //
-// net/http's Transport is not used: it replays a request whose reused connection
-// breaks, and does not say whether a byte of it has left.
+// It does not use the Transport of net/http, which replays a request whose reused
+// connection breaks and does not report whether any byte of it was sent.
 package upstream
 
 import (
@@ -19,49 +20,52 @@
 	"time"
 )
 
-// Sizes and timings of a connection.
+// Sizes and timeouts of a connection.
 const (
-	// DialTimeout: VMs and backend servers are milliseconds apart. A dark server
-	// must not use up a caller's objective.
-	DialTimeout = 200 * time.Millisecond
-	readBufferBytes  = 4 << 10
-	// inlineBody is a body that fits the socket buffers, so that writing it whole
-	// before reading cannot block on a server that answers before it reads on.
+	// DialTimeout bounds the time to connect. VMs and backend servers are milliseconds
+	// apart, and an unresponsive server must not use up a caller's objective.
+	DialTimeout     = 200 * time.Millisecond
+	readBufferBytes = 4 << 10
+	// inlineBodyBytes is a body size that fits the socket buffers. Writing such a body
+	// before reading cannot block on a server that answers before it has read the whole
+	// request.
 	inlineBodyBytes = 16 << 10
 	// writeTimeout bounds the write of a request to a server that does not read.
 	writeTimeout = 2 * time.Second
-	// statedShare of the idle time that a server states is used: its clock starts
-	// before ours, and a request must not cross its close.
+	// keepAliveShare is the fraction of a server's stated idle time that is used. The
+	// server's clock starts before this VM's, and a request must not coincide with the
+	// server's close.
 	keepAliveShare = 0.6
-	// unstatedIdle is for servers that state none.
+	// defaultIdle is the idle time for servers that state none.
 	defaultIdle = 2 * time.Second
-	// maxInterim bounds the 1xx answers before an answer.
+	// maxInterimResponses bounds the 1xx responses before the final response.
 	maxInterimResponses = 8
 )
 
-// Errors of an exchange.
+// Errors of an exchange. ErrDial means that no connection was established, ErrBroken that
+// an established connection failed or its response was invalid.
 var (
-	ErrDial   = errors.New("upstream: no connection")
-	ErrBroken = errors.New("upstream: connection broke")
+	ErrDial   = errors.New("upstream: could not connect")
+	ErrBroken = errors.New("upstream: connection broken")
 )
 
-// Request is one request as it goes to a backend server.
+// Request is one request as it is sent to a backend server.
 type Request struct {
 	Method string
-	URI    string // raw path and query, as the caller sent them
+	URI    string // raw path and query, as sent by the caller
 	Host   string
 	Header http.Header
 	Body   []byte // nil: none
 }
 
-// Conn is one connection; it carries one request at a time.
+// Conn is one connection. It carries one request at a time.
 type Conn struct {
-	raw     net.Conn
-	br      *bufio.Reader
-	key     string
-	reused  bool
-	idleUntil  time.Time
-	bodyWritten chan error // of a body written beside the answer; nil: none
+	raw         net.Conn
+	br          *bufio.Reader
+	key         string
+	reused      bool
+	idleUntil   time.Time  // end of reuse
+	bodyWritten chan error // result of a body write that runs beside the response; nil: none
 }
 
 func newConn(raw net.Conn, key string) *Conn {
@@ -71,14 +75,14 @@
 // Reused reports whether the connection carried an exchange before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Close ends the connection; the server drops what it runs for it.
+// Close closes the connection. The server drops what it runs for it.
 func (c *Conn) Close() { _ = c.raw.Close() }
 
 // SetReadDeadline bounds reads.
 func (c *Conn) SetReadDeadline(t time.Time) { _ = c.raw.SetReadDeadline(t) }
 
-// Send writes a request. left is false where certainly no byte has left.
-func (c *Conn) Send(r *Request) (left bool, err error) {
+// Send writes a request. sent is false only if certainly no byte of it was sent.
+func (c *Conn) Send(r *Request) (sent bool, err error) {
 	head := r.head()
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if len(r.Body) <= inlineBodyBytes {
@@ -113,7 +117,7 @@
 	return append(b, "\r\n"...)
 }
 
-// ReadHead reads the head of the answer, past interim answers.
+// ReadHead reads the head of the final response and skips interim responses.
 func (c *Conn) ReadHead(method string) (*http.Response, error) {
 	req := &http.Request{Method: method}
 	for range maxInterimResponses {
@@ -125,19 +129,19 @@
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, fmt.Errorf("%w: protocol switched", ErrBroken)
+			return nil, fmt.Errorf("%w: server switched protocols", ErrBroken)
 		}
 	}
-	return nil, fmt.Errorf("%w: interim answers without end", ErrBroken)
+	return nil, fmt.Errorf("%w: too many interim responses", ErrBroken)
 }
 
-// Framed reports whether an answer's end can be told from a broken connection.
+// Framed reports whether the end of a response can be told from a broken connection.
 func Framed(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// ReadBody reads a whole body of at most limit bytes. An answer without length
-// ends with its connection; a reset is an error there.
+// ReadBody reads a complete body of at most limit bytes. A response without a length ends
+// when its connection is closed; a connection reset is an error.
 func ReadBody(resp *http.Response, limit int64) ([]byte, error) {
 	var buf bytes.Buffer
 	if resp.ContentLength > 0 && resp.ContentLength <= limit {
@@ -148,16 +152,16 @@
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 	case n > limit:
-		return nil, fmt.Errorf("%w: answer over %d bytes", ErrBroken, limit)
+		return nil, fmt.Errorf("%w: response exceeds %d bytes", ErrBroken, limit)
 	}
 	return buf.Bytes(), nil
 }
 
-// reusable decides, once an answer is read whole, whether the connection may
-// carry another request, and until when.
+// reusable decides, after a complete response, whether the connection may carry another
+// request, and sets until when.
 //
-// A server may send bytes behind its answer, or read on in a body that was cut
-// short: the next request on that connection would get another's answer.
+// A server may send bytes after its response, or continue to read a request body that was
+// cut short. The next request on that connection would then get the wrong response.
 func (c *Conn) reusable(resp *http.Response, now time.Time) bool {
 	if resp.Close || !resp.ProtoAtLeast(1, 1) || !Framed(resp) || c.br.Buffered() > 0 {
 		return false
@@ -170,7 +174,7 @@
 			}
 			c.bodyWritten = nil
 		default:
-			return false // answered before the body was in
+			return false // answered before the body was written
 		}
 	}
 	keep := idleTime(resp.Header.Get("Keep-Alive"))
@@ -193,8 +197,8 @@
 	return defaultIdle
 }
 
-// quiet reports whether an idle connection is open with nothing to read. A
-// closed one, or one with an answer nobody waits for, must not carry a request.
+// isIdle reports whether an idle connection is open and has nothing to read. A connection
+// that the server closed, or that holds an unexpected response, must not carry a request.
 func (c *Conn) isIdle() bool {
 	if c.br.Buffered() > 0 {
 		return false
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// answers is a server in memory that answers each request with the next text.
+// newAnsweringPool returns a pool over an in-memory server that answers each request with
+// the next of the texts, and the heads of the requests that the server read.
 func newAnsweringPool(t *testing.T, texts ...string) (*Pool, *[]string) {
 	var heads []string
 	dial := func(context.Context, string) (net.Conn, error) {
@@ -38,7 +39,7 @@
 	return NewPoolWith(dial), &heads
 }
 
-// exchange sends one request and reads the whole answer.
+// exchange sends one request and reads the complete response.
 func exchange(t *testing.T, p *Pool, r *Request) (string, *Conn) {
 	t.Helper()
 	c, err := p.Get(t.Context(), "i1", "10.0.0.1:80", false)
@@ -62,32 +63,32 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 
-// A connection carries a second request only where nothing may be left on it of
-// the first: bytes behind an answer would be taken for the next one.
+// Guards against a response that is taken for the response to the next request: a server
+// left bytes of the first exchange on a reused connection.
 func TestReuse(t *testing.T) {
 	tests := []struct {
-		name, answer string
-		wait         time.Duration
-		reused       bool
+		name, response string
+		wait           time.Duration
+		reused         bool
 	}{
-		{"whole answer", okHead + "\r\nok", 0, true},
+		{"complete response", okHead + "\r\nok", 0, true},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 0, true},
-		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okHead + "\r\nok", 0, true},
-		{"bytes behind it", okHead + "\r\nokHTTP/1.1 200 OK\r\n", 0, false},
+		{"interim response first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okHead + "\r\nok", 0, true},
+		{"bytes after the response", okHead + "\r\nokHTTP/1.1 200 OK\r\n", 0, false},
 		{"asks to close", okHead + "Connection: close\r\n\r\nok", 0, false},
 		{"older protocol", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", 0, false},
 		{"within the stated time", okHead + "Keep-Alive: timeout=5\r\n\r\nok", 2 * time.Second, true},
 		{"near the stated time", okHead + "Keep-Alive: timeout=5\r\n\r\nok", 4 * time.Second, false},
 		{"no time stated", okHead + "\r\nok", 3 * time.Second, false},
-		{"no time at all", okHead + "Keep-Alive: timeout=0\r\n\r\nok", 0, false},
+		{"stated time of zero", okHead + "Keep-Alive: timeout=0\r\n\r\nok", 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p, _ := newAnsweringPool(t, tt.answer, okHead+"\r\nok")
+				p, _ := newAnsweringPool(t, tt.response, okHead+"\r\nok")
 				r := &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}}
 				if got, _ := exchange(t, p, r); got != "ok" {
-					t.Fatalf("body %q", got)
+					t.Fatalf("got body %q, want ok", got)
 				}
 				time.Sleep(tt.wait)
 				c, err := p.Get(t.Context(), "i1", "10.0.0.1:80", false)
@@ -96,14 +97,14 @@
 				}
 				defer c.Close()
 				if c.Reused() != tt.reused {
-					t.Errorf("reused: %t", c.Reused())
+					t.Errorf("got reused %t, want the opposite", c.Reused())
 				}
 			})
 		})
 	}
 }
 
-// The request goes out as the caller sent it, byte by byte.
+// Guards against a request whose path, query or body is normalised on the way.
 func TestRequestIsUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, heads := newAnsweringPool(t, okHead+"\r\nok", okHead+"\r\nok")
@@ -112,44 +113,44 @@
 		c.Close()
 		want := []string{`POST /a/../b//%2f?q=%zz h.example "x y"`, `GET /c h.example ""`}
 		if strings.Join(*heads, "|") != strings.Join(want, "|") {
-			t.Errorf("the server read %v", *heads)
+			t.Errorf("got requests %v at the server, want them as sent", *heads)
 		}
 	})
 }
 
-// An answer that ends with its connection is whole only if that was not reset, and
-// one with a length only with all its bytes.
-func TestCutAnswers(t *testing.T) {
+// Guards against a truncated response that passes for a complete one: the connection ends
+// before all bytes of the stated length, or before the last chunk.
+func TestTruncatedResponses(t *testing.T) {
 	for _, text := range []string{okHead + "\r\no", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"} {
 		resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if body, err := ReadBody(resp, 100); err == nil {
-			t.Errorf("%q passes for a whole answer", body)
+			t.Errorf("got body %q without error from a truncated response", body)
 		}
 	}
 }
 
-// Idle connections to a server that has left do not stay open.
+// Guards against idle connections that stay open after their server has left the list.
 func TestSweep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newAnsweringPool(t, okHead+"\r\nok")
 		exchange(t, p, &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
 		p.Sweep()
 		if p.Idle() != 1 {
-			t.Fatal("a usable connection was closed")
+			t.Fatal("got a usable connection closed by Sweep, want it kept")
 		}
 		time.Sleep(defaultIdle)
 		p.Sweep()
 		if n := p.Idle(); n != 0 {
-			t.Errorf("%d connections left", n)
+			t.Errorf("got %d idle connections, want 0", n)
 		}
 	})
 }
 
-// Whatever a server sends, an answer is whole or an error, and no larger than its
-// bound.
+// Guards against malformed responses: whatever a server sends, a response is complete or an
+// error, and within its size limit.
 func FuzzAnswer(f *testing.F) {
 	f.Add(okHead + "\r\nok")
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n")
@@ -162,10 +163,10 @@
 			return
 		}
 		if resp.StatusCode < http.StatusOK {
-			t.Errorf("an interim answer was taken: %d", resp.StatusCode)
+			t.Errorf("got interim response %d, want a final one", resp.StatusCode)
 		}
 		if body, err := ReadBody(resp, limit); err == nil && len(body) > limit {
-			t.Errorf("%d bytes", len(body))
+			t.Errorf("got %d bytes, want at most 64", len(body))
 		}
 	})
 }
--- a/internal/upstream/fleet.go
+++ b/internal/upstream/fleet.go
@@ -20,99 +20,102 @@
 	Zone     string `cbor:"4,keyasint"`
 	Slots    int    `cbor:"5,keyasint"`
 	Draining bool   `cbor:"6,keyasint,omitempty"`
-	Version  string `cbor:"7,keyasint,omitempty"` // of its software; empty: not stated
-	// Cold: it has just started, and is slower than it will be.
+	Version  string `cbor:"7,keyasint,omitempty"` // of the server's software; empty: not stated
+	// Cold marks a server that has just started and is still slower than usual.
 	Cold bool `cbor:"8,keyasint,omitempty"`
 }
 
-// List is the list of backend servers and when it was read, by this VM's clock.
+// List is the list of backend servers and the time at which it was read, by this VM's
+// clock.
 type List struct {
 	Backends []Backend
 	AsOf     time.Time
 }
 
-// Figures of what a VM concludes from a server's behaviour.
+// Constants for what a VM concludes from a server's behaviour.
 const (
-	// avoidFirst and avoidMost: a server that could not be reached, or failed, is
-	// avoided for this long, doubled each time in a row. A process restarts within
-	// a second; a dark one stays for several.
+	// minAvoid and maxAvoid bound how long a server that could not be reached, or failed,
+	// is avoided. The time doubles with each fault in a row. A process restarts within a
+	// second; an unresponsive one stays so for several.
 	minAvoid = 500 * time.Millisecond
-	maxAvoid  = 4 * time.Second
-	// deadFor: a dead server comes back under another id; under its own only where
-	// it was cut off, which lasts for seconds.
+	maxAvoid = 4 * time.Second
+	// deadAvoid is how long a dead server is avoided. It returns under another id, or under
+	// its own if it was only cut off, which lasts for seconds.
 	deadAvoid = 4 * time.Second
-	// heardLately: a server that sent something within this time lives. An engine
-	// that reads a prompt sends an event each 250 ms at least.
+	// livenessWindow is how long received bytes prove that a server is alive. An engine
+	// that prefills a prompt sends an event at least every 250 ms.
 	livenessWindow = 250 * time.Millisecond
-	// tellFor is how long other VMs are told of a death: some notices.
+	// deathReportWindow is how long a death is reported to other VMs. It covers several
+	// notices.
 	deathReportWindow = 1200 * time.Millisecond
-	// fullFor: a full server refused; its queue moves within some tens of ms.
+	// fullAvoid is how long a server that refused a request as full is avoided. Its queue
+	// moves within some tens of milliseconds.
 	fullAvoid = 60 * time.Millisecond
-	// failuresToAvoid failed answers in a row: single ones are the service's own.
+	// failuresToAvoid failed responses in a row make a server avoided. Single failures are
+	// the service's own.
 	failuresToAvoid = 3
-	// loadFor is how long a reported load counts: about one call's time.
+	// reportedLoadTTL is how long a reported load counts, about the duration of one call.
 	reportedLoadTTL = 300 * time.Millisecond
-	// slowShare is the weight of the newest latency in the average.
+	// latencyWeight is the weight of the newest latency in the moving average.
 	latencyWeight = 0.2
-	// slowAfter is how much longer than its neighbours a server takes before it
-	// counts as slow; below it the difference is chance.
+	// slowRatio is the latency, relative to the mean of the service, from which a server
+	// counts as slow. Smaller differences are chance.
 	slowRatio = 1.6
 )
 
-// Server is what this VM knows of one backend server. Its fields belong to the
-// Fleet; Backend never changes but for Draining, which the Fleet reads.
+// Server holds what this VM knows of one backend server. Its fields are guarded by the
+// Fleet. Backend never changes except for Draining and Cold, which the Fleet updates.
 type Server struct {
 	Backend
-	use      placement.Use
-	died     chan struct{} // closed when it is judged dead
-	suspicion    chan struct{} // closed when others give reason to ask it
-	lastHeard    time.Time
-	diedAt   time.Time // when it was last judged dead, here or by another VM
-	rank     int       // this VM's place in its line, among the routers of turnOf
-	rankVersion   int
-	avoidUntil    time.Time // until; by what this VM found
-	suspectedUntil  time.Time // until; by what befell its neighbours, or by hearsay
-	faultsInRow  int       // failures to reach it in a row
-	failuresInRow int       // failed answers in a row
-	stale    bool      // another incarnation answers at the address
-	latencyMS  float64   // average, in ms
-	serviceTimeMS     float64   // the same without what a call waited for a slot
-	reportedRequests int       // requests of other VMs there, as its last answer said
-	reportedAt     time.Time
+	use              placement.Use
+	died             chan struct{} // closed when the server is judged dead
+	suspicion        chan struct{} // closed when there is reason to probe the server
+	lastHeard        time.Time     // when bytes last came from the server
+	diedAt           time.Time     // when it was last judged dead, here or by another VM
+	rank             int           // this VM's position in the server's rendezvous order, valid for rankVersion
+	rankVersion      int           // value of Fleet.routersVersion
+	avoidUntil       time.Time     // from this VM's own observations
+	suspectedUntil   time.Time     // from deaths of neighbours or from peer reports
+	faultsInRow      int           // faults in a row that made the server avoided
+	failuresInRow    int           // failed responses in a row
+	stale            bool          // another incarnation answers at the address
+	latencyMS        float64       // moving average
+	serviceTimeMS    float64       // moving average without the wait for a slot
+	reportedRequests int           // requests of other VMs on the server, by its last response
+	reportedAt       time.Time
 }
 
-// Fleet is what this VM knows of all backend servers. Safe for concurrent use.
+// Fleet holds what this VM knows of all backend servers. It is safe for concurrent use.
 type Fleet struct {
 	pool *Pool
 	now  func() time.Time
 	log  zerolog.Logger
 
-	mu      sync.Mutex
-	asOf    time.Time
-	servers map[string]*Server
-	listed   []*Server // of the list
-	inUse   versionsInUse
-	peerUse  map[string]placement.Use
-	outage  recovery.Outage
-	self    string
-	routers []string             // VMs that place requests, this one included
-	routersVersion int                  // of routers
-	deadSince    map[string]time.Time // judged dead here, when
+	mu             sync.Mutex
+	asOf           time.Time
+	servers        map[string]*Server
+	listed         []*Server // in the order of the list
+	inUse          versionsInUse
+	peerUse        map[string]placement.Use
+	outage         recovery.Outage
+	self           string
+	routers        []string             // VMs that place requests, including this one
+	routersVersion int                  // number of changes of routers
+	deadSince      map[string]time.Time // when servers were judged dead here, by id
 }
 
-// open reports whether requests may be sent there: it is not leaving, and no other
+// open reports whether requests may be sent to the server: it is not draining, and no other
 // incarnation answers at its address.
 func (s *Server) open() bool { return !s.Draining && !s.stale }
 
-// NewFleet returns an empty Fleet that forgets the connections of servers which
-// have left the list.
+// NewFleet returns an empty Fleet. It closes idle connections in pool to servers that leave
+// the list.
 func NewFleet(pool *Pool, log zerolog.Logger) *Fleet {
 	return &Fleet{pool: pool, log: log, now: time.Now, servers: map[string]*Server{}, deadSince: map[string]time.Time{}}
 }
 
-// Apply takes a list that was read later than the one held, and reports whether
-// it did. An older one, from a VM that was cut off, would bring servers back
-// that have left.
+// Apply takes over a list if it was read later than the current one, and reports whether it
+// did. An older list, from a VM that was cut off, would bring back servers that have left.
 func (f *Fleet) Apply(l List) bool {
 	f.mu.Lock()
 	if !l.AsOf.After(f.asOf) {
@@ -143,7 +146,7 @@
 	f.mu.Unlock()
 	if added > 0 || len(gone) > 0 {
 		f.log.Info().Int("servers", len(order)).Int("added", added).Int("gone", len(gone)).
-			Dur("age", f.now().Sub(l.AsOf)).Msg("backend servers changed")
+			Dur("age", f.now().Sub(l.AsOf)).Msg("list of backend servers changed")
 	}
 	for _, id := range gone {
 		f.pool.Forget(id)
@@ -152,22 +155,22 @@
 	return true
 }
 
-// AsOf is when the list held was read.
+// AsOf returns when the current list was read.
 func (f *Fleet) AsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.asOf
 }
 
-// SetOthers takes what other VMs have running on each server.
+// SetPeerUse sets what other VMs have running on each server, by server id.
 func (f *Fleet) SetOthers(use map[string]placement.Use) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.peerUse = use
 }
 
-// SetRouters names this VM and those that place requests: each server has a line
-// of them.
+// SetRouters sets this VM's name and the routers that place requests. Each server has a
+// rendezvous order of these routers.
 func (f *Fleet) SetRouters(self string, routers []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,9 +181,10 @@
 	f.routersVersion++
 }
 
-// turn is this VM's place in a server's line. It is worked out where it is needed, which
-// is seldom: for all servers at each change of routers it would take milliseconds, some
-// times a second while hundreds of VMs are restarted in turn. It needs f.mu.
+// rank returns this VM's position in a server's rendezvous order. It is computed on demand,
+// which is seldom. Computing it for all servers at each change of routers would take
+// milliseconds, several times a second while hundreds of VMs are restarted in turn. It
+// needs f.mu.
 func (f *Fleet) rank(s *Server) int {
 	if s.rankVersion != f.routersVersion {
 		s.rank, s.rankVersion = placement.Turn(s.ID, f.self, f.routers), f.routersVersion
@@ -188,7 +192,7 @@
 	return s.rank
 }
 
-// Mine is what this VM has running on each server.
+// OwnUse returns what this VM has running on each server, by server id.
 func (f *Fleet) Mine() map[string]placement.Use {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,16 +205,17 @@
 	return out
 }
 
-// Work is how long a call takes at a server once it has a slot; 0: not known.
+// ServiceTime returns the average duration of a call at a server once it has a slot; 0: not
+// known.
 func (f *Fleet) Work(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(s.serviceTimeMS * float64(time.Millisecond))
 }
 
-// Candidates are the servers of a service that may take a request, and the same
-// as placement sees them. skip leaves servers out by id. Draining servers and
-// those whose address another incarnation holds are never among them.
+// Candidates returns the servers of a service that may take a request, and their view for
+// placement in the same order. skip excludes servers by id. Draining servers and servers
+// whose address another incarnation holds are never among them.
 func (f *Fleet) Candidates(service string, v rollout.Versions, kvTokens int, skip map[string]bool) ([]*Server, []placement.Candidate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -227,7 +232,7 @@
 	return servers, out
 }
 
-// CallCandidates are the same servers as placement sees them for a call.
+// CallCandidates is Candidates for a call.
 func (f *Fleet) CallCandidates(service string, v rollout.Versions, skip map[string]bool) ([]*Server, []placement.CallCandidate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -273,7 +278,8 @@
 	return use
 }
 
-// usualLatency is the mean over the servers of a service, in ms.
+// meanLatencyMS returns the mean latency over the servers of a service; 0: fewer than two
+// are known. It needs f.mu.
 func (f *Fleet) meanLatencyMS(service string) float64 {
 	sum, n := 0.0, 0
 	for _, s := range f.listed {
@@ -295,17 +301,19 @@
 	return latency / usual
 }
 
-// avoided reports whether there is a reason not to send anything there.
-func (s *Server) avoided(now time.Time) bool { return now.Before(s.avoidUntil) || now.Before(s.suspectedUntil) }
+// avoided reports whether there is a reason not to send requests to the server.
+func (s *Server) avoided(now time.Time) bool {
+	return now.Before(s.avoidUntil) || now.Before(s.suspectedUntil)
+}
 
-// Opinion is what this VM would tell others of servers, by id.
+// Report is what this VM reports to other VMs about servers, by id.
 type Opinion struct {
-	Avoid []string // not to be used, as this VM found itself
-	Doubt []string // taken for lost with their zone, or by hearsay
-	Alive []string // heard just now
+	Avoid []string // avoided by this VM's own observations
+	Doubt []string // suspected after deaths of neighbours or by peer reports
+	Alive []string // heard within livenessWindow
 }
 
-// Opinion returns what this VM knows of its servers that others may not.
+// Report returns what this VM knows of its servers that other VMs may not know.
 func (f *Fleet) Opinion() Opinion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -324,7 +332,7 @@
 	return o
 }
 
-// Lookup returns a server that may take a request, by id, or nil.
+// Lookup returns the server with an id if it may take a request, or nil.
 func (f *Fleet) Lookup(id string) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -335,8 +343,8 @@
 	return s
 }
 
-// Lost reports whether a server has left the list, or is leaving, or was judged dead
-// here or by another VM and not heard since.
+// Lost reports whether a server has left the list or is draining, or was judged dead here
+// or by another VM and has not been heard since.
 func (f *Fleet) Lost(s *Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -345,14 +353,14 @@
 	return !listed || dead
 }
 
-// UseOf is what is known to run on a server, of this VM and the others.
+// UseOf returns what is known to run on a server, of this VM and of the others.
 func (f *Fleet) UseOf(s *Server) placement.Use {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.useOf(s, f.now())
 }
 
-// At returns the server of a service at an address that may take a request, or nil.
+// At returns the server of a service at an address if it may take a request, or nil.
 func (f *Fleet) At(service, addr string) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -364,41 +372,41 @@
 	return nil
 }
 
-// Take notes what a request uses of a server.
+// Take adds a request's use to a server.
 func (f *Fleet) Take(s *Server, u placement.Use) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.use = s.use.Add(u)
 }
 
-// Give takes it off again.
+// Release subtracts a request's use from a server.
 func (f *Fleet) Give(s *Server, u placement.Use) {
 	f.Take(s, u.Negative())
 }
 
-// Died is closed when the server is judged dead.
+// Died returns a channel that is closed when the server is judged dead.
 func (f *Fleet) Died(s *Server) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.died
 }
 
-// Doubted is closed when its neighbours' deaths give reason to ask the server
-// whether it lives.
+// Suspected returns a channel that is closed when the deaths of neighbours, or a peer
+// report, give reason to probe the server.
 func (f *Fleet) Doubted(s *Server) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.suspicion
 }
 
-// Heard notes that bytes came from the server.
+// Heard records that bytes came from the server.
 func (f *Fleet) Heard(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.lastHeard = f.now()
 }
 
-// HeardAgo is how long the server has been silent towards this VM.
+// SilentFor returns the time since this VM last received bytes from the server.
 func (f *Fleet) HeardAgo(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/upstream/fleet_test.go
+++ b/internal/upstream/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/rollout"
 )
 
-// newTestFleet has n servers of one service in each of three zones.
+// newTestFleet returns a fleet with n servers of one service in each of three zones.
 func newTestFleet(n int) *Fleet {
 	f := NewFleet(NewPool(), zerolog.Nop())
 	var rows []Backend
@@ -25,7 +25,7 @@
 	return f
 }
 
-// usable counts the servers of a zone that a request would go to.
+// usable counts the servers of a zone to which a request would be sent.
 func usable(f *Fleet, zone string) int {
 	n := 0
 	_, candidates := f.Candidates("m", rollout.Versions{}, 1, nil)
@@ -37,38 +37,38 @@
 	return n
 }
 
-// Requests stay away from a zone whose engines died. In order: this VM has streams
-// on two of twelve engines there and finds both dead; the ten others are listed for
-// two more seconds and look idle. Later the list names their successors.
+// Guards against requests that are sent to a lost zone. This VM has streams on two of
+// twelve engines there and finds both dead. The ten others stay on the list for two more
+// seconds and look idle. Later the list names their successors.
 func TestLostZoneIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(12)
 		time.Sleep(5 * time.Second)
-		doubted := f.Doubted(f.Lookup("b7"))
+		suspected := f.Doubted(f.Lookup("b7"))
 		f.Dead(f.Lookup("b0"))
 		if n := usable(f, "b"); n != 11 {
-			t.Errorf("%d usable after one death", n)
+			t.Errorf("got %d usable servers after one death, want 11", n)
 		}
 		f.Dead(f.Lookup("b1"))
 		if n := usable(f, "b"); n != 0 {
-			t.Errorf("%d of a lost zone would still get requests", n)
+			t.Errorf("got %d usable servers in a lost zone, want 0", n)
 		}
 		if usable(f, "a") != 12 || usable(f, "c") != 12 {
-			t.Error("other zones are avoided too")
+			t.Error("servers of other zones are avoided, want 12 usable in each")
 		}
 		select {
-		case <-doubted:
+		case <-suspected:
 		default:
-			t.Error("a stream in the lost zone is not told to ask its engine")
+			t.Error("a stream in the lost zone got no signal to probe its engine")
 		}
 		f.Apply(List{Backends: []Backend{{ID: "b-new", Service: "m", Zone: "b"}}, AsOf: time.Now()})
 		if n := usable(f, "b"); n != 1 {
-			t.Error("the successor is avoided")
+			t.Error("the successor of a dead server is avoided")
 		}
 	})
 }
 
-// An engine that sent something just now is not taken for lost with its zone.
+// Guards against avoiding a live engine with its zone: it sent bytes just before.
 func TestLostZoneSparesLiveServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(4)
@@ -77,43 +77,45 @@
 		f.Dead(f.Lookup("b0"))
 		f.Dead(f.Lookup("b1"))
 		if n := usable(f, "b"); n != 1 {
-			t.Errorf("%d usable, want the one that was heard", n)
+			t.Errorf("got %d usable servers, want the one that was heard", n)
 		}
 	})
 }
 
-// What other VMs judged dead is avoided here, but nothing moves by it.
-func TestHearsayDeath(t *testing.T) {
+// Guards against runs that are moved because of a peer report. A server that another VM
+// judged dead is avoided here, but nothing is moved, since the other VM's link may be at
+// fault.
+func TestPeerReportedDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(4)
 		time.Sleep(5 * time.Second)
 		died := f.Died(f.Lookup("a0"))
 		f.HearsayDead([]string{"a0", "unknown"})
 		if n := usable(f, "a"); n != 3 {
-			t.Errorf("%d usable", n)
+			t.Errorf("got %d usable servers, want 3", n)
 		}
 		select {
 		case <-died:
-			t.Error("hearsay ended a run")
+			t.Error("a peer report ended a run")
 		default:
 		}
 	})
 }
 
-// An older list does not bring back what has left: a VM that was cut off may send
-// one.
-func TestOlderListIsNotTaken(t *testing.T) {
+// Guards against an older list that brings back servers that have left. A VM that was cut
+// off may send one.
+func TestOlderListIsNotApplied(t *testing.T) {
 	f := newTestFleet(1)
 	now := f.AsOf()
 	if f.Apply(List{Backends: []Backend{{ID: "old", Service: "m"}}, AsOf: now.Add(-time.Second)}) {
-		t.Error("an older list was taken")
+		t.Error("an older list was applied")
 	}
 	if f.Lookup("old") != nil || f.Lookup("a0") == nil {
-		t.Error("the older list is in use")
+		t.Error("the servers of the older list are in use")
 	}
 }
 
-func TestNothingGoesToLeavingServers(t *testing.T) {
+func TestDrainingAndStaleServersGetNoRequests(t *testing.T) {
 	f := newTestFleet(1)
 	stale := f.Lookup("c0")
 	f.Stale(stale)
@@ -124,22 +126,23 @@
 	}, AsOf: time.Now().Add(time.Second)})
 	servers, _ := f.Candidates("m", rollout.Versions{}, 1, nil)
 	if len(servers) != 1 || servers[0].ID != "b0" {
-		t.Errorf("%d candidates", len(servers))
+		t.Errorf("got %d candidates, want only b0", len(servers))
 	}
 	if f.Lookup("a0") != nil || f.Lookup("c0") != nil {
-		t.Error("a copy would be used on a server that leaves, or is another incarnation's address")
+		t.Error("Lookup returned a draining server, or one whose address another incarnation holds")
 	}
 }
 
-// Loads that other VMs report count beside this VM's own.
-func TestOthersLoadCounts(t *testing.T) {
+// Guards against load of other VMs that is ignored. It counts beside this VM's own, but is
+// not reported on as this VM's own.
+func TestPeerLoadCounts(t *testing.T) {
 	f := newTestFleet(1)
 	f.Take(f.Lookup("a0"), placement.Use{Requests: 1, Tokens: 10})
 	f.SetOthers(map[string]placement.Use{"a0": {Requests: 2, Tokens: 30}})
 	if u := f.UseOf(f.Lookup("a0")); u.Requests != 3 || u.Tokens != 40 {
-		t.Errorf("use %+v", u)
+		t.Errorf("got use %+v, want 3 requests and 40 tokens", u)
 	}
 	if mine := f.Mine()["a0"]; mine.Requests != 1 {
-		t.Errorf("told to others: %+v", mine)
+		t.Errorf("got own use %+v, want 1 request", mine)
 	}
 }
--- a/internal/upstream/verdict.go
+++ b/internal/upstream/health.go
@@ -6,14 +6,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/recovery"
 )
 
-// Suspect avoids a server for a while, longer each time in a row.
+// Avoid makes a server avoided for a while, longer with each fault in a row.
 func (f *Fleet) Suspect(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.backOff(s)
 }
 
-// strike needs f.mu.
+// backOff needs f.mu.
 func (f *Fleet) backOff(s *Server) {
 	d := min(minAvoid<<min(s.faultsInRow, 8), maxAvoid)
 	s.faultsInRow++
@@ -27,7 +27,7 @@
 	}
 }
 
-// Unreachable notes that the server took no connection.
+// Unreachable records that the server accepted no connection.
 func (f *Fleet) Unreachable(s *Server) {
 	f.mu.Lock()
 	f.backOff(s)
@@ -36,8 +36,8 @@
 	f.pool.Forget(s.ID)
 }
 
-// Dead judges a server dead: all that runs there for this VM moves on at once,
-// since one silent stream is a witness for its neighbours.
+// MarkDead judges a server dead. Everything that runs there for this VM is moved at once,
+// since one silent stream is evidence for the others on the same server.
 func (f *Fleet) Dead(s *Server) {
 	f.mu.Lock()
 	f.avoidFor(s, deadAvoid)
@@ -52,10 +52,11 @@
 	f.pool.Forget(s.ID)
 }
 
-// noteDeath needs f.mu. Where the whole place counts as lost, every server there
-// that has not been heard since is avoided, and those that run something for this
-// VM are asked. Servers of another version are not: all of one version's end when a
-// roll-out is completed, and the others are to carry on.
+// noteDeath records a death and needs f.mu. If the whole failure domain counts as lost,
+// every server in it that was not heard within livenessWindow is avoided, and those that
+// run requests for this VM are probed. Servers of another version are not affected: the
+// servers of one version all end when a roll-out is completed, and the others must stay in
+// use.
 func (f *Fleet) noteDeath(s *Server) {
 	now := f.now()
 	if !f.outage.Note(s.Service+"/"+s.Zone+"/"+s.Version, s.ID, f.countNeighbours(s), now) {
@@ -70,15 +71,15 @@
 		o.suspectedUntil = now.Add(recovery.OutageFor)
 		f.signalSuspicion(o)
 	}
-	f.log.Warn().Str("service", s.Service).Str("zone", s.Zone).Int("avoided", avoided).Msg("zone taken for lost")
+	f.log.Warn().Str("service", s.Service).Str("zone", s.Zone).Int("avoided", avoided).Msg("zone suspected lost; avoiding its silent servers")
 }
 
-// isBeside reports whether a server shares another's service, zone and version.
+// isNeighbour reports whether a server shares another's service, zone and version.
 func (s *Server) isNeighbour(o *Server) bool {
 	return s.Service == o.Service && s.Zone == o.Zone && s.Version == o.Version
 }
 
-// beside counts the servers beside one, itself included. It needs f.mu.
+// countNeighbours counts the neighbours of a server, itself included. It needs f.mu.
 func (f *Fleet) countNeighbours(s *Server) int {
 	n := 0
 	for _, o := range f.listed {
@@ -89,13 +90,14 @@
 	return n
 }
 
-// raiseDoubt needs f.mu.
+// signalSuspicion needs f.mu.
 func (f *Fleet) signalSuspicion(s *Server) {
 	close(s.suspicion)
 	s.suspicion = make(chan struct{})
 }
 
-// Dying are the servers that this VM judged dead lately, to tell the others.
+// RecentlyDead returns the ids of the servers that this VM judged dead within
+// deathReportWindow, for its reports to other VMs.
 func (f *Fleet) Dying() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,8 +112,8 @@
 	return out
 }
 
-// HearsayDead takes what other VMs judged dead. It moves nothing by itself: the
-// other VM's link may be at fault.
+// PeerReportedDead takes the ids of servers that other VMs judged dead. It moves no run by
+// itself, since the other VM's link may be at fault.
 func (f *Fleet) HearsayDead(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -130,24 +132,25 @@
 	}
 }
 
-// Full notes that the server refused a request because it is full.
+// MarkFull records that the server refused a request because it is full.
 func (f *Fleet) Full(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoidFor(s, fullAvoid)
 }
 
-// Stale notes that another incarnation holds the server's address: nothing is
-// sent there until the list names it. Each send would be refused, and count.
+// MarkStale records that another incarnation holds the server's address. Nothing is sent
+// there until the list names the new one, since each send would be refused and count as an
+// attempt.
 func (f *Fleet) Stale(s *Server) {
 	f.mu.Lock()
 	s.stale = true
 	f.mu.Unlock()
-	f.log.Info().Str("server", s.ID).Str("address", s.Address).Msg("another incarnation answers")
+	f.log.Info().Str("server", s.ID).Str("address", s.Address).Msg("another incarnation answers at the address of a listed server; sending nothing to the listed one")
 	f.pool.Forget(s.ID)
 }
 
-// Failed notes an answer that is the server's own failure.
+// Failed records a response that is the server's own failure.
 func (f *Fleet) Failed(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +160,7 @@
 	}
 }
 
-// Succeeded notes a good answer and how long it took; zero: not measured.
+// Succeeded records a good response and its latency; zero: not measured.
 func (f *Fleet) Succeeded(s *Server, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,9 +171,9 @@
 	}
 	ms := float64(took) / float64(time.Millisecond)
 	s.latencyMS = movingAverage(s.latencyMS, ms)
-	// A call that found all slots taken waited for as many calls as were before it.
-	there := float64(max(1, s.use.Requests+s.reportedRequests)) / float64(max(1, s.Slots))
-	s.serviceTimeMS = movingAverage(s.serviceTimeMS, ms/max(1, there))
+	// A call that found all slots taken waited for as many calls as were queued before it.
+	occupancy := float64(max(1, s.use.Requests+s.reportedRequests)) / float64(max(1, s.Slots))
+	s.serviceTimeMS = movingAverage(s.serviceTimeMS, ms/max(1, occupancy))
 }
 
 func movingAverage(old, next float64) float64 {
@@ -180,8 +183,8 @@
 	return old + latencyWeight*(next-old)
 }
 
-// Reported takes the load that a server states: requests that run and wait there
-// from all VMs.
+// SetReportedLoad takes the load that a server reports: the requests of all VMs that run
+// and wait there.
 func (f *Fleet) Reported(s *Server, requests int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// idlePerServer bounds the idle connections to one backend server: it counts
-// the connections of all VMs together, and a few cover the load of one.
+// idlePerServer bounds the idle connections to one backend server. The server counts the
+// connections of all VMs together, and a few cover one VM's load.
 const idlePerServer = 6
 
-// Pool keeps idle connections by backend server. Safe for concurrent use.
+// Pool keeps idle connections by backend server. It is safe for concurrent use.
 type Pool struct {
 	dial Dialer
 	now  func() time.Time
@@ -23,7 +23,7 @@
 	dials uint64
 }
 
-// Dialer opens a connection to an address, ip:port.
+// Dialer opens a connection to an address of the form ip:port.
 type Dialer func(ctx context.Context, addr string) (net.Conn, error)
 
 // NewPool returns a Pool over TCP.
@@ -32,13 +32,13 @@
 	return NewPoolWith(func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) })
 }
 
-// NewPoolWith returns a Pool over other connections.
+// NewPoolWith returns a Pool that opens its connections with dial.
 func NewPoolWith(dial Dialer) *Pool {
 	return &Pool{dial: dial, now: time.Now, idle: map[string][]*Conn{}}
 }
 
-// Get returns an idle connection to the server with that key, or a new one.
-// fresh asks for a new one: an idle connection may have gone silent unnoticed.
+// Get returns an idle connection to the server with the given key, or a new one. fresh asks
+// for a new one, because an idle connection may have failed silently.
 func (p *Pool) Get(ctx context.Context, key, addr string, fresh bool) (*Conn, error) {
 	if !fresh {
 		if c := p.takeIdle(key); c != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Put takes a connection back after a whole answer, or closes it.
+// Put returns a connection to the pool after a complete response, or closes it.
 func (p *Pool) Put(c *Conn, resp *http.Response) {
 	c.SetReadDeadline(time.Time{})
 	if !c.reusable(resp, p.now()) {
@@ -92,11 +92,11 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// maxAsked bounds the answer to a question.
+// maxAskBytes bounds the response to a request of this system's own.
 const maxAskBytes = 4 << 20
 
-// Ask sends a request of this system's own on a new connection and reads the whole
-// answer: a kept connection may have gone silent by itself while the server lives.
+// Do sends a request of this system's own on a new connection and reads the complete
+// response. An idle connection may have failed silently while the server is alive.
 func (p *Pool) Ask(ctx context.Context, key, addr string, r *Request) (*http.Response, []byte, error) {
 	c, err := p.Get(ctx, key, addr, true)
 	if err != nil {
@@ -124,8 +124,8 @@
 	return resp, body, nil
 }
 
-// Sweep closes the idle connections whose time has passed. Those to a server that
-// left the list while one was under way would otherwise stay open for ever.
+// Sweep closes the idle connections that have expired. Connections to a server that left
+// the list while a request was in flight would otherwise stay open forever.
 func (p *Pool) Sweep() {
 	now := p.now()
 	var expired []*Conn
@@ -150,7 +150,7 @@
 	}
 }
 
-// Idle is how many idle connections are kept.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +172,7 @@
 	}
 }
 
-// Dials is how many connections were opened.
+// Dials returns the number of connections that were opened.
 func (p *Pool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -9,17 +9,17 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/rollout"
 )
 
-// inUse is what the list says of the versions of each service's servers.
+// versionsInUse holds, per service, the version in use and the versions on the list.
 //
-// A roll-out's order and the list of backend servers come to a VM by different ways. The
-// new version's servers may be on the list first, and must get nothing before the order
-// is known: the version in use stays the one that it was for as long as it has servers.
+// A roll-out's order and the list of backend servers reach a VM on different paths. Servers
+// of the new version may be listed first and must get no requests before the order is
+// known. The version in use therefore stays the same for as long as it has servers.
 type versionsInUse struct {
 	versions map[string]string         // in use, by service
-	listed   map[string]map[string]int // servers that are not leaving, by service and version
+	listed   map[string]map[string]int // servers that are not draining, by service and version
 }
 
-// next is the same after another list.
+// next returns the versions after another list.
 func (u versionsInUse) next(list []Backend) versionsInUse {
 	out := versionsInUse{versions: map[string]string{}, listed: map[string]map[string]int{}}
 	for i := range list {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// version is the one version that may run a request.
+// version returns the one version that may run a request.
 func (u versionsInUse) version(service string, v rollout.Versions) string {
 	if v.Only != "" {
 		return v.Only
@@ -58,7 +58,8 @@
 	return v.Else
 }
 
-// mostOf is the version with the most servers that is not excepted; "": there is none.
+// mostCommon returns the version with the most servers that is not excluded; "": there is
+// none.
 func mostCommon(listed map[string]int, except []string) string {
 	versions := slices.DeleteFunc(slices.Sorted(maps.Keys(listed)), func(v string) bool { return slices.Contains(except, v) })
 	if len(versions) == 0 {
@@ -67,7 +68,8 @@
 	return slices.MaxFunc(versions, func(a, b string) int { return cmp.Compare(listed[a], listed[b]) })
 }
 
-// few are the first servers by id that are not avoided, or the first ones if all are.
+// firstServers returns the first n servers by id that are not avoided, or the first n of
+// all if all are avoided.
 func firstServers(servers []*Server, n int, now time.Time) []*Server {
 	out := slices.Clone(servers)
 	slices.SortFunc(out, func(a, b *Server) int { return cmp.Compare(a.ID, b.ID) })
@@ -85,8 +87,8 @@
 	return s.Cold
 }
 
-// Version is the version that a request would run on by the present list; "": the list
-// states none.
+// Version returns the version on which a request would run by the current list; "": the
+// list states none.
 func (f *Fleet) Version(service string, v rollout.Versions) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
