--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// What a request costs a router where no roll-out is under way, and where one is.
+// BenchmarkRequest measures the cost of a request at a router, with and without a roll-out
+// under way.
 func BenchmarkRequest(b *testing.B) {
 	for _, under := range []bool{false, true} {
 		b.Run(fmt.Sprint("under way ", under), func(b *testing.B) {
-			s, book := &State{}, NewBook(time.Now)
+			s, recorder := &State{}, NewBook(time.Now)
 			if under {
 				s = stateAt(Record{Order: toV2, Number: 1, Phase: Trial, DefaultShare: 0.1})
-				book.Watch(s.UnderWay())
+				recorder.Watch(s.UnderWay())
 			}
 			b.ReportAllocs()
 			for i := range b.N {
 				c := s.Choose("desk", "book", float64(i%10)/10)
-				book.Request("desk", "book", c)
-				book.Sent("desk", c)
-				run := book.Begin("desk", "book", c, "i-1")
-				book.End(run, false, false)
+				recorder.Request("desk", "book", c)
+				recorder.Sent("desk", c)
+				run := recorder.Begin("desk", "book", c, "i-1")
+				recorder.End(run, false, false)
 			}
 		})
 	}
 }
 
-// What one look costs a control VM: a minute of three routes of streams, 16 servers of
-// each version.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkEvaluate measures one evaluation at a control VM after a minute of three routes
+// of streams, with 16 servers of each version.
+func BenchmarkEvaluate(b *testing.B) {
 	r := Record{Order: Order{Service: "desk", To: "v2", Duration: 10 * time.Minute}, Number: 1, Phase: Trial}
 	j := NewJudge(DefaultLimits, 1)
 	evidence := func(seconds int) Evidence {
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -7,53 +7,60 @@
 	"time"
 )
 
-// How the answers of two versions are compared.
+// This file compares the answers of two versions.
 //
-// The load pattern. Both versions run beside one another while zones are lost, callers
-// come in bursts and single servers fail. Compared over the whole time, a version that
-// got most of its requests during a burst is slower than one that did not. Compared by
-// one server, a version is bad where that server is. Compared over all routes, a version
-// that fails one of five routes fails two requests in a hundred.
+// Load pattern: both versions run beside one another while zones are lost, callers come in
+// bursts and single servers fail. Compared over the entire roll-out, a version that got
+// most of its requests during a burst looks slower than one that did not. Compared by one
+// server, a version looks bad if that server is bad. Compared over all routes, a version
+// that fails one of five routes fails only two requests in a hundred.
 //
-// So each second's answers are held against those of the other version in the seconds
-// around it, by route; a sum over the seconds is tested, for each route and for all, over
-// the whole time and of late, without the one server that does worst on either side. What
-// breaks off says nothing: engines that die break off what they run, whatever version
-// they have.
+// Therefore the answers of each second are compared, by route, with those of the former
+// version in the seconds around it. The sums over these seconds are tested for each route
+// and for all routes, over the entire roll-out and over its most recent part. The single
+// server that does worst is left out on either side. Aborted requests count for nothing,
+// because engines that die abort whatever they run, regardless of their version.
 
 const (
-	// slotLength is the time whose answers are compared with one another.
+	// intervalLength is the length of the intervals within which answers are compared.
 	intervalLength = time.Second
-	// recentSlots, and as many more as have recentAnswers, are tested by themselves: a
-	// version may go bad after a long good time.
-	minRecentIntervals   = 3
-	minRecentAnswers = 24
-	// priorWeight is how many answers of the whole time stand beside those of a moment.
+	// The most recent intervals are also tested by themselves, since a version may go bad
+	// after a long good period. They are at least minRecentIntervals, and as many more as
+	// hold minRecentAnswers.
+	minRecentIntervals = 3
+	minRecentAnswers   = 24
+	// priorWeight is the weight, in answers, of the entire roll-out beside those of an
+	// interval.
 	priorWeight = 10
-	// slowBuckets above the other version's median an answer is slow, 2.4 times as long, if
-	// it is leastSlow longer too: a busy VM delays short answers by as much.
-	slowBuckets = bucketsPerOctave + 1
-	minSlowExcess   = 20 * time.Millisecond
-	// rateSlack and rateFloor: this much worse is no fault of the version.
+	// An answer is slow if it is slowBuckets above the former version's median, that is 2.4
+	// times as long, and longer by at least minSlowExcess: a busy VM delays short answers
+	// by as much.
+	slowBuckets   = bucketsPerOctave + 1
+	minSlowExcess = 20 * time.Millisecond
+	// rateSlack and rateFloor are the relative and the absolute excess of a rate that is
+	// not attributed to the new version.
 	rateSlack = 1.25
 	rateFloor = 0.005
-	// badSurprise is the evidence that a version is bad: chance brings it about in less
-	// than one of a thousand roll-outs, with some hundred looks at it.
+	// badLLR is the log-likelihood ratio at which a version counts as bad. Chance exceeds
+	// it in fewer than one of a thousand roll-outs that are evaluated about a hundred times
+	// each.
 	badLLR = 8
-	// badAnswers are needed at least: what has failed twice may be chance.
+	// minBadAnswers are needed to call a version bad, since two may be chance.
 	minBadAnswers = 3
-	// oddSurprise is the evidence at which one server is told apart from its version.
+	// outlierLLR is the log-likelihood ratio at which one server is treated as an outlier
+	// of its version.
 	outlierLLR = 2
 )
 
-// slot is the answers of a moment.
+// interval holds the answers of one interval.
 type interval struct {
 	former, target map[Cell]Servers
-	// judged is the new version's part by server, once it and the slot behind it are over.
+	// judged holds the verdicts on the new version by server. It is set once this interval
+	// and the next one are over.
 	judged map[Cell]map[string]verdict
 }
 
-// since returns the answers that have come between two sums.
+// intervalBetween returns the answers between two cumulative sums of evidence.
 func intervalBetween(now, before *Evidence) interval {
 	return interval{former: increments(now.Former, before.Former), target: increments(now.Target, before.Target)}
 }
@@ -71,7 +78,8 @@
 	return out
 }
 
-// settle forgets what waits, when the moment is over: it is in the next one, or answered.
+// dropWaiting drops the waiting requests when the interval is over. They are part of the
+// next interval, or answered.
 func (s *interval) dropWaiting() {
 	for _, cells := range []map[Cell]Servers{s.former, s.target} {
 		for _, servers := range cells {
@@ -83,7 +91,7 @@
 	}
 }
 
-// answers of the new version.
+// answers returns the number of answers of the new version.
 func (s *interval) answers() int {
 	n := 0
 	for cell, servers := range s.target {
@@ -96,19 +104,19 @@
 	return n
 }
 
-// recent is how many of the last slots are judged by themselves.
-func recentCount(slots []interval) int {
+// recentCount returns how many of the last intervals are tested by themselves.
+func recentCount(intervals []interval) int {
 	answers := 0
-	for n := 1; n <= len(slots); n++ {
-		answers += slots[len(slots)-n].answers()
+	for n := 1; n <= len(intervals); n++ {
+		answers += intervals[len(intervals)-n].answers()
 		if n >= minRecentIntervals && answers >= minRecentAnswers {
 			return n
 		}
 	}
-	return len(slots)
+	return len(intervals)
 }
 
-// tally counts bad answers against those expected.
+// tally counts bad answers and how many were expected.
 type tally struct{ n, bad, expected float64 }
 
 func (t *tally) add(o tally) {
@@ -117,7 +125,8 @@
 	t.expected += o.expected
 }
 
-// expectedRate is that of the other version, with what is no fault of the new one.
+// expectedRate returns the former version's rate plus the excess that is not attributed to
+// the new version.
 func (t *tally) expectedRate() float64 {
 	if t.n == 0 {
 		return rateFloor
@@ -129,13 +138,13 @@
 	return t.bad >= minBadAnswers && t.llr() >= badLLR
 }
 
-// atMostWorseBy reports whether the version is worse by less than an excess of the rate,
-// but for one time in chance.
+// atMostWorseBy reports whether the new version's rate exceeds the expected one by less
+// than excess. chance is the probability of a wrong positive.
 func (t *tally) atMostWorseBy(excess, chance float64) bool {
 	return binomialCDF(t.bad, t.n, t.expectedRate()+excess) <= chance
 }
 
-// verdict is the tallies of one cell.
+// verdict holds the tallies of one cell.
 type verdict struct{ failed, slow tally }
 
 func (v *verdict) add(o *verdict) {
@@ -143,32 +152,33 @@
 	v.slow.add(o.slow)
 }
 
-// minus takes a server's part off.
+// minus returns v without the tallies of o.
 func (v *verdict) minus(o *verdict) verdict {
 	less := func(a, b tally) tally { return tally{a.n - b.n, a.bad - b.bad, a.expected - b.expected} }
 	return verdict{less(v.failed, o.failed), less(v.slow, o.slow)}
 }
 
-// String tells an operator what was found.
+// String describes the tallies for an operator.
 func (v *verdict) String() string {
 	return fmt.Sprintf("%.0f of %.0f answers failed, %.1f expected; %.0f of %.0f slow, %.1f expected",
 		v.failed.bad, v.failed.n, v.failed.expected, v.slow.bad, v.slow.n, v.slow.expected)
 }
 
-// comparison is the verdicts over some slots.
+// comparison holds the verdicts over several intervals.
 type comparison struct {
-	cells map[Cell]*verdict // without the worst server, where there are several
-	all   verdict           // of whole answers
+	cells map[Cell]*verdict // without the worst server where there are several
+	all   verdict           // sum over the cells of measure Response
 }
 
-// compare judges the last n slots. overall is the other version's answers of all slots.
-func compare(slots []interval, n int, overall map[Cell]Servers) comparison {
+// compare judges the last n intervals. overall holds the former version's answers of all
+// intervals.
+func compare(intervals []interval, n int, overall map[Cell]Servers) comparison {
 	out := comparison{cells: map[Cell]*verdict{}}
 	byServer := map[Cell]map[string]verdict{}
-	for i := max(0, len(slots)-n); i < len(slots); i++ {
-		judged := slots[i].judged
+	for i := max(0, len(intervals)-n); i < len(intervals); i++ {
+		judged := intervals[i].judged
 		if judged == nil {
-			judged = judgeInterval(slots, i, overall)
+			judged = judgeInterval(intervals, i, overall)
 		}
 		for cell, servers := range judged {
 			if byServer[cell] == nil {
@@ -191,13 +201,13 @@
 	return out
 }
 
-// judgeSlot counts the new version's answers of a slot against what the other version
-// did around it.
-func judgeInterval(slots []interval, i int, overall map[Cell]Servers) map[Cell]map[string]verdict {
+// judgeInterval compares the new version's answers of an interval with those of the former
+// version in the intervals around it.
+func judgeInterval(intervals []interval, i int, overall map[Cell]Servers) map[Cell]map[string]verdict {
 	out := map[Cell]map[string]verdict{}
-	for cell, servers := range slots[i].target {
+	for cell, servers := range intervals[i].target {
 		faulty := faultyServer(overall[cell])
-		near := sumFormer(slots[max(0, i-1):min(len(slots), i+2)], cell)
+		near := sumFormer(intervals[max(0, i-1):min(len(intervals), i+2)], cell)
 		e := expect(near.without(faulty), overall[cell].without(faulty))
 		out[cell] = make(map[string]verdict, len(servers))
 		for server, c := range servers {
@@ -207,17 +217,17 @@
 	return out
 }
 
-func sumFormer(slots []interval, cell Cell) Servers {
+func sumFormer(intervals []interval, cell Cell) Servers {
 	sum := Servers{}
-	for i := range slots {
-		for server, c := range slots[i].former[cell] {
+	for i := range intervals {
+		for server, c := range intervals[i].former[cell] {
 			sum.add(server, c)
 		}
 	}
 	return sum
 }
 
-// without sums all servers but one.
+// without returns the sum over all servers except one.
 func (s Servers) without(server string) Counts {
 	var sum Counts
 	for id, c := range s {
@@ -228,7 +238,8 @@
 	return sum
 }
 
-// faultyOf names the server that fails far more often than the others; "": none does.
+// faultyServer returns the server that fails far more often than the others; "": there is
+// none.
 func faultyServer(s Servers) string {
 	answers, failures := 0, 0
 	for _, c := range s {
@@ -250,10 +261,10 @@
 	return faulty
 }
 
-// expectation is what the other version would have done.
+// expectation holds the rates that the former version would have had.
 type expectation struct {
-	failed, slow float64
-	slowFromBucket     int // bucket; 0: the other version's times are not known
+	failed, slow   float64
+	slowFromBucket int // 0: no times of the former version are known
 }
 
 func expect(near, overall Counts) expectation {
@@ -272,7 +283,8 @@
 	return e
 }
 
-// blend is a moment's rate, with some answers of the whole time beside it.
+// smoothedRate returns x/n, smoothed with priorWeight answers at the rate of the entire
+// roll-out.
 func smoothedRate(x, n, allX, all int) float64 {
 	rate := 0.0
 	if all > 0 {
@@ -281,20 +293,20 @@
 	return (float64(x) + priorWeight*rate) / (float64(n) + priorWeight)
 }
 
-// judge counts one server's answers against the expectation.
+// judge compares the answers of one server with the expectation.
 func (e *expectation) judge(c Counts) verdict {
 	n := float64(c.Answers)
 	v := verdict{failed: tally{n: n, bad: float64(c.Failures), expected: n * e.failed}}
 	if e.slowFromBucket > 0 {
-		waiting := countFrom(c.Waiting, e.slowFromBucket) // slow already, whenever they are answered
+		waiting := countFrom(c.Waiting, e.slowFromBucket) // already slow, whenever they are answered
 		timed := float64(waiting + countOf(c.Times))
 		v.slow = tally{n: timed, bad: float64(waiting + countFrom(c.Times, e.slowFromBucket)), expected: timed * e.slow}
 	}
 	return v
 }
 
-// withoutWorst sums all servers but the one that stands out most by its bad answers, if
-// others have answered too.
+// withoutWorst returns the sum over all servers. If several have answered, it leaves out
+// the one whose bad answers stand out most.
 func withoutWorst(byServer map[string]verdict) verdict {
 	worst, most := "", float64(outlierLLR)
 	var sum verdict
@@ -316,7 +328,7 @@
 
 func (t *tally) llr() float64 { return logLikelihoodRatio(t.bad, t.n, t.expectedRate()) }
 
-// bad returns why the version is bad, "" where nothing says so.
+// whyBad returns the reason why the version is bad; "": there is no evidence for that.
 func (c *comparison) whyBad() string {
 	if c.all.failed.isBad() || c.all.slow.isBad() {
 		return "all routes: " + c.all.String()
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -11,41 +11,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Counts sum the answers of one kind.
+// Counts holds the answers of one kind.
 type Counts struct {
 	Answers  int `cbor:"1,keyasint,omitempty"`
-	Failures int `cbor:"2,keyasint,omitempty"` // of Answers
-	// Times are how many answers took how long, by bucket.
+	Failures int `cbor:"2,keyasint,omitempty"` // included in Answers
+	// Times counts the successful answers by bucket of their duration.
 	Times map[uint8]int `cbor:"3,keyasint,omitempty"`
-	// Waiting are the requests without an answer so far, by how long they wait. A version
-	// that is slow would else be judged by its quick answers, which come first.
+	// Waiting counts the requests without an answer by bucket of their age. Without it a
+	// slow version would be judged by its quick answers, which come first.
 	Waiting map[uint8]int `cbor:"4,keyasint,omitempty"`
 }
 
 const (
-	// bucketsPerOctave: a bucket's bounds differ by a fifth.
+	// bucketsPerOctave is the number of buckets per doubling of the duration. The bounds of
+	// a bucket differ by a fifth.
 	bucketsPerOctave = 4
-	// firstBucket is the time in the middle of bucket 0.
+	// firstBucket is the duration in the middle of bucket 0.
 	firstBucket = 100 * time.Microsecond
 )
 
-// bucketOf returns the bucket of a time.
+// bucketOf returns the bucket of a duration.
 func bucketOf(d time.Duration) uint8 {
 	n := bucketsPerOctave * math.Log2(float64(d)/float64(firstBucket))
 	return uint8(min(max(math.Round(n), 0), math.MaxUint8))
 }
 
-// timeOf is the time in the middle of a bucket.
+// bucketTime returns the duration in the middle of a bucket.
 func bucketTime(bucket int) time.Duration {
 	return time.Duration(float64(firstBucket) * math.Exp2(float64(bucket)/bucketsPerOctave))
 }
 
-// note counts one answer; took 0: its time says nothing.
+// note counts one answer. If took is 0, its duration is not counted.
 func (c *Counts) note(failed bool, took time.Duration) {
 	c.Answers++
 	if failed {
 		c.Failures++
-		return // a failure's time says nothing about the good answers
+		return // the duration of a failure is no measure of good answers
 	}
 	if took <= 0 {
 		return
@@ -78,7 +79,7 @@
 	return out
 }
 
-// minus returns what has come since o, and what waits now.
+// minus returns the answers since o, and the requests that wait now.
 func (c Counts) minus(o Counts) Counts {
 	out := Counts{Answers: c.Answers - o.Answers, Failures: c.Failures - o.Failures, Times: map[uint8]int{}, Waiting: c.Waiting}
 	for b, n := range c.Times {
@@ -89,28 +90,28 @@
 	return out
 }
 
-// Measure is what of an answer is compared.
+// Measure is the property of an answer that is compared.
 type Measure uint8
 
-// The measures.
+// Measures.
 const (
 	Whole Measure = 0 // a call's answer, or a stream's first event
 	Pace  Measure = 1 // the mean time between a stream's first events
 )
 
-// Cell names what answers have in common that are compared.
+// Cell identifies a group of answers that are compared with one another.
 type Cell struct {
 	Route   string  `cbor:"1,keyasint"`
 	Measure Measure `cbor:"2,keyasint,omitempty"`
 }
 
-// compare orders cells, so that the same evidence is judged the same way each time.
+// compare orders cells, which makes the evaluation of the same evidence deterministic.
 func (c Cell) compare(o Cell) int {
 	return cmp.Or(cmp.Compare(c.Route, o.Route), cmp.Compare(c.Measure, o.Measure))
 }
 
-// Row is the answers of one cell by one server, or one group of servers of the other
-// version: a single faulty server must be told apart from a faulty version.
+// Row holds the answers of one cell by one server. Servers of the former version are
+// combined in groups. A single faulty server must be told apart from a faulty version.
 type Row struct {
 	Cell
 	Target bool   `cbor:"3,keyasint,omitempty"`
@@ -118,33 +119,34 @@
 	Counts Counts `cbor:"5,keyasint"`
 }
 
-// formerGroups bounds what is told of the other version, which may have hundreds of
-// servers. Fewer than that are nearly all told apart.
+// formerGroups bounds the rows on the former version, which may have hundreds of servers.
+// If it has fewer servers than groups, nearly all of them are told apart.
 const formerGroups = 16
 
-// groupOf is the group of a server of the other version.
+// serverGroup returns the group of a server of the former version.
 func serverGroup(server string) string {
 	return strconv.FormatUint(xxhash.Sum64String(server)%formerGroups, 16)
 }
 
-// Told is what one life of a router observed of one roll-out.
+// Report is what one incarnation of a router observed of one roll-out.
 type Told struct {
 	Service string `cbor:"1,keyasint"`
 	Number  uint64 `cbor:"2,keyasint"`
-	// Requests that came, by route, and those of them sent to the new version.
+	// Requests counts the requests that came, by route. Sent counts those of them that were
+	// sent to the new version.
 	Requests map[string]int `cbor:"3,keyasint,omitempty"`
 	Sent     int            `cbor:"4,keyasint,omitempty"`
 	Rows     []Row          `cbor:"5,keyasint,omitempty"`
 }
 
-// rowKey is a Row's place in a Book.
+// rowKey identifies a Row within a Recorder.
 type rowKey struct {
 	cell   Cell
 	target bool
 	server string
 }
 
-// watched is one roll-out as a router observes it.
+// observedRollout holds a router's observations of one roll-out.
 type observedRollout struct {
 	number   uint64
 	requests map[string]int
@@ -153,21 +155,22 @@
 	open     map[uint64]pendingRequest
 }
 
-// openRun is a request at a server that has not answered.
+// pendingRequest is a request that was sent to a server and has no answer yet.
 type pendingRequest struct {
 	key   rowKey
 	began time.Time
 }
 
-// Ticket names a request at a server from Begin until End. The zero Ticket is of one
-// that nobody watches.
+// Ticket identifies a request at a server from Begin until End. The zero Ticket stands for
+// a request that is not observed.
 type Ticket struct {
 	service string
 	number  uint64
 	run     uint64
 }
 
-// Book is what a router observes of the roll-outs under way. Safe for concurrent use.
+// Recorder records a router's observations of the roll-outs under way. It is safe for
+// concurrent use.
 type Book struct {
 	now func() time.Time
 
@@ -176,71 +179,74 @@
 	runs     uint64
 }
 
-// NewBook returns an empty Book.
-func NewBook(now func() time.Time) *Book { return &Book{now: now, services: map[string]*observedRollout{}} }
+// NewRecorder returns an empty Recorder.
+func NewBook(now func() time.Time) *Book {
+	return &Book{now: now, services: map[string]*observedRollout{}}
+}
 
-// Watch says which roll-outs are under way. The others are forgotten.
-func (b *Book) Watch(underWay map[string]uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	maps.DeleteFunc(b.services, func(service string, w *observedRollout) bool { return underWay[service] != w.number })
+// Watch sets the roll-outs under way, as numbers by service. Observations of all others are
+// dropped.
+func (r *Book) Watch(underWay map[string]uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	maps.DeleteFunc(r.services, func(service string, w *observedRollout) bool { return underWay[service] != w.number })
 	for service, number := range underWay {
-		if b.services[service] == nil {
-			b.services[service] = &observedRollout{
+		if r.services[service] == nil {
+			r.services[service] = &observedRollout{
 				number: number, requests: map[string]int{}, rows: map[rowKey]*Counts{}, open: map[uint64]pendingRequest{},
 			}
 		}
 	}
 }
 
-// at returns a roll-out under way, or nil. It needs b.mu.
-func (b *Book) lookup(service string, number uint64) *observedRollout {
-	w := b.services[service]
+// lookup returns a roll-out under way, or nil. It needs r.mu.
+func (r *Book) lookup(service string, number uint64) *observedRollout {
+	w := r.services[service]
 	if w == nil || w.number != number {
 		return nil
 	}
 	return w
 }
 
-// Request notes a request that came for a service.
-func (b *Book) Request(service, route string, c Choice) {
+// Request records a request that came for a service.
+func (r *Book) Request(service, route string, c Choice) {
 	if c.Number == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if w := b.lookup(service, c.Number); w != nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if w := r.lookup(service, c.Number); w != nil {
 		w.requests[route]++
 	}
 }
 
-// Sent notes that a request is sent to the new version, whether or not its answer is
-// watched.
-func (b *Book) Sent(service string, c Choice) {
+// Sent records that a request is sent to the new version, whether or not its answer is
+// observed.
+func (r *Book) Sent(service string, c Choice) {
 	if !c.Target {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if w := b.lookup(service, c.Number); w != nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if w := r.lookup(service, c.Number); w != nil {
 		w.sent++
 	}
 }
 
-// Begin watches for the answer of a request that is sent to a server.
-func (b *Book) Begin(service, route string, c Choice, server string) Ticket {
+// Begin starts the observation of a request that is sent to a server.
+func (r *Book) Begin(service, route string, c Choice, server string) Ticket {
 	if c.Number == 0 {
 		return Ticket{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	w := b.lookup(service, c.Number)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	w := r.lookup(service, c.Number)
 	if w == nil {
 		return Ticket{}
 	}
-	b.runs++
-	w.open[b.runs] = pendingRequest{keyOf(Cell{Route: route}, c, server), b.now()}
-	return Ticket{service, c.Number, b.runs}
+	r.runs++
+	w.open[r.runs] = pendingRequest{keyOf(Cell{Route: route}, c, server), r.now()}
+	return Ticket{service, c.Number, r.runs}
 }
 
 func keyOf(cell Cell, c Choice, server string) rowKey {
@@ -250,11 +256,11 @@
 	return rowKey{cell, false, serverGroup(server)}
 }
 
-// End notes the server's answer, or its first event. A server that has just started is
-// cold: its time is not compared.
-func (b *Book) End(t Ticket, failed, cold bool) {
-	b.close(t, func(w *observedRollout, run pendingRequest) {
-		took := b.now().Sub(run.began)
+// End records the server's answer, or its first event. The duration is not compared if the
+// server is cold, that is, has just started.
+func (r *Book) End(t Ticket, failed, cold bool) {
+	r.close(t, func(w *observedRollout, run pendingRequest) {
+		took := r.now().Sub(run.began)
 		if cold {
 			took = 0
 		}
@@ -262,16 +268,16 @@
 	})
 }
 
-// Drop forgets a request that was broken off or refused: that says nothing of the version.
-func (b *Book) Drop(t Ticket) { b.close(t, func(*observedRollout, pendingRequest) {}) }
+// Drop forgets a request that was aborted or refused, which is no evidence on the version.
+func (r *Book) Drop(t Ticket) { r.close(t, func(*observedRollout, pendingRequest) {}) }
 
-func (b *Book) close(t Ticket, note func(*observedRollout, pendingRequest)) {
+func (r *Book) close(t Ticket, note func(*observedRollout, pendingRequest)) {
 	if t.run == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	w := b.lookup(t.service, t.number)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	w := r.lookup(t.service, t.number)
 	if w == nil {
 		return
 	}
@@ -281,14 +287,14 @@
 	}
 }
 
-// Pace notes the mean time between a stream's first events.
-func (b *Book) Pace(service, route string, c Choice, server string, gap time.Duration) {
+// Pace records the mean time between a stream's first events.
+func (r *Book) Pace(service, route string, c Choice, server string, gap time.Duration) {
 	if c.Number == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if w := b.lookup(service, c.Number); w != nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if w := r.lookup(service, c.Number); w != nil {
 		w.row(keyOf(Cell{route, Pace}, c, server)).note(false, gap)
 	}
 }
@@ -300,14 +306,14 @@
 	return w.rows[k]
 }
 
-// Told returns all that was observed, nil where nothing is under way.
-func (b *Book) Told() []Told {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Reports returns all observations, or nil if no roll-out is under way.
+func (r *Book) Told() []Told {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []Told
-	for service, w := range b.services {
+	for service, w := range r.services {
 		t := Told{Service: service, Number: w.number, Requests: maps.Clone(w.requests), Sent: w.sent}
-		for k, c := range w.withWaiting(b.now()) {
+		for k, c := range w.withWaiting(r.now()) {
 			t.Rows = append(t.Rows, Row{Cell: k.cell, Target: k.target, Server: k.server, Counts: c})
 		}
 		out = append(out, t)
@@ -315,7 +321,7 @@
 	return out
 }
 
-// withWaiting returns the rows, with the requests that wait now.
+// withWaiting returns the rows including the requests that wait now.
 func (w *observedRollout) withWaiting(now time.Time) map[rowKey]Counts {
 	out := make(map[rowKey]Counts, len(w.rows))
 	for k, c := range w.rows {
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -9,114 +9,124 @@
 	"time"
 )
 
-// When a roll-out goes on, is completed or reverted.
+// This file decides when a roll-out advances, is completed or is reverted.
 //
-// The load pattern. A new version fails a part of its requests, or answers several times
-// slower, from its start or later, on all routes or on one, or only once it has the whole
-// load. With fixed steps of the share, each step watched for a while, a version that goes
-// bad late meets it with half of all requests; a version that is never given much shows a
-// fault under load only when the old servers are gone.
+// Load pattern: a new version fails a part of its requests, or answers several times
+// slower. It may do so from its start or later, on all routes or on one, or only once it
+// carries the entire load. If the share grows in fixed steps and each step is observed for
+// a while, a version that goes bad late meets the fault with half of all requests. A
+// version that never gets much shows a fault under load only when the old servers are gone.
 //
-// So the share is bounded by what may still reach the version if it went bad at this
-// moment. For most of the time it gets a small share, more of the routes that have few
-// requests, so that each route has answers to judge by. As late as the order's duration
-// allows, and for no longer than the bound allows, it gets everything, while the old
-// servers are still there to go back to. It is completed where there is evidence that it
-// is no worse, by route. In doubt it is reverted: a good version can be ordered again.
+// The share is therefore bounded by the number of requests that could still reach the
+// version if it went bad at this moment. For most of the time the version gets a small
+// share, with a larger part of the routes that have few requests, so that there are answers
+// to judge each route by. As late as the order's duration allows, and for no longer than
+// the bound allows, it gets all requests while the old servers still exist as a way back.
+// It is completed if there is evidence, by route, that it is no worse. Without sufficient
+// evidence it is reverted, because a good version can be ordered again.
 
-// Limits bound what a version that turns out bad may get.
+// Limits bound the number of requests that a bad version may get.
 type Limits struct {
-	// Share of all requests between the order and the end of its duration, and Slack
-	// requests beside it.
+	// Share is a fraction of all requests between the order and the end of its duration.
+	// Slack is a number of requests in addition to it.
 	Share float64
 	Slack float64
 }
 
-// DefaultLimits are for deployments that state none.
+// DefaultLimits apply to deployments that configure none.
 var DefaultLimits = Limits{Share: 0.1, Slack: 50}
 
 const (
-	// The trial uses trialLeastPart of what is allowed, and up to trialMostPart where it
-	// needs that for trialAnswers on each route, or is in doubt after half of its time.
+	// The trial uses minTrialBudgetShare of the allowed requests. It uses up to
+	// maxTrialBudgetShare if that is needed for minTrialAnswers on each route, or if the
+	// evidence is inconclusive after half of the duration.
 	minTrialBudgetShare = 0.25
-	maxTrialBudgetShare  = 0.5
-	minTrialAnswers   = 20
-	// switchPart of what is allowed is used when a roll-out in doubt is reverted, and
-	// stepTakes is how long requests go on to the version until then.
+	maxTrialBudgetShare = 0.5
+	minTrialAnswers     = 20
+	// usableBudgetShare of the allowed requests may be sent before an inconclusive roll-out
+	// is reverted. stepDelay is how long requests still reach the version after that
+	// decision.
 	usableBudgetShare = 0.9
-	stepDelay  = 500 * time.Millisecond
-	// arrivalPart of the requests that are expected until the end are counted on.
+	stepDelay         = 500 * time.Millisecond
+	// expectedArrivalShare is the fraction of the requests expected until the end that the
+	// allowed number is computed from.
 	expectedArrivalShare = 0.8
-	// mostOfRoute is the largest part of a route's requests in a trial.
+	// maxRouteShare is the largest share of a route's requests in a trial.
 	maxRouteShare = 0.5
-	// ratesAfter is when the rates of the routes are known, and fewRequests enough of them.
-	rateWarmup  = 1200 * time.Millisecond
+	// rateWarmup is the time after which the request rates of the routes are known, if at
+	// least minRateRequests have come.
+	rateWarmup      = 1200 * time.Millisecond
 	minRateRequests = 20
-	// reshareAfter is the least time between two changes of the shares.
+	// minReshareInterval is the least time between two changes of the shares.
 	minReshareInterval = 3 * time.Second
 
-	// spareShare of the duration, within bounds, is left when a roll-out is completed: the
-	// operator has to learn of it, and a new leader may be elected meanwhile.
+	// spareShare of the duration, between minSpare and maxSpare, is left when a roll-out is
+	// completed. The operator must be informed, and a new leader may be elected meanwhile.
 	spareShare = 0.12
-	minSpare = 1200 * time.Millisecond
-	maxSpare  = 4 * time.Second
-	// lastMoment before the end of the duration what is undecided is reverted.
+	minSpare   = 1200 * time.Millisecond
+	maxSpare   = 4 * time.Second
+	// decisionMargin before the end of the duration, an undecided roll-out is reverted.
 	decisionMargin = 600 * time.Millisecond
-	// switchCalls and switchStreams are how long all requests go to the version before it
-	// is completed, at least: some reports of the routers, and copies of what still runs.
+	// callSwitchTime and streamSwitchTime are the least time for which all requests go to
+	// the version before it is completed. They cover several reports of the routers and the
+	// copies of runs that are still in flight.
 	callSwitchTime   = 700 * time.Millisecond
 	streamSwitchTime = 1500 * time.Millisecond
-	// moveCalls and moveStreams are how long what runs elsewhere has to end, or to go on.
+	// callMoveTime and streamMoveTime are how long runs on other servers have to end or to
+	// be resumed on the new version.
 	callMoveTime   = 300 * time.Millisecond
 	streamMoveTime = 900 * time.Millisecond
 
-	// acceptChance is how often a version that is worse by an excess is taken for good,
-	// and switchChance the same for the switch, from which there is a way back.
+	// acceptErrorRate is the probability of accepting a version that is worse by an excess.
+	// switchErrorRate is that of switching to such a version, which can be undone.
 	acceptErrorRate = 0.05
 	switchErrorRate = 0.2
-	// excessAll and excessRoute of the rate of bad answers, over all routes and on one.
+	// excessAll and excessRoute are the excess of the rate of bad answers that must be
+	// ruled out, over all routes and on one route.
 	excessAll   = 0.15
 	excessRoute = 0.35
-	// doubtSurprise is the evidence at which a version is not taken for good.
+	// uncertainLLR is the log-likelihood ratio from which a version is not accepted.
 	uncertainLLR = 3.5
-	// minorRoute has so small a part of the requests that it is judged with the others.
+	// minorRouteShare is the share of all requests below which a route is judged only
+	// together with the others.
 	minorRouteShare = 0.02
 )
 
-// View is what a control VM knows beside the evidence.
+// View holds what a control VM knows in addition to the evidence.
 type View struct {
 	Elapsed time.Duration // since the order was accepted
 	Step    time.Duration // since the last step
-	// InForce: every router applies the last step.
+	// InForce is set if every router applies the last step.
 	InForce bool
-	// Target and Former servers are listed.
+	// TargetServers and FormerServers count the listed servers of the new and of other
+	// versions.
 	Target, Former int
 }
 
-// Judge decides about one roll-out. It is not safe for concurrent use.
+// Judge decides on one roll-out. It is not safe for concurrent use.
 type Judge struct {
 	limits Limits
 	number uint64
 
-	intervals   []interval        // the last one is still growing
-	intervalStart      Evidence      // when the last slot began
-	lastEvidence    Evidence      // at the last look
-	intervalStartedAt time.Duration // of the last slot, as elapsed
-	// whole and late are the comparisons over all slots, and over the last ones.
+	intervals         []interval    // the last one is still growing
+	intervalStart     Evidence      // when the last interval began
+	lastEvidence      Evidence      // at the last evaluation
+	intervalStartedAt time.Duration // start of the last interval, since the order
+	// overall and recent are the comparisons over all intervals and over the last ones.
 	overall, recent comparison
-	// hadFormer: servers of another version were listed.
+	// hadFormer is set once servers of another version were listed.
 	hadFormer bool
 }
 
-// NewJudge returns a Judge of a roll-out.
+// NewJudge returns a Judge of the roll-out with the given number.
 func NewJudge(l Limits, number uint64) *Judge {
 	return &Judge{limits: l, number: number}
 }
 
-// Number is that of the roll-out.
+// Number returns the number of the roll-out.
 func (j *Judge) Number() uint64 { return j.number }
 
-// Look takes what is known now, and returns the next step, if it is time for one. It keeps
+// Evaluate takes the current evidence and returns the next step if one is due. It retains
 // the evidence.
 func (j *Judge) Look(r *Record, e *Evidence, v View) (Step, bool) {
 	j.note(e, v.Elapsed)
@@ -150,17 +160,18 @@
 		if v.Step < p.switchFor && v.Elapsed < r.Duration-decisionMargin-p.moveFor {
 			break
 		}
-		doubt := j.inconclusive(e, acceptErrorRate)
+		reason := j.inconclusive(e, acceptErrorRate)
 		switch {
-		case doubt == "":
+		case reason == "":
 			return step(Moving, j.summary())
 		case float64(e.Sent)+p.rate*stepDelay.Seconds() >= usableBudgetShare*p.allowed:
-			return step(Reverted, "in doubt, and no more may go there: "+doubt)
+			return step(Reverted, "in doubt, and no more may go there: "+reason)
 		case last:
-			return step(Reverted, "no sufficient evidence in time: "+doubt)
+			return step(Reverted, "no sufficient evidence in time: "+reason)
 		}
 	case Moving:
-		// A router that cannot be told in time finds the old servers gone, and sends nothing.
+		// A router that does not receive the step in time finds the old servers gone and
+		// sends nothing.
 		if v.Step >= p.moveFor && (v.InForce || last) {
 			return step(Completed, j.summary())
 		}
@@ -169,8 +180,8 @@
 	return Step{}, false
 }
 
-// nothingElse takes a roll-out on that finds no servers of another version: there is
-// nothing to compare with, and nothing to go back to.
+// withoutFormer advances a roll-out for which there are no servers of another version.
+// There is nothing to compare with and nothing to revert to.
 func (j *Judge) withoutFormer(r *Record, step func(Phase, string) (Step, bool)) (Step, bool) {
 	const why = "no servers of another version"
 	switch r.Phase {
@@ -185,7 +196,7 @@
 	return Step{}, false
 }
 
-// note sorts the evidence into slots by when it came.
+// note assigns new evidence to the interval in which it came.
 func (j *Judge) note(e *Evidence, elapsed time.Duration) {
 	if len(j.intervals) == 0 || elapsed-j.intervalStartedAt >= intervalLength {
 		if len(j.intervals) > 0 {
@@ -205,17 +216,17 @@
 	j.recent = compare(j.intervals, recentCount(j.intervals), e.Former)
 }
 
-// plan is the times and the share of a roll-out.
+// schedule holds the times and the share of a roll-out.
 type schedule struct {
-	share      float64 // of all requests, in the trial
-	allowed    float64 // requests that may reach a bad version
-	rate       float64 // requests a second
-	switchAt   time.Duration
-	latestSwitch    time.Duration // than this the switch waits for servers
-	switchFor  time.Duration
-	moveFor    time.Duration
-	minTrial time.Duration
-	// switchChance is how often a version that is worse is switched to.
+	share        float64 // of all requests, in the trial
+	allowed      float64 // requests that may reach a bad version
+	rate         float64 // requests per second
+	switchAt     time.Duration
+	latestSwitch time.Duration // until then the switch waits for servers
+	switchFor    time.Duration
+	moveFor      time.Duration
+	minTrial     time.Duration
+	// switchErrorRate is the probability of switching to a version that is worse.
 	switchErrorRate float64
 }
 
@@ -223,7 +234,7 @@
 	elapsed := max(j.intervalStartedAt, intervalLength)
 	p := schedule{switchFor: callSwitchTime, moveFor: callMoveTime, minTrial: min(minSpare, r.Duration/4), switchErrorRate: switchErrorRate}
 	if hasStreams(e) {
-		// Their answers come too late to be waited for while requests are switched.
+		// The answers of streams come too late to be awaited while requests are switched.
 		p.switchFor, p.moveFor, p.switchErrorRate = streamSwitchTime, streamMoveTime, acceptErrorRate
 	}
 	p.rate = float64(e.total()) / elapsed.Seconds()
@@ -248,8 +259,8 @@
 	return p
 }
 
-// hasServers reports whether there are as many servers of the new version as of the
-// others, or some and no time to wait for more.
+// hasServers reports whether there are as many servers of the new version as of the others,
+// or some and no time to wait for more.
 func (p *schedule) hasServers(v *View) bool {
 	return v.Target > 0 && (v.Target >= v.Former || v.Elapsed >= p.latestSwitch)
 }
@@ -263,11 +274,11 @@
 	return false
 }
 
-// reshare returns the share of each route, such that each route sends the version as
-// many requests as any other, as far as it has them.
+// reshare returns the share of each route. Each route sends the version the same number of
+// requests as far as it has that many.
 func (j *Judge) reshare(r *Record, e *Evidence, p *schedule, v View) (map[string]float64, bool) {
 	if float64(e.Sent) >= usableBudgetShare*(j.limits.Share*float64(e.total())+j.limits.Slack) {
-		// More than was meant to: the version gets nothing for now.
+		// More requests than intended were sent, so the version gets none for now.
 		p.share = 0
 		return nil, r.DefaultShare > 0
 	}
@@ -294,13 +305,14 @@
 		n := float64(requests[route])
 		sent := min(maxRouteShare*n, left/float64(len(routes)-i))
 		left -= sent
-		// Rounded, so that small changes of the rates are no new step.
+		// Rounding keeps small changes of the rates from causing a new step.
 		out[route] = math.Round(1000*sent/max(1, n)) / 1000
 	}
 	return out
 }
 
-// differ reports whether shares have changed by more than the rates do by chance.
+// sharesDiffer reports whether shares have changed by more than the random variation of the
+// rates.
 func sharesDiffer(a, b map[string]float64) bool {
 	for route, s := range a {
 		if old, ok := b[route]; !ok || math.Abs(s-old) > 0.3*max(s, old) {
@@ -310,8 +322,8 @@
 	return false
 }
 
-// doubt returns why the version cannot be taken for good yet, but for one time in
-// chance; "": it can.
+// inconclusive returns the reason why the version cannot be accepted yet; "": it can.
+// chance is the probability of accepting a version that is worse.
 func (j *Judge) inconclusive(e *Evidence, chance float64) string {
 	if why := inconclusiveVerdict("all routes", &j.overall.all, excessAll, chance); why != "" {
 		return why
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Evidence is what all routers together observed of one roll-out.
+// Evidence holds what all routers together observed of one roll-out.
 type Evidence struct {
 	Requests map[string]int
 	Sent     int
@@ -13,12 +13,12 @@
 	Target   map[Cell]Servers
 }
 
-// Servers are counts by server, or group of servers.
+// CountsByServer holds counts by server, or by group of servers.
 type Servers map[string]Counts
 
 func (s Servers) add(server string, c Counts) { s[server] = s[server].plus(c) }
 
-// total is the number of requests of all routes.
+// total returns the number of requests over all routes.
 func (e *Evidence) total() int {
 	n := 0
 	for _, r := range e.Requests {
@@ -27,40 +27,43 @@
 	return n
 }
 
-// waitingFor is how long a router's word counts of requests that wait: one that is gone
-// waits for nothing.
+// waitingTTL is how long a router's report on waiting requests counts. A router that is
+// gone waits for nothing.
 const waitingTTL = 1500 * time.Millisecond
 
-// Ledger holds what each life of a router told last. One that has ended goes on to
-// count: what it sent was sent. It is not safe for concurrent use.
-type Ledger struct{ incarnations map[uint64]map[string]timedReport }
+// Ledger holds the last report of each incarnation of a router. The reports of an
+// incarnation that has ended still count, because its requests were sent. It is not safe
+// for concurrent use.
+type Ledger struct {
+	incarnations map[uint64]map[string]timedReport
+}
 
-// noted is what a life told of one service.
+// timedReport is an incarnation's report on one service and when it came.
 type timedReport struct {
 	report Told
-	at   time.Time
+	at     time.Time
 }
 
 // NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{incarnations: map[uint64]map[string]timedReport{}} }
 
-// Note takes what a life told. What it observes only grows: a message that was
-// overtaken on its way changes nothing.
-func (l *Ledger) Note(life uint64, told []Told, now time.Time) {
-	for i := range told {
-		t := &told[i]
-		held, ok := l.incarnations[life][t.Service]
-		if ok && (t.Number < held.report.Number || t.Number == held.report.Number && t.observations() < held.report.observations()) {
+// Note takes the reports of an incarnation. Observations only grow, so a message that
+// arrives out of order changes nothing.
+func (l *Ledger) Note(incarnation uint64, reports []Told, now time.Time) {
+	for i := range reports {
+		t := &reports[i]
+		last, ok := l.incarnations[incarnation][t.Service]
+		if ok && (t.Number < last.report.Number || t.Number == last.report.Number && t.observations() < last.report.observations()) {
 			continue
 		}
-		if l.incarnations[life] == nil {
-			l.incarnations[life] = map[string]timedReport{}
+		if l.incarnations[incarnation] == nil {
+			l.incarnations[incarnation] = map[string]timedReport{}
 		}
-		l.incarnations[life][t.Service] = timedReport{*t, now}
+		l.incarnations[incarnation][t.Service] = timedReport{*t, now}
 	}
 }
 
-// weight grows with all that is observed.
+// observations returns a number that grows with all that is observed.
 func (t *Told) observations() int {
 	n := t.Sent
 	for _, r := range t.Requests {
@@ -72,20 +75,20 @@
 	return n
 }
 
-// Keep forgets what was told of other roll-outs than those under way.
+// Keep drops the reports on all roll-outs except those under way.
 func (l *Ledger) Keep(underWay map[string]uint64) {
-	for life, services := range l.incarnations {
+	for incarnation, services := range l.incarnations {
 		maps.DeleteFunc(services, func(service string, n timedReport) bool {
 			number, ok := underWay[service]
 			return !ok || n.report.Number < number
 		})
 		if len(services) == 0 {
-			delete(l.incarnations, life)
+			delete(l.incarnations, incarnation)
 		}
 	}
 }
 
-// Sum returns what was told of a roll-out.
+// Sum returns the sum of the reports on a roll-out.
 func (l *Ledger) Sum(service string, number uint64, now time.Time) Evidence {
 	e := NewEvidence()
 	for _, services := range l.incarnations {
@@ -96,12 +99,12 @@
 	return e
 }
 
-// NewEvidence returns an Evidence of nothing.
+// NewEvidence returns empty Evidence.
 func NewEvidence() Evidence {
 	return Evidence{Requests: map[string]int{}, Former: map[Cell]Servers{}, Target: map[Cell]Servers{}}
 }
 
-func (e *Evidence) add(t *Told, waits bool) {
+func (e *Evidence) add(t *Told, countWaiting bool) {
 	e.Sent += t.Sent
 	for route, n := range t.Requests {
 		e.Requests[route] += n
@@ -116,7 +119,7 @@
 			cells[r.Cell] = Servers{}
 		}
 		c := r.Counts
-		if !waits {
+		if !countWaiting {
 			c.Waiting = nil
 		}
 		cells[r.Cell].add(r.Server, c)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,17 +1,18 @@
-// Package rollout moves a service's requests to a new version of its backend servers,
-// under watch. An operator orders it; the system sends a small part of the requests to
-// the new version, compares the answers of both, and completes the roll-out or reverts
-// it by itself.
+// Package rollout moves a service's requests to a new version of its backend servers under
+// observation. An operator orders the roll-out. The system sends a small share of the
+// requests to the new version, compares the answers of both versions, and completes or
+// reverts the roll-out by itself.
 //
-// The package is pure. Part is the orders' state in the control group. State says, on
-// every VM that routes requests, which version a request goes to. Book is what such a VM
-// observes, Ledger what a control VM was told of it, and Judge decides from that.
+// The package performs no I/O. StateMachine holds the orders in the control group. State
+// decides, on every VM that routes requests, which version a request goes to. Recorder
+// holds what such a VM observes, Ledger what a control VM received from the recorders, and
+// Judge decides on that evidence.
 //
-// Safeguards. Every step is an entry of the group's log, decided where the log is
-// applied: two leaders cannot take a roll-out different ways, and a state that was
-// reached stays. How many requests reach a version that may be bad does not hang on
-// messages: each VM draws for each request by a share that the log states, so that a VM
-// that is cut off sends no more than its share either.
+// Safeguards: every step is an entry of the group's log and is decided where the log is
+// applied. Two leaders cannot advance a roll-out in different ways, and a state that was
+// reached stays. The number of requests that reach a bad version does not depend on
+// messages. Each VM draws for each request by a share that the log states, so a VM that is
+// cut off sends no more than its share.
 package rollout
 
 import (
@@ -22,22 +23,22 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Phase is how far a roll-out is. The numbers are on disk.
+// Phase is the progress of a roll-out. The numbers are on disk.
 type Phase uint8
 
-// The phases.
+// Phases.
 const (
-	// Trial: a share of the requests goes to the new version.
+	// Trial sends a share of the requests to the new version.
 	Trial Phase = 1
-	// Switching: nearly all new requests go there, and what still runs elsewhere gets its
-	// copies there.
+	// Switching sends nearly all new requests to the new version. Runs that are still in
+	// flight on other servers get their copies there.
 	Switching Phase = 2
-	// Moving: all new requests go there, and what still runs elsewhere goes on there, if
-	// it has a copy.
+	// Moving sends all new requests to the new version. Runs that are still in flight on
+	// other servers are resumed there if they have a copy.
 	Moving Phase = 3
-	// Completed: the servers of other versions end.
+	// Completed ends the servers of other versions.
 	Completed Phase = 4
-	// Reverted: nothing goes to the new version any more.
+	// Reverted sends no more requests to the new version.
 	Reverted Phase = 5
 )
 
@@ -58,18 +59,18 @@
 	return "none"
 }
 
-// Over reports whether the outcome is reached.
+// Over reports whether the phase is an outcome.
 func (p Phase) Over() bool { return p == Completed || p == Reverted }
 
-// switched reports whether requests go to the new version as a rule.
+// switched reports whether requests normally go to the new version.
 func (p Phase) switched() bool { return p == Switching || p == Moving || p == Completed }
 
-// switchedShare of the requests goes to the new version while they are switched. The rest
-// goes on to show how the other version would do: load that comes just then is no fault
-// of the new one.
+// switchedShare is the share of the requests that goes to the new version while requests
+// are switched. The rest shows how the former version would do, so that load that comes at
+// the same time is not attributed to the new one.
 const switchedShare = 0.9
 
-// Order asks for a roll-out.
+// Order is an operator's order of a roll-out.
 type Order struct {
 	Service  string        `cbor:"1,keyasint"`
 	To       string        `cbor:"2,keyasint"` // the new version
@@ -82,7 +83,7 @@
 	maxDuration     = 24 * time.Hour
 )
 
-// Validate refuses an order that cannot be carried out. The error names the field.
+// Validate rejects an order that cannot be carried out. The error names the field.
 func (o *Order) Validate() error {
 	switch {
 	case o.Service == "":
@@ -102,13 +103,13 @@
 	Order
 	Number uint64 `cbor:"4,keyasint"` // of the order; grows over all services
 	Phase  Phase  `cbor:"5,keyasint"`
-	// Shares of the requests that go to the new version during the trial, by route;
-	// DefaultShare is for routes that are not named.
+	// Shares of the requests that go to the new version during the trial, by route.
+	// DefaultShare applies to routes that are not listed.
 	Shares       map[string]float64 `cbor:"6,keyasint,omitempty"`
 	DefaultShare float64            `cbor:"7,keyasint,omitempty"`
-	// From is the version that was rolled out before; empty: none was.
+	// From is the version that was rolled out before; empty: there was none.
 	From string `cbor:"8,keyasint,omitempty"`
-	// Barred are versions that were reverted and not ordered since.
+	// Barred lists versions that were reverted and not ordered since.
 	Barred []string `cbor:"9,keyasint,omitempty"`
 	// OrderedMS and StepMS are the group's clock at the order and at the last step.
 	OrderedMS int64  `cbor:"10,keyasint"`
@@ -116,7 +117,7 @@
 	Reason    string `cbor:"12,keyasint,omitempty"` // of the last step
 }
 
-// share is the part of a route's requests that goes to the new version.
+// share returns the share of a route's requests that goes to the new version.
 func (r *Record) share(route string) float64 {
 	switch r.Phase {
 	case Switching:
@@ -133,41 +134,45 @@
 	return r.DefaultShare
 }
 
-// Versions says which backend servers of a service may run a request.
+// Versions restricts which backend servers of a service may run a request.
 type Versions struct {
-	// Only is the one version that may; empty: the version in use, which is none of
-	// Except. Else is for a service that has servers of no other version.
+	// Only is the one version that may run the request. If it is empty, the version in use
+	// may, provided that it is none of Except. Fallback applies if a service has no servers
+	// of another version.
 	Only   string
 	Except []string
 	Else   string
-	// Part of the servers takes all the requests; 0: all of them do. A small share of the
-	// requests, spread over all servers, would not show how a version does under load.
+	// ServerShare is the share of the servers that take all the requests; 0: all of them. A
+	// small share of the requests, spread over all servers, would not show how a version
+	// performs under load.
 	Part float64
 }
 
-// fewest servers have the requests of a trial: one that is faulty by itself shows beside
-// the others.
+// minTrialServers is the least number of servers that take the requests of a trial. A
+// single faulty server is recognised only beside others.
 const minTrialServers = 3
 
-// Few is how many servers have the requests of a trial, such that each has as much to do
-// as one of the other version's.
-func Few(part float64, others int) int { return max(minTrialServers, int(math.Ceil(part*float64(others)))) }
+// TrialServers returns how many servers take the requests of a trial. Each of them gets as
+// much load as a server of the former version.
+func Few(part float64, others int) int {
+	return max(minTrialServers, int(math.Ceil(part*float64(others))))
+}
 
-// Choice is where one request goes.
+// Choice is the destination of one request.
 type Choice struct {
 	Versions
 	// Number of the roll-out that the request is counted for; 0: none is under way.
 	Number uint64
-	// Target: it goes to the new version.
+	// Target is set if the request goes to the new version.
 	Target bool
 }
 
-// State is all roll-outs, by service. It never changes once it is built.
+// State holds all roll-outs by service. It is immutable once built.
 type State struct {
 	Records map[string]Record `cbor:"1,keyasint,omitempty"`
 }
 
-// Choose decides where a request goes. draw is uniform in [0, 1).
+// Choose decides on the destination of a request. draw is uniform in [0, 1).
 func (s *State) Choose(service, route string, draw float64) Choice {
 	r, ok := s.Records[service]
 	if !ok {
@@ -185,7 +190,7 @@
 	return Choice{Versions: r.former(), Number: r.Number}
 }
 
-// target is the new version.
+// target returns the restriction to the new version.
 func (r *Record) target() Versions {
 	v := Versions{Only: r.To}
 	if r.Phase == Trial {
@@ -194,7 +199,7 @@
 	return v
 }
 
-// former is the version that the service had before the order.
+// former returns the restriction to the version that the service had before the order.
 func (r *Record) former() Versions {
 	if r.From != "" {
 		return Versions{Only: r.From}
@@ -210,8 +215,8 @@
 	return Versions{Except: except, Else: orElse}
 }
 
-// Former is where a request goes that is not to run on the new version, as one that
-// failed there.
+// Former returns the restriction for a request that must not run on the new version, for
+// example because it failed there.
 func (s *State) Former(service string) Versions {
 	r, ok := s.Records[service]
 	if !ok {
@@ -223,13 +228,13 @@
 	return r.former()
 }
 
-// Back is the choice for a request that is not to run on the new version any more.
+// Fallback returns the choice for a request that must no longer run on the new version.
 func (s *State) Back(service string, c Choice) Choice {
 	return Choice{Versions: s.Former(service), Number: c.Number}
 }
 
-// Keep says where the copies of a run may lie that was chosen before: they follow the
-// requests once these are switched.
+// CopyVersions returns the versions whose servers may hold the copies of a run that was
+// chosen before. Copies follow the requests once these are switched.
 func (s *State) Keep(service string, c Choice) Versions {
 	if r, ok := s.Records[service]; ok && r.Phase.switched() {
 		return Versions{Only: r.To}
@@ -237,15 +242,14 @@
 	return c.Versions
 }
 
-// Leaves reports whether a run that was chosen before is to go on elsewhere, as soon as
-// it has a copy there.
+// MustMove reports whether a run that was chosen before is to be resumed on the new version
+// as soon as it has a copy there.
 func (s *State) Leaves(service string, c Choice) bool {
 	r, ok := s.Records[service]
 	return ok && (r.Phase == Moving || r.Phase == Completed) && c.Only != r.To
 }
 
-// Allows reports whether a request that was chosen before may still begin at its
-// version.
+// Allows reports whether a request that was chosen before may still begin at its version.
 func (s *State) Allows(service string, c Choice) bool {
 	r, ok := s.Records[service]
 	switch {
@@ -273,7 +277,8 @@
 	return !slices.Contains(r.Barred, version)
 }
 
-// Urgent reports whether a new version has nearly all requests and may turn out bad.
+// Urgent reports whether a new version that may still turn out bad gets nearly all
+// requests.
 func (s *State) Urgent() bool {
 	for _, r := range s.Records {
 		if r.Phase == Switching || r.Phase == Moving {
@@ -283,7 +288,7 @@
 	return false
 }
 
-// UnderWay lists the numbers of the roll-outs under way, by service.
+// UnderWay returns the numbers of the roll-outs under way by service.
 func (s *State) UnderWay() map[string]uint64 {
 	out := map[string]uint64{}
 	for service, r := range s.Records {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,6 +9,7 @@
 
 func stateAt(r Record) *State { return &State{Records: map[string]Record{"desk": r}} }
 
+// Guards against a request that is sent to a version that its phase does not allow.
 func TestChoose(t *testing.T) {
 	at := func(phase Phase, from string, barred ...string) Record {
 		return Record{Order: toV2, Number: 3, Phase: phase, DefaultShare: 0.1, From: from, Barred: barred}
@@ -23,11 +24,11 @@
 	}{
 		{"no roll-out", &State{}, 0, "", nil, false},
 		{"the trial's share", stateAt(at(Trial, "")), 0.05, "v2", nil, true},
-		{"the others", stateAt(at(Trial, "")), 0.5, "", []string{"v2"}, false},
-		{"the others, after an earlier roll-out", stateAt(at(Trial, "v1")), 0.5, "v1", nil, false},
-		{"the others, after a reverted one", stateAt(at(Trial, "", "v0")), 0.5, "", []string{"v0", "v2"}, false},
+		{"the former version", stateAt(at(Trial, "")), 0.5, "", []string{"v2"}, false},
+		{"the former version, after an earlier roll-out", stateAt(at(Trial, "v1")), 0.5, "v1", nil, false},
+		{"the former version, after a reverted roll-out", stateAt(at(Trial, "", "v0")), 0.5, "", []string{"v0", "v2"}, false},
 		{"switched", stateAt(at(Switching, "")), 0.5, "v2", nil, true},
-		{"to compare with", stateAt(at(Switching, "v1")), 0.95, "v1", nil, false},
+		{"switched, former version for comparison", stateAt(at(Switching, "v1")), 0.95, "v1", nil, false},
 		{"moving", stateAt(at(Moving, "v1")), 0.99, "v2", nil, true},
 		{"completed", stateAt(at(Completed, "v1")), 0.99, "v2", nil, false},
 		{"reverted", stateAt(at(Reverted, "")), 0, "", []string{"v2"}, false},
@@ -36,23 +37,23 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := tt.state.Choose("desk", "book", tt.draw)
 			if c.Only != tt.only || len(c.Except) != len(tt.except) || c.Target != tt.target {
-				t.Errorf("%+v", c)
+				t.Errorf("got choice %+v, want the versions and target of the test case", c)
 			}
 			for i, v := range tt.except {
 				if c.Except[i] != v {
-					t.Errorf("except %v, want %v", c.Except, tt.except)
+					t.Errorf("got except %v, want %v", c.Except, tt.except)
 				}
 			}
 			if !tt.state.Allows("desk", c) {
-				t.Error("the choice is not allowed at once")
+				t.Error("the choice is not allowed in the same state")
 			}
 		})
 	}
 }
 
-// Guards against a request that waits while a version is reverted, or the others end, and
-// is sent there after all.
-func TestChoiceThatIsOutdated(t *testing.T) {
+// Guards against a request that waits while a version is reverted, or while the others end,
+// and is sent to that version afterwards.
+func TestOutdatedChoice(t *testing.T) {
 	onTrial := Record{Order: toV2, Number: 1, Phase: Trial, DefaultShare: 0.5}
 	toNew, toOld := stateAt(onTrial).Choose("desk", "book", 0), stateAt(onTrial).Choose("desk", "book", 0.9)
 	tests := []struct {
@@ -63,25 +64,25 @@
 		{Switching, true, true},
 		{Moving, true, false},
 		{Completed, true, false},
-		{Reverted, false, false}, // the old choice might fall back to the new version
+		{Reverted, false, false}, // the choice of the former version might fall back to the new one
 	}
 	for _, tt := range tests {
 		now := onTrial
 		now.Phase = tt.phase
 		s := stateAt(now)
 		if s.Allows("desk", toNew) != tt.new || s.Allows("desk", toOld) != tt.old {
-			t.Errorf("%v: new version %v, old %v", tt.phase, s.Allows("desk", toNew), s.Allows("desk", toOld))
+			t.Errorf("%v: got new version allowed %v, former %v, want as in the test case", tt.phase, s.Allows("desk", toNew), s.Allows("desk", toOld))
 		}
 		for _, c := range []Choice{toNew, toOld} {
 			if back := s.Back("desk", c); !s.Allows("desk", c) && !s.Allows("desk", back) {
-				t.Errorf("%v: %+v is sent back to %+v", tt.phase, c, back)
+				t.Errorf("%v: the fallback of %+v is %+v, which is not allowed either", tt.phase, c, back)
 			}
 		}
 	}
 }
 
-// Guards against a budget that hangs on messages: routers that hear nothing of one another
-// send a version on trial its share and no more, however many they are.
+// Guards against a trial share that depends on messages. However many routers there are,
+// they send a version on trial its share and no more without hearing of one another.
 func TestTrialNeedsNoMessages(t *testing.T) {
 	const routers, each = 300, 40
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -96,34 +97,34 @@
 	}
 	all := float64(routers * each)
 	if allowed := DefaultLimits.Share*all + DefaultLimits.Slack; float64(sent) > allowed || math.Abs(float64(sent)-initialShare*all) > 100 {
-		t.Errorf("%d of %.0f requests, allowed %.0f", sent, all, allowed)
+		t.Errorf("got %d of %.0f requests sent to the new version, want about the initial share and at most %.0f", sent, all, allowed)
 	}
 }
 
-// What a router tells and a control VM sums, with lost, repeated and overtaken messages
-// and a router that ends.
+// Guards against reports that are counted wrongly: messages are lost, repeated and
+// reordered between routers and a control VM, and a router ends.
 func TestEvidence(t *testing.T) {
 	now := time.Unix(100, 0)
 	clock := func() time.Time { return now }
 	c := Choice{Versions: Versions{Only: "v2"}, Number: 1, Target: true}
 	old := Choice{Versions: Versions{Except: []string{"v2"}}, Number: 1}
 	a, b := NewBook(clock), NewBook(clock)
-	for _, book := range []*Book{a, b} {
-		book.Watch(map[string]uint64{"desk": 1})
+	for _, recorder := range []*Book{a, b} {
+		recorder.Watch(map[string]uint64{"desk": 1})
 	}
-	answer := func(book *Book, c Choice, failed bool) {
-		book.Request("desk", "book", c)
-		book.Sent("desk", c)
-		run := book.Begin("desk", "book", c, "i1")
+	answer := func(recorder *Book, c Choice, failed bool) {
+		recorder.Request("desk", "book", c)
+		recorder.Sent("desk", c)
+		run := recorder.Begin("desk", "book", c, "i1")
 		now = now.Add(10 * time.Millisecond)
-		book.End(run, failed, false)
+		recorder.End(run, failed, false)
 	}
 	answer(a, c, true)
 	early := a.Told()
 	answer(a, c, false)
 	answer(a, old, false)
 	answer(b, c, true)
-	waits := b.Begin("desk", "book", c, "i2")
+	waiting := b.Begin("desk", "book", c, "i2")
 	now = now.Add(time.Second)
 	l := NewLedger()
 	l.Note(1, a.Told(), now)
@@ -134,31 +135,31 @@
 	e := l.Sum("desk", 1, now)
 	target := e.Target[cell].without("")
 	if e.Sent != 3 || e.Requests["book"] != 4 || target.Answers != 3 || target.Failures != 2 || e.Former[cell].without("").Answers != 1 {
-		t.Errorf("%+v", e)
+		t.Errorf("got evidence %+v, want 3 sent, 4 requests, 3 answers with 2 failures, 1 former answer", e)
 	}
 	if countOf(target.Waiting) != 1 {
-		t.Errorf("waiting: %v", target.Waiting)
+		t.Errorf("got waiting %v, want one request", target.Waiting)
 	}
-	// The router ended: what it sent counts on, what it waited for does not.
+	// After a router has ended, its sent requests still count, its waiting ones do not.
 	e = l.Sum("desk", 1, now.Add(2*waitingTTL))
 	if e.Sent != 3 || countOf(e.Target[cell].without("").Waiting) != 0 {
-		t.Errorf("after its end: %+v", e)
+		t.Errorf("after the end of the router: got %+v, want 3 sent and none waiting", e)
 	}
-	b.Drop(waits)
-	if told := b.Told(); len(told) != 1 || told[0].Rows[0].Counts.Answers != 1 {
-		t.Errorf("dropped: %+v", told)
+	b.Drop(waiting)
+	if reports := b.Told(); len(reports) != 1 || reports[0].Rows[0].Counts.Answers != 1 {
+		t.Errorf("after a dropped request: got %+v, want one answer", reports)
 	}
 	l.Keep(map[string]uint64{"desk": 2})
 	if e := l.Sum("desk", 1, now); e.Sent != 0 {
-		t.Errorf("of a former roll-out: %+v", e)
+		t.Errorf("after a newer roll-out began: got %+v, want no evidence", e)
 	}
 	a.Watch(nil)
-	if told := a.Told(); told != nil {
-		t.Errorf("nothing is under way: %+v", told)
+	if reports := a.Told(); reports != nil {
+		t.Errorf("without a roll-out under way: got %+v, want no report", reports)
 	}
 }
 
-// Guards against a good version that is reverted since the evidence came late, and the
+// Guards against a good version that is reverted because its evidence came late and the
 // switch had no time left.
 func TestLateSwitchIsFinished(t *testing.T) {
 	r := Record{Order: Order{Service: "desk", To: "v2", Duration: 15 * time.Second}, Number: 1, Phase: Switching}
@@ -178,18 +179,18 @@
 			continue
 		}
 		if s.Phase == Reverted {
-			t.Fatalf("at %v: %+v", at, s)
+			t.Fatalf("at %v: got step %+v, want no revert", at, s)
 		}
 		if r.Phase = s.Phase; r.Phase == Completed {
 			return
 		}
 	}
-	t.Errorf("no outcome: %v", r.Phase)
+	t.Errorf("got phase %v at the end, want Completed", r.Phase)
 }
 
-// Guards against a version that is taken for slow since a busy VM held some answers of a
-// few milliseconds up.
-func TestShortAnswersHeldUp(t *testing.T) {
+// Guards against a version that counts as slow because a busy VM delayed some answers of a
+// few milliseconds.
+func TestDelayedShortAnswersAreNotSlow(t *testing.T) {
 	times := func(short, long int, late time.Duration) Counts {
 		return Counts{Answers: short + long, Times: map[uint8]int{bucketOf(5 * time.Millisecond): short, bucketOf(late): long}}
 	}
@@ -202,7 +203,7 @@
 		e := expect(former, former)
 		v := e.judge(times(80, 20, tt.late))
 		if v.slow.isBad() != tt.slow {
-			t.Errorf("a fifth of the answers after %v: %v", tt.late, &v)
+			t.Errorf("a fifth of the answers after %v: got verdict %v, want the opposite on slowness", tt.late, &v)
 		}
 	}
 }
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -14,14 +14,14 @@
 
 var simReasons = flag.Bool("rollout.reasons", false, "print why")
 
-// simRoute is a route's requests.
+// simRoute is a route with its requests.
 type simRoute struct {
-	name    string
-	rate    float64 // a second
-	failShare   float64 // of itself
-	latency    time.Duration
-	spread  float64
-	streams bool
+	name      string
+	rate      float64 // requests per second
+	failShare float64 // on servers of any version
+	latency   time.Duration
+	spread    float64
+	streams   bool
 }
 
 // simKind is a service with its load.
@@ -41,16 +41,17 @@
 	{"few", []simRoute{{"a", 3, 0.01, 60 * time.Millisecond, 0.5, false}, {"b", 1, 0.01, 60 * time.Millisecond, 0.5, false}}, 3},
 }
 
-// simVersion is how a version behaves.
+// simVersion is the behaviour of a version.
 type simVersion struct {
-	name      string
-	failShare     float64 // part of the answers that fail
-	slowShare      float64 // part that is slower
-	slowFactor     float64 // as many times
-	badFromShare      float64 // part of the duration after which it is bad
-	underLoad bool    // only once it has most of the requests
-	route     int     // the one route that is bad; -1: all are
-	// faint: too like a good one, or bad for too short a time, to be told apart always.
+	name         string
+	failShare    float64 // share of the answers that fail
+	slowShare    float64 // share of the answers that are slow
+	slowFactor   float64 // by which slow answers take longer
+	badFromShare float64 // share of the duration after which the version is bad
+	underLoad    bool    // bad only while it has most of the requests
+	route        int     // the one route that is bad; -1: all are; -2: the last one
+	// hardToDetect marks versions that are too similar to a good one, or bad for too short
+	// a time, to be told apart in every run.
 	hardToDetect bool
 }
 
@@ -74,31 +75,31 @@
 	)
 }
 
-// decider is a way to decide about a roll-out.
+// decider decides on a roll-out.
 type decider interface {
 	Look(r *Record, e *Evidence, v View) (Step, bool)
 }
 
-// simOutcome is what one roll-out came to.
+// simOutcome is the outcome of one roll-out.
 type simOutcome struct {
 	phase    Phase
 	at       time.Duration
-	sent     int // to the version, until the end of its duration
+	sent     int // to the new version, until the end of the duration
 	allowed  float64
-	tooLate  int // sent more than rollbackAfter after the 50th bad answer
+	tooLate  int // sent more than rollbackAfter after bad answer number badAnswersBound
 	exceeded bool
 	reason   string
 }
 
 const (
-	simTick       = 20 * time.Millisecond
-	simReport     = 400 * time.Millisecond // until a control VM knows
-	simUrgent     = 150 * time.Millisecond // the same while all requests go there
-	simApply      = 150 * time.Millisecond // until routers apply a step
-	simStart      = 1200 * time.Millisecond
-	rollbackAfter = 5 * time.Second
-	badAnswersBound      = 50
-	simSeed       = 7
+	simTick         = 20 * time.Millisecond
+	simReport       = 400 * time.Millisecond // until a report reaches the control VM
+	simUrgent       = 150 * time.Millisecond // the same while nearly all requests go to the new version
+	simApply        = 150 * time.Millisecond // until routers apply a step
+	simStart        = 1200 * time.Millisecond
+	rollbackAfter   = 5 * time.Second
+	badAnswersBound = 50
+	simSeed         = 7
 )
 
 // simAnswer is an answer on its way to the control VM.
@@ -112,35 +113,35 @@
 	took   time.Duration
 }
 
-// sim plays one roll-out.
+// sim simulates one roll-out.
 type sim struct {
-	rng      *rand.Rand
-	kind     simKind
-	version  simVersion
+	rng          *rand.Rand
+	kind         simKind
+	version      simVersion
 	disturbances bool
-	duration time.Duration
+	duration     time.Duration
 
-	record  Record
-	applied Record // as the routers have it
-	applyAt time.Duration
-	stepAt  time.Duration
-	queue   []simAnswer
-	sums    Evidence
-	out     simOutcome
-	badAt   time.Duration // of the 50th bad answer; 0: not yet
-	bad     int
-	faultyTarget    string // a faulty server of the new version
+	record            Record
+	applied           Record // as the routers have it
+	applyAt           time.Duration
+	stepAt            time.Duration
+	queue             []simAnswer
+	sums              Evidence
+	out               simOutcome
+	badAt             time.Duration // time of bad answer number badAnswersBound; 0: not yet
+	bad               int
+	faultyTarget      string // a faulty server of the new version
 	faultyFormerShare float64
-	outage    [2]time.Duration // a third of the old servers answers nothing
-	burst   [2]time.Duration // more callers, and slower answers of all
+	outage            [2]time.Duration // a third of the former version's servers does not answer
+	burst             [2]time.Duration // more callers and slower answers of all servers
 }
 
-func newSim(rng *rand.Rand, k simKind, v simVersion, d time.Duration, troubles bool) *sim {
-	s := &sim{rng: rng, kind: k, version: v, duration: d, disturbances: troubles, applyAt: -1}
+func newSim(rng *rand.Rand, k simKind, v simVersion, d time.Duration, disturbances bool) *sim {
+	s := &sim{rng: rng, kind: k, version: v, duration: d, disturbances: disturbances, applyAt: -1}
 	s.record = Record{Order: Order{Service: "s", To: "v2", Duration: d}, Number: 1, Phase: Trial, DefaultShare: initialShare}
 	s.applied = s.record
 	s.sums = NewEvidence()
-	if troubles {
+	if disturbances {
 		at := func() [2]time.Duration {
 			from := time.Duration(rng.Float64() * float64(d))
 			return [2]time.Duration{from, from + 2500*time.Millisecond}
@@ -157,7 +158,7 @@
 
 func within(t time.Duration, span [2]time.Duration) bool { return t >= span[0] && t < span[1] }
 
-// run plays the roll-out to the end of its duration.
+// run simulates the roll-out to the end of its duration.
 func (s *sim) run(j decider) simOutcome {
 	total := 0
 	for t := time.Duration(0); t < s.duration+time.Second; t += simTick {
@@ -196,14 +197,14 @@
 }
 
 func (s *sim) arrive(t time.Duration) int {
-	crowd := 1.0
+	load := 1.0
 	if within(t, s.burst) {
-		crowd = 1.8
+		load = 1.8
 	}
 	n := 0
 	for i := range s.kind.routes {
 		r := &s.kind.routes[i]
-		for range poisson(s.rng, crowd*r.rate*simTick.Seconds()) {
+		for range poisson(s.rng, load*r.rate*simTick.Seconds()) {
 			n++
 			s.request(t, i)
 		}
@@ -245,7 +246,7 @@
 		a.server = fmt.Sprint("f", s.rng.IntN(s.kind.servers))
 		a.failed = a.failed || s.faultyFormerShare > 0 && a.server == "f0" && s.rng.Float64() < 0.45
 		if within(t, s.outage) && s.rng.IntN(3) == 0 {
-			return // broken off: no answer
+			return // aborted: no answer
 		}
 	}
 	a.took = time.Duration(took)
@@ -262,8 +263,8 @@
 	}
 }
 
-// spoil makes an answer of a bad version bad, and returns how many times longer it
-// takes.
+// degrade makes an answer of a bad version bad and returns the factor by which it takes
+// longer.
 func (s *sim) degrade(a *simAnswer, t time.Duration, route int) float64 {
 	v := &s.version
 	small := v.route == -2 && route == len(s.kind.routes)-1
@@ -288,7 +289,7 @@
 	return times
 }
 
-// take brings answers to the control VM.
+// deliver brings answers to the control VM.
 func (s *sim) deliver(t time.Duration) {
 	kept := s.queue[:0]
 	for _, a := range s.queue {
@@ -310,7 +311,7 @@
 	s.queue = kept
 }
 
-// withWaiting is what a control VM sums anew at each look.
+// withWaiting returns what a control VM sums up at each evaluation.
 func (s *sim) withWaiting(t time.Duration) *Evidence {
 	out := NewEvidence()
 	out.Sent = s.sums.Sent
@@ -339,8 +340,8 @@
 	return &out
 }
 
-// fixedSteps is the usual way: shares in steps, each watched for a while, and thresholds
-// on the difference of the rates.
+// fixedSteps is the conventional method: it raises the share in steps, observes each for a
+// while and applies thresholds to the difference of the rates.
 type fixedSteps struct{ step int }
 
 func (f *fixedSteps) Look(r *Record, e *Evidence, v View) (Step, bool) {
@@ -372,20 +373,20 @@
 	return Step{}, false
 }
 
-// simResult sums the outcomes of many roll-outs.
+// simResult counts the outcomes of many roll-outs.
 type simResult struct{ runs, completed, reverted, exceeded, intime int }
 
-// String is a line of the table in docs/design/rollouts.md.
+// String returns a line of the table in docs/design/rollouts.md.
 func (r simResult) String() string {
 	return fmt.Sprintf("completed in time %d, reverted %d, got too much %d of %d", r.intime, r.reverted, r.exceeded, r.runs)
 }
 
-func play(k simKind, v simVersion, troubles bool, runs int, make func() decider) simResult {
+func play(k simKind, v simVersion, disturbances bool, runs int, make func() decider) simResult {
 	var out simResult
 	for i := range runs {
 		rng := rand.New(rand.NewPCG(simSeed, uint64(i)))
 		d := []time.Duration{6, 12, 20, 40, 60}[i%5] * time.Second
-		o := newSim(rng, k, v, d, troubles).run(make())
+		o := newSim(rng, k, v, d, disturbances).run(make())
 		out.runs++
 		switch o.phase {
 		case Completed:
@@ -406,26 +407,27 @@
 	return out
 }
 
-// Guards against a bad version that is completed or gets more than it may, and a good one
-// that is reverted, on seeded roll-outs; beside it what fixed steps come to.
-func TestVersionsAreToldApart(t *testing.T) {
+// Guards against a bad version that is completed or gets more requests than allowed, and
+// against a good version that is reverted, in seeded roll-outs. The log compares the
+// results with those of fixed steps.
+func TestVersionsAreDistinguished(t *testing.T) {
 	runs := *simRuns
 	if testing.Short() {
 		runs = 1
 	}
-	for _, troubles := range []bool{false, true} {
+	for _, disturbances := range []bool{false, true} {
 		for _, v := range simVersions() {
 			for _, k := range simKinds {
-				t.Run(fmt.Sprintf("%s/%s/troubles %v", v.name, k.name, troubles), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s/troubles %v", v.name, k.name, disturbances), func(t *testing.T) {
 					t.Parallel()
-					judge := play(k, v, troubles, runs, func() decider { return NewJudge(DefaultLimits, 1) })
-					steps := play(k, v, troubles, runs, func() decider { return &fixedSteps{} })
+					judge := play(k, v, disturbances, runs, func() decider { return NewJudge(DefaultLimits, 1) })
+					steps := play(k, v, disturbances, runs, func() decider { return &fixedSteps{} })
 					t.Logf("judge %v; fixed steps %v", judge, steps)
 					switch {
 					case v.good() && k.name == "calls" && judge.intime < judge.runs*8/10:
-						t.Errorf("a good version was completed in time %d times of %d", judge.intime, judge.runs)
+						t.Errorf("got a good version completed in time in %d of %d runs, want at least 80%%", judge.intime, judge.runs)
 					case !v.good() && !v.hardToDetect && judge.completed+judge.exceeded > 0:
-						t.Errorf("a bad version was completed %d times, and got more than it may %d times", judge.completed, judge.exceeded)
+						t.Errorf("got a bad version completed %d times and over its limit %d times, want 0 of both", judge.completed, judge.exceeded)
 					}
 				})
 			}
--- a/internal/rollout/part.go
+++ b/internal/rollout/state_machine.go
@@ -8,25 +8,25 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// Outcome is what became of a command.
+// Outcome is the result of a command.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes.
 const (
 	Accepted   Outcome = 1
 	Repeated   Outcome = 2 // the same order was accepted before
 	Busy       Outcome = 3 // another roll-out of the service is under way
-	Outdated   Outcome = 4 // a step of a roll-out that has gone on since
-	Unreadable Outcome = 5
+	Outdated   Outcome = 4 // a step of a roll-out that has advanced since
+	Unreadable Outcome = 5 // the command could not be decoded
 )
 
-// Reply tells the outcome and the record after it.
+// Reply holds the outcome of a command and the record after it.
 type Reply struct {
 	Outcome Outcome `cbor:"1,keyasint"`
 	Record  Record  `cbor:"2,keyasint"`
 }
 
-// Step takes a roll-out on.
+// Step advances a roll-out.
 type Step struct {
 	Service      string             `cbor:"1,keyasint"`
 	Number       uint64             `cbor:"2,keyasint"`
@@ -36,46 +36,50 @@
 	Reason       string             `cbor:"6,keyasint,omitempty"`
 }
 
-// Command is an entry of the group's log: one of its fields is set.
+// Command is an entry of the group's log. One of its fields is set.
 type Command struct {
 	Order *Order `cbor:"1,keyasint,omitempty"`
 	Step  *Step  `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	// firstShare of the requests goes to a new version until its rates are known.
+	// initialShare is the share of the requests that goes to a new version until the
+	// request rates are known.
 	initialShare = 0.05
-	// repeatedFor is how long after an order the same one is a resend, and not a new
-	// attempt at a version that was reverted meanwhile. An operator whose answers are
-	// lost sends again for some seconds; clocks of two leaders may differ by as many.
-	resendWindowMS = 10_000 // ms
-	// maxBarred versions are remembered by service; older ones have long ended.
+	// resendWindowMS is how long after an order the same order counts as a resend and not
+	// as a new attempt at a version that was reverted meanwhile. An operator whose replies
+	// are lost sends again for several seconds, and the clocks of two leaders may differ by
+	// as much.
+	resendWindowMS = 10_000
+	// maxBarred bounds the reverted versions that are recorded per service. The servers of
+	// older ones have long ended.
 	maxBarred = 64
 )
 
-// Part is the roll-outs in the control group's state. It implements control.Part.
+// StateMachine holds the roll-outs in the control group's replicated state. It implements
+// control.StateMachine.
 type Part struct {
 	version uint64
 	number  uint64
 	state   State
 }
 
-// NewPart returns a Part without roll-outs.
+// NewStateMachine returns a StateMachine without roll-outs.
 func NewPart() *Part { return &Part{state: State{Records: map[string]Record{}}} }
 
-// Version implements control.Part.
-func (p *Part) Version() uint64 { return p.version }
+// Version implements control.StateMachine.
+func (m *Part) Version() uint64 { return m.version }
 
-// Record returns a service's newest roll-out.
-func (p *Part) Record(service string) (Record, bool) {
-	r, ok := p.state.Records[service]
+// Record returns the newest roll-out of a service.
+func (m *Part) Record(service string) (Record, bool) {
+	r, ok := m.state.Records[service]
 	return r, ok
 }
 
 // UnderWay returns the roll-outs without an outcome.
-func (p *Part) UnderWay() []Record {
+func (m *Part) UnderWay() []Record {
 	var out []Record
-	for _, r := range p.state.Records {
+	for _, r := range m.state.Records {
 		if !r.Phase.Over() {
 			out = append(out, r)
 		}
@@ -84,31 +88,31 @@
 }
 
 // Apply executes an encoded Command.
-func (p *Part) Apply(nowMS int64, cmd []byte) []byte {
+func (m *Part) Apply(nowMS int64, cmd []byte) []byte {
 	var c Command
 	reply := Reply{Outcome: Unreadable}
 	if err := codec.Unmarshal(cmd, &c); err == nil {
-		reply = p.execute(nowMS, &c)
+		reply = m.execute(nowMS, &c)
 	}
 	return mustMarshal(&reply)
 }
 
-func (p *Part) execute(nowMS int64, c *Command) Reply {
+func (m *Part) execute(nowMS int64, c *Command) Reply {
 	switch {
 	case c.Order != nil:
-		outcome := p.order(nowMS, c.Order)
-		return Reply{outcome, p.state.Records[c.Order.Service]}
+		outcome := m.order(nowMS, c.Order)
+		return Reply{outcome, m.state.Records[c.Order.Service]}
 	case c.Step != nil:
-		outcome := p.step(nowMS, c.Step)
-		return Reply{outcome, p.state.Records[c.Step.Service]}
+		outcome := m.step(nowMS, c.Step)
+		return Reply{outcome, m.state.Records[c.Step.Service]}
 	}
 	return Reply{Outcome: Unreadable}
 }
 
-// order begins a roll-out. A resend of the order in force changes nothing, whatever
-// became of it.
-func (p *Part) order(nowMS int64, o *Order) Outcome {
-	last, known := p.state.Records[o.Service]
+// order begins a roll-out. A resend of the order in force changes nothing, whatever its
+// outcome was.
+func (m *Part) order(nowMS int64, o *Order) Outcome {
+	last, known := m.state.Records[o.Service]
 	same := known && last.Order == *o
 	switch {
 	case known && !last.Phase.Over() && !same:
@@ -118,19 +122,19 @@
 	case same && nowMS-last.OrderedMS <= resendWindowMS:
 		return Repeated
 	}
-	p.number++
+	m.number++
 	next := Record{
-		Order: *o, Number: p.number, Phase: Trial, DefaultShare: initialShare, OrderedMS: nowMS, StepMS: nowMS,
+		Order: *o, Number: m.number, Phase: Trial, DefaultShare: initialShare, OrderedMS: nowMS, StepMS: nowMS,
 		From: last.From, Barred: barred(&last, o.To),
 	}
 	if last.Phase == Completed {
 		next.From = last.To
 	}
-	p.put(next)
+	m.put(next)
 	return Accepted
 }
 
-// barred are the versions that were reverted before an order, without the one ordered.
+// barred returns the versions that were reverted before an order, except the ordered one.
 func barred(last *Record, to string) []string {
 	out := slices.Clone(last.Barred)
 	if last.Phase == Reverted && !slices.Contains(out, last.To) {
@@ -140,19 +144,20 @@
 	return out[max(0, len(out)-maxBarred):]
 }
 
-// step takes a roll-out on, never back, and never past its outcome.
-func (p *Part) step(nowMS int64, s *Step) Outcome {
-	r, ok := p.state.Records[s.Service]
+// step advances a roll-out. It never goes back, and never past an outcome.
+func (m *Part) step(nowMS int64, s *Step) Outcome {
+	r, ok := m.state.Records[s.Service]
 	if !ok || r.Number != s.Number || r.Phase.Over() || !mayFollow(r.Phase, s.Phase) {
 		return Outdated
 	}
 	r.Phase, r.StepMS, r.Reason = s.Phase, nowMS, s.Reason
 	r.Shares, r.DefaultShare = s.Shares, s.DefaultShare
-	p.put(r)
+	m.put(r)
 	return Accepted
 }
 
-// mayFollow: requests are switched before the other versions' servers end.
+// mayFollow reports whether a phase may follow another. Requests are switched before the
+// servers of other versions end.
 func mayFollow(now, next Phase) bool {
 	switch next {
 	case Trial:
@@ -169,13 +174,13 @@
 	return false
 }
 
-func (p *Part) put(r Record) {
-	p.state.Records[r.Service] = r
-	p.version++
+func (m *Part) put(r Record) {
+	m.state.Records[r.Service] = r
+	m.version++
 }
 
-// Changes implements control.Part: all roll-outs.
-func (p *Part) Changes(uint64) []byte { return mustMarshal(&p.state) }
+// Changes implements control.StateMachine. It returns all roll-outs.
+func (m *Part) Changes(uint64) []byte { return mustMarshal(&m.state) }
 
 // snapshot is the content of a snapshot.
 type snapshot struct {
@@ -184,27 +189,27 @@
 	Records map[string]Record `cbor:"3,keyasint,omitempty"`
 }
 
-// Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) {
-	return codec.Marshal(&snapshot{p.version, p.number, p.state.Records})
+// Snapshot implements control.StateMachine.
+func (m *Part) Snapshot() ([]byte, error) {
+	return codec.Marshal(&snapshot{m.version, m.number, m.state.Records})
 }
 
-// Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+// Restore implements control.StateMachine.
+func (m *Part) Restore(data []byte) error {
 	var s snapshot
 	if err := codec.Unmarshal(data, &s); err != nil {
-		return fmt.Errorf("rollout: snapshot: %w", err)
+		return fmt.Errorf("rollout: decode snapshot: %w", err)
 	}
-	p.version, p.number = s.Version, s.Number
-	p.state = State{Records: map[string]Record{}}
-	maps.Copy(p.state.Records, s.Records)
+	m.version, m.number = s.Version, s.Number
+	m.state = State{Records: map[string]Record{}}
+	maps.Copy(m.state.Records, s.Records)
 	return nil
 }
 
 func mustMarshal(v any) []byte {
 	out, err := codec.Marshal(v)
 	if err != nil {
-		panic(err) // numbers, texts and maps of them always encode
+		panic(err) // numbers, strings and maps of them always encode
 	}
 	return out
 }
--- a/internal/rollout/part_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -29,6 +29,7 @@
 	return Command{Step: &Step{Service: "desk", Number: n, Phase: phase}}
 }
 
+// Guards against an order that is executed twice, or that replaces a roll-out under way.
 func TestOrders(t *testing.T) {
 	v3 := Order{Service: "desk", To: "v3", Duration: time.Second}
 	longer := Order{Service: "desk", To: "v2", Duration: time.Minute}
@@ -55,7 +56,7 @@
 			p := NewPart()
 			for _, c := range tt.before {
 				if r := apply(t, p, 0, c); r.Outcome != Accepted {
-					t.Fatalf("before: %+v", r)
+					t.Fatalf("preceding command: got %+v, want outcome Accepted", r)
 				}
 			}
 			if r := apply(t, p, tt.atMS, Command{Order: &tt.order}); r.Outcome != tt.want || r.Record.Phase != tt.phase {
@@ -65,8 +66,8 @@
 	}
 }
 
-// Guards against a step of a leader that was deposed: it would take a roll-out back, or
-// past what was decided since.
+// Guards against a step of a deposed leader, which would take a roll-out back or past what
+// was decided since.
 func TestStepsGoForwardOnly(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -98,9 +99,9 @@
 	}
 }
 
-// Guards against an order or an outcome that is lost with a restart, and against members
-// that differ: whatever the log holds, a restored part goes on as the others do, a
-// version never goes back, and an outcome that was reached stays.
+// Guards against orders and outcomes that are lost with a restart, and against members that
+// diverge. Whatever the log holds, a restored state machine applies further entries like
+// the others, a roll-out never goes back to an earlier phase, and an outcome stays.
 func TestAnyLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, now := NewPart(), int64(0)
@@ -119,17 +120,17 @@
 			}
 			r := apply(t, p, now, c)
 			if again := apply(t, restored, now, c); !reflect.DeepEqual(again, r) {
-				t.Fatalf("%+v, restored %+v", r, again)
+				t.Fatalf("got reply %+v, and %+v after a restore, want them equal", r, again)
 			}
 			after, _ := p.Record("desk")
 			changed := !reflect.DeepEqual(before, after)
 			switch {
 			case (p.Version() > version) != changed || p.Version() < version:
-				t.Fatalf("version %d after %d, changed: %v", p.Version(), version, changed)
+				t.Fatalf("got version %d after %d with changed %v, want it to grow exactly with a change", p.Version(), version, changed)
 			case known && before.Number == after.Number && before.Phase.Over() && changed:
-				t.Fatalf("%+v became %+v", before, after)
+				t.Fatalf("record %+v with an outcome became %+v", before, after)
 			case known && before.Number == after.Number && after.Phase < before.Phase:
-				t.Fatalf("from %v back to %v", before.Phase, after.Phase)
+				t.Fatalf("the phase went from %v back to %v", before.Phase, after.Phase)
 			}
 		}
 	})
@@ -154,7 +155,7 @@
 		p := NewPart()
 		var r Reply
 		if err := codec.Unmarshal(p.Apply(1, cmd), &r); err != nil || r.Outcome == 0 {
-			t.Errorf("%+v, %v", r, err)
+			t.Errorf("got reply %+v and error %v, want a reply with an outcome", r, err)
 		}
 	})
 }
@@ -170,7 +171,7 @@
 	for name, o := range tests {
 		t.Run(name, func(t *testing.T) {
 			if o.Validate() == nil {
-				t.Error("taken")
+				t.Error("got no error from an invalid order")
 			}
 		})
 	}
--- a/internal/rollout/stats.go
+++ b/internal/rollout/stats.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// surprise is how much better a rate of x in n explains what was seen than the expected
-// rate p does, as a log likelihood ratio. Zero where there was not more than expected.
+// logLikelihoodRatio returns by how much the rate x/n explains an observation of x in n
+// better than the expected rate p. It is zero if x/n is not above p.
 func logLikelihoodRatio(x, n, p float64) float64 {
 	if n <= 0 || x/n <= p {
 		return 0
@@ -16,17 +16,18 @@
 	return out
 }
 
-// atMost is the probability of x or fewer of n where each has probability p.
+// binomialCDF returns the probability of at most x successes in n trials that each have
+// success probability p.
 func binomialCDF(x, n, p float64) float64 {
 	if p >= 1 {
 		return 0
 	}
-	whole, _ := math.Lgamma(n + 1)
+	logFactorialN, _ := math.Lgamma(n + 1)
 	sum := 0.0
 	for k := 0.0; k <= math.Floor(x); k++ {
 		a, _ := math.Lgamma(k + 1)
 		b, _ := math.Lgamma(n - k + 1)
-		sum += math.Exp(whole - a - b + k*math.Log(p) + (n-k)*math.Log1p(-p))
+		sum += math.Exp(logFactorialN - a - b + k*math.Log(p) + (n-k)*math.Log1p(-p))
 	}
 	return min(sum, 1)
 }
