--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -92,7 +92,7 @@
 	// WantChanges: what has changed in the list since Held is wanted.
 	WantChanges bool `cbor:"16,keyasint,omitempty"`
 	// Rollouts is what this VM observed of the roll-outs under way.
-	Rollouts []rollout.Told `cbor:"17,keyasint,omitempty"`
+	Rollouts []rollout.Report `cbor:"17,keyasint,omitempty"`
 }
 
 // Answer is a control VM's reply.
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -33,14 +33,14 @@
 	Spent   func() map[string]forward.Spent
 	// Opinion is what this VM thinks of backend servers, and Paces what it observed of
 	// them, by service.
-	Opinion func() upstream.Opinion
+	Opinion func() upstream.Report
 	Paces   func() map[string]scheduler.Pace
 	// Learn takes what a control VM knows of the other VMs, and LearnSpent what
 	// they together spent of the retry budgets.
 	Learn      func(Known)
 	LearnSpent func(map[string]forward.Spent)
 	// Rollouts is what this VM observes of roll-outs, and Urgent that it is wanted soon.
-	Rollouts func() []rollout.Told
+	Rollouts func() []rollout.Report
 	Urgent   func() bool
 	// Control: this VM is a control VM with a disk.
 	Control bool
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -106,7 +106,7 @@
 	t := Told{Life: m.life, Turn: turn, Taken: taken, Use: m.local.Use()}
 	if m.local.Opinion != nil {
 		o := m.local.Opinion()
-		t.Avoid, t.Doubt, t.Alive = o.Avoid, o.Doubt, o.Alive
+		t.Avoid, t.Doubt, t.Alive = o.Avoid, o.Suspected, o.Alive
 	}
 	if m.local.Paces != nil {
 		t.Paces = m.local.Paces()
--- a/internal/forward/blame.go
+++ b/internal/forward/blame.go
@@ -13,7 +13,7 @@
 // Safe for concurrent use.
 type BlameBook struct {
 	mu       sync.Mutex
-	contents *recovery.Contents
+	contents *recovery.SuspectContents
 	fresh    []recovery.Death // not yet told to the other VMs
 }
 
@@ -22,13 +22,13 @@
 const maxFresh = 64
 
 // NewBlameBook returns an empty book.
-func NewBlameBook() *BlameBook { return &BlameBook{contents: recovery.NewContents()} }
+func NewBlameBook() *BlameBook { return &BlameBook{contents: recovery.NewSuspectContents()} }
 
 // Held reports whether a content must not begin now, and until when.
 func (b *BlameBook) Held(digest uint64) (until time.Time, held bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.contents.Held(digest, time.Now())
+	return b.contents.Quarantined(digest, time.Now())
 }
 
 // Suspect reports whether a server died under a content, and none has run it well
@@ -43,7 +43,7 @@
 func (b *BlameBook) Kills(digest uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.contents.Kills(digest)
+	return b.contents.MustAbort(digest)
 }
 
 // Died notes that a server died under a content.
@@ -51,7 +51,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.contents.Died(digest, server, now)
+	b.contents.ServerDied(digest, server, now)
 	if len(b.fresh) < maxFresh {
 		b.fresh = append(b.fresh, recovery.Death{Digest: digest, Engine: server, At: now})
 	}
@@ -78,7 +78,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, d := range deaths {
-		b.contents.Died(d.Digest, d.Engine, time.Now())
+		b.contents.ServerDied(d.Digest, d.Engine, time.Now())
 	}
 }
 
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -96,7 +96,7 @@
 		case i < 0:
 			return nil, 0, result.NoBackendServer
 		}
-		w := admission.CallWait{Load: load, Work: h.o.Fleet.Work(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
+		w := admission.CallWait{Load: load, Work: h.o.Fleet.ServiceTime(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
 		switch w.Decide() {
 		case admission.HoldCall:
 			if timer.Sleep(q.ctx, callHold) != nil {
@@ -127,7 +127,7 @@
 	watched := h.watchAnswer(q, s)
 	r := h.exchange(q, s, Send{}, h.patience(q, load))
 	h.noteAnswer(watched, q, s, &r)
-	h.o.Fleet.Give(s, use)
+	h.o.Fleet.Release(s, use)
 	h.learn(q, s, &r, time.Since(began))
 	return r
 }
@@ -149,9 +149,9 @@
 	switch {
 	case q.ctx.Err() != nil, r.fault == faultDial:
 	case r.sent == refused && r.answer.Moved:
-		f.Stale(s)
+		f.MarkStale(s)
 	case r.sent == refused:
-		f.Full(s)
+		f.MarkFull(s)
 	case r.fault == faultBreak:
 		f.Failed(s)
 		h.confirmDeath(q, s, 0)
@@ -165,7 +165,7 @@
 		h.o.Blame.Succeeded(q.digest)
 	}
 	if r.answer.Load >= 0 && r.resp != nil {
-		f.Reported(s, r.answer.Load)
+		f.SetReportedLoad(s, r.answer.Load)
 	}
 }
 
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -108,7 +108,7 @@
 		ID: q.RequestID, Service: q.service.Name, Workspace: q.workspace, Need: st.need, KVTokens: st.kvTokens(),
 		Due: q.due(), Deadline: q.expires, Priority: q.priority,
 		Interrupted: st.seq.started, WantsCopy: st.mayCopy(), After: events(st.seq.last),
-		Zone: st.h.o.Zone, Version: st.h.o.Fleet.Version(q.service.Name, q.choice.Versions), Part: q.choice.Part,
+		Zone: st.h.o.Zone, Version: st.h.o.Fleet.Version(q.service.Name, q.choice.Versions), Part: q.choice.ServerShare,
 	}
 	for id := range st.skip {
 		a.Skip = append(a.Skip, id)
--- a/internal/forward/probe.go
+++ b/internal/forward/probe.go
@@ -100,7 +100,7 @@
 
 func (p *prober) try(ctx context.Context, s *upstream.Server) verdict {
 	r := upstream.Request{Method: http.MethodGet, URI: p.wire.ReportURI(), Host: s.Address, Header: http.Header{}}
-	resp, body, err := p.pool.Ask(ctx, s.ID, s.Address, &r)
+	resp, body, err := p.pool.Do(ctx, s.ID, s.Address, &r)
 	if err != nil {
 		return verdict{}
 	}
@@ -135,7 +135,7 @@
 		defer close(found)
 		<-p.done
 		if !p.alive {
-			h.o.Fleet.Dead(s)
+			h.o.Fleet.MarkDead(s)
 			h.blame(q, s, passed)
 		}
 	}()
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -66,7 +66,7 @@
 // start sends the request to an engine, with room for a copy elsewhere.
 func (st *stream) start(c chosen) *run {
 	h, s, from := st.h, c.server, c.from
-	r := &run{st: st, server: s, from: from, fresh: !st.seq.started, died: h.o.Fleet.Died(s), doubt: h.o.Fleet.Doubted(s)}
+	r := &run{st: st, server: s, from: from, fresh: !st.seq.started, died: h.o.Fleet.Died(s), doubt: h.o.Fleet.Suspected(s)}
 	r.use = placement.Use{Requests: 1, Tokens: st.need.Tokens(), Prompt: st.need.Prompt}
 	if from != nil {
 		r.use.Prompt = 0
@@ -183,7 +183,7 @@
 	case p := <-r.shield.ordered:
 		r.protected(p)
 	case <-r.doubt:
-		r.doubt = r.st.h.o.Fleet.Doubted(r.server)
+		r.doubt = r.st.h.o.Fleet.Suspected(r.server)
 		r.ask()
 	case <-r.died:
 		return r.lost("engine judged dead"), true
@@ -250,16 +250,16 @@
 func (r *run) takeHead() (ending, bool) {
 	rep := &r.reply
 	if rep.answer.Load >= 0 {
-		r.st.h.o.Fleet.Reported(r.server, rep.answer.Load)
+		r.st.h.o.Fleet.SetReportedLoad(r.server, rep.answer.Load)
 	}
 	*rep = r.st.h.judge(*rep)
 	switch {
 	case rep.sent == refused:
 		r.sent = refused
 		if rep.answer.Moved {
-			r.st.h.o.Fleet.Stale(r.server)
+			r.st.h.o.Fleet.MarkStale(r.server)
 		} else if r.from == nil {
-			r.st.h.o.Fleet.Full(r.server)
+			r.st.h.o.Fleet.MarkFull(r.server)
 		}
 		return endNotRun, true
 	case rep.fault != noFault:
@@ -329,7 +329,7 @@
 	if r.alone && r.fresh {
 		r.st.h.paces.read(r.st.q.service.Name, r.use.Prompt, r.firstAt.Sub(r.began))
 	}
-	fleet.Give(r.server, placement.Use{Prompt: r.use.Prompt})
+	fleet.Release(r.server, placement.Use{Prompt: r.use.Prompt})
 	r.use.Prompt = 0
 	r.st.h.o.Placer.UseChanged()
 	fleet.Succeeded(r.server, 0)
@@ -379,9 +379,9 @@
 func (r *run) close(end ending) {
 	fleet := r.st.h.o.Fleet
 	r.st.h.o.Rollouts.Book.Drop(r.watched)
-	fleet.Give(r.server, r.use)
+	fleet.Release(r.server, r.use)
 	if r.shield.now.keeper != nil {
-		fleet.Give(r.shield.now.keeper, r.kept)
+		fleet.Release(r.shield.now.keeper, r.kept)
 	}
 	r.st.h.o.Placer.UseChanged()
 	// Callers whose streams this VM's shutdown ends come for the rest elsewhere.
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -200,7 +200,7 @@
 		<-a.done
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		use := w.fleet.Mine()
+		use := w.fleet.OwnUse()
 		if len(use) != 0 {
 			t.Errorf("still counted as running: %v", use)
 		}
@@ -342,7 +342,7 @@
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(1500 * time.Millisecond)
 		first := w.runningOn("r1")
-		w.fleet.HearsayDead(w.loseKeepers())
+		w.fleet.PeerReportedDead(w.loseKeepers())
 		time.Sleep(1200 * time.Millisecond)
 		first.Set(routedengine.Dead)
 		a.wholeStream(t, 100)
--- a/internal/forward/versions_test.go
+++ b/internal/forward/versions_test.go
@@ -163,11 +163,11 @@
 		w.rollOut("votes", rollout.Trial, 0.5)
 		w.calls("/tally/1", 60)
 		l := rollout.NewLedger()
-		l.Note(1, w.book.Told(), time.Now())
+		l.Note(1, w.book.Reports(), time.Now())
 		e := l.Sum("votes", uint64(len("votes")), time.Now())
 		cell := rollout.Cell{Route: "tally"}
 		answered := 0
-		for _, servers := range []rollout.Servers{e.Former[cell], e.Target[cell]} {
+		for _, servers := range []rollout.CountsByServer{e.Former[cell], e.Target[cell]} {
 			for _, c := range servers {
 				answered += c.Answers
 			}
@@ -189,7 +189,7 @@
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(4 * time.Second)
 		l := rollout.NewLedger()
-		l.Note(1, w.book.Told(), time.Now())
+		l.Note(1, w.book.Reports(), time.Now())
 		e := l.Sum("models", uint64(len("models")), time.Now())
 		if c := e.Target[rollout.Cell{Route: "summary", Measure: rollout.Pace}]["i1"]; c.Answers != 1 {
 			t.Errorf("told after four seconds: %+v", e.Target)
--- a/internal/forward/world_test.go
+++ b/internal/forward/world_test.go
@@ -35,7 +35,7 @@
 	left    map[uint64]forward.Copy // what another router has told
 	placer  forward.Placer          // nil: the router decides for itself
 	state   atomic.Pointer[rollout.State]
-	book    *rollout.Book
+	book    *rollout.Recorder
 	closing bool          // the router is shutting down
 	grace   time.Duration // left of its shutdown's; 0: none goes on
 }
@@ -91,7 +91,7 @@
 	w.fleet.Apply(upstream.List{Backends: w.net.List(), AsOf: time.Now()})
 	w.table.Store(testRoutes())
 	w.state.Store(&rollout.State{})
-	w.book = rollout.NewBook(time.Now)
+	w.book = rollout.NewRecorder(time.Now)
 	ready := make(chan struct{})
 	close(ready)
 	w.rebuild(ready)
--- a/internal/recovery/content.go
+++ b/internal/recovery/content.go
@@ -45,7 +45,7 @@
 
 // SuspectContents records under which request contents servers died, by digest of the
 // content. It is not safe for concurrent use.
-type Contents struct{ byDigest map[uint64]*suspectContent }
+type SuspectContents struct{ byDigest map[uint64]*suspectContent }
 
 type suspectContent struct {
 	servers map[string]bool
@@ -53,10 +53,12 @@
 }
 
 // NewSuspectContents returns an empty record.
-func NewContents() *Contents { return &Contents{byDigest: map[uint64]*suspectContent{}} }
+func NewSuspectContents() *SuspectContents {
+	return &SuspectContents{byDigest: map[uint64]*suspectContent{}}
+}
 
 // ServerDied records that a server died while it ran a content.
-func (c *Contents) Died(digest uint64, server string, now time.Time) {
+func (c *SuspectContents) ServerDied(digest uint64, server string, now time.Time) {
 	s := c.byDigest[digest]
 	if s == nil || now.Sub(s.last) > contentTTL {
 		c.expire(now)
@@ -68,10 +70,10 @@
 }
 
 // Succeeded clears a content that a server has answered.
-func (c *Contents) Succeeded(digest uint64) { delete(c.byDigest, digest) }
+func (c *SuspectContents) Succeeded(digest uint64) { delete(c.byDigest, digest) }
 
 // Quarantined reports whether a content must not start now, and when its quarantine ends.
-func (c *Contents) Held(digest uint64, now time.Time) (until time.Time, quarantined bool) {
+func (c *SuspectContents) Quarantined(digest uint64, now time.Time) (until time.Time, quarantined bool) {
 	s := c.byDigest[digest]
 	if s == nil {
 		return time.Time{}, false
@@ -81,18 +83,18 @@
 }
 
 // Suspect reports whether a server died under a content that has not succeeded since.
-func (c *Contents) Suspect(digest uint64) bool { return c.byDigest[digest] != nil }
+func (c *SuspectContents) Suspect(digest uint64) bool { return c.byDigest[digest] != nil }
 
 // MustAbort reports whether a run in flight must not be resumed on another server, because
 // abortDeaths servers died under its content.
-func (c *Contents) Kills(digest uint64) bool {
+func (c *SuspectContents) MustAbort(digest uint64) bool {
 	s := c.byDigest[digest]
 	return s != nil && len(s.servers) >= abortDeaths
 }
 
 // expire makes room when the record is full. It drops the expired contents and all those
 // with fewer than quarantineDeaths deaths.
-func (c *Contents) expire(now time.Time) {
+func (c *SuspectContents) expire(now time.Time) {
 	if len(c.byDigest) < maxContents {
 		return
 	}
--- a/internal/recovery/content_test.go
+++ b/internal/recovery/content_test.go
@@ -10,18 +10,18 @@
 // that runs it. Each quarantine is longer than the last, so it ends four servers in ten
 // minutes instead of hundreds.
 func TestPoisonContentIsQuarantined(t *testing.T) {
-	c := NewContents()
+	c := NewSuspectContents()
 	start := time.Unix(1000, 0)
 	ended := 0
 	for at := time.Duration(0); at < 10*time.Minute; at += 500 * time.Millisecond {
 		now := start.Add(at)
-		if _, held := c.Held(7, now); held {
+		if _, held := c.Quarantined(7, now); held {
 			continue
 		}
 		ended++
-		c.Died(7, fmt.Sprint("server", ended), now)
+		c.ServerDied(7, fmt.Sprint("server", ended), now)
 	}
-	if ended != 4 || !c.Kills(7) {
+	if ended != 4 || !c.MustAbort(7) {
 		t.Errorf("%d servers ended, want 4, and runs in flight aborted", ended)
 	}
 }
@@ -30,32 +30,32 @@
 // flight on two servers that die at once. Its quarantine ends when another server answers
 // it.
 func TestInnocentContentIsCleared(t *testing.T) {
-	c := NewContents()
+	c := NewSuspectContents()
 	now := time.Unix(1000, 0)
-	c.Died(7, "a", now)
-	if _, held := c.Held(7, now); held {
+	c.ServerDied(7, "a", now)
+	if _, held := c.Quarantined(7, now); held {
 		t.Error("quarantined after one death")
 	}
-	c.Died(7, "a", now)
-	if _, held := c.Held(7, now); held {
+	c.ServerDied(7, "a", now)
+	if _, held := c.Quarantined(7, now); held {
 		t.Error("quarantined after two reports of the same death")
 	}
-	c.Died(7, "b", now)
-	until, held := c.Held(7, now.Add(time.Second))
-	if !held || until.Sub(now) != 3*time.Second || c.Kills(7) {
+	c.ServerDied(7, "b", now)
+	until, held := c.Quarantined(7, now.Add(time.Second))
+	if !held || until.Sub(now) != 3*time.Second || c.MustAbort(7) {
 		t.Errorf("quarantined %t for %v, want a quarantine of 3s without abort", held, until.Sub(now))
 	}
 	c.Succeeded(7)
-	if _, held := c.Held(7, now.Add(time.Second)); held {
+	if _, held := c.Quarantined(7, now.Add(time.Second)); held {
 		t.Error("quarantined although it succeeded")
 	}
 }
 
 func TestContentsAreBounded(t *testing.T) {
-	c := NewContents()
+	c := NewSuspectContents()
 	now := time.Unix(1000, 0)
 	for i := range 3 * maxContents {
-		c.Died(uint64(i), "a", now)
+		c.ServerDied(uint64(i), "a", now)
 	}
 	if len(c.byDigest) > maxContents {
 		t.Errorf("got %d contents, want at most maxContents", len(c.byDigest))
--- a/internal/recovery/detector.go
+++ b/internal/recovery/detector.go
@@ -79,7 +79,7 @@
 
 // SetCeilingOnly makes the detector suspect an engine only at the policy's ceiling. It is
 // set while the budget for duplicate work is used up.
-func (d *Detector) SetPatient(on bool) { d.ceilingOnly = on }
+func (d *Detector) SetCeilingOnly(on bool) { d.ceilingOnly = on }
 
 func (d *Detector) statsOf(name string) *engineStats {
 	w := d.engines[name]
@@ -129,7 +129,7 @@
 func (d *Detector) Polled(name string, now time.Time) { d.statsOf(name).lastPoll = now }
 
 // ResetStats drops the timing statistics of an engine that died.
-func (d *Detector) Lost(name string) {
+func (d *Detector) ResetStats(name string) {
 	w := d.statsOf(name)
 	w.gap, w.dev, w.firstToken = 0, 0, 0
 }
--- a/internal/recovery/outage.go
+++ b/internal/recovery/outage.go
@@ -30,7 +30,7 @@
 	outageWindow       = 1 * time.Second
 	// OutageAvoidDuration is how long a domain is avoided after its last death. A restarted
 	// engine has another id, which is on the list within two seconds.
-	OutageFor = 2500 * time.Millisecond
+	OutageAvoidDuration = 2500 * time.Millisecond
 )
 
 // Outage detects the loss of a whole failure domain. It is not safe for concurrent use.
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -56,7 +56,7 @@
 func (p *Pacer) Waiting() int { return len(p.waiting) }
 
 // Enqueue adds a resume to the queue.
-func (p *Pacer) Enter(r *Resume, now time.Time) {
+func (p *Pacer) Enqueue(r *Resume, now time.Time) {
 	r.enqueuedAt, r.state = now, resumeWaiting
 	at, _ := slices.BinarySearchFunc(p.waiting, r, compareResumes)
 	p.waiting = slices.Insert(p.waiting, at, r)
@@ -94,7 +94,7 @@
 
 // Release ends a resume because its first token came, its attempt failed or its caller
 // disconnected. It may be called twice.
-func (p *Pacer) Leave(r *Resume) {
+func (p *Pacer) Release(r *Resume) {
 	switch r.state {
 	case resumeWaiting:
 		p.waiting = slices.DeleteFunc(p.waiting, func(o *Resume) bool { return o == r })
--- a/internal/recovery/poison.go
+++ b/internal/recovery/poison.go
@@ -66,19 +66,21 @@
 // PoisonSuspicion records which requests were running when engines died. It identifies a
 // request by the digest of its content, so a resend under a new id is recognised. It is not
 // safe for concurrent use.
-type Blame struct {
+type PoisonSuspicion struct {
 	byDigest map[uint64]*suspectRequest
 	recent   []death // deaths of engines within commonCauseWindow
 }
 
 // NewPoisonSuspicion returns an empty record.
-func NewBlame() *Blame { return &Blame{byDigest: map[uint64]*suspectRequest{}} }
+func NewPoisonSuspicion() *PoisonSuspicion {
+	return &PoisonSuspicion{byDigest: map[uint64]*suspectRequest{}}
+}
 
 // EngineDied records that an engine died while it ran a request, and returns the request's
 // standing. passed is the number of tokens that the request generated on that engine. A
 // suspect that got past the point of its first death there is not suspected for the first
 // death any longer.
-func (p *Blame) EngineDied(d Death, passed int) Standing {
+func (p *PoisonSuspicion) EngineDied(d Death, passed int) Standing {
 	p.noteEngineDeath(d)
 	p.add(d, passed)
 	if len(p.recent) >= commonCauseDeaths {
@@ -87,7 +89,7 @@
 	return p.Standing(d.Digest, d.At)
 }
 
-func (p *Blame) add(d Death, passed int) {
+func (p *PoisonSuspicion) add(d Death, passed int) {
 	e := p.byDigest[d.Digest]
 	if e == nil || d.At.Sub(e.last) > suspicionTTL {
 		p.expire(d.At)
@@ -107,7 +109,7 @@
 
 // NoteProgress clears a suspect that has generated enough tokens on another engine, and
 // reports whether it cleared it now.
-func (p *Blame) Passed(digest uint64, tokens int) bool {
+func (p *PoisonSuspicion) NoteProgress(digest uint64, tokens int) bool {
 	if e := p.byDigest[digest]; e == nil || tokens < clearingTokens || len(e.deaths) >= poisonDeaths {
 		return false
 	}
@@ -116,7 +118,7 @@
 }
 
 // Standing returns the standing of a request by the digest of its content.
-func (p *Blame) Standing(digest uint64, now time.Time) Standing {
+func (p *PoisonSuspicion) Standing(digest uint64, now time.Time) Standing {
 	e := p.byDigest[digest]
 	switch {
 	case e == nil || len(e.deaths) == 0 || now.Sub(e.last) > suspicionTTL:
@@ -129,14 +131,14 @@
 }
 
 // Expires returns when the suspicion of a request expires; zero: it is not suspected.
-func (p *Blame) Expires(digest uint64) time.Time {
+func (p *PoisonSuspicion) Expires(digest uint64) time.Time {
 	if e := p.byDigest[digest]; e != nil {
 		return e.last.Add(suspicionTTL)
 	}
 	return time.Time{}
 }
 
-func (p *Blame) noteEngineDeath(d Death) {
+func (p *PoisonSuspicion) noteEngineDeath(d Death) {
 	p.recent = slices.DeleteFunc(p.recent, func(o death) bool { return d.At.Sub(o.at) > commonCauseWindow })
 	if !slices.ContainsFunc(p.recent, func(o death) bool { return o.engine == d.Engine }) {
 		p.recent = append(p.recent, death{d.Engine, d.At})
@@ -146,7 +148,7 @@
 // withdrawCommonCause withdraws suspicions that stem from deaths with a common cause. A
 // request that ran on commonCauseDeaths of the engines is itself the cause and stays
 // suspected.
-func (p *Blame) withdrawCommonCause(now time.Time) {
+func (p *PoisonSuspicion) withdrawCommonCause(now time.Time) {
 	for digest, e := range p.byDigest {
 		recent := func(o death) bool { return now.Sub(o.at) <= commonCauseWindow }
 		n := 0
@@ -168,7 +170,7 @@
 	}
 }
 
-func (p *Blame) expire(now time.Time) {
+func (p *PoisonSuspicion) expire(now time.Time) {
 	if len(p.byDigest) < maxSuspects {
 		return
 	}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -95,7 +95,7 @@
 			return suspectedAfter(t, d, s, now, nil)
 		}, 2 * time.Second, 2100 * time.Millisecond},
 		{"budget used up, ceiling only", ResumeLatency, func(d *Detector) time.Duration {
-			d.SetPatient(true)
+			d.SetCeilingOnly(true)
 			return suspectedAfter(t, d, streams(d, "e", 10, 20*time.Millisecond, end)[0], end, nil)
 		}, 2 * time.Second, 2100 * time.Millisecond},
 	}
@@ -152,7 +152,7 @@
 	for n := range 40 {
 		r := &Resume{Prefill: 5000, Deadline: start.Add(time.Duration(40-n) * time.Second)}
 		all = append(all, r)
-		p.Enter(r, start)
+		p.Enqueue(r, start)
 	}
 	granted := 0
 	for p.Next(start) != nil {
@@ -164,7 +164,7 @@
 	if !all[39].Granted() || all[0].Granted() {
 		t.Error("the resume with the earliest deadline was not granted first")
 	}
-	p.Leave(all[39])
+	p.Release(all[39])
 	if r := p.Next(start); r != all[35] {
 		t.Error("a released resume did not let the next one start")
 	}
@@ -175,8 +175,8 @@
 		t.Errorf("got %d resumes delayed beyond %s, want none", p.Waiting(), maxResumeDelay)
 	}
 	for _, r := range all {
-		p.Leave(r)
-		p.Leave(r)
+		p.Release(r)
+		p.Release(r)
 	}
 	if p.inFlightTokens != 0 {
 		t.Errorf("got %d tokens in flight after all resumes were released, want 0", p.inFlightTokens)
@@ -186,7 +186,7 @@
 func TestResumeLargerThanLimitIsGranted(t *testing.T) {
 	p := &Pacer{}
 	p.SetEngines(1, 11)
-	p.Enter(&Resume{Prefill: 1 << 20}, start)
+	p.Enqueue(&Resume{Prefill: 1 << 20}, start)
 	if p.Next(start) == nil {
 		t.Error("a resume larger than the limit was not granted")
 	}
@@ -209,7 +209,7 @@
 	}
 }
 
-func (p *Blame) recordDeaths(engine string, at time.Time, digests ...uint64) {
+func (p *PoisonSuspicion) recordDeaths(engine string, at time.Time, digests ...uint64) {
 	for _, d := range digests {
 		p.EngineDied(Death{Digest: d, Engine: engine, At: at}, 0)
 	}
@@ -220,7 +220,7 @@
 // harmless ones pass that point on other engines and are cleared. The bad one takes down a
 // second engine and is then refused until the suspicion expires, also under new ids.
 func TestPoisonIsRefusedAfterTwoEngines(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	const bad = 7
 	b.recordDeaths("e1", start, 1, 2, 3, 4, 5, 6, bad)
 	for d := uint64(1); d <= bad; d++ {
@@ -230,7 +230,7 @@
 	}
 	later := start.Add(10 * time.Second)
 	for d := uint64(1); d < bad; d++ {
-		if !b.Passed(d, clearingTokens) || b.Standing(d, later) != Innocent {
+		if !b.NoteProgress(d, clearingTokens) || b.Standing(d, later) != Innocent {
 			t.Errorf("request %d ran past the point of the death and was not cleared", d)
 		}
 	}
@@ -238,7 +238,7 @@
 	if got := b.Standing(bad, later); got != Poison {
 		t.Fatalf("after two engines: got standing %v, want Poison", got)
 	}
-	if b.Passed(bad, 1000) {
+	if b.NoteProgress(bad, 1000) {
 		t.Error("a late event cleared a poison request")
 	}
 	if got := b.Standing(bad, later.Add(suspicionTTL+time.Second)); got != Innocent {
@@ -249,7 +249,7 @@
 // Guards against the refusal of a long answer under which two engines die in a row. It ran
 // for minutes on the second engine, so it cannot be what killed both.
 func TestSecondDeathAfterProgressIsNotPoison(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	b.EngineDied(Death{Digest: 1, Engine: "e1", At: start}, 500)
 	if got := b.EngineDied(Death{Digest: 1, Engine: "e2", At: start.Add(time.Minute)}, 300); got != Suspect {
 		t.Errorf("got standing %v, want Suspect", got)
@@ -259,7 +259,7 @@
 // Guards against refusals after the loss of a zone: eight engines die within two seconds,
 // and some streams had just been moved from one of them to another.
 func TestCommonCauseIsNotPoison(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	for n := range 8 {
 		at := start.Add(time.Duration(n) * 200 * time.Millisecond)
 		b.recordDeaths([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[n], at, uint64(n), uint64(n+1))
@@ -274,7 +274,7 @@
 // Guards against a poison request that passes for a common cause: the same content is sent
 // under several ids at once and takes down one engine each. It ran on all of them.
 func TestPoisonUnderSeveralIDsIsFound(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	for n := range 4 {
 		b.recordDeaths([]string{"a", "b", "c", "d"}[n], start.Add(time.Duration(n)*100*time.Millisecond), 7, uint64(100+n))
 	}
@@ -287,7 +287,7 @@
 }
 
 func TestPoisonSuspicionIsBounded(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	for n := range maxSuspects + 20 {
 		b.add(Death{Digest: uint64(n), Engine: "e", At: start.Add(time.Duration(n) * time.Millisecond)}, 0)
 		if len(b.byDigest) > maxSuspects {
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -54,7 +54,7 @@
 
 // interval holds the answers of one interval.
 type interval struct {
-	former, target map[Cell]Servers
+	former, target map[Cell]CountsByServer
 	// judged holds the verdicts on the new version by server. It is set once this interval
 	// and the next one are over.
 	judged map[Cell]map[string]verdict
@@ -65,10 +65,10 @@
 	return interval{former: increments(now.Former, before.Former), target: increments(now.Target, before.Target)}
 }
 
-func increments(now, before map[Cell]Servers) map[Cell]Servers {
-	out := make(map[Cell]Servers, len(now))
+func increments(now, before map[Cell]CountsByServer) map[Cell]CountsByServer {
+	out := make(map[Cell]CountsByServer, len(now))
 	for cell, servers := range now {
-		out[cell] = make(Servers, len(servers))
+		out[cell] = make(CountsByServer, len(servers))
 		for server, c := range servers {
 			if was := before[cell][server]; c.Answers > was.Answers || len(c.Waiting) > 0 {
 				out[cell][server] = c.minus(was)
@@ -81,7 +81,7 @@
 // dropWaiting drops the waiting requests when the interval is over. They are part of the
 // next interval, or answered.
 func (s *interval) dropWaiting() {
-	for _, cells := range []map[Cell]Servers{s.former, s.target} {
+	for _, cells := range []map[Cell]CountsByServer{s.former, s.target} {
 		for _, servers := range cells {
 			for server, c := range servers {
 				c.Waiting = nil
@@ -95,7 +95,7 @@
 func (s *interval) answers() int {
 	n := 0
 	for cell, servers := range s.target {
-		if cell.Measure == Whole {
+		if cell.Measure == Response {
 			for _, c := range servers {
 				n += c.Answers
 			}
@@ -172,7 +172,7 @@
 
 // compare judges the last n intervals. overall holds the former version's answers of all
 // intervals.
-func compare(intervals []interval, n int, overall map[Cell]Servers) comparison {
+func compare(intervals []interval, n int, overall map[Cell]CountsByServer) comparison {
 	out := comparison{cells: map[Cell]*verdict{}}
 	byServer := map[Cell]map[string]verdict{}
 	for i := max(0, len(intervals)-n); i < len(intervals); i++ {
@@ -194,7 +194,7 @@
 	for _, cell := range slices.SortedFunc(maps.Keys(byServer), Cell.compare) {
 		v := withoutWorst(byServer[cell])
 		out.cells[cell] = &v
-		if cell.Measure == Whole {
+		if cell.Measure == Response {
 			out.all.add(&v)
 		}
 	}
@@ -203,7 +203,7 @@
 
 // judgeInterval compares the new version's answers of an interval with those of the former
 // version in the intervals around it.
-func judgeInterval(intervals []interval, i int, overall map[Cell]Servers) map[Cell]map[string]verdict {
+func judgeInterval(intervals []interval, i int, overall map[Cell]CountsByServer) map[Cell]map[string]verdict {
 	out := map[Cell]map[string]verdict{}
 	for cell, servers := range intervals[i].target {
 		faulty := faultyServer(overall[cell])
@@ -217,8 +217,8 @@
 	return out
 }
 
-func sumFormer(intervals []interval, cell Cell) Servers {
-	sum := Servers{}
+func sumFormer(intervals []interval, cell Cell) CountsByServer {
+	sum := CountsByServer{}
 	for i := range intervals {
 		for server, c := range intervals[i].former[cell] {
 			sum.add(server, c)
@@ -228,7 +228,7 @@
 }
 
 // without returns the sum over all servers except one.
-func (s Servers) without(server string) Counts {
+func (s CountsByServer) without(server string) Counts {
 	var sum Counts
 	for id, c := range s {
 		if id != server {
@@ -240,7 +240,7 @@
 
 // faultyServer returns the server that fails far more often than the others; "": there is
 // none.
-func faultyServer(s Servers) string {
+func faultyServer(s CountsByServer) string {
 	answers, failures := 0, 0
 	for _, c := range s {
 		answers += c.Answers
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -95,8 +95,8 @@
 
 // Measures.
 const (
-	Whole Measure = 0 // a call's answer, or a stream's first event
-	Pace  Measure = 1 // the mean time between a stream's first events
+	Response Measure = 0 // a call's answer, or a stream's first event
+	Pace     Measure = 1 // the mean time between a stream's first events
 )
 
 // Cell identifies a group of answers that are compared with one another.
@@ -129,7 +129,7 @@
 }
 
 // Report is what one incarnation of a router observed of one roll-out.
-type Told struct {
+type Report struct {
 	Service string `cbor:"1,keyasint"`
 	Number  uint64 `cbor:"2,keyasint"`
 	// Requests counts the requests that came, by route. Sent counts those of them that were
@@ -171,7 +171,7 @@
 
 // Recorder records a router's observations of the roll-outs under way. It is safe for
 // concurrent use.
-type Book struct {
+type Recorder struct {
 	now func() time.Time
 
 	mu       sync.Mutex
@@ -180,13 +180,13 @@
 }
 
 // NewRecorder returns an empty Recorder.
-func NewBook(now func() time.Time) *Book {
-	return &Book{now: now, services: map[string]*observedRollout{}}
+func NewRecorder(now func() time.Time) *Recorder {
+	return &Recorder{now: now, services: map[string]*observedRollout{}}
 }
 
 // Watch sets the roll-outs under way, as numbers by service. Observations of all others are
 // dropped.
-func (r *Book) Watch(underWay map[string]uint64) {
+func (r *Recorder) Watch(underWay map[string]uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.services, func(service string, w *observedRollout) bool { return underWay[service] != w.number })
@@ -200,7 +200,7 @@
 }
 
 // lookup returns a roll-out under way, or nil. It needs r.mu.
-func (r *Book) lookup(service string, number uint64) *observedRollout {
+func (r *Recorder) lookup(service string, number uint64) *observedRollout {
 	w := r.services[service]
 	if w == nil || w.number != number {
 		return nil
@@ -209,7 +209,7 @@
 }
 
 // Request records a request that came for a service.
-func (r *Book) Request(service, route string, c Choice) {
+func (r *Recorder) Request(service, route string, c Choice) {
 	if c.Number == 0 {
 		return
 	}
@@ -222,7 +222,7 @@
 
 // Sent records that a request is sent to the new version, whether or not its answer is
 // observed.
-func (r *Book) Sent(service string, c Choice) {
+func (r *Recorder) Sent(service string, c Choice) {
 	if !c.Target {
 		return
 	}
@@ -234,7 +234,7 @@
 }
 
 // Begin starts the observation of a request that is sent to a server.
-func (r *Book) Begin(service, route string, c Choice, server string) Ticket {
+func (r *Recorder) Begin(service, route string, c Choice, server string) Ticket {
 	if c.Number == 0 {
 		return Ticket{}
 	}
@@ -258,7 +258,7 @@
 
 // End records the server's answer, or its first event. The duration is not compared if the
 // server is cold, that is, has just started.
-func (r *Book) End(t Ticket, failed, cold bool) {
+func (r *Recorder) End(t Ticket, failed, cold bool) {
 	r.close(t, func(w *observedRollout, run pendingRequest) {
 		took := r.now().Sub(run.began)
 		if cold {
@@ -269,9 +269,9 @@
 }
 
 // Drop forgets a request that was aborted or refused, which is no evidence on the version.
-func (r *Book) Drop(t Ticket) { r.close(t, func(*observedRollout, pendingRequest) {}) }
+func (r *Recorder) Drop(t Ticket) { r.close(t, func(*observedRollout, pendingRequest) {}) }
 
-func (r *Book) close(t Ticket, note func(*observedRollout, pendingRequest)) {
+func (r *Recorder) close(t Ticket, note func(*observedRollout, pendingRequest)) {
 	if t.run == 0 {
 		return
 	}
@@ -288,7 +288,7 @@
 }
 
 // Pace records the mean time between a stream's first events.
-func (r *Book) Pace(service, route string, c Choice, server string, gap time.Duration) {
+func (r *Recorder) Pace(service, route string, c Choice, server string, gap time.Duration) {
 	if c.Number == 0 {
 		return
 	}
@@ -307,12 +307,12 @@
 }
 
 // Reports returns all observations, or nil if no roll-out is under way.
-func (r *Book) Told() []Told {
+func (r *Recorder) Reports() []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Told
+	var out []Report
 	for service, w := range r.services {
-		t := Told{Service: service, Number: w.number, Requests: maps.Clone(w.requests), Sent: w.sent}
+		t := Report{Service: service, Number: w.number, Requests: maps.Clone(w.requests), Sent: w.sent}
 		for k, c := range w.withWaiting(r.now()) {
 			t.Rows = append(t.Rows, Row{Cell: k.cell, Target: k.target, Server: k.server, Counts: c})
 		}
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -100,7 +100,7 @@
 	InForce bool
 	// TargetServers and FormerServers count the listed servers of the new and of other
 	// versions.
-	Target, Former int
+	TargetServers, FormerServers int
 }
 
 // Judge decides on one roll-out. It is not safe for concurrent use.
@@ -128,16 +128,16 @@
 
 // Evaluate takes the current evidence and returns the next step if one is due. It retains
 // the evidence.
-func (j *Judge) Look(r *Record, e *Evidence, v View) (Step, bool) {
+func (j *Judge) Evaluate(r *Record, e *Evidence, v View) (Step, bool) {
 	j.note(e, v.Elapsed)
-	j.hadFormer = j.hadFormer || v.Former > 0
+	j.hadFormer = j.hadFormer || v.FormerServers > 0
 	next := Step{Service: r.Service, Number: r.Number, Phase: r.Phase, Shares: r.Shares, DefaultShare: r.DefaultShare}
 	step := func(p Phase, reason string) (Step, bool) {
 		next.Phase, next.Reason = p, reason
 		return next, true
 	}
 	p := j.schedule(r, e)
-	if !j.hadFormer && v.Target > 0 && v.Elapsed > p.minTrial {
+	if !j.hadFormer && v.TargetServers > 0 && v.Elapsed > p.minTrial {
 		return j.withoutFormer(r, step)
 	}
 	if why := cmp.Or(j.overall.whyBad(), j.recent.whyBad()); why != "" {
@@ -262,7 +262,7 @@
 // hasServers reports whether there are as many servers of the new version as of the others,
 // or some and no time to wait for more.
 func (p *schedule) hasServers(v *View) bool {
-	return v.Target > 0 && (v.Target >= v.Former || v.Elapsed >= p.latestSwitch)
+	return v.TargetServers > 0 && (v.TargetServers >= v.FormerServers || v.Elapsed >= p.latestSwitch)
 }
 
 func hasStreams(e *Evidence) bool {
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -9,14 +9,14 @@
 type Evidence struct {
 	Requests map[string]int
 	Sent     int
-	Former   map[Cell]Servers
-	Target   map[Cell]Servers
+	Former   map[Cell]CountsByServer
+	Target   map[Cell]CountsByServer
 }
 
 // CountsByServer holds counts by server, or by group of servers.
-type Servers map[string]Counts
+type CountsByServer map[string]Counts
 
-func (s Servers) add(server string, c Counts) { s[server] = s[server].plus(c) }
+func (s CountsByServer) add(server string, c Counts) { s[server] = s[server].plus(c) }
 
 // total returns the number of requests over all routes.
 func (e *Evidence) total() int {
@@ -40,7 +40,7 @@
 
 // timedReport is an incarnation's report on one service and when it came.
 type timedReport struct {
-	report Told
+	report Report
 	at     time.Time
 }
 
@@ -49,7 +49,7 @@
 
 // Note takes the reports of an incarnation. Observations only grow, so a message that
 // arrives out of order changes nothing.
-func (l *Ledger) Note(incarnation uint64, reports []Told, now time.Time) {
+func (l *Ledger) Note(incarnation uint64, reports []Report, now time.Time) {
 	for i := range reports {
 		t := &reports[i]
 		last, ok := l.incarnations[incarnation][t.Service]
@@ -64,7 +64,7 @@
 }
 
 // observations returns a number that grows with all that is observed.
-func (t *Told) observations() int {
+func (t *Report) observations() int {
 	n := t.Sent
 	for _, r := range t.Requests {
 		n += r
@@ -101,10 +101,10 @@
 
 // NewEvidence returns empty Evidence.
 func NewEvidence() Evidence {
-	return Evidence{Requests: map[string]int{}, Former: map[Cell]Servers{}, Target: map[Cell]Servers{}}
+	return Evidence{Requests: map[string]int{}, Former: map[Cell]CountsByServer{}, Target: map[Cell]CountsByServer{}}
 }
 
-func (e *Evidence) add(t *Told, countWaiting bool) {
+func (e *Evidence) add(t *Report, countWaiting bool) {
 	e.Sent += t.Sent
 	for route, n := range t.Requests {
 		e.Requests[route] += n
@@ -116,7 +116,7 @@
 			cells = e.Target
 		}
 		if cells[r.Cell] == nil {
-			cells[r.Cell] = Servers{}
+			cells[r.Cell] = CountsByServer{}
 		}
 		c := r.Counts
 		if !countWaiting {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -139,13 +139,13 @@
 	// Only is the one version that may run the request. If it is empty, the version in use
 	// may, provided that it is none of Except. Fallback applies if a service has no servers
 	// of another version.
-	Only   string
-	Except []string
-	Else   string
+	Only     string
+	Except   []string
+	Fallback string
 	// ServerShare is the share of the servers that take all the requests; 0: all of them. A
 	// small share of the requests, spread over all servers, would not show how a version
 	// performs under load.
-	Part float64
+	ServerShare float64
 }
 
 // minTrialServers is the least number of servers that take the requests of a trial. A
@@ -154,7 +154,7 @@
 
 // TrialServers returns how many servers take the requests of a trial. Each of them gets as
 // much load as a server of the former version.
-func Few(part float64, others int) int {
+func TrialServers(part float64, others int) int {
 	return max(minTrialServers, int(math.Ceil(part*float64(others))))
 }
 
@@ -194,7 +194,7 @@
 func (r *Record) target() Versions {
 	v := Versions{Only: r.To}
 	if r.Phase == Trial {
-		v.Part = r.DefaultShare
+		v.ServerShare = r.DefaultShare
 	}
 	return v
 }
@@ -212,7 +212,7 @@
 	if !slices.Contains(except, r.To) {
 		except = append(except, r.To)
 	}
-	return Versions{Except: except, Else: orElse}
+	return Versions{Except: except, Fallback: orElse}
 }
 
 // Former returns the restriction for a request that must not run on the new version, for
@@ -229,13 +229,13 @@
 }
 
 // Fallback returns the choice for a request that must no longer run on the new version.
-func (s *State) Back(service string, c Choice) Choice {
+func (s *State) Fallback(service string, c Choice) Choice {
 	return Choice{Versions: s.Former(service), Number: c.Number}
 }
 
 // CopyVersions returns the versions whose servers may hold the copies of a run that was
 // chosen before. Copies follow the requests once these are switched.
-func (s *State) Keep(service string, c Choice) Versions {
+func (s *State) CopyVersions(service string, c Choice) Versions {
 	if r, ok := s.Records[service]; ok && r.Phase.switched() {
 		return Versions{Only: r.To}
 	}
@@ -244,7 +244,7 @@
 
 // MustMove reports whether a run that was chosen before is to be resumed on the new version
 // as soon as it has a copy there.
-func (s *State) Leaves(service string, c Choice) bool {
+func (s *State) MustMove(service string, c Choice) bool {
 	r, ok := s.Records[service]
 	return ok && (r.Phase == Moving || r.Phase == Completed) && c.Only != r.To
 }
@@ -258,7 +258,7 @@
 	case r.Phase == Moving, r.Phase == Completed:
 		return c.Only == r.To
 	case r.Phase == Reverted:
-		return c.Only != r.To && c.Else != r.To
+		return c.Only != r.To && c.Fallback != r.To
 	}
 	return c.Only != "" || slices.Contains(c.Except, r.To)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -74,7 +74,7 @@
 			t.Errorf("%v: got new version allowed %v, former %v, want as in the test case", tt.phase, s.Allows("desk", toNew), s.Allows("desk", toOld))
 		}
 		for _, c := range []Choice{toNew, toOld} {
-			if back := s.Back("desk", c); !s.Allows("desk", c) && !s.Allows("desk", back) {
+			if back := s.Fallback("desk", c); !s.Allows("desk", c) && !s.Allows("desk", back) {
 				t.Errorf("%v: the fallback of %+v is %+v, which is not allowed either", tt.phase, c, back)
 			}
 		}
@@ -108,11 +108,11 @@
 	clock := func() time.Time { return now }
 	c := Choice{Versions: Versions{Only: "v2"}, Number: 1, Target: true}
 	old := Choice{Versions: Versions{Except: []string{"v2"}}, Number: 1}
-	a, b := NewBook(clock), NewBook(clock)
-	for _, recorder := range []*Book{a, b} {
+	a, b := NewRecorder(clock), NewRecorder(clock)
+	for _, recorder := range []*Recorder{a, b} {
 		recorder.Watch(map[string]uint64{"desk": 1})
 	}
-	answer := func(recorder *Book, c Choice, failed bool) {
+	answer := func(recorder *Recorder, c Choice, failed bool) {
 		recorder.Request("desk", "book", c)
 		recorder.Sent("desk", c)
 		run := recorder.Begin("desk", "book", c, "i1")
@@ -120,17 +120,17 @@
 		recorder.End(run, failed, false)
 	}
 	answer(a, c, true)
-	early := a.Told()
+	early := a.Reports()
 	answer(a, c, false)
 	answer(a, old, false)
 	answer(b, c, true)
 	waiting := b.Begin("desk", "book", c, "i2")
 	now = now.Add(time.Second)
 	l := NewLedger()
-	l.Note(1, a.Told(), now)
+	l.Note(1, a.Reports(), now)
 	l.Note(1, early, now)
-	l.Note(1, a.Told(), now)
-	l.Note(2, b.Told(), now)
+	l.Note(1, a.Reports(), now)
+	l.Note(2, b.Reports(), now)
 	cell := Cell{Route: "book"}
 	e := l.Sum("desk", 1, now)
 	target := e.Target[cell].without("")
@@ -146,7 +146,7 @@
 		t.Errorf("after the end of the router: got %+v, want 3 sent and none waiting", e)
 	}
 	b.Drop(waiting)
-	if reports := b.Told(); len(reports) != 1 || reports[0].Rows[0].Counts.Answers != 1 {
+	if reports := b.Reports(); len(reports) != 1 || reports[0].Rows[0].Counts.Answers != 1 {
 		t.Errorf("after a dropped request: got %+v, want one answer", reports)
 	}
 	l.Keep(map[string]uint64{"desk": 2})
@@ -154,7 +154,7 @@
 		t.Errorf("after a newer roll-out began: got %+v, want no evidence", e)
 	}
 	a.Watch(nil)
-	if reports := a.Told(); reports != nil {
+	if reports := a.Reports(); reports != nil {
 		t.Errorf("without a roll-out under way: got %+v, want no report", reports)
 	}
 }
@@ -170,11 +170,11 @@
 		if at == intervalLength {
 			e = NewEvidence()
 			e.Requests["book"] = 80
-			e.Former[Cell{Route: "book"}] = Servers{"a": good}
-			e.Target[Cell{Route: "book"}] = Servers{"b": good}
+			e.Former[Cell{Route: "book"}] = CountsByServer{"a": good}
+			e.Target[Cell{Route: "book"}] = CountsByServer{"b": good}
 			e.Sent = 40
 		}
-		s, ok := j.Look(&r, &e, View{Elapsed: at, Step: at - 13*time.Second, Target: 3, Former: 3})
+		s, ok := j.Evaluate(&r, &e, View{Elapsed: at, Step: at - 13*time.Second, TargetServers: 3, FormerServers: 3})
 		if !ok || at < 13*time.Second {
 			continue
 		}
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -58,26 +58,28 @@
 
 // StateMachine holds the roll-outs in the control group's replicated state. It implements
 // control.StateMachine.
-type Part struct {
+type StateMachine struct {
 	version uint64
 	number  uint64
 	state   State
 }
 
 // NewStateMachine returns a StateMachine without roll-outs.
-func NewPart() *Part { return &Part{state: State{Records: map[string]Record{}}} }
+func NewStateMachine() *StateMachine {
+	return &StateMachine{state: State{Records: map[string]Record{}}}
+}
 
 // Version implements control.StateMachine.
-func (m *Part) Version() uint64 { return m.version }
+func (m *StateMachine) Version() uint64 { return m.version }
 
 // Record returns the newest roll-out of a service.
-func (m *Part) Record(service string) (Record, bool) {
+func (m *StateMachine) Record(service string) (Record, bool) {
 	r, ok := m.state.Records[service]
 	return r, ok
 }
 
 // UnderWay returns the roll-outs without an outcome.
-func (m *Part) UnderWay() []Record {
+func (m *StateMachine) UnderWay() []Record {
 	var out []Record
 	for _, r := range m.state.Records {
 		if !r.Phase.Over() {
@@ -88,7 +90,7 @@
 }
 
 // Apply executes an encoded Command.
-func (m *Part) Apply(nowMS int64, cmd []byte) []byte {
+func (m *StateMachine) Apply(nowMS int64, cmd []byte) []byte {
 	var c Command
 	reply := Reply{Outcome: Unreadable}
 	if err := codec.Unmarshal(cmd, &c); err == nil {
@@ -97,7 +99,7 @@
 	return mustMarshal(&reply)
 }
 
-func (m *Part) execute(nowMS int64, c *Command) Reply {
+func (m *StateMachine) execute(nowMS int64, c *Command) Reply {
 	switch {
 	case c.Order != nil:
 		outcome := m.order(nowMS, c.Order)
@@ -111,7 +113,7 @@
 
 // order begins a roll-out. A resend of the order in force changes nothing, whatever its
 // outcome was.
-func (m *Part) order(nowMS int64, o *Order) Outcome {
+func (m *StateMachine) order(nowMS int64, o *Order) Outcome {
 	last, known := m.state.Records[o.Service]
 	same := known && last.Order == *o
 	switch {
@@ -145,7 +147,7 @@
 }
 
 // step advances a roll-out. It never goes back, and never past an outcome.
-func (m *Part) step(nowMS int64, s *Step) Outcome {
+func (m *StateMachine) step(nowMS int64, s *Step) Outcome {
 	r, ok := m.state.Records[s.Service]
 	if !ok || r.Number != s.Number || r.Phase.Over() || !mayFollow(r.Phase, s.Phase) {
 		return Outdated
@@ -174,13 +176,13 @@
 	return false
 }
 
-func (m *Part) put(r Record) {
+func (m *StateMachine) put(r Record) {
 	m.state.Records[r.Service] = r
 	m.version++
 }
 
 // Changes implements control.StateMachine. It returns all roll-outs.
-func (m *Part) Changes(uint64) []byte { return mustMarshal(&m.state) }
+func (m *StateMachine) Changes(uint64) []byte { return mustMarshal(&m.state) }
 
 // snapshot is the content of a snapshot.
 type snapshot struct {
@@ -190,12 +192,12 @@
 }
 
 // Snapshot implements control.StateMachine.
-func (m *Part) Snapshot() ([]byte, error) {
+func (m *StateMachine) Snapshot() ([]byte, error) {
 	return codec.Marshal(&snapshot{m.version, m.number, m.state.Records})
 }
 
 // Restore implements control.StateMachine.
-func (m *Part) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	var s snapshot
 	if err := codec.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("rollout: decode snapshot: %w", err)
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -30,7 +30,7 @@
 	blame   *forward.BlameBook
 	table   atomic.Pointer[routes.Table]
 	state   atomic.Pointer[rollout.State]
-	book    *rollout.Book
+	book    *rollout.Recorder
 	drain   *drain
 	conns   *callerConns
 	// prepared is closed once both lists are held.
@@ -44,7 +44,7 @@
 
 // StartRouter binds the addresses and serves.
 func StartRouter(o RouterOptions) (*Router, error) {
-	r := &Router{o: o, blame: forward.NewBlameBook(), prepared: make(chan struct{}), conns: newCallerConns(DefaultLimits), book: rollout.NewBook(time.Now)}
+	r := &Router{o: o, blame: forward.NewBlameBook(), prepared: make(chan struct{}), conns: newCallerConns(DefaultLimits), book: rollout.NewRecorder(time.Now)}
 	r.state.Store(&rollout.State{})
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.drain = newDrain(o.Drain)
@@ -54,9 +54,9 @@
 	r.held = cluster.NewHeld(r.takeList)
 	r.network = newNetwork(&o.Common)
 	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.held, cluster.Local{
-		Zone: o.Zone, Callers: o.Callers, Ready: r.Ready, Use: r.fleet.Mine, Deaths: r.blame.Fresh,
-		Dead: r.fleet.Dying, Kept: r.kept, Spent: r.spent, Learn: r.learn, LearnSpent: r.learnSpent,
-		Opinion: r.fleet.Opinion, Paces: r.paces, Rollouts: r.book.Told, Urgent: func() bool { return r.state.Load().Urgent() },
+		Zone: o.Zone, Callers: o.Callers, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.blame.Fresh,
+		Dead: r.fleet.RecentlyDead, Kept: r.kept, Spent: r.spent, Learn: r.learn, LearnSpent: r.learnSpent,
+		Opinion: r.fleet.Report, Paces: r.paces, Rollouts: r.book.Reports, Urgent: func() bool { return r.state.Load().Urgent() },
 	}, o.Log)
 	r.feed = control.NewFeed(control.FeedOptions{
 		Self: o.ID, Voters: r.member.Controls, Transport: r.network, Lease: Lease, Log: o.Log,
@@ -162,8 +162,8 @@
 }
 
 func (r *Router) learn(k cluster.Known) {
-	r.fleet.SetOthers(k.Use)
-	r.fleet.HearsayDead(k.Dead)
+	r.fleet.SetPeerUse(k.Use)
+	r.fleet.PeerReportedDead(k.Dead)
 	r.blame.Learn(k.Deaths)
 	r.handler.SetVMs(len(k.Routers))
 	r.handler.SetShort(k.Short)
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -130,7 +130,7 @@
 	}
 	slices.Sort(ids)
 	out := map[string]bool{}
-	for _, id := range ids[:min(len(ids), rollout.Few(w.Part, others))] {
+	for _, id := range ids[:min(len(ids), rollout.TrialServers(w.Part, others))] {
 		out[id] = true
 	}
 	if r.fews == nil {
--- a/internal/upstream/fleet.go
+++ b/internal/upstream/fleet.go
@@ -163,7 +163,7 @@
 }
 
 // SetPeerUse sets what other VMs have running on each server, by server id.
-func (f *Fleet) SetOthers(use map[string]placement.Use) {
+func (f *Fleet) SetPeerUse(use map[string]placement.Use) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.peerUse = use
@@ -193,7 +193,7 @@
 }
 
 // OwnUse returns what this VM has running on each server, by server id.
-func (f *Fleet) Mine() map[string]placement.Use {
+func (f *Fleet) OwnUse() map[string]placement.Use {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string]placement.Use{}
@@ -207,7 +207,7 @@
 
 // ServiceTime returns the average duration of a call at a server once it has a slot; 0: not
 // known.
-func (f *Fleet) Work(s *Server) time.Duration {
+func (f *Fleet) ServiceTime(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(s.serviceTimeMS * float64(time.Millisecond))
@@ -264,8 +264,8 @@
 			out = append(out, s)
 		}
 	}
-	if v.Part > 0 {
-		return firstServers(out, rollout.Few(v.Part, others), f.now())
+	if v.ServerShare > 0 {
+		return firstServers(out, rollout.TrialServers(v.ServerShare, others), f.now())
 	}
 	return out
 }
@@ -307,18 +307,18 @@
 }
 
 // Report is what this VM reports to other VMs about servers, by id.
-type Opinion struct {
-	Avoid []string // avoided by this VM's own observations
-	Doubt []string // suspected after deaths of neighbours or by peer reports
-	Alive []string // heard within livenessWindow
+type Report struct {
+	Avoid     []string // avoided by this VM's own observations
+	Suspected []string // suspected after deaths of neighbours or by peer reports
+	Alive     []string // heard within livenessWindow
 }
 
 // Report returns what this VM knows of its servers that other VMs may not know.
-func (f *Fleet) Opinion() Opinion {
+func (f *Fleet) Report() Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	var o Opinion
+	var o Report
 	for _, s := range f.listed {
 		switch {
 		case s.stale || now.Before(s.avoidUntil):
@@ -326,7 +326,7 @@
 		case now.Sub(s.lastHeard) < livenessWindow:
 			o.Alive = append(o.Alive, s.ID)
 		case now.Before(s.suspectedUntil):
-			o.Doubt = append(o.Doubt, s.ID)
+			o.Suspected = append(o.Suspected, s.ID)
 		}
 	}
 	return o
@@ -380,7 +380,7 @@
 }
 
 // Release subtracts a request's use from a server.
-func (f *Fleet) Give(s *Server, u placement.Use) {
+func (f *Fleet) Release(s *Server, u placement.Use) {
 	f.Take(s, u.Negative())
 }
 
@@ -393,7 +393,7 @@
 
 // Suspected returns a channel that is closed when the deaths of neighbours, or a peer
 // report, give reason to probe the server.
-func (f *Fleet) Doubted(s *Server) <-chan struct{} {
+func (f *Fleet) Suspected(s *Server) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.suspicion
@@ -407,7 +407,7 @@
 }
 
 // SilentFor returns the time since this VM last received bytes from the server.
-func (f *Fleet) HeardAgo(s *Server) time.Duration {
+func (f *Fleet) SilentFor(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now().Sub(s.lastHeard)
--- a/internal/upstream/fleet_test.go
+++ b/internal/upstream/fleet_test.go
@@ -44,12 +44,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(12)
 		time.Sleep(5 * time.Second)
-		suspected := f.Doubted(f.Lookup("b7"))
-		f.Dead(f.Lookup("b0"))
+		suspected := f.Suspected(f.Lookup("b7"))
+		f.MarkDead(f.Lookup("b0"))
 		if n := usable(f, "b"); n != 11 {
 			t.Errorf("got %d usable servers after one death, want 11", n)
 		}
-		f.Dead(f.Lookup("b1"))
+		f.MarkDead(f.Lookup("b1"))
 		if n := usable(f, "b"); n != 0 {
 			t.Errorf("got %d usable servers in a lost zone, want 0", n)
 		}
@@ -74,8 +74,8 @@
 		f := newTestFleet(4)
 		time.Sleep(5 * time.Second)
 		f.Heard(f.Lookup("b3"))
-		f.Dead(f.Lookup("b0"))
-		f.Dead(f.Lookup("b1"))
+		f.MarkDead(f.Lookup("b0"))
+		f.MarkDead(f.Lookup("b1"))
 		if n := usable(f, "b"); n != 1 {
 			t.Errorf("got %d usable servers, want the one that was heard", n)
 		}
@@ -90,7 +90,7 @@
 		f := newTestFleet(4)
 		time.Sleep(5 * time.Second)
 		died := f.Died(f.Lookup("a0"))
-		f.HearsayDead([]string{"a0", "unknown"})
+		f.PeerReportedDead([]string{"a0", "unknown"})
 		if n := usable(f, "a"); n != 3 {
 			t.Errorf("got %d usable servers, want 3", n)
 		}
@@ -118,7 +118,7 @@
 func TestDrainingAndStaleServersGetNoRequests(t *testing.T) {
 	f := newTestFleet(1)
 	stale := f.Lookup("c0")
-	f.Stale(stale)
+	f.MarkStale(stale)
 	f.Apply(List{Backends: []Backend{
 		{ID: "a0", Service: "m", Zone: "a", Address: "a0:1", Draining: true},
 		{ID: "b0", Service: "m", Zone: "b", Address: "b0:1"},
@@ -138,11 +138,11 @@
 func TestPeerLoadCounts(t *testing.T) {
 	f := newTestFleet(1)
 	f.Take(f.Lookup("a0"), placement.Use{Requests: 1, Tokens: 10})
-	f.SetOthers(map[string]placement.Use{"a0": {Requests: 2, Tokens: 30}})
+	f.SetPeerUse(map[string]placement.Use{"a0": {Requests: 2, Tokens: 30}})
 	if u := f.UseOf(f.Lookup("a0")); u.Requests != 3 || u.Tokens != 40 {
 		t.Errorf("got use %+v, want 3 requests and 40 tokens", u)
 	}
-	if mine := f.Mine()["a0"]; mine.Requests != 1 {
+	if mine := f.OwnUse()["a0"]; mine.Requests != 1 {
 		t.Errorf("got own use %+v, want 1 request", mine)
 	}
 }
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -7,7 +7,7 @@
 )
 
 // Avoid makes a server avoided for a while, longer with each fault in a row.
-func (f *Fleet) Suspect(s *Server) {
+func (f *Fleet) Avoid(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.backOff(s)
@@ -38,7 +38,7 @@
 
 // MarkDead judges a server dead. Everything that runs there for this VM is moved at once,
 // since one silent stream is evidence for the others on the same server.
-func (f *Fleet) Dead(s *Server) {
+func (f *Fleet) MarkDead(s *Server) {
 	f.mu.Lock()
 	f.avoidFor(s, deadAvoid)
 	f.deadSince[s.ID] = f.now()
@@ -68,7 +68,7 @@
 			continue
 		}
 		avoided++
-		o.suspectedUntil = now.Add(recovery.OutageFor)
+		o.suspectedUntil = now.Add(recovery.OutageAvoidDuration)
 		f.signalSuspicion(o)
 	}
 	f.log.Warn().Str("service", s.Service).Str("zone", s.Zone).Int("avoided", avoided).Msg("zone suspected lost; avoiding its silent servers")
@@ -98,7 +98,7 @@
 
 // RecentlyDead returns the ids of the servers that this VM judged dead within
 // deathReportWindow, for its reports to other VMs.
-func (f *Fleet) Dying() []string {
+func (f *Fleet) RecentlyDead() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
@@ -114,7 +114,7 @@
 
 // PeerReportedDead takes the ids of servers that other VMs judged dead. It moves no run by
 // itself, since the other VM's link may be at fault.
-func (f *Fleet) HearsayDead(ids []string) {
+func (f *Fleet) PeerReportedDead(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
@@ -126,14 +126,14 @@
 		if s.avoided(f.now()) {
 			continue
 		}
-		s.suspectedUntil = f.now().Add(recovery.OutageFor)
+		s.suspectedUntil = f.now().Add(recovery.OutageAvoidDuration)
 		f.signalSuspicion(s)
 		f.noteDeath(s)
 	}
 }
 
 // MarkFull records that the server refused a request because it is full.
-func (f *Fleet) Full(s *Server) {
+func (f *Fleet) MarkFull(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoidFor(s, fullAvoid)
@@ -142,7 +142,7 @@
 // MarkStale records that another incarnation holds the server's address. Nothing is sent
 // there until the list names the new one, since each send would be refused and count as an
 // attempt.
-func (f *Fleet) Stale(s *Server) {
+func (f *Fleet) MarkStale(s *Server) {
 	f.mu.Lock()
 	s.stale = true
 	f.mu.Unlock()
@@ -185,7 +185,7 @@
 
 // SetReportedLoad takes the load that a server reports: the requests of all VMs that run
 // and wait there.
-func (f *Fleet) Reported(s *Server, requests int) {
+func (f *Fleet) SetReportedLoad(s *Server, requests int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.reportedRequests, s.reportedAt = max(0, requests-s.use.Requests), f.now()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -97,7 +97,7 @@
 
 // Do sends a request of this system's own on a new connection and reads the complete
 // response. An idle connection may have failed silently while the server is alive.
-func (p *Pool) Ask(ctx context.Context, key, addr string, r *Request) (*http.Response, []byte, error) {
+func (p *Pool) Do(ctx context.Context, key, addr string, r *Request) (*http.Response, []byte, error) {
 	c, err := p.Get(ctx, key, addr, true)
 	if err != nil {
 		return nil, nil, err
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -55,7 +55,7 @@
 	if other := mostCommon(u.listed[service], v.Except); other != "" {
 		return other
 	}
-	return v.Else
+	return v.Fallback
 }
 
 // mostCommon returns the version with the most servers that is not excluded; "": there is
