--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -92,8 +92,8 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// maxAskBytes bounds the response to a request of this system's own.
-const maxAskBytes = 4 << 20
+// maxResponseBytes bounds the response to a request of this system's own.
+const maxResponseBytes = 4 << 20
 
 // Do sends a request of this system's own on a new connection and reads the complete
 // response. An idle connection may have failed silently while the server is alive.
@@ -113,7 +113,7 @@
 		c.Close()
 		return nil, nil, err
 	}
-	body, err := ReadBody(resp, maxAskBytes)
+	body, err := ReadBody(resp, maxResponseBytes)
 	if err != nil {
 		c.Close()
 		return nil, nil, err
