--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -87,7 +87,7 @@
 	}
 	for {
 		servers, candidates := h.o.Fleet.CallCandidates(q.service.Name, q.choice.Versions, skip)
-		i, load := placement.Server(candidates, h.o.Zone, rand.IntN)
+		i, load := placement.ChooseServer(candidates, h.o.Zone, rand.IntN)
 		switch {
 		case i < 0 && h.leaveTrial(q):
 			continue
@@ -96,7 +96,7 @@
 		case i < 0:
 			return nil, 0, result.NoBackendServer
 		}
-		w := admission.CallWait{Load: load, Work: h.o.Fleet.ServiceTime(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
+		w := admission.CallWait{Load: load, ServiceTime: h.o.Fleet.ServiceTime(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
 		switch w.Decide() {
 		case admission.HoldCall:
 			if timer.Sleep(q.ctx, callHold) != nil {
@@ -121,7 +121,7 @@
 
 // callAt sends a call to one server and notes what that says about it.
 func (h *Handler) callAt(q *request, s *upstream.Server, load float64) reply {
-	use := placement.Use{Requests: 1}
+	use := placement.Usage{Requests: 1}
 	h.o.Fleet.Take(s, use)
 	began := time.Now()
 	watched := h.watchAnswer(q, s)
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -118,7 +118,7 @@
 func (h *Handler) Kept() []Kept { return h.kept.all() }
 
 // Paces are what was observed of each service's engines.
-func (h *Handler) Paces() map[string]scheduler.Pace { return h.paces.all() }
+func (h *Handler) Paces() map[string]scheduler.EngineTiming { return h.paces.all() }
 
 // SetVMs says how many VMs share the services' retry budgets.
 func (h *Handler) SetVMs(n int) {
@@ -131,7 +131,7 @@
 }
 
 // SetPaces takes what all VMs observed of each service's engines.
-func (h *Handler) SetPaces(paces map[string]scheduler.Pace) { h.paces.learn(paces) }
+func (h *Handler) SetPaces(paces map[string]scheduler.EngineTiming) { h.paces.learn(paces) }
 
 // SetShort names the services whose memory is needed for prompts: no copies are made.
 func (h *Handler) SetShort(services []string) {
@@ -295,7 +295,7 @@
 	if err := q.authorize(table); err != nil {
 		return q, err
 	}
-	q.service = table.Service(route.Draw())
+	q.service = table.Service(route.PickRandom())
 	if route.Kind == routes.Stream && h.o.TooLate(true, h.expected(q)) {
 		return q, result.New(result.ShuttingDown).WithRetryAfter(elsewhere)
 	}
@@ -338,7 +338,7 @@
 	if !table.List.Keyed {
 		return nil
 	}
-	holder := table.Holder(q.Key)
+	holder := table.WorkspaceByKey(q.Key)
 	if q.Key == "" || holder == nil {
 		if q.route.Public {
 			return nil
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -107,15 +107,15 @@
 	a := scheduler.Stream{
 		ID: q.RequestID, Service: q.service.Name, Workspace: q.workspace, Need: st.need, KVTokens: st.kvTokens(),
 		Due: q.due(), Deadline: q.expires, Priority: q.priority,
-		Interrupted: st.seq.started, WantsCopy: st.mayCopy(), After: events(st.seq.last),
-		Zone: st.h.o.Zone, Version: st.h.o.Fleet.Version(q.service.Name, q.choice.Versions), Part: q.choice.ServerShare,
+		Interrupted: st.seq.started, WantsCopy: st.mayCopy(), EventsReceived: events(st.seq.last),
+		Zone: st.h.o.Zone, Version: st.h.o.Fleet.Version(q.service.Name, q.choice.Versions), VersionShare: q.choice.ServerShare,
 	}
 	for id := range st.skip {
-		a.Skip = append(a.Skip, id)
+		a.ExcludedEngines = append(a.ExcludedEngines, id)
 	}
-	slices.Sort(a.Skip)
+	slices.Sort(a.ExcludedEngines)
 	if s := st.h.o.Fleet.At(q.service.Name, st.ran); s != nil && s.Version == a.Version {
-		a.Cached = s.ID
+		a.CachedEngine = s.ID
 	}
 	return a
 }
@@ -132,7 +132,7 @@
 
 // expected is how long a stream lasts, if it is a long one of its service; 0: not known.
 func (h *Handler) expected(q *request) time.Duration {
-	return h.paces.of(q.service.Name).Lasts(q.Prompt, events(q.After), longRun)
+	return h.paces.of(q.service.Name).ExpectedDuration(q.Prompt, events(q.After), longRun)
 }
 
 // events is how many events a caller has by the id of its last one.
@@ -152,9 +152,9 @@
 	for {
 		servers, candidates := st.h.o.Fleet.Candidates(st.q.service.Name, st.q.choice.Versions, st.kvTokens(), st.skip)
 		for i := range candidates {
-			candidates[i].Far = candidates[i].Zone != st.h.o.Zone
+			candidates[i].OtherZone = candidates[i].Zone != st.h.o.Zone
 		}
-		if i := placement.Engine(candidates, st.need, rand.IntN); i >= 0 {
+		if i := placement.ChooseEngine(candidates, st.need, rand.IntN); i >= 0 {
 			return servers[i]
 		}
 		if !st.h.leaveTrial(st.q) {
@@ -172,8 +172,8 @@
 // paceBook is what this VM observes of each service's engines. Safe for concurrent use.
 type paceBook struct {
 	mu    sync.Mutex
-	paces map[string]scheduler.Pace // of this VM
-	told  map[string]scheduler.Pace // of all VMs
+	paces map[string]scheduler.EngineTiming // of this VM
+	told  map[string]scheduler.EngineTiming // of all VMs
 }
 
 // paceShare is the weight of the newest observation: some ten runs make the mean.
@@ -184,51 +184,51 @@
 	if tokens <= 0 {
 		return
 	}
-	b.update(service, func(p *scheduler.Pace) {
-		p.PerToken = scheduler.Smooth(p.PerToken, took/time.Duration(tokens), paceShare)
+	b.update(service, func(p *scheduler.EngineTiming) {
+		p.PrefillPerToken = scheduler.Smooth(p.PrefillPerToken, took/time.Duration(tokens), paceShare)
 	})
 }
 
 // ran notes how long a whole run took from its first event to its end, and how many
 // events it had.
 func (b *paceBook) ran(service string, took time.Duration, events int) {
-	b.update(service, func(p *scheduler.Pace) {
-		p.Run = scheduler.Smooth(p.Run, took, paceShare)
-		p.Events = scheduler.Smooth(p.Events, float64(events), paceShare)
+	b.update(service, func(p *scheduler.EngineTiming) {
+		p.RunDuration = scheduler.Smooth(p.RunDuration, took, paceShare)
+		p.EventsPerRun = scheduler.Smooth(p.EventsPerRun, float64(events), paceShare)
 	})
 }
 
-func (b *paceBook) update(service string, f func(*scheduler.Pace)) {
+func (b *paceBook) update(service string, f func(*scheduler.EngineTiming)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.paces == nil {
-		b.paces = map[string]scheduler.Pace{}
+		b.paces = map[string]scheduler.EngineTiming{}
 	}
 	p := b.paces[service]
 	f(&p)
 	b.paces[service] = p
 }
 
-func (b *paceBook) learn(told map[string]scheduler.Pace) {
+func (b *paceBook) learn(told map[string]scheduler.EngineTiming) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.told = told
 }
 
 // of is what all VMs observed, or this one where it was told of nothing yet.
-func (b *paceBook) of(service string) scheduler.Pace {
+func (b *paceBook) of(service string) scheduler.EngineTiming {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if p := b.told[service]; p.Run > 0 {
+	if p := b.told[service]; p.RunDuration > 0 {
 		return p
 	}
 	return b.paces[service]
 }
 
-func (b *paceBook) all() map[string]scheduler.Pace {
+func (b *paceBook) all() map[string]scheduler.EngineTiming {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]scheduler.Pace, len(b.paces))
+	out := make(map[string]scheduler.EngineTiming, len(b.paces))
 	for service, p := range b.paces {
 		out[service] = p
 	}
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -59,7 +59,7 @@
 		w := newWorld(t, engine("a"), engine("b"), engine("c"))
 		defer w.end()
 		d := &decider{decide: func() (scheduler.Answer, bool) {
-			return scheduler.Answer{Outcome: scheduler.Granted, Number: 1, Server: "i2", Keeper: "i0"}, true
+			return scheduler.Answer{Outcome: scheduler.Granted, Number: 1, Server: "i2", BackupEngine: "i0"}, true
 		}}
 		w.place(d)
 		a := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
@@ -201,7 +201,7 @@
 		w := newWorld(t, engine("a"))
 		defer w.end()
 		w.grace = 3 * time.Second
-		w.handler.SetPaces(map[string]scheduler.Pace{"models": {PerToken: 125 * time.Microsecond, Run: 3 * time.Second, Events: 100}})
+		w.handler.SetPaces(map[string]scheduler.EngineTiming{"models": {PrefillPerToken: 125 * time.Microsecond, RunDuration: 3 * time.Second, EventsPerRun: 100}})
 		late := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
 		<-late.done
 		if late.status != http.StatusServiceUnavailable || w.totalRuns("q1") != 0 {
--- a/internal/forward/protect.go
+++ b/internal/forward/protect.go
@@ -109,7 +109,7 @@
 	if r.shield.now.keeper != nil {
 		fleet.Release(r.shield.now.keeper, r.kept)
 	}
-	r.kept = placement.CopyUse(r.st.need)
+	r.kept = placement.CopyUsage(r.st.need)
 	fleet.Take(keeper, r.kept)
 	r.shield.now.keeper = keeper
 }
@@ -159,10 +159,10 @@
 	if !c.granted {
 		return st.chooseKeeper(c.server)
 	}
-	if c.grant.Keeper == "" {
+	if c.grant.BackupEngine == "" {
 		return nil
 	}
-	return st.h.o.Fleet.Lookup(c.grant.Keeper)
+	return st.h.o.Fleet.Lookup(c.grant.BackupEngine)
 }
 
 // keepVersions are the versions whose engines may keep copies of the stream's run.
@@ -204,7 +204,7 @@
 		skip[id] = true
 	}
 	servers, candidates := st.h.o.Fleet.Candidates(st.q.service.Name, st.keepVersions(), st.kvTokens(), skip)
-	if i := placement.Copy(candidates, s.Zone, st.need, rand.IntN); i >= 0 {
+	if i := placement.ChooseBackupEngine(candidates, s.Zone, st.need, rand.IntN); i >= 0 {
 		return servers[i]
 	}
 	return nil
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -15,9 +15,9 @@
 type run struct {
 	st     *stream
 	server *upstream.Server
-	from   *Copy         // the copy it goes on from, or nil
-	use    placement.Use // of the engine
-	kept   placement.Use // of the copy's keeper
+	from   *Copy           // the copy it goes on from, or nil
+	use    placement.Usage // of the engine
+	kept   placement.Usage // of the copy's keeper
 	shield shield
 	died   <-chan struct{}
 	doubt  <-chan struct{}
@@ -67,9 +67,9 @@
 func (st *stream) start(c chosen) *run {
 	h, s, from := st.h, c.server, c.from
 	r := &run{st: st, server: s, from: from, fresh: !st.seq.started, died: h.o.Fleet.Died(s), doubt: h.o.Fleet.Suspected(s)}
-	r.use = placement.Use{Requests: 1, Tokens: st.need.Tokens(), Prompt: st.need.Prompt}
+	r.use = placement.Usage{Requests: 1, Tokens: st.need.Tokens(), PendingPrompt: st.need.Prompt}
 	if from != nil {
-		r.use.Prompt = 0
+		r.use.PendingPrompt = 0
 	}
 	h.o.Fleet.Take(s, r.use)
 	more := Send{After: st.seq.last, HasAfter: st.seq.started, From: from}
@@ -121,7 +121,7 @@
 	log.Info().Str("request", st.q.RequestID).Str("route", st.q.route.Name).Str("engine", r.server.ID).
 		Str("zone", r.server.Zone).Str("keeper", keeper).Bool("from_copy", r.from != nil).Int("send", st.sends).
 		Uint64("after", st.seq.last).Int("tokens", st.need.Tokens()).Int("there", use.Requests).
-		Int("tokens_there", use.Tokens).Int("prompt_there", use.Prompt).Str("version", r.server.Version).Bool("granted", r.alone).Dur("waited", st.waited).
+		Int("tokens_there", use.Tokens).Int("prompt_there", use.PendingPrompt).Str("version", r.server.Version).Bool("granted", r.alone).Dur("waited", st.waited).
 		Dur("list_age", time.Since(h.o.Fleet.AsOf())).Msg("stream placed")
 }
 
@@ -327,10 +327,10 @@
 	r.firstAt = time.Now()
 	r.st.h.o.Rollouts.Book.End(r.watched, false, fleet.Cold(r.server))
 	if r.alone && r.fresh {
-		r.st.h.paces.read(r.st.q.service.Name, r.use.Prompt, r.firstAt.Sub(r.began))
+		r.st.h.paces.read(r.st.q.service.Name, r.use.PendingPrompt, r.firstAt.Sub(r.began))
 	}
-	fleet.Release(r.server, placement.Use{Prompt: r.use.Prompt})
-	r.use.Prompt = 0
+	fleet.Release(r.server, placement.Usage{PendingPrompt: r.use.PendingPrompt})
+	r.use.PendingPrompt = 0
 	r.st.h.o.Placer.UseChanged()
 	fleet.Succeeded(r.server, 0)
 	r.st.h.kept.put(r.st.q.RequestID, r.leaves())
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -25,7 +25,7 @@
 // membership is one opening of the group's log with the state read from it.
 type membership struct {
 	machine *control.Machine
-	part    *routes.Part
+	part    *routes.StateMachine
 	group   *control.Group
 	client  *control.Remote
 
@@ -55,7 +55,7 @@
 
 // openMember returns how c opens its member.
 func (c *Control) openMember(failed func(error)) (*membership, error) {
-	s := &membership{machine: control.NewMachine(), part: routes.NewPart(), rollouts: rollout.NewStateMachine()}
+	s := &membership{machine: control.NewMachine(), part: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
 	s.machine.Register(control.PartRoutes, s.part)
 	s.machine.Register(control.PartRollouts, s.rollouts)
 	s.group = control.NewGroup(control.GroupOptions{
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -151,7 +151,7 @@
 	for i := range records {
 		numbers[records[i].Service] = records[i].Number
 	}
-	w.c.hub.KeepEvidence(numbers)
+	w.c.hub.RetainEvidence(numbers)
 	w.mu.Lock()
 	for service := range w.watched {
 		if _, ok := numbers[service]; !ok {
@@ -223,7 +223,7 @@
 // countVersions counts the servers of a roll-out's service that are listed, of the new
 // version and of others.
 func (c *Control) countVersions(r *rollout.Record) (target, former int) {
-	rows, _, _, _ := c.held.Now()
+	rows, _, _, _ := c.held.Current()
 	for i := range rows {
 		b := &rows[i]
 		switch {
--- a/internal/upstream/fleet.go
+++ b/internal/upstream/fleet.go
@@ -67,7 +67,7 @@
 // Fleet. Backend never changes except for Draining and Cold, which the Fleet updates.
 type Server struct {
 	Backend
-	use              placement.Use
+	use              placement.Usage
 	died             chan struct{} // closed when the server is judged dead
 	suspicion        chan struct{} // closed when there is reason to probe the server
 	lastHeard        time.Time     // when bytes last came from the server
@@ -96,7 +96,7 @@
 	servers        map[string]*Server
 	listed         []*Server // in the order of the list
 	inUse          versionsInUse
-	peerUse        map[string]placement.Use
+	peerUse        map[string]placement.Usage
 	outage         recovery.Outage
 	self           string
 	routers        []string             // VMs that place requests, including this one
@@ -163,7 +163,7 @@
 }
 
 // SetPeerUse sets what other VMs have running on each server, by server id.
-func (f *Fleet) SetPeerUse(use map[string]placement.Use) {
+func (f *Fleet) SetPeerUse(use map[string]placement.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.peerUse = use
@@ -187,18 +187,18 @@
 // needs f.mu.
 func (f *Fleet) rank(s *Server) int {
 	if s.rankVersion != f.routersVersion {
-		s.rank, s.rankVersion = placement.Turn(s.ID, f.self, f.routers), f.routersVersion
+		s.rank, s.rankVersion = placement.RendezvousRank(s.ID, f.self, f.routers), f.routersVersion
 	}
 	return s.rank
 }
 
 // OwnUse returns what this VM has running on each server, by server id.
-func (f *Fleet) OwnUse() map[string]placement.Use {
+func (f *Fleet) OwnUse() map[string]placement.Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := map[string]placement.Use{}
+	out := map[string]placement.Usage{}
 	for id, s := range f.servers {
-		if s.use != (placement.Use{}) {
+		if s.use != (placement.Usage{}) {
 			out[id] = s.use
 		}
 	}
@@ -225,8 +225,8 @@
 	out := make([]placement.Candidate, 0, len(servers))
 	for _, s := range servers {
 		out = append(out, placement.Candidate{
-			ID: s.ID, Zone: s.Zone, Slots: s.Slots, KVTokens: kvTokens, Use: f.useOf(s, now),
-			Turn: f.rank(s), Avoid: s.avoided(now), Slow: slowness(s.latencyMS, usual),
+			ID: s.ID, Zone: s.Zone, Slots: s.Slots, KVTokens: kvTokens, Usage: f.useOf(s, now),
+			RendezvousRank: f.rank(s), Avoid: s.avoided(now), Slowdown: slowness(s.latencyMS, usual),
 		})
 	}
 	return servers, out
@@ -244,7 +244,7 @@
 		out = append(out, placement.CallCandidate{
 			Zone: s.Zone, Slots: s.Slots, Own: s.use.Requests, Others: f.peerUse[s.ID].Requests,
 			Reported: s.reportedRequests, ReportAge: now.Sub(s.reportedAt), CallTime: time.Duration(s.latencyMS * float64(time.Millisecond)),
-			Avoid: s.avoided(now), Slow: slowness(s.latencyMS, usual),
+			Avoid: s.avoided(now), Slowdown: slowness(s.latencyMS, usual),
 		})
 	}
 	return servers, out
@@ -270,7 +270,7 @@
 	return out
 }
 
-func (f *Fleet) useOf(s *Server, now time.Time) placement.Use {
+func (f *Fleet) useOf(s *Server, now time.Time) placement.Usage {
 	use := s.use.Add(f.peerUse[s.ID])
 	if now.Sub(s.reportedAt) < reportedLoadTTL {
 		use.Requests = max(use.Requests, s.use.Requests+s.reportedRequests)
@@ -354,7 +354,7 @@
 }
 
 // UseOf returns what is known to run on a server, of this VM and of the others.
-func (f *Fleet) UseOf(s *Server) placement.Use {
+func (f *Fleet) UseOf(s *Server) placement.Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.useOf(s, f.now())
@@ -373,15 +373,15 @@
 }
 
 // Take adds a request's use to a server.
-func (f *Fleet) Take(s *Server, u placement.Use) {
+func (f *Fleet) Take(s *Server, u placement.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.use = s.use.Add(u)
 }
 
 // Release subtracts a request's use from a server.
-func (f *Fleet) Release(s *Server, u placement.Use) {
-	f.Take(s, u.Negative())
+func (f *Fleet) Release(s *Server, u placement.Usage) {
+	f.Take(s, u.Negated())
 }
 
 // Died returns a channel that is closed when the server is judged dead.
--- a/internal/upstream/fleet_test.go
+++ b/internal/upstream/fleet_test.go
@@ -137,8 +137,8 @@
 // not reported on as this VM's own.
 func TestPeerLoadCounts(t *testing.T) {
 	f := newTestFleet(1)
-	f.Take(f.Lookup("a0"), placement.Use{Requests: 1, Tokens: 10})
-	f.SetPeerUse(map[string]placement.Use{"a0": {Requests: 2, Tokens: 30}})
+	f.Take(f.Lookup("a0"), placement.Usage{Requests: 1, Tokens: 10})
+	f.SetPeerUse(map[string]placement.Usage{"a0": {Requests: 2, Tokens: 30}})
 	if u := f.UseOf(f.Lookup("a0")); u.Requests != 3 || u.Tokens != 40 {
 		t.Errorf("got use %+v, want 3 requests and 40 tokens", u)
 	}
