--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -93,7 +93,7 @@
 	// WantChanges requests the changes of the list since ListDigest.
 	WantChanges bool `cbor:"16,keyasint,omitempty"`
 	// Rollouts are this VM's observations of the roll-outs in progress.
-	Rollouts []rollout.Told `cbor:"17,keyasint,omitempty"`
+	Rollouts []rollout.Report `cbor:"17,keyasint,omitempty"`
 }
 
 // HeartbeatReply is a control VM's reply to a Heartbeat.
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -34,7 +34,7 @@
 	Spent    func() map[string]forward.Spent
 	// Opinion returns this VM's view of the backend servers, and Paces the pace that it
 	// observed for each service.
-	Opinion func() upstream.Opinion
+	Opinion func() upstream.Report
 	Paces   func() map[string]scheduler.EngineTiming
 	// Learn takes the reports of the other VMs, and LearnSpent what all of them spent of
 	// the retry budgets, by service.
@@ -42,7 +42,7 @@
 	LearnSpent func(map[string]forward.Spent)
 	// Rollouts returns what this VM observed of roll-outs. Urgent reports whether the
 	// control VMs need it soon.
-	Rollouts func() []rollout.Told
+	Rollouts func() []rollout.Report
 	Urgent   func() bool
 	// Control reports that this VM is a control VM with a disk.
 	Control bool
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -111,7 +111,7 @@
 	t := UseReport{Incarnation: m.incarnation, Seq: seq, LastGrant: lastGrant, Use: m.local.Use()}
 	if m.local.Opinion != nil {
 		o := m.local.Opinion()
-		t.Avoid, t.Suspected, t.Alive = o.Avoid, o.Doubt, o.Alive
+		t.Avoid, t.Suspected, t.Alive = o.Avoid, o.Suspected, o.Alive
 	}
 	if m.local.Paces != nil {
 		t.Paces = m.local.Paces()
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -7,61 +7,68 @@
 	"time"
 )
 
-// How the answers of two versions are compared.
+// This file compares the answers of two versions.
 //
-// The load pattern. Both versions run beside one another while zones are lost, callers
-// come in bursts and single servers fail. Compared over the whole time, a version that
-// got most of its requests during a burst is slower than one that did not. Compared by
-// one server, a version is bad where that server is. Compared over all routes, a version
-// that fails one of five routes fails two requests in a hundred.
+// Load pattern: both versions run beside one another while zones are lost, callers come in
+// bursts and single servers fail. Compared over the entire roll-out, a version that got
+// most of its requests during a burst looks slower than one that did not. Compared by one
+// server, a version looks bad if that server is bad. Compared over all routes, a version
+// that fails one of five routes fails only two requests in a hundred.
 //
-// So each second's answers are held against those of the other version in the seconds
-// around it, by route; a sum over the seconds is tested, for each route and for all, over
-// the whole time and of late, without the one server that does worst on either side. What
-// breaks off says nothing: engines that die break off what they run, whatever version
-// they have.
+// Therefore the answers of each second are compared, by route, with those of the former
+// version in the seconds around it. The sums over these seconds are tested for each route
+// and for all routes, over the entire roll-out and over its most recent part. The single
+// server that does worst is left out on either side. Aborted requests count for nothing,
+// because engines that die abort whatever they run, regardless of their version.
 
 const (
-	// slotLength is the time whose answers are compared with one another.
-	slotLength = time.Second
-	// recentSlots, and as many more as have recentAnswers, are tested by themselves: a
-	// version may go bad after a long good time.
-	recentSlots   = 3
-	recentAnswers = 24
-	// priorWeight is how many answers of the whole time stand beside those of a moment.
+	// intervalLength is the length of the intervals within which answers are compared.
+	intervalLength = time.Second
+	// The most recent intervals are also tested by themselves, since a version may go bad
+	// after a long good period. They are at least minRecentIntervals, and as many more as
+	// hold minRecentAnswers.
+	minRecentIntervals = 3
+	minRecentAnswers   = 24
+	// priorWeight is the weight, in answers, of the entire roll-out beside those of an
+	// interval.
 	priorWeight = 10
-	// slowBuckets above the other version's median an answer is slow, 2.4 times as long, if
-	// it is leastSlow longer too: a busy VM delays short answers by as much.
-	slowBuckets = bucketsPerOctave + 1
-	leastSlow   = 20 * time.Millisecond
-	// rateSlack and rateFloor: this much worse is no fault of the version.
+	// An answer is slow if it is slowBuckets above the former version's median, that is 2.4
+	// times as long, and longer by at least minSlowExcess: a busy VM delays short answers
+	// by as much.
+	slowBuckets   = bucketsPerOctave + 1
+	minSlowExcess = 20 * time.Millisecond
+	// rateSlack and rateFloor are the relative and the absolute excess of a rate that is
+	// not attributed to the new version.
 	rateSlack = 1.25
 	rateFloor = 0.005
-	// badSurprise is the evidence that a version is bad: chance brings it about in less
-	// than one of a thousand roll-outs, with some hundred looks at it.
-	badSurprise = 8
-	// badAnswers are needed at least: what has failed twice may be chance.
-	badAnswers = 3
-	// oddSurprise is the evidence at which one server is told apart from its version.
-	oddSurprise = 2
+	// badLLR is the log-likelihood ratio at which a version counts as bad. Chance exceeds
+	// it in fewer than one of a thousand roll-outs that are evaluated about a hundred times
+	// each.
+	badLLR = 8
+	// minBadAnswers are needed to call a version bad, since two may be chance.
+	minBadAnswers = 3
+	// outlierLLR is the log-likelihood ratio at which one server is treated as an outlier
+	// of its version.
+	outlierLLR = 2
 )
 
-// slot is the answers of a moment.
-type slot struct {
-	former, target map[Cell]Servers
-	// judged is the new version's part by server, once it and the slot behind it are over.
+// interval holds the answers of one interval.
+type interval struct {
+	former, target map[Cell]CountsByServer
+	// judged holds the verdicts on the new version by server. It is set once this interval
+	// and the next one are over.
 	judged map[Cell]map[string]verdict
 }
 
-// since returns the answers that have come between two sums.
-func since(now, before *Evidence) slot {
-	return slot{former: newIn(now.Former, before.Former), target: newIn(now.Target, before.Target)}
+// intervalBetween returns the answers between two cumulative sums of evidence.
+func intervalBetween(now, before *Evidence) interval {
+	return interval{former: increments(now.Former, before.Former), target: increments(now.Target, before.Target)}
 }
 
-func newIn(now, before map[Cell]Servers) map[Cell]Servers {
-	out := make(map[Cell]Servers, len(now))
+func increments(now, before map[Cell]CountsByServer) map[Cell]CountsByServer {
+	out := make(map[Cell]CountsByServer, len(now))
 	for cell, servers := range now {
-		out[cell] = make(Servers, len(servers))
+		out[cell] = make(CountsByServer, len(servers))
 		for server, c := range servers {
 			if was := before[cell][server]; c.Answers > was.Answers || len(c.Waiting) > 0 {
 				out[cell][server] = c.minus(was)
@@ -71,9 +78,10 @@
 	return out
 }
 
-// settle forgets what waits, when the moment is over: it is in the next one, or answered.
-func (s *slot) settle() {
-	for _, cells := range []map[Cell]Servers{s.former, s.target} {
+// dropWaiting drops the waiting requests when the interval is over. They are part of the
+// next interval, or answered.
+func (s *interval) dropWaiting() {
+	for _, cells := range []map[Cell]CountsByServer{s.former, s.target} {
 		for _, servers := range cells {
 			for server, c := range servers {
 				c.Waiting = nil
@@ -83,11 +91,11 @@
 	}
 }
 
-// answers of the new version.
-func (s *slot) answers() int {
+// answers returns the number of answers of the new version.
+func (s *interval) answers() int {
 	n := 0
 	for cell, servers := range s.target {
-		if cell.Measure == Whole {
+		if cell.Measure == Response {
 			for _, c := range servers {
 				n += c.Answers
 			}
@@ -96,19 +104,19 @@
 	return n
 }
 
-// recent is how many of the last slots are judged by themselves.
-func recent(slots []slot) int {
+// recentCount returns how many of the last intervals are tested by themselves.
+func recentCount(intervals []interval) int {
 	answers := 0
-	for n := 1; n <= len(slots); n++ {
-		answers += slots[len(slots)-n].answers()
-		if n >= recentSlots && answers >= recentAnswers {
+	for n := 1; n <= len(intervals); n++ {
+		answers += intervals[len(intervals)-n].answers()
+		if n >= minRecentIntervals && answers >= minRecentAnswers {
 			return n
 		}
 	}
-	return len(slots)
+	return len(intervals)
 }
 
-// tally counts bad answers against those expected.
+// tally counts bad answers and how many were expected.
 type tally struct{ n, bad, expected float64 }
 
 func (t *tally) add(o tally) {
@@ -117,7 +125,8 @@
 	t.expected += o.expected
 }
 
-// expectedRate is that of the other version, with what is no fault of the new one.
+// expectedRate returns the former version's rate plus the excess that is not attributed to
+// the new version.
 func (t *tally) expectedRate() float64 {
 	if t.n == 0 {
 		return rateFloor
@@ -126,16 +135,16 @@
 }
 
 func (t *tally) isBad() bool {
-	return t.bad >= badAnswers && t.surprise() >= badSurprise
+	return t.bad >= minBadAnswers && t.llr() >= badLLR
 }
 
-// atMostWorseBy reports whether the version is worse by less than an excess of the rate,
-// but for one time in chance.
+// atMostWorseBy reports whether the new version's rate exceeds the expected one by less
+// than excess. chance is the probability of a wrong positive.
 func (t *tally) atMostWorseBy(excess, chance float64) bool {
-	return atMost(t.bad, t.n, t.expectedRate()+excess) <= chance
+	return binomialCDF(t.bad, t.n, t.expectedRate()+excess) <= chance
 }
 
-// verdict is the tallies of one cell.
+// verdict holds the tallies of one cell.
 type verdict struct{ failed, slow tally }
 
 func (v *verdict) add(o *verdict) {
@@ -143,32 +152,33 @@
 	v.slow.add(o.slow)
 }
 
-// minus takes a server's part off.
+// minus returns v without the tallies of o.
 func (v *verdict) minus(o *verdict) verdict {
 	less := func(a, b tally) tally { return tally{a.n - b.n, a.bad - b.bad, a.expected - b.expected} }
 	return verdict{less(v.failed, o.failed), less(v.slow, o.slow)}
 }
 
-// String tells an operator what was found.
+// String describes the tallies for an operator.
 func (v *verdict) String() string {
 	return fmt.Sprintf("%.0f of %.0f answers failed, %.1f expected; %.0f of %.0f slow, %.1f expected",
 		v.failed.bad, v.failed.n, v.failed.expected, v.slow.bad, v.slow.n, v.slow.expected)
 }
 
-// comparison is the verdicts over some slots.
+// comparison holds the verdicts over several intervals.
 type comparison struct {
-	cells map[Cell]*verdict // without the worst server, where there are several
-	all   verdict           // of whole answers
+	cells map[Cell]*verdict // without the worst server where there are several
+	all   verdict           // sum over the cells of measure Response
 }
 
-// compare judges the last n slots. overall is the other version's answers of all slots.
-func compare(slots []slot, n int, overall map[Cell]Servers) comparison {
+// compare judges the last n intervals. overall holds the former version's answers of all
+// intervals.
+func compare(intervals []interval, n int, overall map[Cell]CountsByServer) comparison {
 	out := comparison{cells: map[Cell]*verdict{}}
 	byServer := map[Cell]map[string]verdict{}
-	for i := max(0, len(slots)-n); i < len(slots); i++ {
-		judged := slots[i].judged
+	for i := max(0, len(intervals)-n); i < len(intervals); i++ {
+		judged := intervals[i].judged
 		if judged == nil {
-			judged = judgeSlot(slots, i, overall)
+			judged = judgeInterval(intervals, i, overall)
 		}
 		for cell, servers := range judged {
 			if byServer[cell] == nil {
@@ -184,20 +194,20 @@
 	for _, cell := range slices.SortedFunc(maps.Keys(byServer), Cell.compare) {
 		v := withoutWorst(byServer[cell])
 		out.cells[cell] = &v
-		if cell.Measure == Whole {
+		if cell.Measure == Response {
 			out.all.add(&v)
 		}
 	}
 	return out
 }
 
-// judgeSlot counts the new version's answers of a slot against what the other version
-// did around it.
-func judgeSlot(slots []slot, i int, overall map[Cell]Servers) map[Cell]map[string]verdict {
+// judgeInterval compares the new version's answers of an interval with those of the former
+// version in the intervals around it.
+func judgeInterval(intervals []interval, i int, overall map[Cell]CountsByServer) map[Cell]map[string]verdict {
 	out := map[Cell]map[string]verdict{}
-	for cell, servers := range slots[i].target {
-		faulty := faultyOf(overall[cell])
-		near := formerOf(slots[max(0, i-1):min(len(slots), i+2)], cell)
+	for cell, servers := range intervals[i].target {
+		faulty := faultyServer(overall[cell])
+		near := sumFormer(intervals[max(0, i-1):min(len(intervals), i+2)], cell)
 		e := expect(near.without(faulty), overall[cell].without(faulty))
 		out[cell] = make(map[string]verdict, len(servers))
 		for server, c := range servers {
@@ -207,18 +217,18 @@
 	return out
 }
 
-func formerOf(slots []slot, cell Cell) Servers {
-	sum := Servers{}
-	for i := range slots {
-		for server, c := range slots[i].former[cell] {
+func sumFormer(intervals []interval, cell Cell) CountsByServer {
+	sum := CountsByServer{}
+	for i := range intervals {
+		for server, c := range intervals[i].former[cell] {
 			sum.add(server, c)
 		}
 	}
 	return sum
 }
 
-// without sums all servers but one.
-func (s Servers) without(server string) Counts {
+// without returns the sum over all servers except one.
+func (s CountsByServer) without(server string) Counts {
 	var sum Counts
 	for id, c := range s {
 		if id != server {
@@ -228,8 +238,9 @@
 	return sum
 }
 
-// faultyOf names the server that fails far more often than the others; "": none does.
-func faultyOf(s Servers) string {
+// faultyServer returns the server that fails far more often than the others; "": there is
+// none.
+func faultyServer(s CountsByServer) string {
 	answers, failures := 0, 0
 	for _, c := range s {
 		answers += c.Answers
@@ -243,37 +254,38 @@
 			continue
 		}
 		rate := rateSlack*float64(failures-c.Failures)/float64(others) + rateFloor
-		if v := surprise(float64(c.Failures), float64(c.Answers), min(rate, 1-rateFloor)); v > most && v >= badSurprise {
+		if v := logLikelihoodRatio(float64(c.Failures), float64(c.Answers), min(rate, 1-rateFloor)); v > most && v >= badLLR {
 			faulty, most = id, v
 		}
 	}
 	return faulty
 }
 
-// expectation is what the other version would have done.
+// expectation holds the rates that the former version would have had.
 type expectation struct {
-	failed, slow float64
-	slowFrom     int // bucket; 0: the other version's times are not known
+	failed, slow   float64
+	slowFromBucket int // 0: no times of the former version are known
 }
 
 func expect(near, overall Counts) expectation {
-	e := expectation{failed: blend(near.Failures, near.Answers, overall.Failures, overall.Answers)}
+	e := expectation{failed: smoothedRate(near.Failures, near.Answers, overall.Failures, overall.Answers)}
 	times := near.Times
-	if sumOf(times) < priorWeight {
+	if countOf(times) < priorWeight {
 		times = overall.Times
 	}
-	if sumOf(times) == 0 {
+	if countOf(times) == 0 {
 		return e
 	}
-	median := medianOf(times)
-	e.slowFrom = max(median+slowBuckets, int(bucketOf(timeOf(median)+leastSlow)))
-	waiting := above(near.Waiting, e.slowFrom)
-	e.slow = blend(waiting+above(near.Times, e.slowFrom), waiting+sumOf(near.Times), above(overall.Times, e.slowFrom), sumOf(overall.Times))
+	median := medianBucket(times)
+	e.slowFromBucket = max(median+slowBuckets, int(bucketOf(bucketTime(median)+minSlowExcess)))
+	waiting := countFrom(near.Waiting, e.slowFromBucket)
+	e.slow = smoothedRate(waiting+countFrom(near.Times, e.slowFromBucket), waiting+countOf(near.Times), countFrom(overall.Times, e.slowFromBucket), countOf(overall.Times))
 	return e
 }
 
-// blend is a moment's rate, with some answers of the whole time beside it.
-func blend(x, n, allX, all int) float64 {
+// smoothedRate returns x/n, smoothed with priorWeight answers at the rate of the entire
+// roll-out.
+func smoothedRate(x, n, allX, all int) float64 {
 	rate := 0.0
 	if all > 0 {
 		rate = float64(allX) / float64(all)
@@ -281,28 +293,28 @@
 	return (float64(x) + priorWeight*rate) / (float64(n) + priorWeight)
 }
 
-// judge counts one server's answers against the expectation.
+// judge compares the answers of one server with the expectation.
 func (e *expectation) judge(c Counts) verdict {
 	n := float64(c.Answers)
 	v := verdict{failed: tally{n: n, bad: float64(c.Failures), expected: n * e.failed}}
-	if e.slowFrom > 0 {
-		waiting := above(c.Waiting, e.slowFrom) // slow already, whenever they are answered
-		timed := float64(waiting + sumOf(c.Times))
-		v.slow = tally{n: timed, bad: float64(waiting + above(c.Times, e.slowFrom)), expected: timed * e.slow}
+	if e.slowFromBucket > 0 {
+		waiting := countFrom(c.Waiting, e.slowFromBucket) // already slow, whenever they are answered
+		timed := float64(waiting + countOf(c.Times))
+		v.slow = tally{n: timed, bad: float64(waiting + countFrom(c.Times, e.slowFromBucket)), expected: timed * e.slow}
 	}
 	return v
 }
 
-// withoutWorst sums all servers but the one that stands out most by its bad answers, if
-// others have answered too.
+// withoutWorst returns the sum over all servers. If several have answered, it leaves out
+// the one whose bad answers stand out most.
 func withoutWorst(byServer map[string]verdict) verdict {
-	worst, most := "", float64(oddSurprise)
+	worst, most := "", float64(outlierLLR)
 	var sum verdict
 	for _, server := range slices.Sorted(maps.Keys(byServer)) {
 		v := byServer[server]
 		sum.add(&v)
-		if v.surprise() > most {
-			worst, most = server, v.surprise()
+		if v.llr() > most {
+			worst, most = server, v.llr()
 		}
 	}
 	if worst == "" || len(byServer) < 2 {
@@ -312,12 +324,12 @@
 	return sum.minus(&v)
 }
 
-func (v *verdict) surprise() float64 { return max(v.failed.surprise(), v.slow.surprise()) }
+func (v *verdict) llr() float64 { return max(v.failed.llr(), v.slow.llr()) }
 
-func (t *tally) surprise() float64 { return surprise(t.bad, t.n, t.expectedRate()) }
+func (t *tally) llr() float64 { return logLikelihoodRatio(t.bad, t.n, t.expectedRate()) }
 
-// bad returns why the version is bad, "" where nothing says so.
-func (c *comparison) bad() string {
+// whyBad returns the reason why the version is bad; "": there is no evidence for that.
+func (c *comparison) whyBad() string {
 	if c.all.failed.isBad() || c.all.slow.isBad() {
 		return "all routes: " + c.all.String()
 	}
@@ -330,7 +342,7 @@
 	return ""
 }
 
-func sumOf(times map[uint8]int) int {
+func countOf(times map[uint8]int) int {
 	n := 0
 	for _, c := range times {
 		n += c
@@ -338,7 +350,7 @@
 	return n
 }
 
-func above(times map[uint8]int, from int) int {
+func countFrom(times map[uint8]int, from int) int {
 	n := 0
 	for b, c := range times {
 		if int(b) >= from {
@@ -348,8 +360,8 @@
 	return n
 }
 
-func medianOf(times map[uint8]int) int {
-	half, n := (sumOf(times)+1)/2, 0
+func medianBucket(times map[uint8]int) int {
+	half, n := (countOf(times)+1)/2, 0
 	for _, b := range slices.Sorted(maps.Keys(times)) {
 		if n += times[b]; n >= half {
 			return int(b)
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Evidence is what all routers together observed of one roll-out.
+// Evidence holds what all routers together observed of one roll-out.
 type Evidence struct {
 	Requests map[string]int
 	Sent     int
-	Former   map[Cell]Servers
-	Target   map[Cell]Servers
+	Former   map[Cell]CountsByServer
+	Target   map[Cell]CountsByServer
 }
 
-// Servers are counts by server, or group of servers.
-type Servers map[string]Counts
+// CountsByServer holds counts by server, or by group of servers.
+type CountsByServer map[string]Counts
 
-func (s Servers) add(server string, c Counts) { s[server] = s[server].plus(c) }
+func (s CountsByServer) add(server string, c Counts) { s[server] = s[server].plus(c) }
 
-// total is the number of requests of all routes.
+// total returns the number of requests over all routes.
 func (e *Evidence) total() int {
 	n := 0
 	for _, r := range e.Requests {
@@ -27,41 +27,44 @@
 	return n
 }
 
-// waitingFor is how long a router's word counts of requests that wait: one that is gone
-// waits for nothing.
-const waitingFor = 1500 * time.Millisecond
+// waitingTTL is how long a router's report on waiting requests counts. A router that is
+// gone waits for nothing.
+const waitingTTL = 1500 * time.Millisecond
 
-// Ledger holds what each life of a router told last. One that has ended goes on to
-// count: what it sent was sent. It is not safe for concurrent use.
-type Ledger struct{ lives map[uint64]map[string]noted }
+// Ledger holds the last report of each incarnation of a router. The reports of an
+// incarnation that has ended still count, because its requests were sent. It is not safe
+// for concurrent use.
+type Ledger struct {
+	incarnations map[uint64]map[string]timedReport
+}
 
-// noted is what a life told of one service.
-type noted struct {
-	told Told
-	at   time.Time
+// timedReport is an incarnation's report on one service and when it came.
+type timedReport struct {
+	report Report
+	at     time.Time
 }
 
 // NewLedger returns an empty Ledger.
-func NewLedger() *Ledger { return &Ledger{lives: map[uint64]map[string]noted{}} }
+func NewLedger() *Ledger { return &Ledger{incarnations: map[uint64]map[string]timedReport{}} }
 
-// Note takes what a life told. What it observes only grows: a message that was
-// overtaken on its way changes nothing.
-func (l *Ledger) Note(life uint64, told []Told, now time.Time) {
-	for i := range told {
-		t := &told[i]
-		held, ok := l.lives[life][t.Service]
-		if ok && (t.Number < held.told.Number || t.Number == held.told.Number && t.weight() < held.told.weight()) {
+// Note takes the reports of an incarnation. Observations only grow, so a message that
+// arrives out of order changes nothing.
+func (l *Ledger) Note(incarnation uint64, reports []Report, now time.Time) {
+	for i := range reports {
+		t := &reports[i]
+		last, ok := l.incarnations[incarnation][t.Service]
+		if ok && (t.Number < last.report.Number || t.Number == last.report.Number && t.observations() < last.report.observations()) {
 			continue
 		}
-		if l.lives[life] == nil {
-			l.lives[life] = map[string]noted{}
+		if l.incarnations[incarnation] == nil {
+			l.incarnations[incarnation] = map[string]timedReport{}
 		}
-		l.lives[life][t.Service] = noted{*t, now}
+		l.incarnations[incarnation][t.Service] = timedReport{*t, now}
 	}
 }
 
-// weight grows with all that is observed.
-func (t *Told) weight() int {
+// observations returns a number that grows with all that is observed.
+func (t *Report) observations() int {
 	n := t.Sent
 	for _, r := range t.Requests {
 		n += r
@@ -72,36 +75,36 @@
 	return n
 }
 
-// Keep forgets what was told of other roll-outs than those under way.
+// Keep drops the reports on all roll-outs except those under way.
 func (l *Ledger) Keep(underWay map[string]uint64) {
-	for life, services := range l.lives {
-		maps.DeleteFunc(services, func(service string, n noted) bool {
+	for incarnation, services := range l.incarnations {
+		maps.DeleteFunc(services, func(service string, n timedReport) bool {
 			number, ok := underWay[service]
-			return !ok || n.told.Number < number
+			return !ok || n.report.Number < number
 		})
 		if len(services) == 0 {
-			delete(l.lives, life)
+			delete(l.incarnations, incarnation)
 		}
 	}
 }
 
-// Sum returns what was told of a roll-out.
+// Sum returns the sum of the reports on a roll-out.
 func (l *Ledger) Sum(service string, number uint64, now time.Time) Evidence {
 	e := NewEvidence()
-	for _, services := range l.lives {
-		if n, ok := services[service]; ok && n.told.Number == number {
-			e.add(&n.told, now.Sub(n.at) <= waitingFor)
+	for _, services := range l.incarnations {
+		if n, ok := services[service]; ok && n.report.Number == number {
+			e.add(&n.report, now.Sub(n.at) <= waitingTTL)
 		}
 	}
 	return e
 }
 
-// NewEvidence returns an Evidence of nothing.
+// NewEvidence returns empty Evidence.
 func NewEvidence() Evidence {
-	return Evidence{Requests: map[string]int{}, Former: map[Cell]Servers{}, Target: map[Cell]Servers{}}
+	return Evidence{Requests: map[string]int{}, Former: map[Cell]CountsByServer{}, Target: map[Cell]CountsByServer{}}
 }
 
-func (e *Evidence) add(t *Told, waits bool) {
+func (e *Evidence) add(t *Report, countWaiting bool) {
 	e.Sent += t.Sent
 	for route, n := range t.Requests {
 		e.Requests[route] += n
@@ -113,10 +116,10 @@
 			cells = e.Target
 		}
 		if cells[r.Cell] == nil {
-			cells[r.Cell] = Servers{}
+			cells[r.Cell] = CountsByServer{}
 		}
 		c := r.Counts
-		if !waits {
+		if !countWaiting {
 			c.Waiting = nil
 		}
 		cells[r.Cell].add(r.Server, c)
--- a/internal/rollout/part_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -13,7 +13,7 @@
 var toV2 = Order{Service: "desk", To: "v2", Duration: 12 * time.Second}
 
 // apply executes a command as the log does.
-func apply(t interface{ Fatal(...any) }, p *Part, atMS int64, c Command) Reply {
+func apply(t interface{ Fatal(...any) }, p *StateMachine, atMS int64, c Command) Reply {
 	data, err := codec.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -29,6 +29,7 @@
 	return Command{Step: &Step{Service: "desk", Number: n, Phase: phase}}
 }
 
+// Guards against an order that is executed twice, or that replaces a roll-out under way.
 func TestOrders(t *testing.T) {
 	v3 := Order{Service: "desk", To: "v3", Duration: time.Second}
 	longer := Order{Service: "desk", To: "v2", Duration: time.Minute}
@@ -52,10 +53,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := NewPart()
+			p := NewStateMachine()
 			for _, c := range tt.before {
 				if r := apply(t, p, 0, c); r.Outcome != Accepted {
-					t.Fatalf("before: %+v", r)
+					t.Fatalf("preceding command: got %+v, want outcome Accepted", r)
 				}
 			}
 			if r := apply(t, p, tt.atMS, Command{Order: &tt.order}); r.Outcome != tt.want || r.Record.Phase != tt.phase {
@@ -65,8 +66,8 @@
 	}
 }
 
-// Guards against a step of a leader that was deposed: it would take a roll-out back, or
-// past what was decided since.
+// Guards against a step of a deposed leader, which would take a roll-out back or past what
+// was decided since.
 func TestStepsGoForwardOnly(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -86,7 +87,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := NewPart()
+			p := NewStateMachine()
 			apply(t, p, 0, Command{Order: &toV2})
 			for _, phase := range tt.before {
 				apply(t, p, 0, stepTo(1, phase))
@@ -98,18 +99,18 @@
 	}
 }
 
-// Guards against an order or an outcome that is lost with a restart, and against members
-// that differ: whatever the log holds, a restored part goes on as the others do, a
-// version never goes back, and an outcome that was reached stays.
+// Guards against orders and outcomes that are lost with a restart, and against members that
+// diverge. Whatever the log holds, a restored state machine applies further entries like
+// the others, a roll-out never goes back to an earlier phase, and an outcome stays.
 func TestAnyLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, now := NewPart(), int64(0)
+		p, now := NewStateMachine(), int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
 			now += rapid.Int64Range(0, 20_000).Draw(t, "later")
 			c := drawCommand(t)
 			before, known := p.Record("desk")
 			version := p.Version()
-			restored := NewPart()
+			restored := NewStateMachine()
 			data, err := p.Snapshot()
 			if err != nil {
 				t.Fatal(err)
@@ -119,17 +120,17 @@
 			}
 			r := apply(t, p, now, c)
 			if again := apply(t, restored, now, c); !reflect.DeepEqual(again, r) {
-				t.Fatalf("%+v, restored %+v", r, again)
+				t.Fatalf("got reply %+v, and %+v after a restore, want them equal", r, again)
 			}
 			after, _ := p.Record("desk")
 			changed := !reflect.DeepEqual(before, after)
 			switch {
 			case (p.Version() > version) != changed || p.Version() < version:
-				t.Fatalf("version %d after %d, changed: %v", p.Version(), version, changed)
+				t.Fatalf("got version %d after %d with changed %v, want it to grow exactly with a change", p.Version(), version, changed)
 			case known && before.Number == after.Number && before.Phase.Over() && changed:
-				t.Fatalf("%+v became %+v", before, after)
+				t.Fatalf("record %+v with an outcome became %+v", before, after)
 			case known && before.Number == after.Number && after.Phase < before.Phase:
-				t.Fatalf("from %v back to %v", before.Phase, after.Phase)
+				t.Fatalf("the phase went from %v back to %v", before.Phase, after.Phase)
 			}
 		}
 	})
@@ -151,10 +152,10 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, cmd []byte) {
-		p := NewPart()
+		p := NewStateMachine()
 		var r Reply
 		if err := codec.Unmarshal(p.Apply(1, cmd), &r); err != nil || r.Outcome == 0 {
-			t.Errorf("%+v, %v", r, err)
+			t.Errorf("got reply %+v and error %v, want a reply with an outcome", r, err)
 		}
 	})
 }
@@ -170,7 +171,7 @@
 	for name, o := range tests {
 		t.Run(name, func(t *testing.T) {
 			if o.Validate() == nil {
-				t.Error("taken")
+				t.Error("got no error from an invalid order")
 			}
 		})
 	}
--- /dev/null
+++ b/internal/upstream/health.go
@@ -0,0 +1,192 @@
+package upstream
+
+import (
+	"time"
+
+	"github.com/amaranthshelf/amaranthshelf/internal/recovery"
+)
+
+// Avoid makes a server avoided for a while, longer with each fault in a row.
+func (f *Fleet) Avoid(s *Server) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.backOff(s)
+}
+
+// backOff needs f.mu.
+func (f *Fleet) backOff(s *Server) {
+	d := min(minAvoid<<min(s.faultsInRow, 8), maxAvoid)
+	s.faultsInRow++
+	f.avoidFor(s, d)
+}
+
+// avoidFor needs f.mu.
+func (f *Fleet) avoidFor(s *Server, d time.Duration) {
+	if until := f.now().Add(d); until.After(s.avoidUntil) {
+		s.avoidUntil = until
+	}
+}
+
+// Unreachable records that the server accepted no connection.
+func (f *Fleet) Unreachable(s *Server) {
+	f.mu.Lock()
+	f.backOff(s)
+	f.noteDeath(s)
+	f.mu.Unlock()
+	f.pool.Forget(s.ID)
+}
+
+// MarkDead judges a server dead. Everything that runs there for this VM is moved at once,
+// since one silent stream is evidence for the others on the same server.
+func (f *Fleet) MarkDead(s *Server) {
+	f.mu.Lock()
+	f.avoidFor(s, deadAvoid)
+	f.deadSince[s.ID] = f.now()
+	s.diedAt = f.now()
+	f.noteDeath(s)
+	close(s.died)
+	s.died = make(chan struct{})
+	silent := f.now().Sub(s.lastHeard)
+	f.mu.Unlock()
+	f.log.Warn().Str("server", s.ID).Str("zone", s.Zone).Dur("silent", silent).Msg("server judged dead")
+	f.pool.Forget(s.ID)
+}
+
+// noteDeath records a death and needs f.mu. If the whole failure domain counts as lost,
+// every server in it that was not heard within livenessWindow is avoided, and those that
+// run requests for this VM are probed. Servers of another version are not affected: the
+// servers of one version all end when a roll-out is completed, and the others must stay in
+// use.
+func (f *Fleet) noteDeath(s *Server) {
+	now := f.now()
+	if !f.outage.Note(s.Service+"/"+s.Zone+"/"+s.Version, s.ID, f.countNeighbours(s), now) {
+		return
+	}
+	avoided := 0
+	for _, o := range f.listed {
+		if !o.isNeighbour(s) || now.Sub(o.lastHeard) < livenessWindow {
+			continue
+		}
+		avoided++
+		o.suspectedUntil = now.Add(recovery.OutageAvoidDuration)
+		f.signalSuspicion(o)
+	}
+	f.log.Warn().Str("service", s.Service).Str("zone", s.Zone).Int("avoided", avoided).Msg("zone suspected lost; avoiding its silent servers")
+}
+
+// isNeighbour reports whether a server shares another's service, zone and version.
+func (s *Server) isNeighbour(o *Server) bool {
+	return s.Service == o.Service && s.Zone == o.Zone && s.Version == o.Version
+}
+
+// countNeighbours counts the neighbours of a server, itself included. It needs f.mu.
+func (f *Fleet) countNeighbours(s *Server) int {
+	n := 0
+	for _, o := range f.listed {
+		if o.isNeighbour(s) {
+			n++
+		}
+	}
+	return n
+}
+
+// signalSuspicion needs f.mu.
+func (f *Fleet) signalSuspicion(s *Server) {
+	close(s.suspicion)
+	s.suspicion = make(chan struct{})
+}
+
+// RecentlyDead returns the ids of the servers that this VM judged dead within
+// deathReportWindow, for its reports to other VMs.
+func (f *Fleet) RecentlyDead() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var out []string
+	for id, at := range f.deadSince {
+		if f.now().Sub(at) > deathReportWindow {
+			delete(f.deadSince, id)
+			continue
+		}
+		out = append(out, id)
+	}
+	return out
+}
+
+// PeerReportedDead takes the ids of servers that other VMs judged dead. It moves no run by
+// itself, since the other VM's link may be at fault.
+func (f *Fleet) PeerReportedDead(ids []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, id := range ids {
+		s := f.servers[id]
+		if s == nil || f.now().Sub(s.lastHeard) < livenessWindow {
+			continue
+		}
+		s.diedAt = f.now()
+		if s.avoided(f.now()) {
+			continue
+		}
+		s.suspectedUntil = f.now().Add(recovery.OutageAvoidDuration)
+		f.signalSuspicion(s)
+		f.noteDeath(s)
+	}
+}
+
+// MarkFull records that the server refused a request because it is full.
+func (f *Fleet) MarkFull(s *Server) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.avoidFor(s, fullAvoid)
+}
+
+// MarkStale records that another incarnation holds the server's address. Nothing is sent
+// there until the list names the new one, since each send would be refused and count as an
+// attempt.
+func (f *Fleet) MarkStale(s *Server) {
+	f.mu.Lock()
+	s.stale = true
+	f.mu.Unlock()
+	f.log.Info().Str("server", s.ID).Str("address", s.Address).Msg("another incarnation answers at the address of a listed server; sending nothing to the listed one")
+	f.pool.Forget(s.ID)
+}
+
+// Failed records a response that is the server's own failure.
+func (f *Fleet) Failed(s *Server) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	s.failuresInRow++
+	if s.failuresInRow >= failuresToAvoid {
+		f.backOff(s)
+	}
+}
+
+// Succeeded records a good response and its latency; zero: not measured.
+func (f *Fleet) Succeeded(s *Server, took time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	s.failuresInRow, s.faultsInRow = 0, 0
+	s.lastHeard, s.suspectedUntil = f.now(), time.Time{}
+	if took <= 0 {
+		return
+	}
+	ms := float64(took) / float64(time.Millisecond)
+	s.latencyMS = movingAverage(s.latencyMS, ms)
+	// A call that found all slots taken waited for as many calls as were queued before it.
+	occupancy := float64(max(1, s.use.Requests+s.reportedRequests)) / float64(max(1, s.Slots))
+	s.serviceTimeMS = movingAverage(s.serviceTimeMS, ms/max(1, occupancy))
+}
+
+func movingAverage(old, next float64) float64 {
+	if old == 0 {
+		return next
+	}
+	return old + latencyWeight*(next-old)
+}
+
+// SetReportedLoad takes the load that a server reports: the requests of all VMs that run
+// and wait there.
+func (f *Fleet) SetReportedLoad(s *Server, requests int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	s.reportedRequests, s.reportedAt = max(0, requests-s.use.Requests), f.now()
+}
