--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// benchRouter is a router on loopback before one server on loopback.
+// benchRouter starts a router and one server, both on loopback.
 func benchRouter(b *testing.B, s *routedengine.Server) (url string, fleet *upstream.Fleet) {
 	net := routedengine.NewNet()
 	s.ID = "i1"
@@ -57,7 +57,7 @@
 	return ch
 }
 
-// BenchmarkCall is a call of 800 bytes through the router, with its caller and its
+// BenchmarkCall measures a call of 800 bytes through the router, with its caller and its
 // server in the same process.
 func BenchmarkCall(b *testing.B) {
 	s := voteServer("a")
@@ -74,7 +74,7 @@
 	}
 }
 
-// BenchmarkEvent is one event of a stream through the router, at full speed.
+// BenchmarkEvent measures an event of a stream through the router, at full speed.
 func BenchmarkEvent(b *testing.B) {
 	s := engine("a")
 	s.ReadTime, s.EventTime, s.Events = 0, 0, b.N
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -12,18 +12,18 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/routes"
 )
 
-// defaultMaxBody bounds a request's body where the route list states no limit.
-const defaultMaxBody = 4 << 20
+// defaultMaxBodyBytes bounds a request's body if the route list states no limit.
+const defaultMaxBodyBytes = 4 << 20
 
 func bodyLimit(table *routes.Table) int64 {
 	if n := table.List.Limits.MaxBodyBytes; n > 0 {
 		return n
 	}
-	return defaultMaxBody
+	return defaultMaxBodyBytes
 }
 
-// readBody reads a whole body: a second send needs it, and a half-sent request
-// must not reach an engine. nil: the request has none.
+// readBody reads a complete body. A retry needs all of it, and an engine must not
+// receive a partial request. nil: the request has none.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, expires time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		if r.Method == http.MethodGet || r.Method == http.MethodHead {
@@ -32,12 +32,12 @@
 		return []byte{}, nil
 	}
 	rc := http.NewResponseController(w)
-	// A connection that supports no deadline is a test's; nothing is lost there.
+	// Only connections of tests do not support deadlines, and they do not need them.
 	_ = rc.SetReadDeadline(expires)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
-		// Left in place after an error: the server would else wait for the rest of
-		// the body before it sends the refusal.
+		// After an error the deadline stays. Without it the HTTP server would wait for
+		// the rest of the body before it sends the refusal.
 		_ = rc.SetReadDeadline(time.Time{})
 	}
 	var tooLarge *http.MaxBytesError
@@ -52,7 +52,7 @@
 	return nil, result.Newf(result.MalformedBody, "the body could not be read: %v", err)
 }
 
-// hopByHop headers concern one connection only.
+// hopByHop lists the headers that concern a single connection.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect", "Proxy-Authenticate", "Proxy-Authorization",
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -6,192 +6,204 @@
 	"time"
 )
 
-// The load pattern of the retry budget: a zone's engines die, or a service is
-// full, and every request there is sent once more, by every VM at once. Without a
-// common bound the second sends fill what is left, which refuses in turn, and the
-// overload outlives its cause.
+// The load pattern that the retry budget answers: a zone's engines die, or a service
+// is full, and every VM sends every request there once more at the same time. Without
+// a common bound the retries fill the remaining capacity, which then refuses requests
+// in turn, and the overload outlasts its cause.
 //
-// The allowance is one over all VMs. Split evenly it would fail the VM that has
-// the most to mend: the streams of a lost zone, and the callers of dead routers,
-// do not come evenly. So VMs tell one another of each second send as they make it,
-// and each spends from what is left. What the others may have spent since they told
-// is taken to be what this VM spent itself meanwhile: they see the same loss.
+// One budget holds for all VMs together. Split evenly, it would fail the VM that needs
+// the most retries, since neither the streams of a lost zone nor the callers of dead
+// routers are spread evenly. VMs therefore report each retry to one another as they
+// make it, and each takes from what is left. A VM assumes that the others have made as
+// many retries since their last report as it has made itself, because they see the
+// same loss.
 //
-// That guess must cover the time that news takes, and no more. Taken over a second or
-// two it counts twice what the others have told since: among dozens of VMs one that
-// sent three streams again takes it that the others sent hundreds, and breaks its next
-// one off while much of the allowance is left.
+// This estimate must cover the delay of the reports and no more. Over a second or two
+// it counts retries twice that the others have reported since. Among dozens of VMs, one
+// that resumed three streams would then assume that the others resumed hundreds, and
+// would break off its next stream although much of the budget is left.
 //
-// What is left last goes where it saves most. A stream in mid-answer with a copy goes
-// on within its pause, and a caller never sees the loss. One whose prompt must be read
-// anew is late whoever sends it again; its caller's own retry, which draws on nothing,
-// does as well. Served in the order of losses, a budget that lasts for two zones of
-// three breaks off as many of the first as of the second.
+// The last part of the budget is reserved for the retries that save most. A stream in
+// mid-answer that has a copy resumes within its pause objective, and its caller does
+// not notice the loss. A stream whose prompt must be prefilled again is late in any
+// case, and the retry of its caller, which draws on no budget, serves as well. If
+// retries were granted in the order of losses, a budget that suffices for two of three
+// zones would break off as many streams of the first kind as of the second.
 //
-// Where only the guess forbids a send, the VM asks: a zone's engines die within one
-// millisecond, and where VMs lose two streams each some lose seven. Some tens of
-// milliseconds later what the others sent is known, and nothing is left to guess.
+// Where only the estimate forbids a retry, the VM asks for new reports. The engines of
+// a zone die within one millisecond, and while most VMs lose two streams each, some
+// lose seven. Some tens of milliseconds later the retries of the others are known, and
+// nothing has to be estimated.
 
-// Allowance is the bound on second sends to a service over all VMs.
+// RetryAllowance bounds the retries to a service over all VMs.
 type Allowance struct {
-	Ratio  float64 // of the requests within Window
-	Slack  float64 // sends within Window
+	Ratio  float64 // retries per request within Window
+	Slack  float64 // retries within Window in addition to those of Ratio
 	Window time.Duration
 }
 
-// DefaultAllowance is for deployments that state none: a fifth, as retry budgets
-// commonly have it.
+// DefaultRetryAllowance applies to deployments that configure none. A fifth of the
+// requests is common for retry budgets.
 var DefaultAllowance = Allowance{Ratio: 0.2, Slack: 30, Window: 10 * time.Second}
 
-// Spent is what a VM saw and sent again within the window.
+// RetryUsage counts what a VM received and sent again within the window.
 type Spent struct {
 	Requests int `cbor:"1,keyasint,omitempty"`
 	Repeats  int `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	// budgetSlots of the window are counted one by one. The count takes in the whole
-	// slot that the window begins in: with fifty it is two in a hundred too long.
+	// budgetSlots is the number of slots that the window is counted in. The count
+	// includes all of the slot in which the window begins; with fifty slots it covers
+	// 2 % too much.
 	budgetSlots = 50
-	// budgetShare of the allowance is used: VMs count in windows of their own, a control
-	// VM that starts anew knows what was told since, and many spend at once.
-	budgetShare = 0.85
-	// lateShare of that is all that sends of the second kind get. Of the streams that
-	// are lost with a zone, a fifth to a quarter are of that kind.
-	lateShare = 0.5
-	// toldFor is how long the others' word counts. Beyond it they are taken to have
-	// seen and spent as much as this VM.
-	toldFor = 2 * time.Second
-	// newsAge is how old the others' word may be when it comes: a message to a
-	// control VM and the answer to the next one, each some milliseconds, and the one
-	// that was under way before.
-	newsAge = 30 * time.Millisecond
+	// usableShare of the allowance is used. The rest covers that VMs count in windows of
+	// their own, that a restarted control VM knows only the reports since its start, and
+	// that many VMs retry at the same moment.
+	usableShare = 0.85
+	// lateRetryShare of the usable part is open to retries that are Late. Of the streams
+	// that are lost with a zone, a fifth to a quarter are.
+	lateRetryShare = 0.5
+	// peerReportMaxAge is how long a report of the other VMs counts. After it each of
+	// them is assumed to have seen and retried as much as this VM.
+	peerReportMaxAge = 2 * time.Second
+	// peerReportDelay is how old a report may be on arrival. It covers a message to a
+	// control VM, the answer to the next message and the message that was in flight
+	// before them, some milliseconds each.
+	peerReportDelay = 30 * time.Millisecond
 )
 
-// Budget counts requests and second sends to one service. Safe for concurrent
-// use.
+// Budget counts the requests and the retries to one service. It is safe for
+// concurrent use.
 type Budget struct {
-	a     Allowance
-	now   func() time.Time
-	start time.Time // slots count from here, on the monotonic clock
-
-	mu     sync.Mutex
-	vms    int
-	others Spent
-	told   time.Time
-	sends  []time.Time // second sends of the last toldFor, oldest first
-	slot   int64
-	slots  [budgetSlots + 1]Spent
+	allowance Allowance
+	now       func() time.Time
+	start     time.Time // slots are counted from here, on the monotonic clock
+
+	mu            sync.Mutex
+	vms           int
+	peers         Spent
+	reportedAt    time.Time
+	recentRetries []time.Time // within peerReportMaxAge and peerReportDelay, oldest first
+	currentSlot   int64
+	slots         [budgetSlots + 1]Spent
 }
 
-// NewBudget returns a Budget for one of one VMs.
+// NewBudget returns a Budget that this VM shares with no other until SetVMs.
 func NewBudget(a Allowance, now func() time.Time) *Budget {
-	return &Budget{a: a, now: now, start: now(), vms: 1}
+	return &Budget{allowance: a, now: now, start: now(), vms: 1}
 }
 
-// SetVMs says how many VMs share the allowance.
+// SetVMs sets how many VMs share the allowance, this one included.
 func (b *Budget) SetVMs(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.vms = max(1, n)
 }
 
-// SetOthers takes what the other VMs together saw and sent.
+// SetPeerUsage sets the reported usage of all other VMs together.
 func (b *Budget) SetOthers(s Spent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others, b.told = s, b.now()
+	b.peers, b.reportedAt = s, b.now()
 }
 
-// Request notes a caller's request.
+// CountRequest counts a request of a caller.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slots[b.turn()].Requests++
+	b.slots[b.advance()].Requests++
 }
 
-// Own is what this VM saw and sent within the window.
+// OwnUsage returns the usage of this VM within the window.
 func (b *Budget) Own() Spent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn()
-	return b.sum()
+	b.advance()
+	return b.windowTotal()
 }
 
-// Grant is what Spend says.
+// Grant is the result of Spend.
 type Grant uint8
 
-// Grants.
+// Results of Spend.
 const (
-	Denied    Grant = iota // the allowance is spent
-	Granted                // one second send is taken from it
-	Uncertain              // news of the others may show that something is left
+	Denied    Grant = iota // the allowance is used up
+	Granted                // one retry is taken from the allowance
+	Uncertain              // newer reports of the other VMs may show that some is left
 )
 
-// Urgency is what a second send saves.
+// Urgency is what a retry can save.
 type Urgency uint8
 
-// Urgencies.
+// Urgencies of a retry.
 const (
-	InTime  Urgency = iota // the caller can still be served as if nothing had happened
-	TooLate                // it will be late, or was not served so far
+	InTime  Urgency = iota // the caller can still be served within its objective
+	TooLate                // nothing was sent to the caller yet, or it will be late in any case
 )
 
-// Spend takes one second send, if there is one left for its kind.
+// Spend takes one retry from the budget if the part that is open to its urgency is
+// not used up.
 func (b *Budget) Spend(u Urgency) Grant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	i := b.turn()
-	limit, known, guess := b.limit(), b.known(), b.guess()
+	i := b.advance()
+	limit, known, guess := b.limit(), b.knownRetries(), b.estimatedPeerRetries()
 	if u == TooLate {
-		limit *= lateShare
+		limit *= lateRetryShare
 	}
 	switch {
 	case float64(known+guess+1) <= limit:
 		b.slots[i].Repeats++
-		b.sends = append(b.sends, b.now())
+		b.recentRetries = append(b.recentRetries, b.now())
 		return Granted
-	case b.knowsOthers() && float64(known+1) <= limit:
+	case b.hasPeerReport() && float64(known+1) <= limit:
 		return Uncertain
 	}
 	return Denied
 }
 
-// limit needs b.mu.
+// limit returns the usable number of retries within the window. The caller must hold
+// b.mu.
 func (b *Budget) limit() float64 {
-	requests := b.sum().Requests
-	if b.knowsOthers() {
-		requests += b.others.Requests
+	requests := b.windowTotal().Requests
+	if b.hasPeerReport() {
+		requests += b.peers.Requests
 	} else {
 		requests *= b.vms
 	}
-	return budgetShare * (b.a.Ratio*float64(requests) + b.a.Slack)
+	return usableShare * (b.allowance.Ratio*float64(requests) + b.allowance.Slack)
 }
 
-// known is what this VM spent and the others told. It needs b.mu.
-func (b *Budget) known() int {
-	own := b.sum().Repeats
-	if b.knowsOthers() {
-		own += b.others.Repeats
+// knownRetries returns the retries of this VM and those that the others reported. The
+// caller must hold b.mu.
+func (b *Budget) knownRetries() int {
+	own := b.windowTotal().Repeats
+	if b.hasPeerReport() {
+		own += b.peers.Repeats
 	}
 	return own
 }
 
-// guess is what the others may have spent beside what they told. It needs b.mu.
-func (b *Budget) guess() int {
-	if b.knowsOthers() {
-		return (b.vms - 1) * b.recent()
+// estimatedPeerRetries returns the retries that the others may have made beside those
+// that they reported. The caller must hold b.mu.
+func (b *Budget) estimatedPeerRetries() int {
+	if b.hasPeerReport() {
+		return (b.vms - 1) * b.retriesSinceReport()
 	}
-	return (b.vms - 1) * b.sum().Repeats
+	return (b.vms - 1) * b.windowTotal().Repeats
 }
 
-func (b *Budget) knowsOthers() bool { return !b.told.IsZero() && b.now().Sub(b.told) < toldFor }
+func (b *Budget) hasPeerReport() bool {
+	return !b.reportedAt.IsZero() && b.now().Sub(b.reportedAt) < peerReportMaxAge
+}
 
-// recent is what this VM spent since what the others told.
-func (b *Budget) recent() int {
-	b.sends = slices.DeleteFunc(b.sends, func(at time.Time) bool { return b.now().Sub(at) > toldFor+newsAge })
-	n, from := 0, b.told.Add(-newsAge)
-	for _, at := range b.sends {
+// retriesSinceReport returns the retries of this VM that the others' latest report may
+// not cover yet.
+func (b *Budget) retriesSinceReport() int {
+	b.recentRetries = slices.DeleteFunc(b.recentRetries, func(at time.Time) bool { return b.now().Sub(at) > peerReportMaxAge+peerReportDelay })
+	n, from := 0, b.reportedAt.Add(-peerReportDelay)
+	for _, at := range b.recentRetries {
 		if !at.Before(from) {
 			n++
 		}
@@ -199,7 +211,7 @@
 	return n
 }
 
-func (b *Budget) sum() Spent {
+func (b *Budget) windowTotal() Spent {
 	var s Spent
 	for _, slot := range b.slots {
 		s.Requests += slot.Requests
@@ -208,13 +220,14 @@
 	return s
 }
 
-// turn clears the slots that have left the window and returns the present one.
-func (b *Budget) turn() int {
+// advance clears the slots that have left the window and returns the index of the
+// current slot.
+func (b *Budget) advance() int {
 	n := int64(len(b.slots))
-	slot := int64(b.now().Sub(b.start) / (b.a.Window / budgetSlots))
-	for s := max(b.slot+1, slot-n+1); s <= slot; s++ {
+	slot := int64(b.now().Sub(b.start) / (b.allowance.Window / budgetSlots))
+	for s := max(b.currentSlot+1, slot-n+1); s <= slot; s++ {
 		b.slots[s%n] = Spent{}
 	}
-	b.slot = max(b.slot, slot)
-	return int(b.slot % n)
+	b.currentSlot = max(b.currentSlot, slot)
+	return int(b.currentSlot % n)
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -13,28 +13,29 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Figures of calls.
+// Constants of calls.
 const (
-	// hedgeShare of the objective: after it an unanswered call that may be repeated
+	// hedgeShare is the part of the objective after which an unanswered idempotent call
 	// goes to another server, which can still answer within the objective.
 	hedgeShare = 0.7
-	// minHedge keeps chance delays of a busy VM from being taken for silence.
-	minHedge = 60 * time.Millisecond
-	// refusalShare of the objective is the longest that a call which no server
-	// takes is kept: a caller who is told at once can still be served in time.
-	refusalShare = 0.125
-	// minRetryAfter and maxRetryAfter bound what a refused caller is told: the
-	// queue of a server moves in some tens of ms, a lost server is back in seconds.
+	// minHedgeDelay keeps short delays of a busy VM from being taken for silence.
+	minHedgeDelay = 60 * time.Millisecond
+	// maxHoldShare is the part of the objective for which a request that no server
+	// accepts is held. A caller that is refused early can still be served in time
+	// elsewhere.
+	maxHoldShare = 0.125
+	// minRetryAfter and maxRetryAfter bound the wait that a refused caller is told. A
+	// server's queue moves within some tens of ms; a lost server is replaced in seconds.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// maxSends bounds the sends of one request whatever servers say.
+	// maxSends bounds the sends of one request, however they end.
 	maxSends = 8
 )
 
-// call carries a request that has one answer.
-func (h *Handler) call(w http.ResponseWriter, q *request) {
+// serveCall carries a request that has a single answer.
+func (h *Handler) serveCall(w http.ResponseWriter, q *request) {
 	skip := map[string]bool{}
-	var failure *reply // a server's own failure, should nothing better come
+	var failure *reply // a server's own failure, delivered if no other server succeeds
 	for sends := 0; ; sends++ {
 		h.recheckVersion(q, sends > 0)
 		s, load, code := h.chooseServer(q, skip, sends)
@@ -42,117 +43,118 @@
 			h.endCall(w, q, failure, code)
 			return
 		}
-		r := h.callAt(q, s, load)
-		q.rec.Note(r.sent)
+		r := h.sendCall(q, s, load)
+		q.history.Note(r.outcome)
 		h.logSend(q, s, &r)
 		skip[s.ID] = true
 		if q.ctx.Err() != nil {
 			h.endCall(w, q, failure, result.RouteTimeout)
 			return
 		}
-		if r.sent == answered {
-			if r.resp.StatusCode < http.StatusInternalServerError || !q.rec.MaySend() {
+		if r.outcome == sendAnswered {
+			if r.resp.StatusCode < http.StatusInternalServerError || !q.history.MaySend() {
 				observe(h.Stats.CallTime, q.arrived)
 				h.deliver(w, &r)
 				return
 			}
 			failure = &r
 		}
-		if !q.rec.MaySend() || h.o.Blame.Kills(q.digest) {
+		if !q.history.MaySend() || h.opts.Blame.Kills(q.digest) {
 			h.endCall(w, q, failure, result.OutcomeUnknown)
 			return
 		}
 	}
 }
 
-// logSend tells what came of one send.
+// logSend logs the result of one send.
 func (h *Handler) logSend(q *request, s *upstream.Server, r *reply) {
-	log, status := h.o.Log, 0
+	log, status := h.opts.Log, 0
 	if r.resp != nil {
 		status = r.resp.StatusCode
 	}
-	if r.sent == answered && status < http.StatusInternalServerError && q.rec.arrivals == 1 {
-		log = h.o.Ordinary
+	if r.outcome == sendAnswered && status < http.StatusInternalServerError && q.history.arrivals == 1 {
+		log = h.opts.Ordinary
 	}
-	log.Info().Str("request", q.RequestID).Str("route", q.route.Name).Str("server", s.ID).Str("sent", r.sent.String()).
-		Str("fault", r.fault.String()).Int("status", status).Int("arrivals", q.rec.arrivals).
+	log.Info().Str("request", q.RequestID).Str("route", q.route.Name).Str("server", s.ID).Str("sent", r.outcome.String()).
+		Str("fault", r.fault.String()).Int("status", status).Int("arrivals", q.history.arrivals).
 		Dur("held", time.Since(q.arrived)).Msg("call sent")
 }
 
-// chooseServer returns the server for the next send and the part of its slots that is
-// then taken, or the reason why there is none.
+// chooseServer returns the server for the next send and its load with this call, as a
+// part of its slots. If there is no server, it returns the reason.
 func (h *Handler) chooseServer(q *request, skip map[string]bool, sends int) (*upstream.Server, float64, result.Code) {
 	if sends >= maxSends {
 		return nil, 0, result.BackendsFull
 	}
 	for {
-		servers, candidates := h.o.Fleet.CallCandidates(q.service.Name, q.choice.Versions, skip)
-		i, load := placement.Server(candidates, h.o.Zone, rand.IntN)
+		servers, candidates := h.opts.Fleet.CallCandidates(q.service.Name, q.versionChoice.Versions, skip)
+		i, load := placement.Server(candidates, h.opts.Zone, rand.IntN)
 		switch {
-		case i < 0 && h.leaveTrial(q):
+		case i < 0 && h.leaveTrialVersion(q):
 			continue
 		case i < 0 && len(skip) > 0:
 			return nil, 0, result.BackendsFull
 		case i < 0:
 			return nil, 0, result.NoBackendServer
 		}
-		w := admission.CallWait{Load: load, Work: h.o.Fleet.Work(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
+		w := admission.CallWait{Load: load, Work: h.opts.Fleet.Work(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
 		switch w.Decide() {
 		case admission.HoldCall:
-			if timer.Sleep(q.ctx, callHold) != nil {
+			if timer.Sleep(q.ctx, callHoldInterval) != nil {
 				return nil, 0, result.RouteTimeout
 			}
 			h.recheckVersion(q, false)
 			continue
 		case admission.RefuseCall:
-			q.refuse(w.RetryAfter(rand.Float64()))
+			q.setRetryAfter(w.RetryAfter(rand.Float64()))
 			return nil, 0, result.DeadlineTooSoon
 		case admission.SendCall:
 		}
-		if q.rec.IsRepeat() && !h.mayRepeat(q, InTime) {
+		if q.history.IsRepeat() && !h.mayRetry(q, InTime) {
 			return nil, 0, result.RetriesSpent
 		}
 		return servers[i], load, 0
 	}
 }
 
-// callHold is the pause between two looks for a server that can answer in time.
-const callHold = 8 * time.Millisecond
+// callHoldInterval separates two searches for a server that can answer in time.
+const callHoldInterval = 8 * time.Millisecond
 
-// callAt sends a call to one server and notes what that says about it.
-func (h *Handler) callAt(q *request, s *upstream.Server, load float64) reply {
+// sendCall sends a call to one server and records what the result says about the
+// server.
+func (h *Handler) sendCall(q *request, s *upstream.Server, load float64) reply {
 	use := placement.Use{Requests: 1}
-	h.o.Fleet.Take(s, use)
+	h.opts.Fleet.Take(s, use)
 	began := time.Now()
-	watched := h.watchAnswer(q, s)
-	r := h.exchange(q, s, Send{}, h.patience(q, load))
+	watched := h.trackAnswer(q, s)
+	r := h.exchange(q, s, Send{}, h.hedgeDelay(q, load))
 	h.noteAnswer(watched, q, s, &r)
-	h.o.Fleet.Give(s, use)
-	h.learn(q, s, &r, time.Since(began))
+	h.opts.Fleet.Give(s, use)
+	h.noteSendResult(q, s, &r, time.Since(began))
 	return r
 }
 
-// patience is how long a call waits at one server where another may be asked. Where it
-// waits for a slot already at the least loaded one, it stays: given up there, it would
-// wait again elsewhere behind others, and the slot that it gets be worked for nobody.
-func (h *Handler) patience(q *request, load float64) time.Duration {
-	another := q.rec.repeatable && q.rec.runs+1 < q.rec.maxAttempts
+// hedgeDelay returns how long a call waits at one server before another is tried; 0: it
+// does not move. A call that queues at the least loaded server stays there. If it moved,
+// it would queue again elsewhere, and the first server would still run it for nothing.
+func (h *Handler) hedgeDelay(q *request, load float64) time.Duration {
+	another := q.history.repeatable && q.history.possibleRuns+1 < q.history.maxAttempts
 	if !another || load > 1 || q.route.Objective <= 0 {
 		return 0
 	}
-	return max(minHedge, time.Duration(hedgeShare*float64(q.route.Objective)))
+	return max(minHedgeDelay, time.Duration(hedgeShare*float64(q.route.Objective)))
 }
 
-// learn notes what a send says about its server.
-func (h *Handler) learn(q *request, s *upstream.Server, r *reply, took time.Duration) {
-	f := h.o.Fleet
+// noteSendResult records what the result of a send says about its server.
+func (h *Handler) noteSendResult(q *request, s *upstream.Server, r *reply, took time.Duration) {
+	f := h.opts.Fleet
 	switch {
 	case q.ctx.Err() != nil, r.fault == faultDial:
-	case r.sent == refused && r.answer.Moved:
+	case r.outcome == sendRefused && r.answer.Moved:
 		f.Stale(s)
-	case r.sent == refused:
+	case r.outcome == sendRefused:
 		f.Full(s)
-	case r.fault == faultBreak:
+	case r.fault == faultBroken:
 		f.Failed(s)
 		h.confirmDeath(q, s, 0)
 	case r.fault == faultSlow:
@@ -162,14 +164,14 @@
 		f.Failed(s)
 	default:
 		f.Succeeded(s, took)
-		h.o.Blame.Succeeded(q.digest)
+		h.opts.Blame.Succeeded(q.digest)
 	}
 	if r.answer.Load >= 0 && r.resp != nil {
 		f.Reported(s, r.answer.Load)
 	}
 }
 
-// endCall is the final answer where no server brought a good one.
+// endCall gives the final answer to a call that no server has served.
 func (h *Handler) endCall(w http.ResponseWriter, q *request, failure *reply, code result.Code) {
 	switch {
 	case failure != nil:
@@ -181,24 +183,25 @@
 	}
 }
 
-// refuse notes when the caller may come back, as it was decided with a refusal.
-func (q *request) refuse(retryAfter time.Duration) {
-	q.refused, q.retryAfter = true, retryAfter
+// setRetryAfter sets when the refused caller may retry; 0: a retry is of no use.
+func (q *request) setRetryAfter(retryAfter time.Duration) {
+	q.retryAfterSet, q.retryAfter = true, retryAfter
 }
 
-// comeBack is when a caller may come again: as it was decided, or soon for a request
-// that must be quick, and never so late that it could not be served any more.
-func (q *request) comeBack() time.Duration {
-	if q.refused {
+// retryDelay returns when a refused caller may retry. Unless the refusal set a time, it
+// is half of the route's objective, and at most a quarter of the caller's remaining
+// time: a later retry could not be served any more.
+func (q *request) retryDelay() time.Duration {
+	if q.retryAfterSet {
 		return q.retryAfter
 	}
 	d := min(q.route.Objective/2, q.left()/4)
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// deliver passes a server's answer on unchanged.
+// deliver forwards a server's answer unchanged.
 func (h *Handler) deliver(w http.ResponseWriter, r *reply) {
-	h.copyHead(w, r.resp)
+	h.copyHeaders(w, r.resp)
 	if r.resp.StatusCode != http.StatusNoContent && r.resp.StatusCode != http.StatusNotModified {
 		w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
 	}
@@ -208,16 +211,16 @@
 	}
 }
 
-// copyHead sets the server's end-to-end headers.
-func (h *Handler) copyHead(w http.ResponseWriter, resp *http.Response) {
+// copyHeaders copies the server's end-to-end headers.
+func (h *Handler) copyHeaders(w http.ResponseWriter, resp *http.Response) {
 	header := w.Header()
 	for name, values := range endToEnd(resp.Header) {
 		header[name] = values
 	}
 	if _, ok := header["Content-Type"]; !ok {
-		header["Content-Type"] = nil // none is guessed from the body
+		header["Content-Type"] = nil // keeps net/http from guessing it from the body
 	}
-	if h.o.Closing() {
+	if h.opts.Closing() {
 		header.Set("Connection", "close")
 	}
 }
--- a/internal/forward/call_test.go
+++ b/internal/forward/call_test.go
@@ -14,9 +14,9 @@
 
 type answerFunc = func(*routedengine.Server, http.ResponseWriter, *http.Request) bool
 
-// breakOff runs the request and breaks the connection after some bytes of the
-// answer.
-func breakOff(text string) answerFunc {
+// breakAfter returns an answer function that runs the request, writes some bytes and
+// closes the connection.
+func breakAfter(text string) answerFunc {
 	return func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		s.Note(r, 0, false)
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -30,43 +30,43 @@
 }
 
 const (
-	signedHead = "HTTP/1.1 200 OK\r\nX-Backend-Signature: x\r\nX-Request-Id: r1\r\nContent-Length: 10\r\n\r\n"
-	otherHead  = "HTTP/1.1 200 OK\r\nX-Backend-Signature: x\r\nX-Request-Id: other\r\nContent-Length: 5\r\n\r\nstray"
+	signedHead  = "HTTP/1.1 200 OK\r\nX-Backend-Signature: x\r\nX-Request-Id: r1\r\nContent-Length: 10\r\n\r\n"
+	strayAnswer = "HTTP/1.1 200 OK\r\nX-Backend-Signature: x\r\nX-Request-Id: other\r\nContent-Length: 5\r\n\r\nstray"
 )
 
-// A vote runs once, whatever becomes of its answer, and the caller is never told
-// that it has not run. In order: the server runs the vote and its answer breaks
-// at some byte, or is garbage; another server stands by and must not see it.
+// Guards against a vote that runs twice, or is reported as "not run" although it ran. The
+// server runs the vote and its answer breaks off at some byte, or is invalid. A second
+// server is available and must not receive the vote.
 func TestVoteRunsOnce(t *testing.T) {
 	for _, broken := range []string{"", "HTT", "HTTP/1.1 200 OK\r\n", signedHead, signedHead + "half", "no answer at all\r\n\r\n"} {
 		t.Run(fmt.Sprintf("%d bytes", len(broken)), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, voteServer("a"), voteServer("b"))
-				defer w.end()
+				w := newFixture(t, voteServer("a"), voteServer("b"))
+				defer w.close()
 				for _, s := range w.servers {
-					s.Answer = breakOff(broken)
+					s.Answer = breakAfter(broken)
 				}
 				a := w.send("POST", "/vote/1", "r1", "yes")
 				<-a.done
 				if n := w.totalRuns("r1"); n != 1 {
-					t.Errorf("the vote ran %d times", n)
+					t.Errorf("the vote ran %d times, want once", n)
 				}
 				if a.status != http.StatusBadGateway {
-					t.Errorf("status %d: only 502 makes no promise", a.status)
+					t.Errorf("got status %d, want 502, which makes no promise", a.status)
 				}
 			})
 		})
 	}
 }
 
-// The caller gets the other server's answer. In order: the first server says that
-// it has not run the vote, or cannot be reached.
+// Guards against a failed vote that could run elsewhere. The first server states that it
+// has not run the vote, or cannot be reached; the second one answers.
 func TestVoteRefusedGoesElsewhere(t *testing.T) {
 	for _, dead := range []bool{false, true} {
 		t.Run(fmt.Sprint(dead), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, voteServer("a"), voteServer("b"))
-				defer w.end()
+				w := newFixture(t, voteServer("a"), voteServer("b"))
+				defer w.close()
 				w.servers[0].Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 					s.Refuse(w, r)
 					return true
@@ -77,19 +77,19 @@
 				a := w.send("POST", "/vote/1", "r1", "yes")
 				<-a.done
 				if a.status != http.StatusOK || a.text.String() != "answer of i1 to r1" {
-					t.Errorf("status %d, %q", a.status, a.text.String())
+					t.Errorf("got status %d, body %q, want 200 and the answer of i1", a.status, a.text.String())
 				}
 			})
 		})
 	}
 }
 
-// The caller is refused at once, with a time to come back, and the promise is
-// true: no server has run the vote.
+// Guards against a refusal that comes late, lacks a Retry-After, or wrongly promises "not
+// run". Both servers refuse the vote.
 func TestVoteThatNobodyTakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, voteServer("a"), voteServer("b"))
-		defer w.end()
+		w := newFixture(t, voteServer("a"), voteServer("b"))
+		defer w.close()
 		for _, s := range w.servers {
 			s.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 				s.Refuse(w, r)
@@ -100,19 +100,19 @@
 		a := w.send("POST", "/vote/1", "r1", "yes")
 		<-a.done
 		if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" {
-			t.Errorf("status %d, Retry-After %q", a.status, a.header.Get("Retry-After"))
+			t.Errorf("got status %d, Retry-After %q, want 503 with a Retry-After", a.status, a.header.Get("Retry-After"))
 		}
 		if w.totalRuns("r1") != 0 || time.Since(began) > 40*time.Millisecond {
-			t.Errorf("%d runs, refused after %v", w.totalRuns("r1"), time.Since(began))
+			t.Errorf("%d runs, refused after %v, want no run and a refusal within 40 ms", w.totalRuns("r1"), time.Since(began))
 		}
 	})
 }
 
-// A lookup may run again: each failure of the first server is made good by the
-// second, within the objective.
+// Guards against an idempotent call that fails with its first server. Whatever the failure,
+// the second server must answer within the objective.
 func TestLookupIsRepeated(t *testing.T) {
 	failures := map[string]answerFunc{
-		"broken": breakOff(signedHead + "half"),
+		"broken": breakAfter(signedHead + "half"),
 		"silent": func(s *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
 			s.Note(r, 0, false)
 			<-r.Context().Done()
@@ -136,29 +136,29 @@
 	for name, failure := range failures {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, voteServer("a"), voteServer("b"))
-				defer w.end()
+				w := newFixture(t, voteServer("a"), voteServer("b"))
+				defer w.close()
 				w.servers[0].Answer = failure
 				began := time.Now()
 				a := w.send("GET", "/tally/1", "r1", "")
 				<-a.done
 				if a.status != http.StatusOK || a.text.String() != "answer of i1 to r1" {
-					t.Errorf("status %d, %q", a.status, a.text.String())
+					t.Errorf("got status %d, body %q, want 200 and the answer of i1", a.status, a.text.String())
 				}
 				if took := time.Since(began); took > 300*time.Millisecond {
-					t.Errorf("answered after %v, the objective is 300 ms", took)
+					t.Errorf("answered after %v, want at most the objective of 300 ms", took)
 				}
 			})
 		})
 	}
 }
 
-// Two servers die at once while the same lookup is under way on both. Those who
-// ask for it next are served by the third: their lookup ends no server.
+// Guards against the quarantine of a request that kills no server. Two servers die at once
+// while the same popular call runs on both; the third must serve its next callers.
 func TestPopularLookupIsNotHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, voteServer("a"), voteServer("b"), voteServer("c"))
-		defer w.end()
+		w := newFixture(t, voteServer("a"), voteServer("b"), voteServer("c"))
+		defer w.close()
 		var answers []*answer
 		for i := range 6 {
 			answers = append(answers, w.send("GET", "/tally/popular", fmt.Sprint("p", i), ""))
@@ -173,31 +173,32 @@
 		a := w.send("GET", "/tally/popular", "later", "")
 		<-a.done
 		if a.status != http.StatusOK {
-			t.Errorf("status %d", a.status)
+			t.Errorf("got status %d, want 200", a.status)
 		}
 	})
 }
 
-// The caller gets its own answer. In order: a server sends an answer to an earlier
-// request late, on the connection where the next answer is expected.
+// Guards against an answer that goes to the wrong caller. A server sends the answer to an
+// earlier request late, on the connection where the next answer is expected.
 func TestAnswerToAnotherRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, voteServer("a"))
-		defer w.end()
-		w.servers[0].Answer = breakOff(otherHead + signedHead + "0123456789")
+		w := newFixture(t, voteServer("a"))
+		defer w.close()
+		w.servers[0].Answer = breakAfter(strayAnswer + signedHead + "0123456789")
 		a := w.send("POST", "/vote/1", "r1", "yes")
 		<-a.done
 		if a.status != http.StatusOK || a.text.String() != "0123456789" {
-			t.Errorf("status %d, %q", a.status, a.text.String())
+			t.Errorf("got status %d, body %q, want 200 and the ten digits", a.status, a.text.String())
 		}
 	})
 }
 
-// Bytes behind an answer belong to no request: the connection carries no other.
+// Guards against extra bytes after an answer that are taken for the next answer. The
+// connection must not be used again.
 func TestBytesBehindAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, voteServer("a"))
-		defer w.end()
+		w := newFixture(t, voteServer("a"))
+		defer w.close()
 		w.servers[0].Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
 			s.Note(r, 0, false)
 			conn, _, _ := http.NewResponseController(rw).Hijack()
@@ -210,7 +211,7 @@
 			a := w.send("GET", "/tally/1", fmt.Sprint("q", i), "")
 			<-a.done
 			if a.text.String() != "0123456789" {
-				t.Fatalf("request %d got %q", i, a.text.String())
+				t.Fatalf("request %d got body %q, want the ten digits", i, a.text.String())
 			}
 		}
 	})
@@ -228,36 +229,37 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, voteServer("a"))
-				defer w.end()
+				w := newFixture(t, voteServer("a"))
+				defer w.close()
 				a := w.send(tt.method, tt.path, "r1", "", "Authorization", "Bearer "+tt.key)
 				<-a.done
 				if a.status != tt.status || w.totalRuns("r1") != 0 {
-					t.Errorf("status %d, %d runs", a.status, w.totalRuns("r1"))
+					t.Errorf("got status %d, want that of the table; %d runs, want none", a.status, w.totalRuns("r1"))
 				}
 			})
 		})
 	}
 }
 
-// The caller hears at its route's time, and not later, that there is no answer; a
-// vote that was sent is not said to have not run.
+// Guards against a timeout that is answered late, or that promises "not run" for a vote
+// that was sent.
 func TestRouteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, voteServer("a"))
-		defer w.end()
+		w := newFixture(t, voteServer("a"))
+		defer w.close()
 		w.servers[0].WorkTime = time.Minute
 		began := time.Now()
 		a := w.send("POST", "/vote/1", "r1", "yes")
 		<-a.done
 		if took := time.Since(began); a.status != http.StatusGatewayTimeout || took > 3100*time.Millisecond {
-			t.Errorf("status %d after %v", a.status, took)
+			t.Errorf("got status %d after %v, want 504 within 3.1 s", a.status, took)
 		}
 	})
 }
 
-// A request that ends every server that runs it is held back, longer each time,
-// though it comes under new ids; others are served.
+// Guards against a request that kills one server after the other. Its callers send it
+// under new ids; its content must be quarantined, longer after each death. Other requests
+// must be served.
 func TestRequestThatEndsItsServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var servers []*routedengine.Server
@@ -274,8 +276,8 @@
 			}
 			servers = append(servers, s)
 		}
-		w := newWorld(t, servers...)
-		defer w.end()
+		w := newFixture(t, servers...)
+		defer w.close()
 		for i := range 4 {
 			<-w.send("GET", "/tally/poison", fmt.Sprint("p", i), "").done
 			time.Sleep(6 * time.Second)
@@ -285,23 +287,23 @@
 			dead += len(s.Runs())
 		}
 		if dead != 3 {
-			t.Errorf("the request ended %d servers over half a minute of four callers", dead)
+			t.Errorf("the request killed %d servers in half a minute with four callers, want 3", dead)
 		}
 		a := w.send("GET", "/tally/fine", "r1", "")
 		<-a.done
 		if a.status != http.StatusOK {
-			t.Errorf("an innocent request got %d", a.status)
+			t.Errorf("another request got status %d, want 200", a.status)
 		}
 	})
 }
 
-// A router does not take more bodies than it has memory for. In order: a server is
-// slow, callers with large bodies go on coming; beyond the bound they are refused at
-// once, and those that were taken are served.
+// Guards against a router that runs out of memory. A server is slow, and callers keep
+// coming with large bodies. Beyond the bound they are refused at once; those that were
+// admitted are served.
 func TestBodiesHeldAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, voteServer("a"))
-		defer w.end()
+		w := newFixture(t, voteServer("a"))
+		defer w.close()
 		w.servers[0].WorkTime = time.Second
 		body := strings.Repeat("x", 4<<20)
 		var answers []*answer
@@ -314,7 +316,7 @@
 			count[a.status]++
 		}
 		if count[http.StatusOK] != 8 || count[http.StatusServiceUnavailable] != 4 {
-			t.Errorf("answers %v", count)
+			t.Errorf("got answers by status %v, want 8 of 200 and 4 of 503", count)
 		}
 	})
 }
--- a/internal/forward/decisions_test.go
+++ b/internal/forward/decisions_test.go
@@ -17,20 +17,20 @@
 		name       string
 		repeatable bool
 		attempts   int
-		sends      []sent
+		sends      []sendOutcome
 		maySend    bool
 		repeat     bool
 		refusal    result.Code // of a refusal for lack of servers
 	}{
 		{"fresh", false, 1, nil, true, false, result.BackendsFull},
-		{"no connection", false, 1, []sent{notSent}, true, false, result.BackendsFull},
-		{"refused by its server", false, 1, []sent{refused, refused}, true, true, result.BackendsFull},
-		{"may have run", false, 1, []sent{unknown}, false, true, result.OutcomeUnknown},
-		{"may have run, attempts left", false, 5, []sent{unknown}, false, true, result.OutcomeUnknown},
-		{"refused, then may have run", false, 1, []sent{refused, unknown}, false, true, result.OutcomeUnknown},
-		{"repeatable", true, 2, []sent{unknown}, true, true, result.OutcomeUnknown},
-		{"repeatable, used up", true, 2, []sent{unknown, answered}, false, true, result.OutcomeUnknown},
-		{"refusals use up nothing", true, 2, []sent{refused, refused, refused, unknown}, true, true, result.OutcomeUnknown},
+		{"no connection", false, 1, []sendOutcome{sendNotSent}, true, false, result.BackendsFull},
+		{"refused by its server", false, 1, []sendOutcome{sendRefused, sendRefused}, true, true, result.BackendsFull},
+		{"may have run", false, 1, []sendOutcome{sendUnknown}, false, true, result.OutcomeUnknown},
+		{"may have run, attempts left", false, 5, []sendOutcome{sendUnknown}, false, true, result.OutcomeUnknown},
+		{"refused, then may have run", false, 1, []sendOutcome{sendRefused, sendUnknown}, false, true, result.OutcomeUnknown},
+		{"repeatable", true, 2, []sendOutcome{sendUnknown}, true, true, result.OutcomeUnknown},
+		{"repeatable, used up", true, 2, []sendOutcome{sendUnknown, sendAnswered}, false, true, result.OutcomeUnknown},
+		{"refusals use up nothing", true, 2, []sendOutcome{sendRefused, sendRefused, sendRefused, sendUnknown}, true, true, result.OutcomeUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -39,16 +39,16 @@
 				r.Note(s)
 			}
 			if r.MaySend() != tt.maySend || r.IsRepeat() != tt.repeat || r.Refusal(result.BackendsFull) != tt.refusal {
-				t.Errorf("may send %t, repeat %t, refusal %d", r.MaySend(), r.IsRepeat(), r.Refusal(result.BackendsFull))
+				t.Errorf("got may send %t, retry %t, final code %d; want the values of the table", r.MaySend(), r.IsRepeat(), r.Refusal(result.BackendsFull))
 			}
 		})
 	}
 }
 
-// lostZone plays the load of a lost zone: nine VMs see 100 requests each within a
-// window, then each wants the given second sends. They tell one another what they
-// spent each 400 ms, unless they cannot. It returns what each got.
-func lostZone(want []int, telling bool) []int {
+// simulateLostZone simulates the loss of a zone. Each VM receives 100 requests within a
+// window and then wants the given number of retries. If telling is set, the VMs exchange
+// their usage every 400 ms. It returns the retries that each VM was granted.
+func simulateLostZone(want []int, telling bool) []int {
 	a := Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 	budgets := make([]*Budget, len(want))
 	for i := range budgets {
@@ -88,9 +88,9 @@
 	return got
 }
 
-// All VMs together stay within the allowance, whatever each wants and whether or
-// not they hear one another; and a VM that has much to mend while others have
-// little gets more than an even part.
+// Guards against VMs that exceed the allowance together, with and without reports from
+// each other, and against an even split: a VM that lost many streams while the others
+// lost none must get more than its even part.
 func TestBudgetInAWave(t *testing.T) {
 	even := []int{500, 500, 500, 500, 500, 500, 500, 500, 500}
 	one := []int{500, 0, 0, 0, 0, 0, 0, 0, 0}
@@ -109,19 +109,19 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				got, total := lostZone(tt.want, tt.telling), 0
+				got, total := simulateLostZone(tt.want, tt.telling), 0
 				for _, n := range got {
 					total += n
 				}
 				if total > allowed || got[0] < tt.least {
-					t.Errorf("sent again: %v, %d in all", got, total)
+					t.Errorf("granted retries by VM %v, %d in all; want the least of the table for the first VM, and at most 870 in all", got, total)
 				}
 			})
 		})
 	}
 }
 
-// What was spent is free again once the window has passed, and no sooner.
+// Guards against a budget that refills before the window has passed, or not at all.
 func TestBudgetRefills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(Allowance{Slack: 20, Window: 10 * time.Second}, time.Now)
@@ -129,11 +129,11 @@
 		}
 		time.Sleep(9 * time.Second)
 		if b.Spend(InTime) == Granted {
-			t.Error("spent again within the window")
+			t.Error("got a retry granted within the window, want none")
 		}
 		time.Sleep(3 * time.Second)
 		if b.Spend(InTime) != Granted {
-			t.Error("nothing left after the window")
+			t.Error("got no retry granted after the window, want one")
 		}
 	})
 }
@@ -158,17 +158,17 @@
 				e, err := readEvent(br)
 				if err != nil {
 					if !errors.Is(err, tt.end) || i != len(tt.ids) {
-						t.Fatalf("event %d: %v", i, err)
+						t.Fatalf("event %d: got error %v, want that of the table after the last event", i, err)
 					}
 					break
 				}
 				if i >= len(tt.ids) || e.id != tt.ids[i] {
-					t.Fatalf("event %d has id %d", i, e.id)
+					t.Fatalf("event %d has id %d, want that of the table", i, e.id)
 				}
 				raw.Write(e.raw)
 			}
 			if !strings.HasPrefix(tt.text, raw.String()) {
-				t.Errorf("bytes changed: %q", raw.String())
+				t.Errorf("got bytes %q, want the bytes of the input", raw.String())
 			}
 		})
 	}
@@ -188,7 +188,7 @@
 			raw.Write(e.raw)
 		}
 		if !strings.HasPrefix(text, raw.String()) {
-			t.Errorf("%q is not how %q begins", raw.String(), text)
+			t.Errorf("got %q, want a prefix of the input %q", raw.String(), text)
 		}
 	})
 }
@@ -211,8 +211,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := sequence{last: tt.last, started: tt.started}
-			if pass, ok := s.follows(tt.e); pass != tt.pass || ok != tt.ok {
-				t.Errorf("pass %t, ok %t", pass, ok)
+			if pass, ok := s.accept(tt.e); pass != tt.pass || ok != tt.ok {
+				t.Errorf("got pass %t, ok %t, want the values of the table", pass, ok)
 			}
 		})
 	}
@@ -227,15 +227,15 @@
 		s     silence
 		want  action
 	}{
-		{"an event's time", true, silence{lasted: ms(100), heardAgo: ms(100), begun: true}, keepWaiting},
-		{"longer than beside a prompt", true, silence{lasted: ms(260), heardAgo: ms(260), begun: true}, askEngine},
-		{"its engine sends to others", true, silence{lasted: ms(260), heardAgo: ms(50), begun: true}, keepWaiting},
-		{"alive, a copy waits", true, silence{lasted: ms(480), heardAgo: ms(100), begun: true, copyWaits: true}, moveStream},
-		{"alive, no copy", true, silence{lasted: ms(480), heardAgo: ms(100), begun: true}, keepWaiting},
-		{"alive, moved before", true, silence{lasted: ms(480), heardAgo: ms(100), begun: true, copyWaits: true, moved: true}, keepWaiting},
-		{"its events are made and do not come", true, silence{lasted: ms(300), heardAgo: ms(10), begun: true, asked: true, ahead: 9}, moveStream},
-		{"the prompt is being read", false, silence{lasted: ms(1000), heardAgo: ms(1000), copyWaits: true}, keepWaiting},
-		{"a long wait for the first event", false, silence{lasted: ms(1600), heardAgo: ms(1600), copyWaits: true}, askEngine},
+		{"an event's time", true, silence{duration: ms(100), engineHeardAgo: ms(100), begun: true}, keepWaiting},
+		{"longer than beside a prompt", true, silence{duration: ms(260), engineHeardAgo: ms(260), begun: true}, probeEngine},
+		{"its engine sends to others", true, silence{duration: ms(260), engineHeardAgo: ms(50), begun: true}, keepWaiting},
+		{"alive, a copy waits", true, silence{duration: ms(480), engineHeardAgo: ms(100), begun: true, hasCopy: true}, moveStream},
+		{"alive, no copy", true, silence{duration: ms(480), engineHeardAgo: ms(100), begun: true}, keepWaiting},
+		{"alive, moved before", true, silence{duration: ms(480), engineHeardAgo: ms(100), begun: true, hasCopy: true, moved: true}, keepWaiting},
+		{"its events are made and do not come", true, silence{duration: ms(300), engineHeardAgo: ms(10), begun: true, reportIsCurrent: true, eventsAhead: 9}, moveStream},
+		{"the prompt is being read", false, silence{duration: ms(1000), engineHeardAgo: ms(1000), hasCopy: true}, keepWaiting},
+		{"a long wait for the first event", false, silence{duration: ms(1600), engineHeardAgo: ms(1600), hasCopy: true}, probeEngine},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -8,12 +8,12 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds an event of a stream.
 const maxEventBytes = 1 << 20
 
 var errEventTooLarge = errors.New("forward: event too large")
 
-// event is one whole event as it came, with its blank line.
+// event is a complete event as it was received, with its blank line.
 type event struct {
 	raw   []byte
 	id    uint64
@@ -22,9 +22,9 @@
 
 var idField = []byte("id:")
 
-// readEvent reads one whole event. io.EOF: the stream ended between two events.
-// An event that is cut off is io.ErrUnexpectedEOF and is never passed on: its
-// engine died in the middle of it, and the next engine makes it again.
+// readEvent reads a complete event. It returns io.EOF if the stream ended between two
+// events. A truncated event gives io.ErrUnexpectedEOF and is never forwarded: its engine
+// died while it wrote the event, and the next engine generates it again.
 func readEvent(br *bufio.Reader) (event, error) {
 	var e event
 	for {
@@ -51,15 +51,15 @@
 	}
 }
 
-// sequence checks that events follow one another, over several engines.
+// sequence checks that the event ids of a stream are consecutive, over all engines.
 type sequence struct {
 	last    uint64
 	started bool
 }
 
-// follows says what to do with an event: pass it on, drop it as one that the
-// caller has, or neither, since one is missing before it.
-func (s *sequence) follows(e event) (pass, ok bool) {
+// accept decides about an event. pass: it is forwarded; otherwise it is dropped, since
+// the caller has it. ok is false if an event before it is missing.
+func (s *sequence) accept(e event) (pass, ok bool) {
 	switch {
 	case !e.hasID, !s.started:
 		return true, true
@@ -69,7 +69,7 @@
 	return e.id == s.last+1, e.id == s.last+1
 }
 
-func (s *sequence) passed(e event) {
+func (s *sequence) advance(e event) {
 	if e.hasID {
 		s.last, s.started = e.id, true
 	}
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -10,20 +10,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// maxStrays bounds the answers to other requests that are read past.
-const maxStrays = 3
+// maxStrayAnswers bounds the answers to other requests that are skipped.
+const maxStrayAnswers = 3
 
-// maxAnswer bounds an answer that is held whole before it is passed on.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds an answer that is buffered before it is forwarded.
+const maxAnswerBytes = 16 << 20
 
-// fault is why a send brought no answer.
+// fault is the reason why a send brought no answer.
 type fault uint8
 
 const (
-	noFault    fault = iota
-	faultDial        // no connection
-	faultBreak       // the connection broke, or carried garbage
-	faultSlow        // given up waiting, there may be time for another server
+	noFault     fault = iota
+	faultDial         // no connection
+	faultBroken       // the connection broke, or carried no valid answer
+	faultSlow         // the wait was ended; there may be time for another server
 )
 
 // String implements fmt.Stringer.
@@ -31,79 +31,79 @@
 	return [...]string{"", "no connection", "broken", "slow"}[f]
 }
 
-// reply is what came of one send.
+// reply is the result of one send.
 type reply struct {
-	sent   sent
-	fault  fault
-	answer Answer
-	resp   *http.Response
-	body   []byte
+	outcome sendOutcome
+	fault   fault
+	answer  Answer
+	resp    *http.Response
+	body    []byte
 }
 
-// headers returns the request's headers for one send.
-func (h *Handler) headers(q *request, s *upstream.Server, more Send) http.Header {
-	header := q.out.Header.Clone()
-	more.Deadline, more.Instance = max(time.Millisecond, q.left()), s.ID
-	more.Workspace, more.Priority = q.workspace, q.priority
-	h.o.Wire.Engine(header, more)
+// headers returns the headers of the request for one send.
+func (h *Handler) headers(q *request, s *upstream.Server, send Send) http.Header {
+	header := q.outbound.Header.Clone()
+	send.Deadline, send.Instance = max(time.Millisecond, q.left()), s.ID
+	send.Workspace, send.Priority = q.workspace, q.priority
+	h.opts.Wire.Engine(header, send)
 	return header
 }
 
-// open connects and sends a request. A kept connection that turns out to be
+// open connects to a server and sends the request. An idle connection that proves to be
 // closed before a byte left is replaced by a new one.
 func (h *Handler) open(q *request, s *upstream.Server, header http.Header, fresh bool) (*upstream.Conn, reply) {
-	out := q.out
+	out := q.outbound
 	out.Header = header
 	for {
-		c, err := h.o.Pool.Get(q.ctx, s.ID, s.Address, fresh)
+		c, err := h.opts.Pool.Get(q.ctx, s.ID, s.Address, fresh)
 		if err != nil {
 			if q.ctx.Err() == nil {
-				h.o.Fleet.Unreachable(s)
+				h.opts.Fleet.Unreachable(s)
 			}
-			return nil, reply{sent: notSent, fault: faultDial}
+			return nil, reply{outcome: sendNotSent, fault: faultDial}
 		}
-		left, err := c.Send(&out)
+		mayHaveArrived, err := c.Send(&out)
 		switch {
 		case err == nil:
 			return c, reply{}
-		case left:
+		case mayHaveArrived:
 			c.Close()
-			return nil, reply{sent: unknown, fault: faultBreak}
+			return nil, reply{outcome: sendUnknown, fault: faultBroken}
 		case !c.Reused():
 			c.Close()
-			return nil, reply{sent: notSent, fault: faultDial}
+			return nil, reply{outcome: sendNotSent, fault: faultDial}
 		}
 		c.Close()
 		fresh = true
 	}
 }
 
-// readHead reads the head of the answer to this request. Answers that carry
-// another request's id are read past: a server may send one late, where the next
-// is expected.
+// readHead reads the head of the answer to this request. It skips answers that carry
+// another request's id: a server may send an answer late, where the next one is
+// expected.
 func (h *Handler) readHead(q *request, c *upstream.Conn) (*http.Response, Answer, error) {
-	for range maxStrays {
-		resp, err := c.ReadHead(q.out.Method)
+	for range maxStrayAnswers {
+		resp, err := c.ReadHead(q.outbound.Method)
 		if err != nil {
 			return nil, Answer{}, err
 		}
-		a := h.o.Wire.Answer(resp.StatusCode, resp.Header)
+		a := h.opts.Wire.Answer(resp.StatusCode, resp.Header)
 		if a.RequestID == "" || a.RequestID == q.RequestID || q.RequestID == "" {
 			return resp, a, nil
 		}
 		h.Stats.Strays.Inc()
-		h.o.Log.Warn().Str("request", q.RequestID).Str("answered", a.RequestID).Msg("answer to another request dropped")
-		if _, err := upstream.ReadBody(resp, maxAnswer); err != nil {
+		h.opts.Log.Warn().Str("request", q.RequestID).Str("answered", a.RequestID).Msg("answer carries the id of another request; dropped")
+		if _, err := upstream.ReadBody(resp, maxAnswerBytes); err != nil {
 			return nil, Answer{}, err
 		}
 	}
 	return nil, Answer{}, upstream.ErrBroken
 }
 
-// exchange sends a request and reads the whole answer. wait bounds it below the
-// request's own time; zero: not.
-func (h *Handler) exchange(q *request, s *upstream.Server, more Send, wait time.Duration) reply {
-	c, out := h.open(q, s, h.headers(q, s, more), false)
+// exchange sends a request and reads the complete answer. wait bounds the read; zero:
+// only the request's deadline does.
+func (h *Handler) exchange(q *request, s *upstream.Server, send Send, wait time.Duration) reply {
+	c, out := h.open(q, s, h.headers(q, s, send), false)
 	if c == nil {
 		return out
 	}
@@ -115,35 +115,35 @@
 	resp, a, err := h.readHead(q, c)
 	var body []byte
 	if err == nil {
-		body, err = upstream.ReadBody(resp, maxAnswer)
+		body, err = upstream.ReadBody(resp, maxAnswerBytes)
 	}
 	if err != nil {
 		c.Close()
-		return reply{sent: unknown, fault: faultOf(err)}
+		return reply{outcome: sendUnknown, fault: faultOf(err)}
 	}
 	if stop() {
-		h.o.Pool.Put(c, resp)
+		h.opts.Pool.Put(c, resp)
 	}
-	return h.judge(reply{answer: a, resp: resp, body: body})
+	return h.classifyReply(reply{answer: a, resp: resp, body: body})
 }
 
 func faultOf(err error) fault {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return faultSlow
 	}
-	return faultBreak
+	return faultBroken
 }
 
-// judge sorts a whole answer. One that does not bear the server's signature, or
-// is encoded on its way, is not the server's, whatever its status says.
-func (h *Handler) judge(r reply) reply {
+// classifyReply sets the outcome of a received answer. An answer that lacks the server's
+// signature, or was encoded on its way, is not the server's, whatever its status.
+func (h *Handler) classifyReply(r reply) reply {
 	switch {
 	case r.answer.NotRun:
-		r.sent = refused
+		r.outcome = sendRefused
 	case !r.answer.Signed || r.resp.Header.Get("Content-Encoding") != "":
-		r.sent, r.fault = unknown, faultBreak
+		r.outcome, r.fault = sendUnknown, faultBroken
 	default:
-		r.sent = answered
+		r.outcome = sendAnswered
 	}
 	return r
 }
--- a/internal/forward/explain_test.go
+++ b/internal/forward/explain_test.go
@@ -17,7 +17,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin/routedengine"
 )
 
-// logBuffer collects the lines of a test's router.
+// logBuffer collects the log lines of a router.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -29,7 +29,7 @@
 	return b.buf.Write(p)
 }
 
-func (b *logBuffer) story(t *testing.T, request string) explain.Story {
+func (b *logBuffer) explain(t *testing.T, request string) explain.Story {
 	t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,21 +40,21 @@
 	return s
 }
 
-// On-call engineers find from the log lines alone why a stream broke, why a vote's
-// outcome is unknown, and why a call was refused. Each failure is brought about
-// here, and the story must name its cause.
+// Guards against failures whose cause the logs do not show. Operators must find from the
+// log lines alone why a stream broke off, why the outcome of a vote is unknown and why a
+// call was refused. Each failure is provoked, and its explanation must name the cause.
 func TestCauseIsFoundInTheLogs(t *testing.T) {
 	tests := []struct {
 		name    string
 		servers func() []*routedengine.Server
-		failure func(w *world, request string)
+		failure func(w *fixture, request string)
 		want    []string // in the cause
 		around  string   // in a line about a server
 	}{
 		{
 			"a stream that broke",
 			func() []*routedengine.Server { return []*routedengine.Server{engine("a")} },
-			func(w *world, id string) {
+			func(w *fixture, id string) {
 				a := w.send("POST", "/s/1", id, "log")
 				time.Sleep(2 * time.Second)
 				w.servers[0].Set(routedengine.Dark)
@@ -66,9 +66,9 @@
 		{
 			"a vote whose outcome is unknown",
 			func() []*routedengine.Server { return []*routedengine.Server{voteServer("a"), voteServer("b")} },
-			func(w *world, id string) {
+			func(w *fixture, id string) {
 				for _, s := range w.servers {
-					s.Answer = breakOff(signedHead + "half")
+					s.Answer = breakAfter(signedHead + "half")
 				}
 				<-w.send("POST", "/vote/1", id, "yes").done
 			},
@@ -78,7 +78,7 @@
 		{
 			"a call refused under load",
 			func() []*routedengine.Server { return []*routedengine.Server{voteServer("a"), voteServer("b")} },
-			func(w *world, id string) {
+			func(w *fixture, id string) {
 				for _, s := range w.servers {
 					s.Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
 						s.Refuse(rw, r)
@@ -95,15 +95,15 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var log logBuffer
-				w := newWorldWithLog(t, zerolog.New(&log).With().Timestamp().Str("vm", "r1").Logger(), tt.servers()...)
-				defer w.end()
+				w := newFixtureWithLog(t, zerolog.New(&log).With().Timestamp().Str("vm", "r1").Logger(), tt.servers()...)
+				defer w.close()
 				id := fmt.Sprint("q", i)
 				tt.failure(w, id)
 				synctest.Wait()
-				s := log.story(t, id)
+				s := log.explain(t, id)
 				for _, want := range tt.want {
 					if !strings.Contains(s.Cause, want) {
-						t.Errorf("the cause %q does not say %q", s.Cause, want)
+						t.Errorf("got cause %q, want it to contain %q", s.Cause, want)
 					}
 				}
 				found := tt.around == ""
@@ -111,7 +111,7 @@
 					found = found || l.Message == tt.around
 				}
 				if !found {
-					t.Errorf("no line %q among %v", tt.around, s.Around)
+					t.Errorf("got no line %q among %v, want one", tt.around, s.Around)
 				}
 			})
 		})
--- a/internal/forward/world_test.go
+++ b/internal/forward/fixture_test.go
@@ -22,32 +22,35 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// world is one router before stand-in servers, in virtual time.
-type world struct {
-	t       *testing.T
-	net     *routedengine.Net
-	fleet   *upstream.Fleet
-	handler *forward.Handler
-	table   atomic.Pointer[routes.Table]
-	pool    *upstream.Pool
-	log     zerolog.Logger
-	servers []*routedengine.Server
-	left    map[uint64]forward.Copy // what another router has told
-	placer  forward.Placer          // nil: the router decides for itself
-	state   atomic.Pointer[rollout.State]
-	book    *rollout.Book
-	closing bool          // the router is shutting down
-	grace   time.Duration // left of its shutdown's; 0: none goes on
-}
-
-func (w *world) late(_ bool, takes time.Duration) bool { return w.grace > 0 && takes > w.grace }
-
-func (w *world) find(_ context.Context, identity uint64) (forward.Left, bool) {
-	c, ok := w.left[identity]
+// fixture is a router with simulated servers, in virtual time.
+type fixture struct {
+	t                *testing.T
+	net              *routedengine.Net
+	fleet            *upstream.Fleet
+	handler          *forward.Handler
+	table            atomic.Pointer[routes.Table]
+	pool             *upstream.Pool
+	log              zerolog.Logger
+	servers          []*routedengine.Server
+	orphans          map[uint64]forward.Copy // copies that another router has reported, by identity
+	placer           forward.Placer          // nil: the router chooses engines itself
+	state            atomic.Pointer[rollout.State]
+	book             *rollout.Book
+	closing          bool          // the router is shutting down
+	shutdownTimeLeft time.Duration // until the router stops; 0: it is not shutting down
+}
+
+func (w *fixture) cannotFinish(_ bool, takes time.Duration) bool {
+	return w.shutdownTimeLeft > 0 && takes > w.shutdownTimeLeft
+}
+
+func (w *fixture) findOrphan(_ context.Context, identity uint64) (forward.Left, bool) {
+	c, ok := w.orphans[identity]
 	return forward.Left{Copy: c}, ok
 }
 
-// testRoutes: a stream that may resume, a vote, and a lookup.
+// testRoutes returns routes of a resumable stream, a vote that may run once, and an
+// idempotent call.
 func testRoutes() *routes.Table {
 	return routes.NewTable(&routes.List{
 		Version: 1,
@@ -75,13 +78,13 @@
 	})
 }
 
-// newWorld starts a router; each server is given its place on the network.
-func newWorld(t *testing.T, servers ...*routedengine.Server) *world {
-	return newWorldWithLog(t, zerolog.Nop(), servers...)
+// newFixture starts a router and assigns each server an id and an address.
+func newFixture(t *testing.T, servers ...*routedengine.Server) *fixture {
+	return newFixtureWithLog(t, zerolog.Nop(), servers...)
 }
 
-func newWorldWithLog(t *testing.T, log zerolog.Logger, servers ...*routedengine.Server) *world {
-	w := &world{t: t, net: routedengine.NewNet()}
+func newFixtureWithLog(t *testing.T, log zerolog.Logger, servers ...*routedengine.Server) *fixture {
+	w := &fixture{t: t, net: routedengine.NewNet()}
 	for i, s := range servers {
 		s.ID, s.Address = fmt.Sprintf("i%d", i), fmt.Sprintf("10.0.0.%d:80", i)
 		w.servers = append(w.servers, w.net.Add(s))
@@ -94,31 +97,31 @@
 	w.book = rollout.NewBook(time.Now)
 	ready := make(chan struct{})
 	close(ready)
-	w.rebuild(ready)
+	w.newHandler(ready)
 	return w
 }
 
-// rebuild makes the router's handler; it holds its lists once ready is closed.
-func (w *world) rebuild(ready <-chan struct{}) {
+// newHandler replaces the router's handler by one that has its lists once ready is closed.
+func (w *fixture) newHandler(ready <-chan struct{}) {
 	w.handler = forward.NewHandler(forward.Options{
 		Zone: "a", Wire: forward.NewPlainWire(), Pool: w.pool, Fleet: w.fleet,
 		Routes: w.table.Load, Prepared: ready, Allowance: forward.Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
 		Log: w.log, Ordinary: w.log, Metrics: metrics.NewSet(), Blame: forward.NewBlameBook(), Closing: func() bool { return w.closing },
-		TooLate: w.late, Find: w.find, Placer: w.placer,
+		TooLate: w.cannotFinish, Find: w.findOrphan, Placer: w.placer,
 		Rollouts: &forward.Rollouts{State: w.state.Load, Book: w.book},
 	})
 }
 
-// place has someone decide where streams go.
-func (w *world) place(p forward.Placer) {
+// setPlacer replaces the router's handler by one that uses a Placer.
+func (w *fixture) setPlacer(p forward.Placer) {
 	w.placer = p
 	ready := make(chan struct{})
 	close(ready)
-	w.rebuild(ready)
+	w.newHandler(ready)
 }
 
-// end resets every connection, so that nothing of the bubble is left.
-func (w *world) end() {
+// close resets every connection, since no goroutine of a synctest bubble may remain.
+func (w *fixture) close() {
 	for _, s := range w.servers {
 		s.Set(routedengine.Dead)
 	}
@@ -147,7 +150,7 @@
 	status  int
 	text    strings.Builder
 	arrived []time.Time // of each write
-	broken  bool        // the connection was broken off
+	broken  bool        // the connection was aborted
 	done    chan struct{}
 	leave   context.CancelFunc
 }
@@ -172,7 +175,7 @@
 
 func (a *answer) Flush() {}
 
-// longestPause is the longest time between two events.
+// longestPause returns the longest time between two events.
 func (a *answer) longestPause() time.Duration {
 	var longest time.Duration
 	for i := 1; i < len(a.arrived); i++ {
@@ -182,7 +185,7 @@
 }
 
 // send starts a caller's request and returns at once.
-func (w *world) send(method, path, id, body string, more ...string) *answer {
+func (w *fixture) send(method, path, id, body string, more ...string) *answer {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Host = "shelf"
 	r.Header.Set(forward.HeaderRequestID, id)
@@ -208,9 +211,9 @@
 	return a
 }
 
-// wholeStream fails unless each of n events came once, in order, and the answer
-// ended properly.
-func (a *answer) wholeStream(t *testing.T, n int) {
+// requireCompleteStream fails the test unless each of n events came once, in order, and
+// the answer ended regularly.
+func (a *answer) requireCompleteStream(t *testing.T, n int) {
 	t.Helper()
 	<-a.done
 	var want strings.Builder
@@ -218,15 +221,15 @@
 		fmt.Fprintf(&want, "id: %d\ndata: piece %d\n\n", i, i)
 	}
 	if a.broken || a.status != http.StatusOK {
-		t.Fatalf("status %d, broken off: %t", a.status, a.broken)
+		t.Fatalf("got status %d, aborted: %t, want 200 and a regular end", a.status, a.broken)
 	}
 	if got := a.text.String(); got != want.String() {
-		t.Fatalf("the caller got %d bytes that are not the whole stream:\n%s", len(got), got)
+		t.Fatalf("got %d bytes that are not the complete stream:\n%s", len(got), got)
 	}
 }
 
 // totalRuns counts the runs of a request over all servers.
-func (w *world) totalRuns(id string) int {
+func (w *fixture) totalRuns(id string) int {
 	n := 0
 	for _, s := range w.servers {
 		for _, r := range s.Runs() {
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -20,82 +20,86 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// unpreparedHold is how long a router that has just started keeps a request until
-// it holds a route list and the list of backend servers. The load pattern: all
-// routers restart at once, and their callers come back with the one retry that
-// they have, some tenths of a second before the lists do. Refused, they are lost;
-// a caller that is kept this long is still served in time.
-const unpreparedHold = 600 * time.Millisecond
+// startupMaxWait is how long a router that has just started holds a request until it has
+// the route list and the list of backend servers. When all routers restart at once,
+// their callers come back with the only retry that they have, some tenths of a second
+// before the lists arrive. A refusal would lose these requests; after a wait of this
+// length they can still be served in time.
+const startupMaxWait = 600 * time.Millisecond
 
-// unpreparedShare of the caller's own time is the most that it is kept.
-const unpreparedShare = 0.2
+// startupMaxWaitShare bounds the same wait to a part of the caller's deadline.
+const startupMaxWaitShare = 0.2
 
-// unpreparedRetry is when a VM without a route list expects to have one: it asks
-// every few hundred milliseconds.
-const unpreparedRetry = 300 * time.Millisecond
+// noRouteListRetryAfter is when a VM without a route list expects to have one. It polls
+// for the list every few hundred milliseconds.
+const noRouteListRetryAfter = 300 * time.Millisecond
 
-// Bounds of what one router holds and writes.
+// Bounds of the requests in flight and of writes.
 const (
-	// maxHeld requests are some seconds of the most that a small VM can carry.
-	maxHeld = 4096
-	// defaultHeldBytes of bodies at once: a quarter of a VM of 128 MB.
-	defaultHeldBytes = 32 << 20
-	// chunkedBytes stands for a body that does not tell its length.
-	chunkedBytes = 64 << 10
-	// refusalWrite bounds the write of a refusal to a caller that does not read.
-	refusalWrite = 5 * time.Second
-	// lastWrite is for the last bytes of an answer, behind its time.
-	lastWrite = 100 * time.Millisecond
+	// maxHeldRequests are what arrives within some seconds at the highest rate that a
+	// small VM can carry.
+	maxHeldRequests = 4096
+	// maxHeldBytes bounds the bodies in memory to a quarter of a VM of 128 MB.
+	maxHeldBytes = 32 << 20
+	// unknownLengthBytes is counted for a body without a Content-Length.
+	unknownLengthBytes = 64 << 10
+	// refusalWriteTimeout bounds the write of a refusal to a caller that does not read.
+	refusalWriteTimeout = 5 * time.Second
+	// finalWriteTimeout is granted beyond the deadline for the last bytes of an answer.
+	finalWriteTimeout = 100 * time.Millisecond
 )
 
-// elsewhere is when a caller that is refused by a VM that shuts down may try
-// another.
-const elsewhere = 50 * time.Millisecond
+// otherRouterRetryAfter is when a caller that this VM cannot take may try another one.
+const otherRouterRetryAfter = 50 * time.Millisecond
 
-// Options are the parts that a Handler works with.
+// Options are the dependencies and settings of a Handler.
 type Options struct {
 	Zone   string
 	Wire   Wire
 	Pool   *upstream.Pool
 	Fleet  *upstream.Fleet
-	Routes func() *routes.Table // nil result: none held yet
-	// Prepared is closed once the lists that requests need are held.
+	Routes func() *routes.Table // returns nil until a route list is received
+	// ListsReady is closed once the route list and the list of backend servers are
+	// received.
 	Prepared  <-chan struct{}
 	Allowance Allowance
 	Log       zerolog.Logger
-	// Ordinary takes the lines about what went well; they may be left out under load.
+	// RoutineLog receives the lines about what succeeded. It may drop lines under load.
 	Ordinary zerolog.Logger
-	// Metrics is where the counters are registered.
+	// Metrics is the set in which the counters are registered.
 	Metrics *metrics.Set
 	Blame   *BlameBook
-	// Find looks for what a stream left that another router carried; nil: nowhere.
+	// FindOrphan looks up what is known of a stream that another router carried; nil:
+	// streams are not looked up.
 	Find func(ctx context.Context, identity uint64) (Left, bool)
-	// Placer decides for all VMs where streams go; nil: this VM decides.
+	// Placer grants engines to streams on behalf of all VMs; nil: this VM chooses.
 	Placer Placer
-	// Spending is told of each second send, after the budget counted it; nil: nobody.
+	// ReportRetries exchanges retry counts with the other VMs without waiting for the
+	// result. It is called after each retry, and while a budget is uncertain. nil: this
+	// VM reports nothing.
 	Spending func()
-	// Rollouts says which versions may run a request; nil: any.
+	// Rollouts decides which versions may run a request; nil: all may.
 	Rollouts *Rollouts
-	// TooLate reports that a request could not be finished any more, since this VM
-	// is shutting down. takes is how long it is expected to last; 0: not known.
+	// CannotFinish reports that a request cannot be finished before this VM shuts down.
+	// takes is its expected duration; 0: not known.
 	TooLate func(stream bool, takes time.Duration) bool
-	// Closing reports that callers should go elsewhere with their next request.
+	// Closing reports that callers should send their next request to another VM.
 	Closing func() bool
 }
 
-// Handler serves callers' requests. Safe for concurrent use.
+// Handler serves the requests of callers. It is safe for concurrent use.
 type Handler struct {
-	o      Options
-	prober *prober
-	kept   keptBook
-	paces  paceBook
-	held   *admission.InFlight
-	Stats  *Stats
-
-	mu      sync.Mutex
-	vms     int
-	budgets map[string]*Budget
-	short   []string // services that have no memory for copies
+	opts       Options
+	prober     *prober
+	activeRuns runRegistry
+	paces      paceTracker
+	inFlight   *admission.InFlight
+	Stats      *Stats
+
+	mu             sync.Mutex
+	vms            int
+	budgets        map[string]*Budget
+	copiesDisabled []string // services whose engines have no memory to spare for copies
 }
 
 // NewHandler returns a Handler.
@@ -104,23 +108,23 @@
 		o.Spending = func() {}
 	}
 	if o.Placer == nil {
-		o.Placer = alone{}
+		o.Placer = localPlacer{}
 	}
 	if o.Rollouts == nil {
 		o.Rollouts = NewRollouts()
 	}
-	h := &Handler{o: o, vms: 1, budgets: map[string]*Budget{}, Stats: NewStats(o.Metrics), held: admission.NewInFlight(maxHeld, defaultHeldBytes)}
+	h := &Handler{opts: o, vms: 1, budgets: map[string]*Budget{}, Stats: NewStats(o.Metrics), inFlight: admission.NewInFlight(maxHeldRequests, maxHeldBytes)}
 	h.prober = newProber(o.Pool, o.Fleet, o.Wire)
 	return h
 }
 
-// Kept are the streams under way here of which a copy is kept.
-func (h *Handler) Kept() []Kept { return h.kept.all() }
+// ResumableRuns returns the streams in flight that another router could resume.
+func (h *Handler) Kept() []Kept { return h.activeRuns.all() }
 
-// Paces are what was observed of each service's engines.
+// Paces returns the pace of each service's engines as this VM observed it.
 func (h *Handler) Paces() map[string]scheduler.Pace { return h.paces.all() }
 
-// SetVMs says how many VMs share the services' retry budgets.
+// SetVMs sets how many VMs share the retry budgets of the services.
 func (h *Handler) SetVMs(n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -130,23 +134,24 @@
 	}
 }
 
-// SetPaces takes what all VMs observed of each service's engines.
-func (h *Handler) SetPaces(paces map[string]scheduler.Pace) { h.paces.learn(paces) }
+// SetPaces sets the pace of each service's engines as observed by all VMs.
+func (h *Handler) SetPaces(paces map[string]scheduler.Pace) { h.paces.setAllVMs(paces) }
 
-// SetShort names the services whose memory is needed for prompts: no copies are made.
+// SetCopiesDisabled sets the services for which no copies are made, since all of the
+// engines' memory is needed for prompts.
 func (h *Handler) SetShort(services []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.short = services
+	h.copiesDisabled = services
 }
 
-func (h *Handler) isShort(service string) bool {
+func (h *Handler) isCopyingDisabled(service string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Contains(h.short, service)
+	return slices.Contains(h.copiesDisabled, service)
 }
 
-// Spent is what this VM saw and sent again of late, by service.
+// RetryUsage returns this VM's usage of the retry budgets, by service.
 func (h *Handler) Spent() map[string]Spent {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -157,7 +162,7 @@
 	return out
 }
 
-// SetSpent takes what the other VMs together saw and sent.
+// SetPeerRetryUsage sets the usage of all other VMs together, by service.
 func (h *Handler) SetSpent(others map[string]Spent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -171,44 +176,45 @@
 	defer h.mu.Unlock()
 	b := h.budgets[service]
 	if b == nil {
-		b = NewBudget(h.o.Allowance, time.Now)
+		b = NewBudget(h.opts.Allowance, time.Now)
 		b.SetVMs(h.vms)
 		h.budgets[service] = b
 	}
 	return b
 }
 
-// request is one caller's request on its way.
+// request is a caller's request in flight.
 type request struct {
 	Caller
-	ctx       context.Context // ends with the caller or the time that it has
-	route     *routes.Route
-	service   *routes.Service
-	workspace string
-	priority  int
-	arrived   time.Time
-	expires   time.Time
-	digest    uint64
-	out       upstream.Request
-	rec       *Record
-	budget    *Budget
-	choice    rollout.Choice
-	// refused: whoever decided about the request also said when its caller may come
-	// back. retryAfter 0: asking again is no use.
-	refused    bool
-	retryAfter time.Duration
-	leave      func() // gives the place of its body back; nil: it has none
+	ctx           context.Context // ends when the caller leaves or the deadline passes
+	route         *routes.Route
+	service       *routes.Service
+	workspace     string
+	priority      int
+	arrived       time.Time
+	expires       time.Time
+	digest        uint64
+	outbound      upstream.Request
+	history       *Record
+	budget        *Budget
+	versionChoice rollout.Choice
+	// retryAfterSet is set if the refusal of the request came with a retryAfter. There, 0
+	// means that a retry is of no use.
+	retryAfterSet bool
+	retryAfter    time.Duration
+	releaseBody   func() // releases the memory counted for the body; nil: none is counted
 }
 
-// heldBytes is what a request's body counts for, before it is read.
-func heldBytes(r *http.Request) int64 {
+// countedBytes returns the size that a request's body is counted with before it is
+// read.
+func countedBytes(r *http.Request) int64 {
 	if r.ContentLength < 0 {
-		return chunkedBytes
+		return unknownLengthBytes
 	}
 	return r.ContentLength
 }
 
-// id is the request's id, "" of one that was not read so far.
+// id returns the request's id; empty: its headers were not read.
 func (q *request) id() string {
 	if q == nil {
 		return ""
@@ -216,27 +222,27 @@
 	return q.RequestID
 }
 
-// left is what is left of the caller's and the route's time.
+// left returns the time until the request's deadline.
 func (q *request) left() time.Duration { return time.Until(q.expires) }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	rc := http.NewResponseController(w)
-	// A connection that supports no deadline is a test's; nothing is lost there.
-	_ = rc.SetWriteDeadline(arrived.Add(refusalWrite))
-	h.prepare(r)
+	// Only connections of tests do not support deadlines, and they do not need them.
+	_ = rc.SetWriteDeadline(arrived.Add(refusalWriteTimeout))
+	h.waitForLists(r)
 	q, err := h.admit(w, r, arrived)
-	if q != nil && q.leave != nil {
-		defer q.leave()
+	if q != nil && q.releaseBody != nil {
+		defer q.releaseBody()
 	}
 	if err != nil {
-		h.o.Ordinary.Info().Str("request", q.id()).Str("path", r.URL.Path).Int("code", int(result.CodeOf(err))).Msg("not admitted")
+		h.opts.Ordinary.Info().Str("request", q.id()).Str("path", r.URL.Path).Int("code", int(result.CodeOf(err))).Msg("not admitted")
 		h.refuse(w, err)
 		return
 	}
-	// A caller that does not read must not hold the answer beyond its time.
-	_ = rc.SetWriteDeadline(q.expires.Add(lastWrite))
+	// A caller that does not read must not hold up the answer beyond its deadline.
+	_ = rc.SetWriteDeadline(q.expires.Add(finalWriteTimeout))
 	ctx, cancel := context.WithDeadline(r.Context(), q.expires)
 	defer cancel()
 	q.ctx = ctx
@@ -244,47 +250,47 @@
 	q.budget.Request()
 	h.Stats.Requests.Inc()
 	if q.route.Kind == routes.Stream {
-		h.stream(w, q)
+		h.serveStream(w, q)
 		return
 	}
-	h.call(w, q)
+	h.serveCall(w, q)
 }
 
-// prepare waits, on a router that has just started, for its lists.
-func (h *Handler) prepare(r *http.Request) {
+// waitForLists waits for the lists on a router that has just started.
+func (h *Handler) waitForLists(r *http.Request) {
 	select {
-	case <-h.o.Prepared:
+	case <-h.opts.Prepared:
 		return
 	default:
 	}
-	hold := unpreparedHold
-	if c, err := h.o.Wire.Caller(r.Header); err == nil && c.Deadline > 0 {
-		hold = min(hold, time.Duration(unpreparedShare*float64(c.Deadline)))
+	hold := startupMaxWait
+	if c, err := h.opts.Wire.Caller(r.Header); err == nil && c.Deadline > 0 {
+		hold = min(hold, time.Duration(startupMaxWaitShare*float64(c.Deadline)))
 	}
 	t := time.NewTimer(hold)
 	defer t.Stop()
 	select {
-	case <-h.o.Prepared:
+	case <-h.opts.Prepared:
 	case <-t.C:
 	case <-r.Context().Done():
 	}
 }
 
-// admit checks a request and reads it whole. Everything it refuses has not run.
-// The request is nil where it was refused before its headers were read.
+// admit checks a request and reads its body. A request that it refuses has not run. The
+// returned request is nil if it was refused before its headers were read.
 func (h *Handler) admit(w http.ResponseWriter, r *http.Request, arrived time.Time) (*request, error) {
-	table := h.o.Routes()
+	table := h.opts.Routes()
 	if table == nil {
-		return nil, result.New(result.NoRouteList).WithRetryAfter(unpreparedRetry)
+		return nil, result.New(result.NoRouteList).WithRetryAfter(noRouteListRetryAfter)
 	}
 	route := table.Match(r.Host, rawPath(r))
 	if route == nil {
 		return nil, result.New(result.NoRoute)
 	}
-	if h.o.TooLate(route.Kind == routes.Stream, 0) {
-		return nil, result.New(result.ShuttingDown).WithRetryAfter(elsewhere)
+	if h.opts.TooLate(route.Kind == routes.Stream, 0) {
+		return nil, result.New(result.ShuttingDown).WithRetryAfter(otherRouterRetryAfter)
 	}
-	caller, err := h.o.Wire.Caller(r.Header)
+	caller, err := h.opts.Wire.Caller(r.Header)
 	if err != nil {
 		return nil, result.Newf(result.UnsupportedHeader, "%v", err)
 	}
@@ -296,39 +302,39 @@
 		return q, err
 	}
 	q.service = table.Service(route.Draw())
-	if route.Kind == routes.Stream && h.o.TooLate(true, h.expected(q)) {
-		return q, result.New(result.ShuttingDown).WithRetryAfter(elsewhere)
+	if route.Kind == routes.Stream && h.opts.TooLate(true, h.expectedDuration(q)) {
+		return q, result.New(result.ShuttingDown).WithRetryAfter(otherRouterRetryAfter)
 	}
-	q.rec = NewRecord(route.Repeatable(), route.MaxAttempts)
+	q.history = NewRecord(route.Repeatable(), route.MaxAttempts)
 	q.budget = h.budget(q.service.Name)
-	return q, h.read(w, r, q, bodyLimit(table))
+	return q, h.readRequest(w, r, q, bodyLimit(table))
 }
 
-// rawPath is the path as the caller sent it, without the query.
+// rawPath returns the path as the caller sent it, without the query.
 func rawPath(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return path
 }
 
-// read reads the body and looks whether its content may run.
-func (h *Handler) read(w http.ResponseWriter, r *http.Request, q *request, limit int64) error {
+// readRequest reads the body and checks that its content is not quarantined.
+func (h *Handler) readRequest(w http.ResponseWriter, r *http.Request, q *request, limit int64) error {
 	if r.ContentLength > limit {
 		w.Header().Set("Connection", "close") // the rest is not read
 		return result.New(result.BodyTooLarge)
 	}
-	leave, ok := h.held.Enter(heldBytes(r))
+	leave, ok := h.inFlight.Enter(countedBytes(r))
 	if !ok {
-		return result.New(result.QueueFull).WithRetryAfter(elsewhere)
+		return result.New(result.QueueFull).WithRetryAfter(otherRouterRetryAfter)
 	}
-	q.leave = leave
+	q.releaseBody = leave
 	body, err := readBody(w, r, limit, q.expires)
 	if err != nil {
 		w.Header().Set("Connection", "close")
 		return err
 	}
-	q.out = upstream.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: endToEnd(r.Header), Body: body}
+	q.outbound = upstream.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: endToEnd(r.Header), Body: body}
 	q.digest = digest(rawPath(r), q.workspace, body)
-	if until, held := h.o.Blame.Held(q.digest); held {
+	if until, held := h.opts.Blame.Held(q.digest); held {
 		return result.New(result.ContentHeldBack).WithRetryAfter(time.Until(until))
 	}
 	return nil
@@ -352,29 +358,29 @@
 	return nil
 }
 
-// refuse answers with an error of this system's own.
+// refuse answers with an error of this system itself.
 func (h *Handler) refuse(w http.ResponseWriter, err error) {
 	e := *result.From(err)
 	h.Stats.refused(e.Code)
 	if e.RetryAfter > 0 {
-		w.Header().Set("Retry-After", h.o.Wire.RetryAfter(e.RetryAfter))
+		w.Header().Set("Retry-After", h.opts.Wire.RetryAfter(e.RetryAfter))
 		e.RetryAfter = 0
 	}
-	if h.o.Closing() {
+	if h.opts.Closing() {
 		w.Header().Set("Connection", "close")
 	}
 	resulthttp.Write(w, "", &e)
 }
 
-// giveUp is the final answer to a request that was admitted.
+// giveUp gives the final answer to an admitted request that could not be served.
 func (h *Handler) giveUp(w http.ResponseWriter, q *request, code result.Code) {
-	code = q.rec.Refusal(code)
-	e := result.New(code).WithRan(q.rec.Ran())
-	if after := q.comeBack(); result.Lookup(code).Ran == result.RanNo && after > 0 {
+	code = q.history.Refusal(code)
+	e := result.New(code).WithRan(q.history.Ran())
+	if after := q.retryDelay(); result.Lookup(code).Ran == result.RanNo && after > 0 {
 		e = e.WithRetryAfter(after)
 	}
 	e.RequestID = q.RequestID
-	h.o.Log.Info().Str("request", q.RequestID).Str("route", q.route.Name).Int("code", int(code)).
-		Int("sends", q.rec.arrivals).Dur("held", time.Since(q.arrived)).Msg("gave up")
+	h.opts.Log.Info().Str("request", q.RequestID).Str("route", q.route.Name).Int("code", int(code)).
+		Int("sends", q.history.arrivals).Dur("held", time.Since(q.arrived)).Msg("gave up")
 	h.refuse(w, e)
 }
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -7,35 +7,34 @@
 	"time"
 )
 
-// Headers implements the part of a Wire that is headers, by their names in
-// canonical form.
+// Headers implements the methods of a Wire that read and write headers. Its fields are
+// the header names in canonical form.
 type Headers struct {
 	RequestID string
-	Deadline  string // ms that are left
-	Instance  string // the incarnation that is meant
+	Deadline  string // remaining ms
+	Instance  string // the incarnation that the request is sent to
 	Workspace string
 	Priority  string
-	Tokens    string // of the prompt, and of the output at most: "8000,1000"
+	Tokens    string // prompt tokens and maximum output tokens: "8000,1000"
 	LastEvent string
-	CopyTo    string // address of the engine that is to keep a copy
-	CopyFrom  string // address/id of the copy to go on from
+	CopyTo    string // address of the backup engine
+	CopyFrom  string // address/id of the copy to resume from
 	Key       string
-	KeyScheme string // before the key, with its space
+	KeyScheme string // prefix of the key, with its space
 	Signature string
 	NotRun    string
 	Load      string
-	// Reserved are further headers that only the system may set on the way to an
-	// engine.
+	// Reserved are further headers of requests to engines that only the system may set.
 	Reserved []string
-	// ReadLoad reads Load; -1: not said.
+	// ReadLoad parses the value of Load; -1: not stated.
 	ReadLoad func(value string) int
 }
 
-// lowestPriority is the largest number that an engine knows.
+// lowestPriority is the largest priority number that engines accept.
 const lowestPriority = 9
 
-// Caller implements Wire. What cannot be read is taken as not said: a count or a
-// deadline only helps to place the request.
+// ReadCaller implements Wire. A value that cannot be parsed is ignored, since counts and
+// deadlines only help to place the request.
 func (n *Headers) Caller(h http.Header) (Caller, error) {
 	c := Caller{RequestID: h.Get(n.RequestID)}
 	if key, ok := strings.CutPrefix(h.Get(n.Key), n.KeyScheme); ok {
@@ -48,12 +47,12 @@
 		c.After, c.HasAfter = after, true
 	}
 	in, out, _ := strings.Cut(h.Get(n.Tokens), ",")
-	c.Prompt, c.Output = count(in), count(out)
+	c.Prompt, c.Output = parseTokens(in), parseTokens(out)
 	return c, nil
 }
 
-// count reads a number of tokens; 0 where there is none that can be read.
-func count(s string) int {
+// parseTokens parses a number of tokens; 0: missing or invalid.
+func parseTokens(s string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil || n < 0 {
 		return 0
@@ -61,7 +60,7 @@
 	return n
 }
 
-// Engine implements Wire.
+// SetSendHeaders implements Wire.
 func (n *Headers) Engine(h http.Header, s Send) {
 	for _, name := range n.Reserved {
 		h.Del(name)
@@ -89,10 +88,10 @@
 	}
 }
 
-// PerAttempt implements Wire.
+// PerAttemptHeaders implements Wire.
 func (n *Headers) PerAttempt() []string { return []string{n.RequestID, n.Deadline, n.LastEvent} }
 
-// Answer implements Wire. A server that says that it is another incarnation has
+// ReadAnswer implements Wire. A server that states that it is another incarnation has
 // not run the request.
 func (n *Headers) Answer(status int, h http.Header) Answer {
 	moved := status == http.StatusMisdirectedRequest
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -14,191 +14,196 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Placer decides for all VMs which stream gets which engine.
+// Placer grants engines to streams on behalf of all VMs.
 type Placer interface {
-	// Place waits for an engine until ctx ends. It reports false where nobody decides:
-	// this VM places by what it knows. Where abandon, asked now and then, reports that
-	// waiting on is no use, the outcome is Waiting.
+	// Place waits for an engine until ctx ends. It returns false if no scheduler can be
+	// reached; this VM then chooses by its own view. abandon is called from time to time.
+	// Once it reports that further waiting is of no use, the outcome is Waiting.
 	Place(ctx context.Context, st scheduler.Stream, abandon func() bool) (scheduler.Answer, bool)
-	// Took says that a grant is part of this VM's use now, or was not needed.
+	// Took tells the scheduler that a grant is settled: it is counted in this VM's use
+	// now, or was not needed.
 	Took(number uint64)
-	// Refresh brings the list of backend servers up to date.
+	// Refresh updates the list of backend servers.
 	Refresh(ctx context.Context)
-	// UseChanged says that engines have become free, or were taken without a grant.
+	// UseChanged tells the scheduler that engines became free, or were used without a
+	// grant.
 	UseChanged()
 }
 
-// alone is the Placer of a VM that always decides for itself.
-type alone struct{}
+// localPlacer is the Placer of a VM without a scheduler. It grants nothing.
+type localPlacer struct{}
 
-func (alone) Place(context.Context, scheduler.Stream, func() bool) (scheduler.Answer, bool) {
+func (localPlacer) Place(context.Context, scheduler.Stream, func() bool) (scheduler.Answer, bool) {
 	return scheduler.Answer{}, false
 }
-func (alone) Took(uint64)             {}
-func (alone) UseChanged()             {}
-func (alone) Refresh(context.Context) {}
+func (localPlacer) Took(uint64)             {}
+func (localPlacer) UseChanged()             {}
+func (localPlacer) Refresh(context.Context) {}
 
-// chosen is where a stream's next run goes.
-type chosen struct {
+// engineChoice is the engine of a stream's next run, or the reason why there is none.
+type engineChoice struct {
 	server *upstream.Server
 	from   *Copy
-	// grant is what the engine was granted by; zero: this VM chose it.
+	// grant is valid if granted is set; otherwise this VM chose the engine.
 	grant   scheduler.Answer
 	granted bool
-	// refused is the reason where there is none, final: asking again is no use.
-	refused result.Code
-	final   bool
-	again   bool // another engine is to be asked for at once
+	// reason is set if there is no engine. final: another request is of no use.
+	reason   result.Code
+	final    bool
+	tryAgain bool // another engine must be requested at once
 }
 
-// place has an engine granted for the stream, or chooses one where nobody decides.
-func (st *stream) place() chosen {
+// requestEngine requests an engine for the stream. It chooses one if no scheduler can be
+// reached.
+func (st *streamRelay) requestEngine() engineChoice {
 	h, began := st.h, time.Now()
-	g, ok := h.o.Placer.Place(st.q.ctx, st.ask(), st.abandoned)
+	g, ok := h.opts.Placer.Place(st.q.ctx, st.placementRequest(), st.cannotFinish)
 	if !ok {
-		return chosen{server: st.placeAlone()}
+		return engineChoice{server: st.placeLocally()}
 	}
 	st.waited += time.Since(began)
 	observe(h.Stats.StreamWait, began)
-	if g.Outcome == scheduler.NoServer && h.leaveTrial(st.q) {
-		return chosen{again: true}
+	if g.Outcome == scheduler.NoServer && h.leaveTrialVersion(st.q) {
+		return engineChoice{tryAgain: true}
 	}
 	switch g.Outcome {
 	case scheduler.Granted:
-		if s := st.granted(&g); s != nil {
-			return chosen{server: s, grant: g, granted: true}
+		if s := st.grantedEngine(&g); s != nil {
+			return engineChoice{server: s, grant: g, granted: true}
 		}
-		return chosen{again: true}
+		return engineChoice{tryAgain: true}
 	case scheduler.Refused:
-		st.q.refuse(g.RetryAfter)
-		return chosen{refused: result.DeadlineTooSoon, final: true}
+		st.q.setRetryAfter(g.RetryAfter)
+		return engineChoice{reason: result.DeadlineTooSoon, final: true}
 	case scheduler.Waiting:
-		st.q.refuse(elsewhere)
-		return chosen{refused: result.ShuttingDown, final: true}
+		st.q.setRetryAfter(otherRouterRetryAfter)
+		return engineChoice{reason: result.ShuttingDown, final: true}
 	case scheduler.TooLarge:
-		st.q.refuse(0)
-		return chosen{refused: result.LargerThanEngine, final: true}
+		st.q.setRetryAfter(0)
+		return engineChoice{reason: result.LargerThanEngine, final: true}
 	}
-	return chosen{}
+	return engineChoice{}
 }
 
-// granted is the engine of a grant. One that has just started is on the control VM's
-// list before it is on this VM's: were the stream placed elsewhere then, all that wait
-// would be at once, on the engines that are full. nil: it is not to be used.
-func (st *stream) granted(g *scheduler.Answer) *upstream.Server {
+// grantedEngine returns the engine of a grant; nil: it must not be used. An engine that
+// has just started is on the control VM's list before it is on this VM's, which is
+// refreshed then. If the stream were placed elsewhere instead, all waiting streams would
+// be, at once and on engines that are full.
+func (st *streamRelay) grantedEngine(g *scheduler.Answer) *upstream.Server {
 	h := st.h
-	s := h.o.Fleet.Lookup(g.Server)
+	s := h.opts.Fleet.Lookup(g.Server)
 	if s == nil {
-		h.o.Placer.Refresh(st.q.ctx)
-		s = h.o.Fleet.Lookup(g.Server)
+		h.opts.Placer.Refresh(st.q.ctx)
+		s = h.opts.Fleet.Lookup(g.Server)
 	}
-	if s != nil && s.Version != h.o.Fleet.Version(s.Service, st.q.choice.Versions) {
-		s = nil // a roll-out has gone on since the stream asked
+	if s != nil && s.Version != h.opts.Fleet.Version(s.Service, st.q.versionChoice.Versions) {
+		s = nil // the roll-out has advanced since the request
 	}
 	if s == nil {
-		h.o.Placer.Took(g.Number)
+		h.opts.Placer.Took(g.Number)
 		st.skip[g.Server] = true
 	}
 	return s
 }
 
-func (st *stream) ask() scheduler.Stream {
+func (st *streamRelay) placementRequest() scheduler.Stream {
 	q := st.q
 	a := scheduler.Stream{
 		ID: q.RequestID, Service: q.service.Name, Workspace: q.workspace, Need: st.need, KVTokens: st.kvTokens(),
-		Due: q.due(), Deadline: q.expires, Priority: q.priority,
-		Interrupted: st.seq.started, WantsCopy: st.mayCopy(), After: events(st.seq.last),
-		Zone: st.h.o.Zone, Version: st.h.o.Fleet.Version(q.service.Name, q.choice.Versions), Part: q.choice.Part,
+		Due: q.dueTime(), Deadline: q.expires, Priority: q.priority,
+		Interrupted: st.seq.started, WantsCopy: st.mayKeepCopy(), After: eventCount(st.seq.last),
+		Zone: st.h.opts.Zone, Version: st.h.opts.Fleet.Version(q.service.Name, q.versionChoice.Versions), Part: q.versionChoice.Part,
 	}
 	for id := range st.skip {
 		a.Skip = append(a.Skip, id)
 	}
 	slices.Sort(a.Skip)
-	if s := st.h.o.Fleet.At(q.service.Name, st.ran); s != nil && s.Version == a.Version {
+	if s := st.h.opts.Fleet.At(q.service.Name, st.orphanEngine); s != nil && s.Version == a.Version {
 		a.Cached = s.ID
 	}
 	return a
 }
 
-// abandoned reports that this VM shuts down and could not finish the stream any more.
-// Kept until the process ends, its caller would lose it without an answer; one that no
-// engine has seen can still be served elsewhere.
-func (st *stream) abandoned() bool {
-	return st.q.rec.arrivals == 0 && st.h.o.TooLate(true, st.h.expected(st.q))
+// cannotFinish reports that this VM shuts down before it could finish the stream, which
+// no engine has received. If it were held until the process ends, its caller would get
+// no answer. Refused now, it can still be served by another VM.
+func (st *streamRelay) cannotFinish() bool {
+	return st.q.history.arrivals == 0 && st.h.opts.TooLate(true, st.h.expectedDuration(st.q))
 }
 
-// longRun is how much longer than the mean a run may well take.
-const longRun = 1.5
+// longRunFactor is the duration of a long run relative to the mean.
+const longRunFactor = 1.5
 
-// expected is how long a stream lasts, if it is a long one of its service; 0: not known.
-func (h *Handler) expected(q *request) time.Duration {
-	return h.paces.of(q.service.Name).Lasts(q.Prompt, events(q.After), longRun)
+// expectedDuration returns the duration of a long stream of the service; 0: not known.
+func (h *Handler) expectedDuration(q *request) time.Duration {
+	return h.paces.pace(q.service.Name).Lasts(q.Prompt, eventCount(q.After), longRunFactor)
 }
 
-// events is how many events a caller has by the id of its last one.
-func events(last uint64) int { return int(min(last, math.MaxInt32)) }
+// eventCount returns how many events a caller has, given the id of the last one.
+func eventCount(last uint64) int { return int(min(last, math.MaxInt32)) }
 
-// due is when the first event is due: by the end of the caller's time where the route
+// dueTime returns when the first event is due. It is the request's deadline if the route
 // states no objective.
-func (q *request) due() time.Time {
+func (q *request) dueTime() time.Time {
 	if q.route.Objective <= 0 {
 		return q.expires
 	}
 	return q.arrived.Add(q.route.Objective)
 }
 
-// placeAlone chooses by what this VM knows; nil: there is no engine.
-func (st *stream) placeAlone() *upstream.Server {
+// placeLocally chooses an engine by this VM's own view; nil: there is none.
+func (st *streamRelay) placeLocally() *upstream.Server {
 	for {
-		servers, candidates := st.h.o.Fleet.Candidates(st.q.service.Name, st.q.choice.Versions, st.kvTokens(), st.skip)
+		servers, candidates := st.h.opts.Fleet.Candidates(st.q.service.Name, st.q.versionChoice.Versions, st.kvTokens(), st.skip)
 		for i := range candidates {
-			candidates[i].Far = candidates[i].Zone != st.h.o.Zone
+			candidates[i].Far = candidates[i].Zone != st.h.opts.Zone
 		}
 		if i := placement.Engine(candidates, st.need, rand.IntN); i >= 0 {
 			return servers[i]
 		}
-		if !st.h.leaveTrial(st.q) {
+		if !st.h.leaveTrialVersion(st.q) {
 			return nil
 		}
 	}
 }
 
-// mayCopy reports whether a copy of the stream's runs can be kept, and used.
-func (st *stream) mayCopy() bool {
+// mayKeepCopy reports whether copies of the stream's runs can be made and used.
+func (st *streamRelay) mayKeepCopy() bool {
 	e := st.q.service.Engine
-	return e != nil && e.KeepCopies && st.q.rec.repeatable
+	return e != nil && e.KeepCopies && st.q.history.repeatable
 }
 
-// paceBook is what this VM observes of each service's engines. Safe for concurrent use.
-type paceBook struct {
-	mu    sync.Mutex
-	paces map[string]scheduler.Pace // of this VM
-	told  map[string]scheduler.Pace // of all VMs
+// paceTracker records the pace of each service's engines. It is safe for concurrent use.
+type paceTracker struct {
+	mu     sync.Mutex
+	paces  map[string]scheduler.Pace // as this VM observed them
+	allVMs map[string]scheduler.Pace // as all VMs together observed them
 }
 
-// paceShare is the weight of the newest observation: some ten runs make the mean.
-const paceShare = 0.15
+// newestPaceWeight is the weight of the newest observation in the mean. Some ten runs
+// dominate the mean.
+const newestPaceWeight = 0.15
 
-// read notes how long an engine that had nothing else to read took for a prompt.
-func (b *paceBook) read(service string, tokens int, took time.Duration) {
+// notePrompt records the prefill time of a prompt at an engine that prefilled no other.
+func (b *paceTracker) notePrompt(service string, tokens int, took time.Duration) {
 	if tokens <= 0 {
 		return
 	}
 	b.update(service, func(p *scheduler.Pace) {
-		p.PerToken = scheduler.Smooth(p.PerToken, took/time.Duration(tokens), paceShare)
+		p.PerToken = scheduler.Smooth(p.PerToken, took/time.Duration(tokens), newestPaceWeight)
 	})
 }
 
-// ran notes how long a whole run took from its first event to its end, and how many
-// events it had.
-func (b *paceBook) ran(service string, took time.Duration, events int) {
+// noteRun records the time from the first event of a complete run to its end, and the
+// number of its events.
+func (b *paceTracker) noteRun(service string, took time.Duration, events int) {
 	b.update(service, func(p *scheduler.Pace) {
-		p.Run = scheduler.Smooth(p.Run, took, paceShare)
-		p.Events = scheduler.Smooth(p.Events, float64(events), paceShare)
+		p.Run = scheduler.Smooth(p.Run, took, newestPaceWeight)
+		p.Events = scheduler.Smooth(p.Events, float64(events), newestPaceWeight)
 	})
 }
 
-func (b *paceBook) update(service string, f func(*scheduler.Pace)) {
+func (b *paceTracker) update(service string, f func(*scheduler.Pace)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.paces == nil {
@@ -209,23 +214,23 @@
 	b.paces[service] = p
 }
 
-func (b *paceBook) learn(told map[string]scheduler.Pace) {
+func (b *paceTracker) setAllVMs(told map[string]scheduler.Pace) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told = told
+	b.allVMs = told
 }
 
-// of is what all VMs observed, or this one where it was told of nothing yet.
-func (b *paceBook) of(service string) scheduler.Pace {
+// pace returns what all VMs observed, or what this VM did if nothing was reported yet.
+func (b *paceTracker) pace(service string) scheduler.Pace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if p := b.told[service]; p.Run > 0 {
+	if p := b.allVMs[service]; p.Run > 0 {
 		return p
 	}
 	return b.paces[service]
 }
 
-func (b *paceBook) all() map[string]scheduler.Pace {
+func (b *paceTracker) all() map[string]scheduler.Pace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string]scheduler.Pace, len(b.paces))
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -13,38 +13,38 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// decider is a Placer that a test scripts.
-type decider struct {
+// scriptedPlacer is a Placer whose answers a test supplies.
+type scriptedPlacer struct {
 	mu      sync.Mutex
 	asked   []scheduler.Stream
-	taken   []uint64
+	settled []uint64
 	decide  func() (scheduler.Answer, bool)
 	refresh func()
 }
 
-func (d *decider) Place(_ context.Context, st scheduler.Stream, _ func() bool) (scheduler.Answer, bool) {
+func (d *scriptedPlacer) Place(_ context.Context, st scheduler.Stream, _ func() bool) (scheduler.Answer, bool) {
 	d.mu.Lock()
 	d.asked = append(d.asked, st)
 	d.mu.Unlock()
 	return d.decide()
 }
 
-func (d *decider) Took(n uint64) {
+func (d *scriptedPlacer) Took(n uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.taken = append(d.taken, n)
+	d.settled = append(d.settled, n)
 }
 
-func (d *decider) UseChanged() {}
+func (d *scriptedPlacer) UseChanged() {}
 
-func (d *decider) Refresh(context.Context) {
+func (d *scriptedPlacer) Refresh(context.Context) {
 	if d.refresh != nil {
 		d.refresh()
 	}
 }
 
-// grants the engines in turn.
-func grants(ids ...string) func() (scheduler.Answer, bool) {
+// grantInTurn grants the engines in turn, and the last one from then on.
+func grantInTurn(ids ...string) func() (scheduler.Answer, bool) {
 	n := 0
 	return func() (scheduler.Answer, bool) {
 		n++
@@ -52,53 +52,53 @@
 	}
 }
 
-// A stream runs on the engine that was granted, and its copy is kept where that was
-// granted, not where this VM would choose.
+// Guards against a router that ignores a grant. The stream must run on the granted engine,
+// and its copy must be kept at the granted backup engine.
 func TestGrantedEngineIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"), engine("c"))
-		defer w.end()
-		d := &decider{decide: func() (scheduler.Answer, bool) {
+		w := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer w.close()
+		d := &scriptedPlacer{decide: func() (scheduler.Answer, bool) {
 			return scheduler.Answer{Outcome: scheduler.Granted, Number: 1, Server: "i2", Keeper: "i0"}, true
 		}}
-		w.place(d)
+		w.setPlacer(d)
 		a := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
 		time.Sleep(2 * time.Second)
 		if runs, kept, other := len(w.servers[2].Runs()), w.servers[0].Copies(), w.servers[1].Copies(); runs != 1 || kept != 1 || other != 0 {
-			t.Errorf("%d runs where granted, %d copies where granted, %d elsewhere", runs, kept, other)
+			t.Errorf("got %d runs on the granted engine, %d copies at the granted backup engine, %d copies elsewhere; want 1, 1, 0", runs, kept, other)
 		}
-		a.wholeStream(t, 100)
-		if len(d.taken) != 1 || d.taken[0] != 1 {
-			t.Errorf("taken: %v", d.taken)
+		a.requireCompleteStream(t, 100)
+		if len(d.settled) != 1 || d.settled[0] != 1 {
+			t.Errorf("got settled grants %v, want 1", d.settled)
 		}
 		ask := d.asked[0]
 		if ask.Due.Sub(ask.Deadline) >= 0 || ask.Need.Prompt != 8000 || ask.KVTokens != 88_000 || !ask.WantsCopy {
-			t.Errorf("asked %+v", ask)
+			t.Errorf("got request %+v, want a prompt of 8000 tokens, 88000 tokens of memory, a copy, and a due time before the deadline", ask)
 		}
 	})
 }
 
-// An engine has just started: the control VM's list names it, this VM's does not yet.
-// The stream waits for the list. Placed elsewhere, every stream that waits would be at
-// the same moment, on the engines that are full.
+// Guards against a grant that is lost because the engine has just started: the control
+// VM's list names it, this VM's list does not yet. The stream must wait for the list. If
+// it were placed elsewhere, all waiting streams would be, at once and on full engines.
 func TestGrantOfAnEngineThatIsNotListedYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"))
+		defer w.close()
 		all := w.net.List()
 		w.fleet.Apply(upstream.List{Backends: all[:1], AsOf: time.Now().Add(time.Millisecond)})
-		d := &decider{decide: grants("i1")}
+		d := &scriptedPlacer{decide: grantInTurn("i1")}
 		d.refresh = func() { w.fleet.Apply(upstream.List{Backends: all, AsOf: time.Now().Add(2 * time.Millisecond)}) }
-		w.place(d)
-		w.send(http.MethodPost, "/s/x", "q1", "unit 12").wholeStream(t, 100)
+		w.setPlacer(d)
+		w.send(http.MethodPost, "/s/x", "q1", "unit 12").requireCompleteStream(t, 100)
 		if len(w.servers[1].Runs()) != 1 || len(w.servers[0].Runs()) != 0 {
-			t.Error("the stream did not run on the engine that was granted")
+			t.Error("the stream did not run on the granted engine only")
 		}
 	})
 }
 
-// What cannot be served is refused at once, with the promise that it has not run and the
-// time to come again; what no engine can hold, without one.
+// Guards against a refusal by the scheduler that comes late, runs the request all the same
+// or has the wrong Retry-After. A request that no engine can hold gets none.
 func TestRefusedByTheScheduler(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -112,43 +112,43 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, engine("a"))
-				defer w.end()
-				w.place(&decider{decide: func() (scheduler.Answer, bool) {
+				w := newFixture(t, engine("a"))
+				defer w.close()
+				w.setPlacer(&scriptedPlacer{decide: func() (scheduler.Answer, bool) {
 					return scheduler.Answer{Outcome: tt.outcome, RetryAfter: tt.after}, true
 				}})
 				began := time.Now()
 				a := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
 				<-a.done
 				if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") != tt.want || time.Since(began) > 10*time.Millisecond {
-					t.Errorf("status %d, retry after %q, %v", a.status, a.header.Get("Retry-After"), time.Since(began))
+					t.Errorf("got status %d, Retry-After %q after %v, want 503 and the Retry-After of the table within 10 ms", a.status, a.header.Get("Retry-After"), time.Since(began))
 				}
 				if n := w.totalRuns("q1"); n != 0 {
-					t.Errorf("refused as not run, and ran %d times", n)
+					t.Errorf("refused as not run, but ran %d times", n)
 				}
 			})
 		})
 	}
 }
 
-// Where nobody decides, this VM does, by what it knows.
+// Guards against streams that fail without a scheduler: the VM must choose engines itself.
 func TestNobodyDecides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"))
-		defer w.end()
-		w.place(&decider{decide: func() (scheduler.Answer, bool) { return scheduler.Answer{}, false }})
-		w.send(http.MethodPost, "/s/x", "q1", "unit 12").wholeStream(t, 100)
+		w := newFixture(t, engine("a"), engine("b"))
+		defer w.close()
+		w.setPlacer(&scriptedPlacer{decide: func() (scheduler.Answer, bool) { return scheduler.Answer{}, false }})
+		w.send(http.MethodPost, "/s/x", "q1", "unit 12").requireCompleteStream(t, 100)
 	})
 }
 
-// A shutdown cuts a stream off. Its caller comes for the rest at another router a moment
-// later, and finds the copy that was ordered: it is not dropped, as it is when a caller
-// leaves.
+// Guards against a shutdown that drops the ordered copy of a stream which it cuts off. Its
+// caller asks another router for the rest a moment later, which resumes from the copy.
+// The copy must be dropped only if a caller leaves without a shutdown.
 func TestShutdownLeavesTheCopy(t *testing.T) {
 	for _, closing := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, engine("a"))
-			defer w.end()
+			w := newFixture(t, engine("a"))
+			defer w.close()
 			w.closing = closing
 			a := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
 			time.Sleep(1200 * time.Millisecond)
@@ -161,51 +161,50 @@
 			a.leave()
 			time.Sleep(100 * time.Millisecond)
 			if left := keeper.Copies() == 1; ordered != 1 || left != closing {
-				t.Errorf("shutting down: %t; %d copies ordered, left: %t", closing, ordered, left)
+				t.Errorf("shutting down: %t; %d copies ordered, want 1; copy left: %t, want it only after a shutdown", closing, ordered, left)
 			}
 		})
 	}
 }
 
-// A caller gets half of an answer from a router that shuts down. In order: the router
-// has carried a stream of four seconds; its shutdown begins, with three seconds left; a
-// caller sends the same again, and one who has nearly all of it comes for the rest. The
-// first is refused as not run and served elsewhere, the second is served.
+// Guards against a stream that a shutdown cuts off. The router has carried a stream of four
+// seconds and has three seconds left. A new stream must be refused as not run, and can be
+// served elsewhere. The rest of a stream that is nearly complete must be served.
 func TestShutdownTakesWhatItCanFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"))
+		defer w.close()
 		first := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
 		<-first.done
 		if first.status != http.StatusOK {
-			t.Fatalf("status %d", first.status)
+			t.Fatalf("got status %d, want 200", first.status)
 		}
-		w.grace = 3 * time.Second
+		w.shutdownTimeLeft = 3 * time.Second
 		late := w.send(http.MethodPost, "/s/x", "q2", "unit 13")
 		<-late.done
 		if late.status != http.StatusServiceUnavailable || late.header.Get("Retry-After") == "" || w.totalRuns("q2") != 0 {
-			t.Errorf("status %d, retry after %q, %d runs", late.status, late.header.Get("Retry-After"), w.totalRuns("q2"))
+			t.Errorf("got status %d, Retry-After %q, %d runs; want 503 with a Retry-After and no run", late.status, late.header.Get("Retry-After"), w.totalRuns("q2"))
 		}
 		rest := w.send(http.MethodPost, "/s/x", "q3", "unit 14", forward.HeaderLastEvent, "90")
 		<-rest.done
 		if rest.status != http.StatusOK {
-			t.Errorf("status %d for the rest of a stream", rest.status)
+			t.Errorf("got status %d for the rest of a stream, want 200", rest.status)
 		}
 	})
 }
 
-// The same for a router that has carried no stream yet, and goes by what all others
-// observed.
+// Guards against the same failure on a router that has carried no stream yet. It must use
+// the pace that the other routers observed.
 func TestShutdownGoesByWhatOthersObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"))
-		defer w.end()
-		w.grace = 3 * time.Second
+		w := newFixture(t, engine("a"))
+		defer w.close()
+		w.shutdownTimeLeft = 3 * time.Second
 		w.handler.SetPaces(map[string]scheduler.Pace{"models": {PerToken: 125 * time.Microsecond, Run: 3 * time.Second, Events: 100}})
 		late := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
 		<-late.done
 		if late.status != http.StatusServiceUnavailable || w.totalRuns("q1") != 0 {
-			t.Errorf("status %d, %d runs", late.status, w.totalRuns("q1"))
+			t.Errorf("got status %d, %d runs, want 503 and no run", late.status, w.totalRuns("q1"))
 		}
 	})
 }
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -17,33 +17,33 @@
 	HeaderTokens    = "X-Tokens"
 	HeaderSignature = "X-Backend-Signature"
 	HeaderNotRun    = "X-Not-Run"
-	HeaderLoad      = "X-Backend-Load" // requests that run and wait
+	HeaderLoad      = "X-Backend-Load" // requests that run or wait at the server
 	HeaderCopyTo    = "X-Keep-Copy-At"
 	HeaderCopyFrom  = "X-Resume-From"
 	HeaderLastEvent = "Last-Event-Id"
 )
 
-// Calls to an engine of the project's own.
+// Paths of the project's own engine interface.
 const (
 	PlainReportURI = "/v1/report"
-	PlainCopyURI   = "/v1/copies" // takes orders to copy a run
+	PlainCopyURI   = "/v1/copies" // accepts orders to copy a run
 )
 
-// PlainWire is the Wire of the project's own headers.
+// PlainWire is the Wire for the project's own headers.
 type PlainWire struct{ Headers }
 
-// NewPlainWire returns a PlainWire.
+// NewPlainWire returns a PlainWire with the names above.
 func NewPlainWire() *PlainWire {
 	return &PlainWire{Headers{
 		RequestID: HeaderRequestID, Deadline: HeaderDeadline, Instance: HeaderInstance, Workspace: HeaderWorkspace,
 		Priority: "X-Priority", Tokens: HeaderTokens, LastEvent: HeaderLastEvent, CopyTo: HeaderCopyTo,
 		CopyFrom: HeaderCopyFrom, Key: "Authorization", KeyScheme: "Bearer ", Signature: HeaderSignature,
-		NotRun: HeaderNotRun, Load: HeaderLoad, ReadLoad: readCount,
+		NotRun: HeaderNotRun, Load: HeaderLoad, ReadLoad: parseLoad,
 	}}
 }
 
-// readCount reads a number; -1: there is none.
-func readCount(value string) int {
+// parseLoad parses a number of requests; -1: missing or invalid.
+func parseLoad(value string) int {
 	n, err := strconv.Atoi(value)
 	if err != nil {
 		return -1
@@ -78,7 +78,7 @@
 	return r, json.Unmarshal(body, &r)
 }
 
-// RetryAfter implements Wire: whole seconds, as RFC 9110 has them.
+// RetryAfter implements Wire. It rounds up to whole seconds, which RFC 9110 requires.
 func (*PlainWire) RetryAfter(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/internal/forward/probe.go
+++ b/internal/forward/probe.go
@@ -9,74 +9,73 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// probeTimeout: a live engine accepts a connection within two round trips and
-// reports without a slot; three times the slowest of both.
+// probeTimeout is three times the longest time in which a live engine accepts a
+// connection, within two round trips, and reports, which takes no slot.
 const probeTimeout = 150 * time.Millisecond
 
-// probeEvery begins a further try beside one that is unanswered: a lossy link
-// loses a packet of one try in ten, and a lost packet is sent again only after 200
-// ms.
-const probeEvery = 45 * time.Millisecond
+// probeRetryInterval separates the attempts of a probe, which run concurrently. A lossy
+// link drops a packet of one attempt in ten, and TCP retransmits it only after 200 ms.
+const probeRetryInterval = 45 * time.Millisecond
 
-// prober asks silent servers whether they live, once at a time each: many
-// streams fall silent together when an engine dies.
+// prober checks whether silent servers are alive. It runs one probe per server at a
+// time, since many streams fall silent together when an engine dies.
 type prober struct {
 	pool  *upstream.Pool
 	fleet *upstream.Fleet
 	wire  Wire
 
-	mu      sync.Mutex
-	pending map[string]*probe
+	mu       sync.Mutex
+	inFlight map[string]*probe
 }
 
-// probe is one question. The verdict is valid once done is closed.
+// probe is a check of one server. Its result is valid once done is closed.
 type probe struct {
 	done chan struct{}
-	verdict
+	probeResult
 }
 
-// verdict is what one try, and in the end the question, came to.
-type verdict struct {
-	alive  bool
-	report Report
-	told   bool // report holds what the engine said
+// probeResult is the result of one attempt, and of the probe as a whole.
+type probeResult struct {
+	alive     bool
+	report    Report
+	hasReport bool // report holds the engine's own report
 }
 
 func newProber(pool *upstream.Pool, fleet *upstream.Fleet, wire Wire) *prober {
-	return &prober{pool: pool, fleet: fleet, wire: wire, pending: map[string]*probe{}}
+	return &prober{pool: pool, fleet: fleet, wire: wire, inFlight: map[string]*probe{}}
 }
 
-// ask begins a question, or joins the one under way.
-func (p *prober) ask(s *upstream.Server) *probe {
+// start begins a probe of a server, or joins the one in flight.
+func (p *prober) start(s *upstream.Server) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if q := p.pending[s.ID]; q != nil {
-		return q
+	if running := p.inFlight[s.ID]; running != nil {
+		return running
 	}
-	q := &probe{done: make(chan struct{})}
-	p.pending[s.ID] = q
-	go p.run(s, q)
-	return q
+	started := &probe{done: make(chan struct{})}
+	p.inFlight[s.ID] = started
+	go p.runProbe(s, started)
+	return started
 }
 
-func (p *prober) run(s *upstream.Server, q *probe) {
+func (p *prober) runProbe(s *upstream.Server, pr *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	q.verdict = p.question(ctx, s)
-	if q.alive {
+	pr.probeResult = p.probeUntilAnswered(ctx, s)
+	if pr.alive {
 		p.fleet.Heard(s)
 	}
 	p.mu.Lock()
-	delete(p.pending, s.ID)
+	delete(p.inFlight, s.ID)
 	p.mu.Unlock()
-	close(q.done)
+	close(pr.done)
 }
 
-// question tries until one try is answered or refused, or ctx ends.
-func (p *prober) question(ctx context.Context, s *upstream.Server) verdict {
-	tries := int(probeTimeout / probeEvery)
-	answers := make(chan verdict, tries)
-	next := time.NewTicker(probeEvery)
+// probeUntilAnswered repeats attempts until one is answered or refused, or ctx ends.
+func (p *prober) probeUntilAnswered(ctx context.Context, s *upstream.Server) probeResult {
+	tries := int(probeTimeout / probeRetryInterval)
+	answers := make(chan probeResult, tries)
+	next := time.NewTicker(probeRetryInterval)
 	defer next.Stop()
 	begun := 1
 	go func() { answers <- p.try(ctx, s) }()
@@ -84,7 +83,7 @@
 		select {
 		case v := <-answers:
 			ended++
-			// A refusal is an answer of the machine: nobody listens there.
+			// A refused connection is an answer of the host: no process listens there.
 			if v.alive || ctx.Err() == nil {
 				return v
 			}
@@ -95,51 +94,52 @@
 			}
 		}
 	}
-	return verdict{}
+	return probeResult{}
 }
 
-func (p *prober) try(ctx context.Context, s *upstream.Server) verdict {
+func (p *prober) try(ctx context.Context, s *upstream.Server) probeResult {
 	r := upstream.Request{Method: http.MethodGet, URI: p.wire.ReportURI(), Host: s.Address, Header: http.Header{}}
 	resp, body, err := p.pool.Ask(ctx, s.ID, s.Address, &r)
 	if err != nil {
-		return verdict{}
+		return probeResult{}
 	}
-	v := verdict{alive: true}
+	v := probeResult{alive: true}
 	if report, err := p.wire.ReadReport(body); err == nil && resp.StatusCode == http.StatusOK {
-		v.report, v.told = report, true
+		v.report, v.hasReport = report, true
 	}
 	return v
 }
 
-// blame remembers the request as one that ran where a server died.
-func (h *Handler) blame(q *request, s *upstream.Server, passed int) {
-	// A stream that came well forward here is past what would have ended the server.
-	if passed < clearedAfter {
-		h.o.Blame.Died(q.digest, s.ID)
+// recordSuspectContent records that a server died while it ran the request.
+func (h *Handler) recordSuspectContent(q *request, s *upstream.Server, passed int) {
+	// A stream with that many events is past the point where its content could kill
+	// the server.
+	if passed < clearedAfterEvents {
+		h.opts.Blame.Died(q.digest, s.ID)
 	}
-	h.o.Log.Info().Str("request", q.RequestID).Str("server", s.ID).Int("passed", passed).Uint64("digest", q.digest).Msg("request blamed")
+	h.opts.Log.Info().Str("request", q.RequestID).Str("server", s.ID).Int("passed", passed).Uint64("digest", q.digest).Msg("server died while it ran the request; content suspected")
 }
 
-// confirmDeath finds out, beside the request, whether the server that broke it
-// has died. A broken answer alone blames nobody: a server may lose answers and
-// live. One that takes no connection any more is dead, and the request is
-// remembered as one that ran there.
+// confirmDeath probes, concurrently with the request, whether the server that broke off
+// its answer has died. A broken answer alone raises no suspicion, since a live server
+// may lose answers. A server that accepts no connection is dead, and the content of the
+// request becomes suspect.
 //
-// A request under which a server died before waits for the finding: it would else
-// be at the next server by then.
+// A request whose content is suspect already waits for the result. Otherwise it could
+// reach, and kill, the next server in the meantime.
 func (h *Handler) confirmDeath(q *request, s *upstream.Server, passed int) {
 	h.Stats.Probes.Inc()
-	p := h.prober.ask(s)
+	p := h.prober.start(s)
 	found := make(chan struct{})
 	go func() {
 		defer close(found)
 		<-p.done
 		if !p.alive {
-			h.o.Fleet.Dead(s)
-			h.blame(q, s, passed)
+			h.opts.Fleet.Dead(s)
+			h.recordSuspectContent(q, s, passed)
 		}
 	}()
-	if h.o.Blame.Suspect(q.digest) {
+	if h.opts.Blame.Suspect(q.digest) {
 		<-found
 	}
 }
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -11,394 +11,398 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// run is one stream's run at one engine.
+// run is a stream's run at one engine.
 type run struct {
-	st     *stream
-	server *upstream.Server
-	from   *Copy         // the copy it goes on from, or nil
-	use    placement.Use // of the engine
-	kept   placement.Use // of the copy's keeper
-	shield shield
-	died   <-chan struct{}
-	doubt  <-chan struct{}
-	fresh  bool // the stream's first run: its report counts the same events
+	st        *streamRelay
+	server    *upstream.Server
+	from      *Copy         // the copy that it resumes from; nil: none
+	use       placement.Use // counted at the engine
+	backupUse placement.Use // counted at the backup engine
+	backup    backupState
+	died      <-chan struct{}
+	suspected <-chan struct{}
+	fromStart bool // it starts at the first event: the engine counts the same events
 
-	began   time.Time // when it was sent
-	firstAt time.Time // when its first event came
-	alone   bool      // granted: the engine had nothing else to read
+	sentAt       time.Time // when the request was sent
+	firstEventAt time.Time // when the first event came
+	granted      bool      // by the scheduler: the engine was prefilling no other prompt
 
-	conn  *upstream.Conn
-	stop  func() bool
-	reply reply
-	sent  sent
+	conn               *upstream.Conn
+	stopWatchingCaller func() bool
+	reply              reply
+	outcome            sendOutcome
 
-	items  chan item
-	clock  *clock
-	passed int // events that this run passed on
-	last   time.Time
-	asked  *probe
-	told   Report
-	known  bool // told is an answer about the present silence
-	// unknown is how many answers in a row did not name the run among all there.
-	unknown int
-	askAt   time.Time // of the last question
-	// unanswered: the last question brought no answer
-	unanswered bool
-	// watched is for the roll-out under way, until the run's first event.
-	watched rollout.Ticket
+	results         chan readResult
+	silenceTimer    *silenceTimer
+	forwarded       int // events of this run that the caller was sent
+	lastHeard       time.Time
+	probe           *probe
+	report          Report
+	reportIsCurrent bool // report was received during the present silence
+	// missingReports counts the complete reports in a row that do not list the run.
+	missingReports int
+	probedAt       time.Time // when the last probe was started
+	// probeFailed is set if the last probe brought no answer.
+	probeFailed bool
+	// ticket tracks the run's first event for the roll-out under way.
+	ticket rollout.Ticket
 }
 
-// item is what the reader of a run brings: the answer's head, an event or the end.
-type item struct {
-	head *http.Response
-	ans  Answer
-	ev   event
-	err  error
+// readResult is what the reader of a run delivers: the head of the answer, an event
+// or the error that ended it.
+type readResult struct {
+	head   *http.Response
+	answer Answer
+	event  event
+	err    error
 }
 
-// clearedAfter events a request has not ended its engine: it is past its prompt, and
-// past what can be lost on the way from a dying engine.
-const clearedAfter = 16
+// clearedAfterEvents is the number of events after which a request is cleared of
+// killing its engine. It is past its prompt by then, and past the events that a dying
+// engine may have sent and that were lost.
+const clearedAfterEvents = 16
 
-// itemQueue lets an engine run a few events ahead of a caller that reads slowly.
-const itemQueue = 16
+// readAheadEvents lets an engine run a few events ahead of a slow caller.
+const readAheadEvents = 16
 
-// start sends the request to an engine, with room for a copy elsewhere.
-func (st *stream) start(c chosen) *run {
+// startRun sends the request to an engine and reserves memory for a copy at another.
+func (st *streamRelay) startRun(c engineChoice) *run {
 	h, s, from := st.h, c.server, c.from
-	r := &run{st: st, server: s, from: from, fresh: !st.seq.started, died: h.o.Fleet.Died(s), doubt: h.o.Fleet.Doubted(s)}
+	r := &run{st: st, server: s, from: from, fromStart: !st.seq.started, died: h.opts.Fleet.Died(s), suspected: h.opts.Fleet.Doubted(s)}
 	r.use = placement.Use{Requests: 1, Tokens: st.need.Tokens(), Prompt: st.need.Prompt}
 	if from != nil {
 		r.use.Prompt = 0
 	}
-	h.o.Fleet.Take(s, r.use)
-	more := Send{After: st.seq.last, HasAfter: st.seq.started, From: from}
-	if keeper := st.keeperFor(&c); keeper != nil {
-		r.setKeeper(keeper)
-		r.shield.now.copy = Copy{Address: keeper.Address, ID: st.q.RequestID}
-		more.CopyTo = keeper.Address
+	h.opts.Fleet.Take(s, r.use)
+	send := Send{After: st.seq.last, HasAfter: st.seq.started, From: from}
+	if keeper := st.backupEngineFor(&c); keeper != nil {
+		r.setBackupEngine(keeper)
+		r.backup.current.ref = Copy{Address: keeper.Address, ID: st.q.RequestID}
+		send.CopyTo = keeper.Address
 	}
 	if c.granted {
-		h.o.Placer.Took(c.grant.Number)
+		h.opts.Placer.Took(c.grant.Number)
 	} else {
-		h.o.Placer.UseChanged()
+		h.opts.Placer.UseChanged()
 	}
-	r.began, r.alone = time.Now(), c.granted
+	r.sentAt, r.granted = time.Now(), c.granted
 	r.logPlaced()
-	// A kept connection may have gone silent by itself; a resume has no time to
-	// find out.
-	conn, failed := h.open(st.q, s, h.headers(st.q, s, more), st.begun)
+	// An idle connection may have died unnoticed. A resume has no time to find that
+	// out and opens a new one.
+	conn, failed := h.open(st.q, s, h.headers(st.q, s, send), st.headSent)
 	if conn == nil {
-		r.reply, r.sent = failed, failed.sent
+		r.reply, r.outcome = failed, failed.outcome
 		return r
 	}
-	r.conn, r.sent = conn, unknown
-	r.watch()
-	r.stop = context.AfterFunc(st.q.ctx, conn.Close)
-	r.last = time.Now()
-	r.items = make(chan item, itemQueue)
-	go r.read(h)
+	r.conn, r.outcome = conn, sendUnknown
+	r.trackFirstEvent()
+	r.stopWatchingCaller = context.AfterFunc(st.q.ctx, conn.Close)
+	r.lastHeard = time.Now()
+	r.results = make(chan readResult, readAheadEvents)
+	go r.readAnswer(h)
 	return r
 }
 
 func (r *run) logPlaced() {
 	st, h := r.st, r.st.h
-	if st.begun {
+	if st.headSent {
 		h.Stats.Resumes.Inc()
 	}
 	if r.from != nil {
 		h.Stats.FromCopy.Inc()
 	}
 	keeper := ""
-	if r.shield.now.keeper != nil {
-		keeper = r.shield.now.keeper.ID
+	if r.backup.current.engine != nil {
+		keeper = r.backup.current.engine.ID
 	}
-	use := h.o.Fleet.UseOf(r.server)
-	log := h.o.Ordinary
+	use := h.opts.Fleet.UseOf(r.server)
+	log := h.opts.Ordinary
 	if st.sends > 1 {
-		log = h.o.Log
+		log = h.opts.Log
 	}
 	log.Info().Str("request", st.q.RequestID).Str("route", st.q.route.Name).Str("engine", r.server.ID).
 		Str("zone", r.server.Zone).Str("keeper", keeper).Bool("from_copy", r.from != nil).Int("send", st.sends).
 		Uint64("after", st.seq.last).Int("tokens", st.need.Tokens()).Int("there", use.Requests).
-		Int("tokens_there", use.Tokens).Int("prompt_there", use.Prompt).Str("version", r.server.Version).Bool("granted", r.alone).Dur("waited", st.waited).
-		Dur("list_age", time.Since(h.o.Fleet.AsOf())).Msg("stream placed")
+		Int("tokens_there", use.Tokens).Int("prompt_there", use.Prompt).Str("version", r.server.Version).Bool("granted", r.granted).Dur("waited", st.waited).
+		Dur("list_age", time.Since(h.opts.Fleet.AsOf())).Msg("stream placed")
 }
 
-// read runs beside follow, which must not wait for the engine alone.
-func (r *run) read(h *Handler) {
-	defer close(r.items)
+// readAnswer runs beside relay, which must not block on the engine alone.
+func (r *run) readAnswer(h *Handler) {
+	defer close(r.results)
 	resp, a, err := h.readHead(r.st.q, r.conn)
-	r.items <- item{head: resp, ans: a, err: err}
+	r.results <- readResult{head: resp, answer: a, err: err}
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return
 	}
 	br := bufio.NewReader(resp.Body)
 	for {
 		ev, err := readEvent(br)
-		r.items <- item{ev: ev, err: err}
+		r.results <- readResult{event: ev, err: err}
 		if err != nil {
 			return
 		}
 	}
 }
 
-// follow passes the run's events on until it ends.
-func (r *run) follow() ending {
+// relay forwards the run's events until it ends.
+func (r *run) relay() runEnd {
 	if r.conn == nil {
-		if r.sent == notSent {
+		if r.outcome == sendNotSent {
 			return endNotRun
 		}
 		return endBroken
 	}
-	r.clock = newClock(r.patience().Ask)
-	defer r.clock.timer.Stop()
-	look := time.NewTicker(protectLook)
+	r.silenceTimer = newSilenceTimer(r.silenceLimits().Ask)
+	defer r.silenceTimer.timer.Stop()
+	look := time.NewTicker(backupCheckInterval)
 	defer look.Stop()
 	for {
-		if end, over := r.step(look.C); over {
+		if end, done := r.step(look.C); done {
 			return end
 		}
 	}
 }
 
-// step waits for the next thing that concerns the run.
-func (r *run) step(look <-chan time.Time) (ending, bool) {
+// step waits for the next occurrence that concerns the run and handles it. It reports
+// whether the run has ended.
+func (r *run) step(look <-chan time.Time) (runEnd, bool) {
 	select {
-	case it := <-r.items:
-		end, over := r.take(it)
-		r.clock.set(r.patience().Ask)
-		return end, over
-	case <-r.answerToQuestion():
-		end, over := r.heed()
-		r.clock.set(askAgain)
-		return end, over
-	case <-r.clock.timer.C:
-		return r.timeUp()
+	case it := <-r.results:
+		end, done := r.handleResult(it)
+		r.silenceTimer.set(r.silenceLimits().Ask)
+		return end, done
+	case <-r.probeDone():
+		end, done := r.handleProbe()
+		r.silenceTimer.set(probeInterval)
+		return end, done
+	case <-r.silenceTimer.timer.C:
+		return r.onSilenceTimer()
 	case <-look:
-		if r.leavesVersion() {
+		if r.mustLeaveVersion() {
 			return r.lost("goes on at the new version"), true
 		}
-		r.look()
-	case p := <-r.shield.ordered:
-		r.protected(p)
-	case <-r.doubt:
-		r.doubt = r.st.h.o.Fleet.Doubted(r.server)
-		r.ask()
+		r.checkBackup()
+	case p := <-r.backup.pending:
+		r.handleBackupOrdered(p)
+	case <-r.suspected:
+		r.suspected = r.st.h.opts.Fleet.Doubted(r.server)
+		r.startProbe()
 	case <-r.died:
 		return r.lost("engine judged dead"), true
 	case <-r.st.q.ctx.Done():
-		return endCallerEnd, true
+		return endCallerDone, true
 	}
 	return 0, false
 }
 
-func (r *run) patience() Patience {
-	return PatienceFor(r.st.q.route.PauseObjective, r.st.begun)
+func (r *run) silenceLimits() Patience {
+	return PatienceFor(r.st.q.route.PauseObjective, r.st.headSent)
 }
 
-// take handles what the reader brought, and what else has come by then, so that
-// one flush serves all of it.
-func (r *run) take(it item) (ending, bool) {
-	r.last, r.known, r.unanswered, r.unknown = time.Now(), false, false, 0
-	r.st.h.o.Fleet.Heard(r.server)
+// handleResult handles a result of the reader and all others that have come by then.
+// One flush serves them all.
+func (r *run) handleResult(it readResult) (runEnd, bool) {
+	r.lastHeard, r.reportIsCurrent, r.probeFailed, r.missingReports = time.Now(), false, false, 0
+	r.st.h.opts.Fleet.Heard(r.server)
 	for {
-		end, over := r.takeOne(it)
-		if over {
+		end, done := r.handleOne(it)
+		if done {
 			return end, true
 		}
 		select {
-		case it = <-r.items:
+		case it = <-r.results:
 			continue
 		default:
 		}
-		if r.passed > 0 && !r.st.flush() {
-			return endCallerEnd, true
+		if r.forwarded > 0 && !r.st.flush() {
+			return endCallerDone, true
 		}
 		return 0, false
 	}
 }
 
-func (r *run) takeOne(it item) (ending, bool) {
+func (r *run) handleOne(it readResult) (runEnd, bool) {
 	switch {
 	case it.head != nil:
-		r.reply.resp, r.reply.answer = it.head, it.ans
-		return r.takeHead()
-	case it.err != nil && r.reply.resp != nil && wholeEnd(it.err) && r.isWhole():
+		r.reply.resp, r.reply.answer = it.head, it.answer
+		return r.handleHead()
+	case it.err != nil && r.reply.resp != nil && isCleanEOF(it.err) && r.isComplete():
 		return r.finish()
 	case it.err != nil:
-		return r.broke(it.err), true
+		return r.handleReadError(it.err), true
 	}
-	return r.takeEvent(it.ev)
+	return r.handleEvent(it.event)
 }
 
-// isWhole tells a proper end from a broken connection where the answer has no
-// length: an engine that lives has ended it.
-func (r *run) isWhole() bool {
+// isComplete reports whether the answer ended regularly. An answer without a length
+// ends with its connection and counts as complete only if its engine is alive.
+func (r *run) isComplete() bool {
 	if upstream.Framed(r.reply.resp) {
 		return true
 	}
-	if r.passed == 0 {
+	if r.forwarded == 0 {
 		return false
 	}
-	p := r.st.h.prober.ask(r.server)
+	p := r.st.h.prober.start(r.server)
 	<-p.done
 	return p.alive
 }
 
-// takeHead sorts the engine's first word.
-func (r *run) takeHead() (ending, bool) {
+// handleHead classifies the head of the engine's answer.
+func (r *run) handleHead() (runEnd, bool) {
 	rep := &r.reply
 	if rep.answer.Load >= 0 {
-		r.st.h.o.Fleet.Reported(r.server, rep.answer.Load)
+		r.st.h.opts.Fleet.Reported(r.server, rep.answer.Load)
 	}
-	*rep = r.st.h.judge(*rep)
+	*rep = r.st.h.classifyReply(*rep)
 	switch {
-	case rep.sent == refused:
-		r.sent = refused
+	case rep.outcome == sendRefused:
+		r.outcome = sendRefused
 		if rep.answer.Moved {
-			r.st.h.o.Fleet.Stale(r.server)
+			r.st.h.opts.Fleet.Stale(r.server)
 		} else if r.from == nil {
-			r.st.h.o.Fleet.Full(r.server)
+			r.st.h.opts.Fleet.Full(r.server)
 		}
 		return endNotRun, true
 	case rep.fault != noFault:
 		return r.lost("not the engine's answer"), true
 	case rep.resp.StatusCode != http.StatusOK:
-		return r.wholeAnswer()
+		return r.readPlainAnswer()
 	}
 	return 0, false
 }
 
-// wholeAnswer reads an answer that is no stream.
-func (r *run) wholeAnswer() (ending, bool) {
-	r.conn.SetReadDeadline(time.Now().Add(wholeAnswerTime))
-	body, err := upstream.ReadBody(r.reply.resp, maxAnswer)
+// readPlainAnswer reads an answer that is no stream.
+func (r *run) readPlainAnswer() (runEnd, bool) {
+	r.conn.SetReadDeadline(time.Now().Add(plainAnswerTimeout))
+	body, err := upstream.ReadBody(r.reply.resp, maxAnswerBytes)
 	if err != nil {
 		return endBroken, true
 	}
-	r.reply.body, r.sent = body, answered
-	r.st.h.o.Rollouts.Book.End(r.watched, isFailure(r.reply.resp), false)
-	r.st.h.o.Fleet.Failed(r.server)
-	return endAnswer, true
+	r.reply.body, r.outcome = body, sendAnswered
+	r.st.h.opts.Rollouts.Book.End(r.ticket, isFailure(r.reply.resp), false)
+	r.st.h.opts.Fleet.Failed(r.server)
+	return endPlainAnswer, true
 }
 
-// wholeAnswerTime bounds the body of a short answer whose head has come.
-const wholeAnswerTime = 500 * time.Millisecond
+// plainAnswerTimeout bounds the read of a short body after its head.
+const plainAnswerTimeout = 500 * time.Millisecond
 
-func (r *run) takeEvent(e event) (ending, bool) {
+func (r *run) handleEvent(e event) (runEnd, bool) {
 	st := r.st
-	pass, ok := st.seq.follows(e)
+	pass, ok := st.seq.accept(e)
 	if !ok {
-		st.h.o.Log.Warn().Str("request", st.q.RequestID).Str("engine", r.server.ID).Uint64("event", e.id).
+		st.h.opts.Log.Warn().Str("request", st.q.RequestID).Str("engine", r.server.ID).Uint64("event", e.id).
 			Uint64("expected", st.seq.last+1).Msg("events missing")
 		return endBroken, true
 	}
 	if !pass {
 		return 0, false
 	}
-	if r.passed == 0 {
-		r.first()
+	if r.forwarded == 0 {
+		r.noteFirstEvent()
 	}
-	st.begin(r.reply.resp)
-	if !st.write(e) {
-		return endCallerEnd, true
+	st.sendHead(r.reply.resp)
+	if !st.writeEvent(e) {
+		return endCallerDone, true
 	}
-	if r.passed++; r.passed == clearedAfter {
-		st.h.o.Blame.Succeeded(st.q.digest)
+	if r.forwarded++; r.forwarded == clearedAfterEvents {
+		st.h.opts.Blame.Succeeded(st.q.digest)
 		r.notePace()
 	}
 	return 0, false
 }
 
-// first notes that the prompt is read and, for a stream that had begun, how long
-// its caller saw nothing: the resume latency.
-func (r *run) first() {
-	if st := r.st; st.begun {
-		observe(st.h.Stats.Pause, st.wrote)
-		st.h.o.Log.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Bool("from_copy", r.from != nil).
-			Dur("pause", time.Since(st.wrote)).Msg("stream went on")
+// noteFirstEvent records that the prompt is prefilled. For a resumed stream it also
+// records the resume latency, which is how long the caller saw no event.
+func (r *run) noteFirstEvent() {
+	if st := r.st; st.headSent {
+		observe(st.h.Stats.Pause, st.lastEventAt)
+		st.h.opts.Log.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Bool("from_copy", r.from != nil).
+			Dur("pause", time.Since(st.lastEventAt)).Msg("stream went on")
 	} else {
 		observe(st.h.Stats.FirstEvent, st.q.arrived)
-		st.h.o.Ordinary.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Int("send", st.sends).
+		st.h.opts.Ordinary.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Int("send", st.sends).
 			Dur("after", time.Since(st.q.arrived)).Msg("stream began")
 	}
-	fleet := r.st.h.o.Fleet
-	r.firstAt = time.Now()
-	r.st.h.o.Rollouts.Book.End(r.watched, false, fleet.Cold(r.server))
-	if r.alone && r.fresh {
-		r.st.h.paces.read(r.st.q.service.Name, r.use.Prompt, r.firstAt.Sub(r.began))
+	fleet := r.st.h.opts.Fleet
+	r.firstEventAt = time.Now()
+	r.st.h.opts.Rollouts.Book.End(r.ticket, false, fleet.Cold(r.server))
+	if r.granted && r.fromStart {
+		r.st.h.paces.notePrompt(r.st.q.service.Name, r.use.Prompt, r.firstEventAt.Sub(r.sentAt))
 	}
 	fleet.Give(r.server, placement.Use{Prompt: r.use.Prompt})
 	r.use.Prompt = 0
-	r.st.h.o.Placer.UseChanged()
+	r.st.h.opts.Placer.UseChanged()
 	fleet.Succeeded(r.server, 0)
-	r.st.h.kept.put(r.st.q.RequestID, r.leaves())
+	r.st.h.activeRuns.put(r.st.q.RequestID, r.resumable())
 	r.st.skip = map[string]bool{}
-	r.st.since = time.Time{}
+	r.st.lostAt = time.Time{}
 }
 
-// leaves is what the run would leave behind now.
-func (r *run) leaves() Kept {
+// resumable returns what another router needs to resume the stream now.
+func (r *run) resumable() Kept {
 	k := Kept{Identity: r.st.id, Left: Left{Ran: r.server.Address}}
-	if r.shield.now.keeper != nil {
-		k.Copy = r.shield.now.copy
+	if r.backup.current.engine != nil {
+		k.Copy = r.backup.current.ref
 	}
 	return k
 }
 
-// finish ends a whole stream.
-func (r *run) finish() (ending, bool) {
-	r.st.begin(r.reply.resp)
-	r.sent = answered
-	if r.fresh && !r.firstAt.IsZero() {
-		r.st.h.paces.ran(r.st.q.service.Name, time.Since(r.firstAt), r.passed)
+// finish ends a complete stream.
+func (r *run) finish() (runEnd, bool) {
+	r.st.sendHead(r.reply.resp)
+	r.outcome = sendAnswered
+	if r.fromStart && !r.firstEventAt.IsZero() {
+		r.st.h.paces.noteRun(r.st.q.service.Name, time.Since(r.firstEventAt), r.forwarded)
 	}
 	r.st.flush()
-	r.st.h.o.Blame.Succeeded(r.st.q.digest)
-	return endDone, true
+	r.st.h.opts.Blame.Succeeded(r.st.q.digest)
+	return endComplete, true
 }
 
-func (r *run) broke(err error) ending {
+func (r *run) handleReadError(err error) runEnd {
 	if r.st.q.ctx.Err() != nil {
-		return endCallerEnd
+		return endCallerDone
 	}
-	r.st.h.confirmDeath(r.st.q, r.server, r.passed)
+	r.st.h.confirmDeath(r.st.q, r.server, r.forwarded)
 	return r.lost(err.Error())
 }
 
-func (r *run) lost(why string) ending {
-	r.st.h.o.Log.Info().Str("request", r.st.q.RequestID).Str("engine", r.server.ID).Int("passed", r.passed).
-		Dur("silent", time.Since(r.last)).Str("reason", why).Msg("run lost")
+func (r *run) lost(why string) runEnd {
+	r.st.h.opts.Log.Info().Str("request", r.st.q.RequestID).Str("engine", r.server.ID).Int("passed", r.forwarded).
+		Dur("silent", time.Since(r.lastHeard)).Str("reason", why).Msg("run lost")
 	return endBroken
 }
 
-// close ends the run's connection, or keeps it after a whole answer, and gives
-// back what it used. The engine drops a run whose connection closes, so that it
-// never works on beside the next one.
-func (r *run) close(end ending) {
-	fleet := r.st.h.o.Fleet
-	r.st.h.o.Rollouts.Book.Drop(r.watched)
+// close releases what the run used. It returns the connection to the pool after a
+// complete answer and closes it otherwise. The engine drops a run whose connection
+// closes, which keeps it from working beside the next run.
+func (r *run) close(end runEnd) {
+	fleet := r.st.h.opts.Fleet
+	r.st.h.opts.Rollouts.Book.Drop(r.ticket)
 	fleet.Give(r.server, r.use)
-	if r.shield.now.keeper != nil {
-		fleet.Give(r.shield.now.keeper, r.kept)
+	if r.backup.current.engine != nil {
+		fleet.Give(r.backup.current.engine, r.backupUse)
 	}
-	r.st.h.o.Placer.UseChanged()
-	// Callers whose streams this VM's shutdown ends come for the rest elsewhere.
-	if end == endDone || end == endCallerEnd && !r.st.h.o.Closing() {
-		r.unprotect()
+	r.st.h.opts.Placer.UseChanged()
+	// Callers whose streams end with this VM's shutdown ask another router for the
+	// rest, which needs the copies.
+	if end == endComplete || end == endCallerDone && !r.st.h.opts.Closing() {
+		r.dropBackups()
 	}
 	if r.conn == nil {
 		return
 	}
-	kept := r.stop() && (end == endDone || end == endAnswer)
+	kept := r.stopWatchingCaller() && (end == endComplete || end == endPlainAnswer)
 	if kept {
-		r.st.h.o.Pool.Put(r.conn, r.reply.resp)
+		r.st.h.opts.Pool.Put(r.conn, r.reply.resp)
 		return
 	}
 	r.conn.Close()
 	go func() {
-		for range r.items { // the reader ends with its connection
+		for range r.results { // drains the reader, which ends with its connection
 		}
 	}()
 }
--- /dev/null
+++ b/internal/forward/run_silence.go
@@ -0,0 +1,146 @@
+package forward
+
+import "time"
+
+// silenceTimer wakes a run that has been silent for a while. It also detects that this
+// VM was stalled instead.
+type silenceTimer struct {
+	timer     *time.Timer
+	wait      time.Duration
+	startedAt time.Time
+}
+
+func newSilenceTimer(wait time.Duration) *silenceTimer {
+	return &silenceTimer{timer: time.NewTimer(wait), wait: wait, startedAt: time.Now()}
+}
+
+func (c *silenceTimer) set(wait time.Duration) {
+	c.timer.Reset(wait)
+	c.wait, c.startedAt = wait, time.Now()
+}
+
+// firedLate reports whether the timer fired much later than it was set to.
+func (c *silenceTimer) firedLate() bool { return time.Since(c.startedAt)-c.wait >= maxTimerDelay }
+
+// onSilenceTimer reacts to a silence. If this VM was stalled, the silence is its own:
+// events wait in the socket buffers, and otherwise every stream would move at once.
+func (r *run) onSilenceTimer() (runEnd, bool) {
+	if r.silenceTimer.firedLate() {
+		r.lastHeard = time.Now()
+		r.silenceTimer.set(stallReadTime)
+		return 0, false
+	}
+	end, done := r.handleSilence()
+	r.silenceTimer.set(r.nextSilenceCheck())
+	return end, done
+}
+
+// handleSilence acts on a run that has brought nothing for a while.
+func (r *run) handleSilence() (runEnd, bool) {
+	switch r.silenceLimits().decide(r.currentSilence()) {
+	case probeEngine:
+		r.startProbe()
+	case moveStream:
+		return r.moveOff(), true
+	}
+	return 0, false
+}
+
+func (r *run) currentSilence() silence {
+	s := silence{
+		duration: time.Since(r.lastHeard), engineHeardAgo: r.st.h.opts.Fleet.HeardAgo(r.server),
+		begun: r.forwarded > 0 || r.from != nil, moved: r.st.movedOffLive, hasCopy: r.backup.current.engine != nil && r.st.q.history.possibleRuns+1 < r.st.q.history.maxAttempts,
+		reportIsCurrent: r.reportIsCurrent, missingReports: r.missingReports,
+	}
+	if r.reportIsCurrent {
+		if made, running := r.report.Made[r.st.q.RequestID]; running && r.fromStart {
+			s.eventsAhead = made - r.forwarded
+		}
+	}
+	return s
+}
+
+// nextSilenceCheck returns after which time the silence is checked again.
+func (r *run) nextSilenceCheck() time.Duration {
+	p, lasted := r.silenceLimits(), time.Since(r.lastHeard)
+	if p.Move > lasted {
+		return min(probeInterval, p.Move-lasted)
+	}
+	return probeInterval
+}
+
+func (r *run) startProbe() {
+	if r.probe != nil || time.Since(r.probedAt) < probeInterval {
+		return
+	}
+	r.probedAt = time.Now()
+	r.st.h.Stats.Probes.Inc()
+	r.probe = r.st.h.prober.start(r.server)
+}
+
+// probeDone returns the channel that the probe in flight closes; nil: there is none.
+func (r *run) probeDone() <-chan struct{} {
+	if r.probe == nil {
+		return nil
+	}
+	return r.probe.done
+}
+
+// handleProbe handles the result of a probe.
+func (r *run) handleProbe() (runEnd, bool) {
+	p := r.probe
+	r.probe = nil
+	if !p.alive {
+		if r.probeAgain() {
+			return 0, false
+		}
+		r.st.h.opts.Fleet.Dead(r.server)
+		r.st.h.recordSuspectContent(r.st.q, r.server, r.forwarded)
+		return r.lost("engine does not answer"), true
+	}
+	r.report, r.reportIsCurrent, r.probeFailed = p.report, p.hasReport, false
+	r.countMissingReports()
+	if r.silenceLimits().decide(r.currentSilence()) == moveStream {
+		return r.moveOff(), true
+	}
+	return 0, false
+}
+
+// probeAgain starts a second probe before a stream that has not begun leaves its engine.
+// A move would repeat the prefill, and there is no pause that the caller sees yet.
+func (r *run) probeAgain() bool {
+	if r.st.headSent || r.probeFailed {
+		return false
+	}
+	r.probeFailed = true
+	r.probe = r.st.h.prober.start(r.server)
+	return true
+}
+
+// countMissingReports counts the complete reports in a row that do not list the run.
+func (r *run) countMissingReports() {
+	_, named := r.report.Made[r.st.q.RequestID]
+	if r.reportIsCurrent && r.report.Complete && !named {
+		r.missingReports++
+		return
+	}
+	r.missingReports = 0
+}
+
+// moveOff moves the stream off a live engine.
+func (r *run) moveOff() runEnd {
+	if s := r.currentSilence(); s.engineLostRun() {
+		return r.lost("engine does not have the run")
+	}
+	r.st.movedOffLive = true
+	r.st.h.opts.Fleet.Suspect(r.server)
+	return r.lost("silent too long on a live engine")
+}
+
+// Constants of a VM that was stalled itself.
+const (
+	// maxTimerDelay is how late a timer may fire on a busy VM.
+	maxTimerDelay = 150 * time.Millisecond
+	// stallReadTime is the time to read what arrived during the stall.
+	stallReadTime = 30 * time.Millisecond
+)
--- /dev/null
+++ b/internal/forward/send_history.go
@@ -0,0 +1,76 @@
+package forward
+
+import "github.com/amaranthshelf/amaranthshelf/internal/result"
+
+// sendOutcome is how far a request got at one backend server.
+type sendOutcome uint8
+
+const (
+	sendNotSent  sendOutcome = iota // no byte left this VM, or no connection was made
+	sendRefused                     // the server states that it has not run the request and never will
+	sendUnknown                     // bytes left and no usable answer came: the request may have run
+	sendAnswered                    // the server sent a complete answer
+)
+
+// String implements fmt.Stringer.
+func (s sendOutcome) String() string {
+	return [...]string{"not sent", "refused", "unknown", "answered"}[s]
+}
+
+// SendHistory records the sends of one request. It alone decides whether the
+// request may be sent again, and what its caller is told about whether it ran.
+//
+// Without it a broken connection looks the same whether or not the request had
+// left this VM. A vote could then be cast twice, or be refused as "not run"
+// although it was counted.
+type Record struct {
+	repeatable   bool
+	maxAttempts  int
+	arrivals     int // sends of which bytes may have reached a server
+	possibleRuns int // sends that may have run
+}
+
+// NewSendHistory returns the history of a request that has not been sent yet. A
+// repeatable request may run up to maxAttempts times, any other once.
+func NewRecord(repeatable bool, maxAttempts int) *Record {
+	return &Record{repeatable: repeatable, maxAttempts: max(1, maxAttempts)}
+}
+
+// Add records the outcome of one send.
+func (r *Record) Note(s sendOutcome) {
+	if s != sendNotSent {
+		r.arrivals++
+	}
+	if s == sendUnknown || s == sendAnswered {
+		r.possibleRuns++
+	}
+}
+
+// MaySend reports whether the request may be sent to another server.
+func (r *Record) MaySend() bool {
+	if r.possibleRuns == 0 {
+		return true
+	}
+	return r.repeatable && r.possibleRuns < r.maxAttempts
+}
+
+// IsRetry reports whether the next send draws on the retry budget, since a server
+// may already have received the request.
+func (r *Record) IsRepeat() bool { return r.arrivals > 0 }
+
+// Ran returns what a caller may be told about whether its request ran.
+func (r *Record) Ran() result.Ran {
+	if r.possibleRuns > 0 {
+		return result.RanUnknown
+	}
+	return result.RanNo
+}
+
+// FinalCode replaces a code that promises "not run" by OutcomeUnknown if the request
+// may have run, and returns any other code unchanged.
+func (r *Record) Refusal(code result.Code) result.Code {
+	if r.possibleRuns > 0 && result.Lookup(code).Ran == result.RanNo {
+		return result.OutcomeUnknown
+	}
+	return code
+}
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -2,109 +2,116 @@
 
 import "time"
 
-// The load pattern. Engines die without a word: their connections stay open and
-// nothing more comes. A caller's pause may be some hundred milliseconds, and an
-// engine that reads another's prompt pauses nearly as long. A fixed bound that is
-// a little too short feeds itself: resumed streams load the engines, which then
-// look silent in turn, and the answers of a healthy system break.
+// The failure pattern is the silent death of engines: their connections stay open, but
+// carry nothing more. A caller accepts a pause of some hundred milliseconds, and a live
+// engine pauses nearly as long while it prefills the prompt of another stream. A fixed
+// timeout that is slightly too short amplifies itself. Resumed streams load the engines,
+// which then look silent in turn, and the streams of a healthy system break off.
 //
-// So silence alone is never a verdict. It leads to a question that a live engine
-// answers without a slot; only where that stays unanswered too is the engine dead.
-// A stream of a live engine moves once at most, where a copy waits and the pause
-// would be too long otherwise.
+// Silence alone is therefore no proof of death. It triggers a probe, which a live engine
+// answers without a slot. An engine counts as dead only if the probe fails as well. A
+// stream leaves a live engine at most once, and only if a copy of its run exists and the
+// pause would become too long otherwise.
 //
-// A live engine may not have the run at all: it was started again under the address
-// that it had, or the request was lost on its way without a reset. Nothing would ever
-// come, and the engine would answer every question until the caller's time is over. So
-// an engine that names all that it has, and not the run, twice, has lost it.
+// A live engine may not have the run at all: it was restarted at the same address, or
+// the request was lost on its way without a reset. No event would ever come, but the
+// engine would answer every probe until the caller's deadline. An engine has therefore
+// lost the run if two complete reports in a row do not list it.
 
-// Patience are the bounds of one stream's silence.
+// SilenceLimits are the durations of silence after which a run acts.
 type Patience struct {
-	Ask  time.Duration // silence after which the engine is asked
-	Move time.Duration // silence of a live engine after which a stream moves
+	Ask  time.Duration // silence after which the engine is probed
+	Move time.Duration // silence after which a stream leaves a live engine; 0: never
 }
 
-// Figures of patience.
+// Constants of the silence limits.
 const (
-	// askShare of the pause objective: an engine that reads a prompt beside makes
-	// an event each 200 to 250 ms, a third of a usual objective.
-	askShare = 0.36
-	// moveShare leaves what a resume from a copy takes, some 100 to 150 ms.
-	moveShare = 0.68
-	// defaultPause stands in where a route states no objective for pauses.
-	defaultPause = 1 * time.Second
-	// firstAsk: before its first event a stream waits for its prompt, and those
-	// before it, to be read: seconds. A dead engine found here costs no pause.
-	firstAsk = 1500 * time.Millisecond
-	// firstLost: before its first event a stream is taken for lost no sooner, whatever
-	// its engine says. Twice what the longest prompts take; one that has not begun to
-	// be read may not be named.
-	firstLost = 4 * time.Second
-	// lostAnswers in a row: what an engine says of itself is some hundred ms old.
-	lostAnswers = 2
-	// askAgain is the pause between two questions about one silence.
-	askAgain = 300 * time.Millisecond
-	// neighbourHeard: an engine that sent an event of another stream so lately
-	// lives, and need not be asked.
-	neighbourHeard = 120 * time.Millisecond
+	// probeShare is the part of the pause objective after which an engine is probed. An
+	// engine that prefills another prompt makes an event each 200 to 250 ms, which is a
+	// third of a usual objective.
+	probeShare = 0.36
+	// moveAfterShare is the part of the pause objective after which a stream moves. It
+	// leaves time for a resume from a copy, which takes some 100 to 150 ms.
+	moveAfterShare = 0.68
+	// defaultPauseObjective applies to routes without a pause objective.
+	defaultPauseObjective = 1 * time.Second
+	// firstEventProbeAfter is the least silence before a probe while no event has come.
+	// The prefill of the prompt, and of those queued before it, takes seconds. A dead
+	// engine found at this stage causes no pause in an answer.
+	firstEventProbeAfter = 1500 * time.Millisecond
+	// firstEventLostAfter is the least silence after which a run without an event counts
+	// as lost, whatever its engine reports. It is twice the prefill time of the longest
+	// prompts. An engine may not list a run whose prefill has not started.
+	firstEventLostAfter = 4 * time.Second
+	// lostAfterReports is the number of reports in a row that must not list a run for it
+	// to count as lost. The content of a report is some hundred ms old.
+	lostAfterReports = 2
+	// probeInterval separates two probes about the same silence.
+	probeInterval = 300 * time.Millisecond
+	// recentlyHeard is how long an event of any stream proves that its engine is alive
+	// and need not be probed.
+	recentlyHeard = 120 * time.Millisecond
 )
 
-// PatienceFor derives the bounds from a route's pause objective.
+// SilenceLimitsFor derives the limits from a route's pause objective. begun: the caller
+// was sent a part of the answer.
 func PatienceFor(pause time.Duration, begun bool) Patience {
 	if pause <= 0 {
-		pause = defaultPause
+		pause = defaultPauseObjective
 	}
 	if !begun {
-		return Patience{Ask: max(firstAsk, 2*pause)}
+		return Patience{Ask: max(firstEventProbeAfter, 2*pause)}
 	}
 	return Patience{
-		Ask:  time.Duration(askShare * float64(pause)),
-		Move: time.Duration(moveShare * float64(pause)),
+		Ask:  time.Duration(probeShare * float64(pause)),
+		Move: time.Duration(moveAfterShare * float64(pause)),
 	}
 }
 
-// silence is what is known when a stream has brought nothing for a while.
+// silence is what is known about a run that has brought nothing for a while.
 type silence struct {
-	lasted    time.Duration
-	heardAgo  time.Duration // since the engine last sent anything to this VM
-	begun     bool          // events have come on this stream
-	moved     bool          // the stream has moved off a live engine before
-	copyWaits bool
-	asked     bool // an answered question about this silence
-	ahead     int  // events that the engine has made beyond those that came
-	unknown   int  // answers in a row by which the engine does not have the run
+	duration        time.Duration
+	engineHeardAgo  time.Duration // since the engine sent anything to this VM
+	begun           bool          // events have come, or the run resumes from a copy
+	moved           bool          // the stream was moved off a live engine before
+	hasCopy         bool
+	reportIsCurrent bool // the engine has reported during this silence
+	eventsAhead     int  // events that the engine has made and that have not come
+	missingReports  int  // complete reports in a row that do not list the run
 }
 
-// lost reports whether the engine has lost the run.
-func (s *silence) lost() bool {
-	return s.unknown >= lostAnswers && (s.begun || s.lasted >= firstLost)
+// engineLostRun reports whether the engine has lost the run.
+func (s *silence) engineLostRun() bool {
+	return s.missingReports >= lostAfterReports && (s.begun || s.duration >= firstEventLostAfter)
 }
 
-// action is what to do about a silence.
+// action is the reaction to a silence.
 type action uint8
 
 const (
 	keepWaiting action = iota
-	askEngine
+	probeEngine
 	moveStream
 )
 
-// decide is the whole policy. A dead engine needs none: its streams move at once.
+// decide chooses the reaction to a silence. A dead engine needs no decision, since its
+// streams move at once.
 func (p Patience) decide(s silence) action {
-	if s.lost() {
+	if s.engineLostRun() {
 		return moveStream
 	}
-	if s.asked && s.begun && s.ahead > aheadLost {
-		return moveStream // its events are made and do not come: the connection is lost
+	if s.reportIsCurrent && s.begun && s.eventsAhead > maxEventsInFlight {
+		return moveStream // the engine makes events, but the connection does not deliver them
 	}
-	if p.Move > 0 && s.begun && s.lasted >= p.Move && s.copyWaits && !s.moved {
+	if p.Move > 0 && s.begun && s.duration >= p.Move && s.hasCopy && !s.moved {
 		return moveStream
 	}
-	if s.lasted >= p.Ask && s.heardAgo >= neighbourHeard {
-		return askEngine
+	if s.duration >= p.Ask && s.engineHeardAgo >= recentlyHeard {
+		return probeEngine
 	}
 	return keepWaiting
 }
 
-// aheadLost events made and not received are more than what is on its way.
-const aheadLost = 4
+// maxEventsInFlight is the most events that are made and not received while the
+// connection works.
+const maxEventsInFlight = 4
--- a/internal/forward/stats.go
+++ b/internal/forward/stats.go
@@ -9,28 +9,28 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Stats count what a Handler did. They are bounded in number: names are fixed,
-// and the only label is a result code.
+// Stats are the metrics of a Handler. Their number is bounded: the names are fixed, and
+// the only labels are a result code and its name.
 type Stats struct {
 	set *metrics.Set
 
 	Requests   *metrics.Counter
-	Repeats    *metrics.Counter // second sends
-	Resumes    *metrics.Counter // streams that went on at another engine
-	FromCopy   *metrics.Counter // of these, from a copy of their memory
+	Repeats    *metrics.Counter // sends that drew on the retry budget
+	Resumes    *metrics.Counter // streams that were resumed at another engine
+	FromCopy   *metrics.Counter // of these, from a backup copy
 	Probes     *metrics.Counter
-	Protected  *metrics.Counter // copies made on order
+	Protected  *metrics.Counter // backup copies made on order
 	Strays     *metrics.Counter // answers to other requests, dropped
-	Broken     *metrics.Counter // streams that ended broken
+	Broken     *metrics.Counter // streams that were broken off
 	CallerGone *metrics.Counter
 
 	FirstEvent *metrics.Histogram // seconds from a caller's request
-	Pause      *metrics.Histogram // seconds that a resumed stream's caller saw nothing
+	Pause      *metrics.Histogram // seconds without an event for the caller of a resumed stream
 	CallTime   *metrics.Histogram // seconds from a caller's request to the answer
 	StreamWait *metrics.Histogram // seconds that a stream waited for an engine
 }
 
-// NewStats registers the counters in a set.
+// NewStats returns Stats whose metrics are registered in set.
 func NewStats(set *metrics.Set) *Stats {
 	counter := func(name string) *metrics.Counter { return set.NewCounter("shelf_" + name + "_total") }
 	return &Stats{
@@ -42,10 +42,10 @@
 	}
 }
 
-// refused counts an error of this system's own by its code.
+// refused counts an error of this system itself by its code.
 func (s *Stats) refused(code result.Code) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`shelf_refused_total{code="%d",name=%q}`, code, result.Lookup(code).Name)).Inc()
 }
 
-// observe adds a time since began to a histogram.
+// observe adds the time since began to a histogram.
 func observe(h *metrics.Histogram, began time.Time) { h.Update(time.Since(began).Seconds()) }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -11,78 +11,78 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// Figures of streams.
+// Bounds of the search for an engine.
 const (
-	// fullPause is between two rounds over engines that were all full.
-	fullPause = 40 * time.Millisecond
-	// strandedFor is how long a stream that has begun looks for an engine to go on
-	// at; the caller gives up on a pause of two seconds.
-	strandedFor = 1500 * time.Millisecond
+	// fullEnginesRetryDelay separates two rounds over engines that were all full.
+	fullEnginesRetryDelay = 40 * time.Millisecond
+	// maxResumeSearch bounds the search for an engine that resumes a stream. A caller
+	// gives up after a pause of two seconds.
+	maxResumeSearch = 1500 * time.Millisecond
 )
 
-// stream is one caller's stream over all engines that it runs on.
-type stream struct {
+// streamRelay carries one caller's stream, over all engines that it runs on.
+type streamRelay struct {
 	h    *Handler
 	q    *request
 	w    http.ResponseWriter
 	need placement.Need
 	seq  sequence
 
-	begun   bool       // the answer's head is out
-	moved   bool       // off a live engine, once
-	copied  protection // of the last run
-	left    *Copy      // of a run that another router carried, or nil
-	ran     string     // address of the engine that ran it there; empty: not known
-	id      uint64     // identity
-	skip    map[string]bool
-	sends   int
-	since   time.Time // when the last engine was lost; zero: none is
-	wrote   time.Time // when the last event was passed on
-	failure *reply
-	failed  bool // an engine has failed it
+	headSent      bool       // the head of the answer was sent to the caller
+	movedOffLive  bool       // the stream was moved off a live engine, which happens at most once
+	lastCopy      backupCopy // backup copy of the last run
+	orphanCopy    *Copy      // copy of a run that another router carried; nil: none
+	orphanEngine  string     // address of the engine that ran it for that router; empty: not known
+	id            uint64     // see request.identity
+	skip          map[string]bool
+	sends         int
+	lostAt        time.Time // when the stream lost its engine; zero: it has one
+	lastEventAt   time.Time // when the last event was forwarded
+	engineFailure *reply
+	engineFailed  bool // an engine answered with a failure of its own
 
-	began   time.Time     // when the first event was passed on
-	longest time.Duration // pause between two events
-	events  int           // passed on
-	waited  time.Duration // for an engine
+	firstEventAt time.Time     // when the first event was forwarded
+	longestPause time.Duration // between two events
+	events       int           // forwarded
+	waited       time.Duration // total wait for an engine
 }
 
-// ending is how a run at one engine ended.
-type ending uint8
+// runEnd is how a run at one engine ended.
+type runEnd uint8
 
 const (
-	endDone      ending = iota // whole
-	endNotRun                  // refused, or never sent
-	endBroken                  // the engine died, broke off or was left
-	endAnswer                  // an answer that is no stream of events
-	endCallerEnd               // the caller left, or its time is over
+	endComplete    runEnd = iota // the stream is complete
+	endNotRun                    // the request was refused, or never sent
+	endBroken                    // the engine died or broke off, or the stream was moved off it
+	endPlainAnswer               // the answer is complete, and no stream of events
+	endCallerDone                // the caller left, or its deadline passed
 )
 
-// stream carries a request whose answer is a series of events.
-func (h *Handler) stream(w http.ResponseWriter, q *request) {
-	st := &stream{
+// serveStream carries a request whose answer is a stream of events.
+func (h *Handler) serveStream(w http.ResponseWriter, q *request) {
+	st := &streamRelay{
 		h: h, q: q, w: w, skip: map[string]bool{},
 		need: placement.Need{Prompt: q.Prompt, Output: q.Output},
 		seq:  sequence{last: q.After, started: q.HasAfter},
-		id:   q.identity(h.o.Wire.PerAttempt()),
+		id:   q.identity(h.opts.Wire.PerAttempt()),
 	}
-	defer h.kept.drop(q.RequestID)
-	st.findLeft()
+	defer h.activeRuns.drop(q.RequestID)
+	st.findOrphan()
 	outcome := "cut off"
 	defer func() { st.logEnd(outcome) }()
 	for {
-		c := st.next()
+		c := st.nextEngine()
 		if c.server == nil {
-			outcome = st.outcome(c.refused)
-			st.give(c.refused)
+			outcome = st.outcomeName(c.reason)
+			st.fail(c.reason)
 			return
 		}
-		run := st.start(c)
-		end := run.follow()
+		run := st.startRun(c)
+		end := run.relay()
 		run.close(end)
-		outcome = st.outcome(result.RouteTimeout)
-		if st.settled(run, end) {
-			if end != endCallerEnd {
+		outcome = st.outcomeName(result.RouteTimeout)
+		if st.handleEnd(run, end) {
+			if end != endCallerDone {
 				outcome = "whole"
 			}
 			return
@@ -90,214 +90,218 @@
 	}
 }
 
-// outcome names how a stream ends that is not whole.
-func (st *stream) outcome(code result.Code) string {
-	if st.callerLeft() {
+// outcomeName names the end of a stream that is not complete.
+func (st *streamRelay) outcomeName(code result.Code) string {
+	if st.callerGone() {
 		return "caller left"
 	}
 	return result.Lookup(code).Name
 }
 
-func (st *stream) callerLeft() bool { return st.q.ctx.Err() != nil && st.q.left() > 0 }
+func (st *streamRelay) callerGone() bool { return st.q.ctx.Err() != nil && st.q.left() > 0 }
 
-// logEnd tells what a stream's caller saw.
-func (st *stream) logEnd(outcome string) {
+// logEnd logs what the caller of the stream saw.
+func (st *streamRelay) logEnd(outcome string) {
 	var first time.Duration
-	if !st.began.IsZero() {
-		first = st.began.Sub(st.q.arrived)
+	if !st.firstEventAt.IsZero() {
+		first = st.firstEventAt.Sub(st.q.arrived)
 	}
-	st.h.o.Ordinary.Info().Str("request", st.q.RequestID).Str("outcome", outcome).Int("events", st.events).
-		Dur("first_event", first).Dur("longest_pause", st.longest).Dur("waited", st.waited).Int("sends", st.sends).
+	st.h.opts.Ordinary.Info().Str("request", st.q.RequestID).Str("outcome", outcome).Int("events", st.events).
+		Dur("first_event", first).Dur("longest_pause", st.longestPause).Dur("waited", st.waited).Int("sends", st.sends).
 		Bool("rest_only", st.q.HasAfter).Dur("objective", st.q.route.Objective).Dur("pause_objective", st.q.route.PauseObjective).Dur("held", time.Since(st.q.arrived)).Msg("stream ended")
 }
 
-// settled takes in how a run ended; true: the caller has its final answer.
-func (st *stream) settled(run *run, end ending) bool {
-	st.q.rec.Note(run.sent)
+// handleEnd acts on the end of a run. It reports whether the caller has its final
+// answer.
+func (st *streamRelay) handleEnd(run *run, end runEnd) bool {
+	st.q.history.Note(run.outcome)
 	switch end {
-	case endDone:
+	case endComplete:
 		return true
-	case endAnswer:
-		return st.answered(run)
-	case endCallerEnd:
-		st.give(result.RouteTimeout)
+	case endPlainAnswer:
+		return st.handlePlainAnswer(run)
+	case endCallerDone:
+		st.fail(result.RouteTimeout)
 		return true
 	case endNotRun:
 		if run.from != nil {
-			st.copied = protection{} // the copy is gone, or its engine is full
+			st.lastCopy = backupCopy{} // the copy is gone, or the engine that holds it is full
 		}
 		st.skip[run.server.ID] = true
 	case endBroken:
 		st.skip[run.server.ID] = true
-		st.copied = run.shield.now
-		if run.passed == 0 && run.from == nil {
-			st.copied = protection{} // a prompt that was being read has no copy yet
+		st.lastCopy = run.backup.current
+		if run.forwarded == 0 && run.from == nil {
+			st.lastCopy = backupCopy{} // the prompt was still being prefilled: no copy exists yet
 		}
-		if st.since.IsZero() {
-			st.since = time.Now()
+		if st.lostAt.IsZero() {
+			st.lostAt = time.Now()
 		}
 	}
 	return false
 }
 
-// answered takes an engine's answer that is no stream: its own failure may pass
-// at another engine.
-func (st *stream) answered(run *run) bool {
+// handlePlainAnswer delivers an engine's answer that is no stream. A failure of the
+// engine itself is kept back while another engine may still succeed.
+func (st *streamRelay) handlePlainAnswer(run *run) bool {
 	r := &run.reply
-	retry := r.resp.StatusCode >= http.StatusInternalServerError && st.q.rec.MaySend()
-	if !st.begun && !retry {
+	retry := r.resp.StatusCode >= http.StatusInternalServerError && st.q.history.MaySend()
+	if !st.headSent && !retry {
 		st.h.deliver(st.w, r)
 		return true
 	}
 	st.skip[run.server.ID] = true
-	st.failure, st.failed = r, true
+	st.engineFailure, st.engineFailed = r, true
 	return false
 }
 
-// next chooses the engine for the next run: the keeper of a copy goes first. It
-// returns the reason where there is none.
-func (st *stream) next() chosen {
+// nextEngine chooses the engine for the next run, preferring one that holds a copy.
+// If there is none, the choice carries the reason.
+func (st *streamRelay) nextEngine() engineChoice {
 	for {
-		if !st.q.rec.MaySend() || st.sends > 0 && st.h.o.Blame.Kills(st.q.digest) {
-			return chosen{refused: result.StreamBroken}
+		if !st.q.history.MaySend() || st.sends > 0 && st.h.opts.Blame.Kills(st.q.digest) {
+			return engineChoice{reason: result.StreamBroken}
 		}
-		c := st.choose()
-		if c.again {
+		c := st.chooseEngine()
+		if c.tryAgain {
 			continue
 		}
-		if c.server == nil && !c.final && st.mayWait() && timer.Sleep(st.q.ctx, fullPause) == nil {
+		if c.server == nil && !c.final && st.mayWait() && timer.Sleep(st.q.ctx, fullEnginesRetryDelay) == nil {
 			clear(st.skip)
 			continue
 		}
 		switch {
 		case st.q.ctx.Err() != nil:
-			c.refused = result.RouteTimeout
+			c.reason = result.RouteTimeout
 		case c.server == nil && c.final:
 		case c.server == nil && st.sends == 0:
-			c.refused = result.NoBackendServer
+			c.reason = result.NoBackendServer
 		case c.server == nil:
-			c.refused = result.BackendsFull
-		case st.q.rec.IsRepeat() && !st.h.mayRepeat(st.q, st.urgency(c.from)):
-			c.refused = result.RetriesSpent
+			c.reason = result.BackendsFull
+		case st.q.history.IsRepeat() && !st.h.mayRetry(st.q, st.retryUrgency(c.from)):
+			c.reason = result.RetriesSpent
 		default:
 			st.sends++
 			return c
 		}
 		if c.granted {
-			st.h.o.Placer.Took(c.grant.Number) // not needed
+			st.h.opts.Placer.Took(c.grant.Number) // frees the grant, which is not needed
 		}
-		return chosen{refused: c.refused}
+		return engineChoice{reason: c.reason}
 	}
 }
 
-// urgency is that of a second send from a copy; nil: from the prompt.
-func (st *stream) urgency(from *Copy) Urgency {
-	if st.begun && from != nil {
+// retryUrgency returns the urgency of a retry that resumes from a copy. from is nil if the
+// prompt must be prefilled again.
+func (st *streamRelay) retryUrgency(from *Copy) Urgency {
+	if st.headSent && from != nil {
 		return InTime
 	}
 	return TooLate
 }
 
-// findLeft looks for the copy of a stream whose rest is asked for.
-func (st *stream) findLeft() {
-	if !st.q.HasAfter || !st.q.rec.repeatable || st.h.o.Find == nil {
+// findOrphan looks for the copy of a stream if its caller asks for the rest of it.
+func (st *streamRelay) findOrphan() {
+	if !st.q.HasAfter || !st.q.history.repeatable || st.h.opts.Find == nil {
 		return
 	}
-	left, ok := st.h.o.Find(st.q.ctx, st.id)
+	left, ok := st.h.opts.Find(st.q.ctx, st.id)
 	if !ok {
 		return
 	}
-	st.ran = left.Ran
+	st.orphanEngine = left.Ran
 	if left.Copy.Address != "" {
-		st.left = &left.Copy
+		st.orphanCopy = &left.Copy
 	}
 }
 
-func (st *stream) choose() chosen {
-	if left := st.left; left != nil {
-		st.left = nil // a copy can be used once
-		if s := st.h.o.Fleet.At(st.q.service.Name, left.Address); s != nil && st.permits(s) {
-			return chosen{server: s, from: left}
+func (st *streamRelay) chooseEngine() engineChoice {
+	if left := st.orphanCopy; left != nil {
+		st.orphanCopy = nil // a copy can be used only once
+		if s := st.h.opts.Fleet.At(st.q.service.Name, left.Address); s != nil && st.allowsEngine(s) {
+			return engineChoice{server: s, from: left}
 		}
 	}
-	if p := st.copied; p.keeper != nil {
-		if s := st.h.o.Fleet.Lookup(p.keeper.ID); s != nil && st.permits(s) {
-			return chosen{server: s, from: &p.copy}
+	if p := st.lastCopy; p.engine != nil {
+		if s := st.h.opts.Fleet.Lookup(p.engine.ID); s != nil && st.allowsEngine(s) {
+			return engineChoice{server: s, from: &p.ref}
 		}
-		st.copied = protection{}
+		st.lastCopy = backupCopy{}
 	}
-	st.h.recheckVersion(st.q, st.failed)
+	st.h.recheckVersion(st.q, st.engineFailed)
 	if st.sends >= maxSends {
-		return chosen{}
+		return engineChoice{}
 	}
-	return st.place()
+	return st.requestEngine()
 }
 
-func (st *stream) kvTokens() int {
+func (st *streamRelay) kvTokens() int {
 	if e := st.q.service.Engine; e != nil {
 		return e.KVTokens
 	}
 	return 0
 }
 
-// mayWait reports whether a stream that no engine takes now is kept: one that
-// has not begun for a small share of its objective, one that has begun until the
-// caller would give it up.
-func (st *stream) mayWait() bool {
+// mayWait reports whether a stream that no engine takes now keeps waiting. Before its
+// head is sent it waits for a small share of its objective. After that it waits until
+// its caller would give up.
+func (st *streamRelay) mayWait() bool {
 	if st.sends >= maxSends {
 		return false
 	}
-	if st.begun {
-		return time.Since(st.since) < strandedFor
+	if st.headSent {
+		return time.Since(st.lostAt) < maxResumeSearch
 	}
-	return time.Since(st.q.arrived) < time.Duration(refusalShare*float64(st.q.route.Objective))
+	return time.Since(st.q.arrived) < time.Duration(maxHoldShare*float64(st.q.route.Objective))
 }
 
-// give is the final answer where the stream cannot be finished. One that has
-// begun is broken off, so that it does not look whole.
-func (st *stream) give(code result.Code) {
+// fail ends a stream that cannot be finished. If the head was sent, the connection is
+// aborted: a regular end would make the stream look complete.
+func (st *streamRelay) fail(code result.Code) {
 	h := st.h
 	switch {
-	case st.callerLeft():
+	case st.callerGone():
 		h.Stats.CallerGone.Inc()
-	case st.begun:
+	case st.headSent:
 		h.Stats.Broken.Inc()
-		h.o.Log.Warn().Str("request", st.q.RequestID).Uint64("last_event", st.seq.last).Int("sends", st.q.rec.arrivals).
+		h.opts.Log.Warn().Str("request", st.q.RequestID).Uint64("last_event", st.seq.last).Int("sends", st.q.history.arrivals).
 			Str("reason", result.Lookup(code).Name).Msg("stream broken off")
 		panic(http.ErrAbortHandler)
-	case st.failure != nil:
-		h.deliver(st.w, st.failure)
+	case st.engineFailure != nil:
+		h.deliver(st.w, st.engineFailure)
 	default:
 		h.giveUp(st.w, st.q, code)
 	}
 }
 
-// begin passes the head of the first engine's answer on.
-func (st *stream) begin(resp *http.Response) {
-	if st.begun {
+// sendHead forwards the head of the first engine's answer.
+func (st *streamRelay) sendHead(resp *http.Response) {
+	if st.headSent {
 		return
 	}
-	st.begun = true
-	st.h.copyHead(st.w, resp)
+	st.headSent = true
+	st.h.copyHeaders(st.w, resp)
 	st.w.WriteHeader(resp.StatusCode)
 }
 
-// write passes whole events on; false: the caller is gone.
-func (st *stream) write(e event) bool {
+// writeEvent forwards a complete event. It returns false if the caller is gone.
+func (st *streamRelay) writeEvent(e event) bool {
 	_, err := st.w.Write(e.raw)
-	st.seq.passed(e)
+	st.seq.advance(e)
 	now := time.Now()
 	if st.events == 0 {
-		st.began = now
+		st.firstEventAt = now
 	} else {
-		st.longest = max(st.longest, now.Sub(st.wrote))
+		st.longestPause = max(st.longestPause, now.Sub(st.lastEventAt))
 	}
 	st.events++
-	st.wrote = now
+	st.lastEventAt = now
 	return err == nil
 }
 
-func (st *stream) flush() bool { return http.NewResponseController(st.w).Flush() == nil }
+func (st *streamRelay) flush() bool { return http.NewResponseController(st.w).Flush() == nil }
 
-// wholeEnd reports whether a read error is the proper end of a stream.
-func wholeEnd(err error) bool { return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) }
+// isCleanEOF reports whether a read error is the regular end of a stream.
+func isCleanEOF(err error) bool {
+	return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
+}
