--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -16,11 +16,11 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// pauseObjective is that of testRoutes' stream.
+// pauseObjective is the pause objective of the stream in testRoutes.
 const pauseObjective = 700 * time.Millisecond
 
-// runningOn returns the server that runs a request now, or nil.
-func (w *world) runningOn(id string) *routedengine.Server {
+// engineRunning returns the server that has a run of the request; nil: none has.
+func (w *fixture) engineRunning(id string) *routedengine.Server {
 	for _, s := range w.servers {
 		for _, r := range s.Runs() {
 			if r.RequestID == id {
@@ -33,46 +33,45 @@
 
 func TestStreamUndisturbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"))
+		defer w.close()
 		a := w.send("POST", "/s/1?x=%2f", "r1", "unit log")
-		a.wholeStream(t, 100)
-		run := w.runningOn("r1").Runs()[0]
+		a.requireCompleteStream(t, 100)
+		run := w.engineRunning("r1").Runs()[0]
 		if run.Path != "/s/1?x=%2f" || run.Body != "unit log" {
-			t.Errorf("the engine got %q with body %q", run.Path, run.Body)
+			t.Errorf("the engine got path %q, body %q, want those of the caller", run.Path, run.Body)
 		}
 		if got := run.Header.Get("Authorization"); got != "" {
-			t.Errorf("the caller's key reached the engine: %q", got)
+			t.Errorf("the engine got the caller's key in %q, want none", got)
 		}
 		if got := run.Header.Get(forward.HeaderWorkspace); got != "nelson" {
-			t.Errorf("workspace %q", got)
+			t.Errorf("the engine got workspace %q, want nelson", got)
 		}
 	})
 }
 
-// The caller sees a short pause and then the rest of the answer. In order: the
-// engine dies after half of the events, with a reset or without a word; the router
-// closes the run, and the engine in another zone that keeps a copy of its memory
-// goes on behind the last whole event. Why a copy: a prompt of 8,000 tokens read
-// anew takes a second, more than the pause that a caller accepts.
+// Guards against a long pause when an engine dies. It dies after half of the events, with
+// or without a reset. The backup engine in another zone must resume after the last
+// complete event. A new prefill of 8,000 tokens would take a second, which is more than
+// the pause objective.
 func TestStreamGoesOnFromACopy(t *testing.T) {
 	for _, state := range []routedengine.State{routedengine.Dead, routedengine.Dark} {
 		t.Run(fmt.Sprint(state), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, engine("a"), engine("a"), engine("b"), engine("b"))
-				defer w.end()
+				w := newFixture(t, engine("a"), engine("a"), engine("b"), engine("b"))
+				defer w.close()
 				a := w.send("POST", "/s/1", "r1", "log")
 				time.Sleep(2500 * time.Millisecond)
-				first := w.runningOn("r1")
+				first := w.engineRunning("r1")
 				first.Set(state)
-				a.wholeStream(t, 100)
+				a.requireCompleteStream(t, 100)
 				if pause := a.longestPause(); pause > pauseObjective {
-					t.Errorf("a pause of %v, more than %v", pause, pauseObjective)
+					t.Errorf("got a pause of %v, want at most %v", pause, pauseObjective)
 				}
 				for _, s := range w.servers {
 					for _, r := range s.Runs() {
 						if s != first && (r.ReadAnew || s.Zone == first.Zone) {
-							t.Errorf("went on in zone %s, prompt read anew: %t", s.Zone, r.ReadAnew)
+							t.Errorf("resumed in zone %s, prompt prefilled again: %t; want another zone and no prefill", s.Zone, r.ReadAnew)
 						}
 					}
 				}
@@ -81,13 +80,13 @@
 	}
 }
 
-// The caller gets the whole answer, later. In order: engine and keeper die
-// together, as where two zones are lost; a third engine reads the prompt anew and
-// goes on behind the last event.
+// Guards against a stream that fails if its engine and its backup engine die together, as
+// in a loss of two zones. A third engine must prefill the prompt again and resume after
+// the last event.
 func TestStreamGoesOnWithoutItsCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"), engine("c"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer w.close()
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2500 * time.Millisecond)
 		for _, s := range w.servers {
@@ -95,13 +94,13 @@
 				s.Set(routedengine.Dead)
 			}
 		}
-		a.wholeStream(t, 100)
+		a.requireCompleteStream(t, 100)
 	})
 }
 
-// The caller gets each event once. In order: the engine breaks off in the middle
-// of an event; the part that came is not passed on, and the next engine makes the
-// event again. Passed on, the caller would have a torn event before the whole one.
+// Guards against a truncated event at the caller. The engine dies in the middle of an
+// event; the part that came must not be forwarded, since the next engine generates the
+// event again.
 func TestEventCutInTheMiddle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cut := engine("a")
@@ -113,87 +112,86 @@
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		w := newWorld(t, cut, engine("b"))
-		defer w.end()
+		w := newFixture(t, cut, engine("b"))
+		defer w.close()
 		w.servers[1].Set(routedengine.Dead)
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(10 * time.Millisecond)
 		w.servers[1].Set(routedengine.Alive)
-		a.wholeStream(t, 100)
+		a.requireCompleteStream(t, 100)
 	})
 }
 
-// The caller's connection breaks off and does not end as if the answer were whole.
-// In order: the only engine dies in mid-stream and no other comes.
+// Guards against an incomplete stream that looks complete. The only engine dies in
+// mid-stream, and the caller's connection must be aborted.
 func TestStreamThatCannotGoOnBreaksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"))
-		defer w.end()
+		w := newFixture(t, engine("a"))
+		defer w.close()
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
 		w.servers[0].Set(routedengine.Dead)
 		<-a.done
 		if !a.broken {
-			t.Error("a part of the stream ended like a whole answer")
+			t.Error("an incomplete stream ended regularly, want an aborted connection")
 		}
 	})
 }
 
-// The caller sees no second run. In order: the engine pauses for most of a second
-// in each event, as beside long prompts, and reports the run when it is asked; no
-// copy of the run exists. Leaving it would read the prompt anew on an engine that
-// is as busy, and feed the overload.
+// Guards against a stream that leaves a slow, live engine. The engine pauses for most of a
+// second before each event, as it does while it prefills long prompts, and reports the
+// run when it is probed. No copy exists. A move would repeat the prefill on an engine
+// that is as busy, and increase the overload.
 func TestSlowEngineIsNotTakenForDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := engine("a")
 		slow.Events, slow.EventTime = 10, 650*time.Millisecond
-		w := newWorld(t, slow)
-		defer w.end()
+		w := newFixture(t, slow)
+		defer w.close()
 		a := w.send("POST", "/s/1", "r1", "log")
-		a.wholeStream(t, 10)
+		a.requireCompleteStream(t, 10)
 		if n := w.totalRuns("r1"); n != 1 {
-			t.Errorf("%d runs of one stream on a live engine", n)
+			t.Errorf("got %d runs of one stream on a live engine, want 1", n)
 		}
 	})
 }
 
-// The caller sees a stream that starts late, not one that never does. In order: the
-// request is lost in an engine that lives, as one that starts again at its address
-// has nothing of before; the engine answers each question, and names all that it has,
-// which is nothing. Asked only whether it lives, it would be waited for until the
-// caller's time is over.
+// Guards against a stream that never starts. A live engine loses the request, as one that
+// restarts at the same address does. It answers each probe with a complete report that
+// does not list the run. A probe for liveness alone would leave the stream waiting until
+// the caller's deadline.
 func TestRequestLostByALiveEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var lost atomic.Int32
-		w := newWorld(t, engine("a"), engine("b"), engine("c"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer w.close()
 		for _, s := range w.servers {
 			s.Answer = func(_ *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
 				if lost.Add(1) > 1 {
 					return false
 				}
-				_, _ = io.Copy(io.Discard, r.Body) // until then the end of the connection is not seen
+				_, _ = io.Copy(io.Discard, r.Body) // the end of the connection is noticed only after the body is read
 				<-r.Context().Done()
 				return true
 			}
 		}
 		a := w.send("POST", "/s/1", "r1", "log")
 		began := time.Now()
-		a.wholeStream(t, 100)
+		a.requireCompleteStream(t, 100)
 		if took := time.Since(began); took > 10*time.Second {
-			t.Errorf("the whole stream took %v", took)
+			t.Errorf("the complete stream took %v, want at most 10 s", took)
 		}
 		if lost.Load() != 2 {
-			t.Errorf("%d sends", lost.Load())
+			t.Errorf("got %d sends, want 2", lost.Load())
 		}
 	})
 }
 
-// The engine stops working within half a second of the caller's leaving.
+// Guards against an engine that keeps working for a caller that has left.
 func TestCallerLeavesAStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"))
-		defer w.end()
+		w := newFixture(t, engine("a"))
+		defer w.close()
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
 		a.leave()
@@ -202,37 +200,38 @@
 		synctest.Wait()
 		use := w.fleet.Mine()
 		if len(use) != 0 {
-			t.Errorf("still counted as running: %v", use)
+			t.Errorf("got use %v after the caller left, want none", use)
 		}
 	})
 }
 
-// A resumed request of a caller starts behind the caller's own last event.
+// Guards against repeated events if a caller asks for the rest of its stream: the answer
+// must start after the caller's last event.
 func TestCallerResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"))
+		defer w.close()
 		a := w.send("POST", "/s/1", "r2", "log", "Last-Event-Id", "97")
 		<-a.done
 		want := "id: 98\ndata: piece 98\n\nid: 99\ndata: piece 99\n\nid: 100\ndata: piece 100\n\n"
 		if got := a.text.String(); got != want || a.broken {
-			t.Errorf("got %q", got)
+			t.Errorf("got %q, want the events after 97", got)
 		}
 	})
 }
 
-// Callers of all streams get whole answers with short pauses. In order: thirty
-// streams run over three zones, and all engines of one zone die at once, some
-// without a word. The streams there go on from copies in the others, and no new
-// stream is lost to the engines that are still listed.
+// Guards against long pauses and lost streams when a zone is lost. More than thirty streams
+// run in three zones, and all engines of one zone die at once, half of them without a
+// reset. The streams there must resume from copies in other zones, and no new stream may
+// be lost to the dead engines, which are still listed.
 func TestZoneOfEnginesIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var servers []*routedengine.Server
 		for i := range 18 {
 			servers = append(servers, engine(string(rune('a'+i%3))))
 		}
-		w := newWorld(t, servers...)
-		defer w.end()
+		w := newFixture(t, servers...)
+		defer w.close()
 		var answers []*answer
 		for i := range 36 {
 			if i == 18 {
@@ -247,56 +246,55 @@
 		}
 		late := 0
 		for _, a := range answers {
-			a.wholeStream(t, 100)
+			a.requireCompleteStream(t, 100)
 			if a.longestPause() > pauseObjective {
 				late++
 			}
 		}
 		if late > 1 {
-			t.Errorf("%d of %d streams paused for more than %v", late, len(answers), pauseObjective)
+			t.Errorf("%d of %d streams paused for more than %v, want at most 1", late, len(answers), pauseObjective)
 		}
 	})
 }
 
-// A router dies with a stream; its caller asks another for the rest and waits no
-// longer than for a pause. In order: the first router carries the stream for two
-// seconds and has told where its copy is; it is gone, and the second finds the copy
-// by what the two attempts have in common.
+// Guards against a new prefill when a router dies. The first router carries the stream for
+// two seconds and reports where its copy is. The second router finds the copy by the
+// identity that both attempts share. The caller must not wait longer than for a pause.
 func TestStreamOfADeadRouterGoesOnFromItsCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"), engine("c"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer w.close()
 		first := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
-		w.left = map[uint64]forward.Copy{}
+		w.orphans = map[uint64]forward.Copy{}
 		for _, k := range w.handler.Kept() {
-			w.left[k.Identity] = k.Copy
+			w.orphans[k.Identity] = k.Copy
 		}
 		first.leave()
 		<-first.done
-		if len(w.left) != 1 || len(w.handler.Kept()) != 0 {
-			t.Fatalf("%d copies told, %d of a stream that has ended", len(w.left), len(w.handler.Kept()))
+		if len(w.orphans) != 1 || len(w.handler.Kept()) != 0 {
+			t.Fatalf("got %d copies reported, want 1; %d copies of an ended stream, want none", len(w.orphans), len(w.handler.Kept()))
 		}
 		began := time.Now()
 		got := strings.Count(first.text.String(), "id: ")
 		second := w.send("POST", "/s/1", "r2", "log", "Last-Event-Id", fmt.Sprint(got), forward.HeaderDeadline, "20000")
 		<-second.done
 		if second.broken || strings.Count(second.text.String(), "id: ") != 100-got {
-			t.Fatalf("the rest has %d events", strings.Count(second.text.String(), "id: "))
+			t.Fatalf("the rest has %d events, want all that the first router did not send", strings.Count(second.text.String(), "id: "))
 		}
 		if pause := second.arrived[0].Sub(began); pause > 300*time.Millisecond {
-			t.Errorf("went on after %v", pause)
+			t.Errorf("resumed after %v, want at most 300 ms", pause)
 		}
 		other := w.send("POST", "/s/1", "r3", "another log", "Last-Event-Id", "5")
 		<-other.done
-		if run := w.runningOn("r3").Runs(); !run[len(run)-1].ReadAnew {
-			t.Error("another request went on from this one's memory")
+		if run := w.engineRunning("r3").Runs(); !run[len(run)-1].ReadAnew {
+			t.Error("another request resumed from the copy of this one")
 		}
 	})
 }
 
-// loseKeepers ends the engines that keep copies, and returns their ids.
-func (w *world) loseKeepers() []string {
+// killBackupEngines kills the engines that hold copies and returns their ids.
+func (w *fixture) killBackupEngines() []string {
 	var dead []string
 	for _, s := range w.servers {
 		if s.Copies() > 0 {
@@ -307,60 +305,58 @@
 	return dead
 }
 
-// The caller sees a short pause, though two zones are lost one after the other. In
-// order: the engine that keeps the run's copy dies and leaves the list; the run
-// goes on; two seconds later its own engine dies, and it goes on from a copy that
-// was ordered meanwhile.
+// Guards against a long pause when two zones are lost one after the other. The backup
+// engine dies and leaves the list while the run continues. Two seconds later the run's
+// engine dies. The run must resume from a copy that was ordered in between.
 func TestRunWhoseKeeperDiedIsProtectedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"), engine("c"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer w.close()
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(1500 * time.Millisecond)
-		first := w.runningOn("r1")
-		dead := w.loseKeepers()
+		first := w.engineRunning("r1")
+		dead := w.killBackupEngines()
 		rows := slices.DeleteFunc(w.net.List(), func(b upstream.Backend) bool { return slices.Contains(dead, b.ID) })
 		w.fleet.Apply(upstream.List{Backends: rows, AsOf: time.Now()})
 		time.Sleep(2 * time.Second)
 		first.Set(routedengine.Dead)
-		a.wholeStream(t, 100)
+		a.requireCompleteStream(t, 100)
 		if pause := a.longestPause(); pause > pauseObjective {
-			t.Errorf("a pause of %v", pause)
+			t.Errorf("got a pause of %v, want at most the objective of 700 ms", pause)
 		}
 	})
 }
 
-// The caller sees a short pause, though a second zone is lost before the list names
-// the engines of the first as gone. In order: the keeper dies and stays listed for two
-// seconds more; another VM judges it dead; 1.2 s later the run's own engine dies. Why
-// the list is not waited for: zones are lost three seconds apart, and the list, the
-// look at it and the order itself take as long.
+// Guards against a long pause when a second zone is lost before the list drops the engines
+// of the first. The backup engine dies, stays listed for two more seconds and is reported
+// dead by another VM. 1.2 s later the run's engine dies. Zones are lost three seconds
+// apart, and the list, the check of it and the order together take as long.
 func TestKeeperThatOthersJudgedDeadIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, engine("a"), engine("b"), engine("c"))
-		defer w.end()
+		w := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer w.close()
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(1500 * time.Millisecond)
-		first := w.runningOn("r1")
-		w.fleet.HearsayDead(w.loseKeepers())
+		first := w.engineRunning("r1")
+		w.fleet.HearsayDead(w.killBackupEngines())
 		time.Sleep(1200 * time.Millisecond)
 		first.Set(routedengine.Dead)
-		a.wholeStream(t, 100)
+		a.requireCompleteStream(t, 100)
 		if pause := a.longestPause(); pause > pauseObjective {
-			t.Errorf("a pause of %v", pause)
+			t.Errorf("got a pause of %v, want at most the objective of 700 ms", pause)
 		}
 	})
 }
 
-// A copy that was ordered and not needed does not stay at its keeper, also where
+// Guards against an ordered copy that stays at its backup engine after the stream, also if
 // the stream ends while the copy is being made.
 func TestOrderedCopyIsDropped(t *testing.T) {
 	for _, copyTime := range []time.Duration{0, 900 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			first := engine("a")
 			first.Events, first.CopyTime = 60, copyTime
-			w := newWorld(t, first)
-			defer w.end()
+			w := newFixture(t, first)
+			defer w.close()
 			a := w.send("POST", "/s/1", "r1", "log")
 			time.Sleep(1200 * time.Millisecond)
 			keeper := engine("c")
@@ -369,20 +365,20 @@
 			w.fleet.Apply(upstream.List{Backends: w.net.List(), AsOf: time.Now()})
 			time.Sleep(1200 * time.Millisecond)
 			if copyTime == 0 && keeper.Copies() != 1 {
-				t.Fatalf("%d copies ordered", keeper.Copies())
+				t.Fatalf("got %d copies ordered, want 1", keeper.Copies())
 			}
-			a.wholeStream(t, 60)
+			a.requireCompleteStream(t, 60)
 			time.Sleep(time.Second)
 			if n := keeper.Copies(); n != 0 {
-				t.Errorf("%d copies after the run", n)
+				t.Errorf("got %d copies after the run, want none", n)
 			}
 		})
 	}
 }
 
-// An answer without a length that ends with its connection is whole only if its
-// engine lives. In order: the engine sends two events and its connection ends; it is
-// dead, and the next engine goes on.
+// Guards against an incomplete answer that is taken for complete. An answer without a
+// length ends with its connection after two events, since its engine died. The next
+// engine must resume it.
 func TestStreamWithoutALengthOfADeadEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dying := engine("a")
@@ -394,12 +390,12 @@
 			go s.Set(routedengine.Dead)
 			return true
 		}
-		w := newWorld(t, dying, engine("b"))
-		defer w.end()
+		w := newFixture(t, dying, engine("b"))
+		defer w.close()
 		w.servers[1].Set(routedengine.Dead)
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(5 * time.Millisecond)
 		w.servers[1].Set(routedengine.Alive)
-		a.wholeStream(t, 100)
+		a.requireCompleteStream(t, 100)
 	})
 }
--- a/internal/forward/blame.go
+++ b/internal/forward/suspect_content.go
@@ -9,29 +9,29 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/recovery"
 )
 
-// BlameBook remembers under which contents backend servers died, over all VMs.
-// Safe for concurrent use.
+// SuspectContents records the contents of requests under which backend servers died, as
+// seen by all VMs. It is safe for concurrent use.
 type BlameBook struct {
-	mu       sync.Mutex
-	contents *recovery.Contents
-	fresh    []recovery.Death // not yet told to the other VMs
+	mu        sync.Mutex
+	contents  *recovery.Contents
+	newDeaths []recovery.Death // not reported to the other VMs yet
 }
 
-// maxFresh bounds what waits to be told: so many deaths at once have a common
+// maxNewDeaths bounds the deaths that wait to be reported. So many at once have a common
 // cause.
-const maxFresh = 64
+const maxNewDeaths = 64
 
-// NewBlameBook returns an empty book.
+// NewSuspectContents returns a SuspectContents without any content.
 func NewBlameBook() *BlameBook { return &BlameBook{contents: recovery.NewContents()} }
 
-// Held reports whether a content must not begin now, and until when.
+// Quarantined reports whether a content must not start now, and until when.
 func (b *BlameBook) Held(digest uint64) (until time.Time, held bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Held(digest, time.Now())
 }
 
-// Suspect reports whether a server died under a content, and none has run it well
+// IsSuspect reports whether a server died under a content that has not succeeded
 // since.
 func (b *BlameBook) Suspect(digest uint64) bool {
 	b.mu.Lock()
@@ -39,41 +39,41 @@
 	return b.contents.Suspect(digest)
 }
 
-// Kills reports whether a run under way must not go on at another server.
+// ForbidsRetry reports whether a request in flight must not be sent to another server.
 func (b *BlameBook) Kills(digest uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Kills(digest)
 }
 
-// Died notes that a server died under a content.
+// AddDeath records that a server died while it ran a content.
 func (b *BlameBook) Died(digest uint64, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.contents.Died(digest, server, now)
-	if len(b.fresh) < maxFresh {
-		b.fresh = append(b.fresh, recovery.Death{Digest: digest, Engine: server, At: now})
+	if len(b.newDeaths) < maxNewDeaths {
+		b.newDeaths = append(b.newDeaths, recovery.Death{Digest: digest, Engine: server, At: now})
 	}
 }
 
-// Succeeded clears a content: it ran well somewhere.
+// Clear removes a content after it ran successfully at some server.
 func (b *BlameBook) Succeeded(digest uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.contents.Succeeded(digest)
 }
 
-// Fresh returns the deaths seen here since the last call.
+// TakeNewDeaths returns the deaths that this VM has seen since the last call.
 func (b *BlameBook) Fresh() []recovery.Death {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := b.fresh
-	b.fresh = nil
+	out := b.newDeaths
+	b.newDeaths = nil
 	return out
 }
 
-// Learn takes deaths that other VMs saw.
+// AddPeerDeaths adds deaths that other VMs have seen.
 func (b *BlameBook) Learn(deaths []recovery.Death) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,8 +82,8 @@
 	}
 }
 
-// digest names a request's content: it comes again under another id, and at
-// another VM.
+// digest identifies the content of a request, which may come again under another id and
+// at another VM.
 func digest(path, workspace string, body []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(path)
--- a/internal/forward/versions.go
+++ b/internal/forward/versions.go
@@ -11,66 +11,65 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Rollouts is what a Handler needs to know of roll-outs, and where it notes what it
-// observes of them.
+// Rollouts gives a Handler the state of the roll-outs, and the Book in which it records
+// its observations of them.
 type Rollouts struct {
 	State func() *rollout.State
 	Book  *rollout.Book
 }
 
-// NewRollouts returns a Rollouts of no roll-outs.
+// NewRollouts returns a Rollouts without any roll-out.
 func NewRollouts() *Rollouts {
 	none := &rollout.State{}
 	return &Rollouts{State: func() *rollout.State { return none }, Book: rollout.NewBook(time.Now)}
 }
 
-// chooseVersion decides which version a request that has just come goes to.
+// chooseVersion chooses the version that a new request goes to.
 func (h *Handler) chooseVersion(q *request) {
-	r := h.o.Rollouts
-	q.choice = r.State().Choose(q.service.Name, q.route.Name, rand.Float64())
-	r.Book.Request(q.service.Name, q.route.Name, q.choice)
+	r := h.opts.Rollouts
+	q.versionChoice = r.State().Choose(q.service.Name, q.route.Name, rand.Float64())
+	r.Book.Request(q.service.Name, q.route.Name, q.versionChoice)
 }
 
-// recheckVersion chooses again where a roll-out has gone on since, or where the request
-// has failed on a version that is on trial.
+// recheckVersion chooses the version again if the roll-out has advanced since, or if the
+// request has failed on a version that is on trial.
 func (h *Handler) recheckVersion(q *request, failed bool) {
-	state := h.o.Rollouts.State()
-	if failed && q.choice.Target || !state.Allows(q.service.Name, q.choice) {
-		q.choice = state.Back(q.service.Name, q.choice)
+	state := h.opts.Rollouts.State()
+	if failed && q.versionChoice.Target || !state.Allows(q.service.Name, q.versionChoice) {
+		q.versionChoice = state.Back(q.service.Name, q.versionChoice)
 	}
 }
 
-// leaveTrial has a request whose version has no server go where the others go. It
-// reports whether there is another version to go to.
-func (h *Handler) leaveTrial(q *request) bool {
-	if !q.choice.Target {
+// leaveTrialVersion moves a request whose version has no usable server off the trial. It
+// reports whether there is another version to use.
+func (h *Handler) leaveTrialVersion(q *request) bool {
+	if !q.versionChoice.Target {
 		return false
 	}
-	back := h.o.Rollouts.State().Back(q.service.Name, q.choice)
-	if back.Only == q.choice.Only {
+	back := h.opts.Rollouts.State().Back(q.service.Name, q.versionChoice)
+	if back.Only == q.versionChoice.Only {
 		return false
 	}
-	q.choice = back
+	q.versionChoice = back
 	return true
 }
 
-// watchAnswer begins to watch for a server's answer to a request that is about to be
-// sent.
-func (h *Handler) watchAnswer(q *request, s *upstream.Server) rollout.Ticket {
-	book := h.o.Rollouts.Book
-	book.Sent(q.service.Name, q.choice)
-	return book.Begin(q.service.Name, q.route.Name, q.choice, s.ID)
+// trackAnswer begins to track a server's answer to a request that is about to be sent.
+func (h *Handler) trackAnswer(q *request, s *upstream.Server) rollout.Ticket {
+	book := h.opts.Rollouts.Book
+	book.Sent(q.service.Name, q.versionChoice)
+	return book.Begin(q.service.Name, q.route.Name, q.versionChoice, s.ID)
 }
 
-// noteAnswer tells what came of a call. A server that was given up for being slow counts
-// with the time that it had.
+// noteAnswer records the result of a call for the roll-out. A server that was too slow
+// counts with the time that it was given.
 func (h *Handler) noteAnswer(t rollout.Ticket, q *request, s *upstream.Server, r *reply) {
-	book := h.o.Rollouts.Book
+	book := h.opts.Rollouts.Book
 	switch {
-	case r.sent == answered:
-		book.End(t, isFailure(r.resp), h.o.Fleet.Cold(s))
+	case r.outcome == sendAnswered:
+		book.End(t, isFailure(r.resp), h.opts.Fleet.Cold(s))
 	case r.fault == faultSlow, errors.Is(q.ctx.Err(), context.DeadlineExceeded):
-		book.End(t, false, h.o.Fleet.Cold(s))
+		book.End(t, false, h.opts.Fleet.Cold(s))
 	default:
 		book.Drop(t)
 	}
@@ -79,23 +78,23 @@
 // isFailure reports whether a server's own answer is a failure.
 func isFailure(resp *http.Response) bool { return resp.StatusCode >= http.StatusBadRequest }
 
-// watch begins to watch for the run's first event. One that goes on behind others, or
-// from a copy, has less to read.
-func (r *run) watch() {
-	q, book := r.st.q, r.st.h.o.Rollouts.Book
-	if !r.fresh || r.from != nil {
-		book.Sent(q.service.Name, q.choice)
+// trackFirstEvent begins to track the run's first event. A run that resumes after an
+// event, or from a copy, has less to prefill and is not tracked.
+func (r *run) trackFirstEvent() {
+	q, book := r.st.q, r.st.h.opts.Rollouts.Book
+	if !r.fromStart || r.from != nil {
+		book.Sent(q.service.Name, q.versionChoice)
 		return
 	}
-	r.watched = r.st.h.watchAnswer(q, r.server)
+	r.ticket = r.st.h.trackAnswer(q, r.server)
 }
 
-// notePace notes how fast a run's first events came, for the roll-out under way. At a
-// version that is slow the whole run would end too late to tell.
+// notePace records how fast a run's first events came, for the roll-out under way. With a
+// slow version, the end of the run would come too late for the decision.
 func (r *run) notePace() {
-	q, fleet := r.st.q, r.st.h.o.Fleet
-	if !r.fresh || r.from != nil || fleet.Cold(r.server) {
+	q, fleet := r.st.q, r.st.h.opts.Fleet
+	if !r.fromStart || r.from != nil || fleet.Cold(r.server) {
 		return
 	}
-	r.st.h.o.Rollouts.Book.Pace(q.service.Name, q.route.Name, q.choice, r.server.ID, time.Since(r.firstAt)/time.Duration(r.passed-1))
+	r.st.h.opts.Rollouts.Book.Pace(q.service.Name, q.route.Name, q.versionChoice, r.server.ID, time.Since(r.firstEventAt)/time.Duration(r.forwarded-1))
 }
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -1,8 +1,8 @@
-// Package forward carries a routed request to a backend server and its answer
-// back to the caller, unread and unchanged: calls, which run once or may be
-// repeated, and streams, which go on at another engine when theirs dies.
+// Package forward carries a routed request to a backend server and the answer back to
+// the caller, unparsed and unchanged. Calls run once or may be retried. Streams are
+// resumed at another engine if theirs dies.
 //
-// What may be sent again is decided by Record alone, and how often by Budget.
+// SendHistory alone decides whether a request may be sent again, and Budget how often.
 package forward
 
 import (
@@ -10,77 +10,78 @@
 	"time"
 )
 
-// Caller is what a caller says about its request beside the request itself.
+// Caller is what a caller states about its request in headers.
 type Caller struct {
 	RequestID string
-	Key       string        // of a workspace; empty: none
-	Deadline  time.Duration // how long the caller waits; 0: not said
-	After     uint64        // last event that the caller has, where HasAfter
+	Key       string        // API key of a workspace; empty: none
+	Deadline  time.Duration // how long the caller waits; 0: not stated
+	After     uint64        // id of the last event that the caller has, valid if HasAfter
 	HasAfter  bool
-	Prompt    int // tokens; 0: not said
-	Output    int // tokens at most
+	Prompt    int // 0: not stated
+	Output    int // at most; 0: not stated
 }
 
-// Copy names a copy of a run's memory as engines know it: an address and an id
-// there, of the request whose run it is or of the copy itself.
+// Copy identifies a copy of a run's memory to engines by an address and an id that is
+// valid there. The id is that of the request whose run was copied, or of the copy.
 type Copy struct {
 	Address string `cbor:"1,keyasint"`
 	ID      string `cbor:"2,keyasint"`
 }
 
-// Send is what the system tells a backend server about one send of a request.
+// Send is what the system states in headers about one send of a request.
 type Send struct {
 	Deadline  time.Duration
-	Instance  string // the incarnation that is meant; any other must refuse
+	Instance  string // the incarnation that is addressed; any other must refuse
 	Workspace string
-	Priority  int // 0 is the first
+	Priority  int // 0 is the highest
 	After     uint64
 	HasAfter  bool
-	CopyTo    string // address of the engine that is to keep a copy
-	From      *Copy  // go on from this copy
+	CopyTo    string // address of the backup engine; empty: none
+	From      *Copy  // copy to resume from; nil: none
 }
 
-// Answer is what a backend server's headers say about its answer.
+// Answer is what a backend server states in headers about its answer.
 type Answer struct {
-	RequestID string // of the request that it answers; empty: not said
+	RequestID string // of the request that it answers; empty: not stated
 	Signed    bool
-	// NotRun is the server's word that the request did not and will not run.
+	// NotRun states that the server did not run the request and never will.
 	NotRun bool
-	// Moved: another incarnation answers at this address.
+	// WrongInstance is set if another incarnation answers at this address.
 	Moved bool
-	// Load is how many requests run and wait there; -1: not said.
+	// Load is how many requests run or wait at the server; -1: not stated.
 	Load int
 }
 
-// Report is what an engine says of itself when it is asked.
+// Report is the answer of an engine to a probe.
 type Report struct {
-	// Made is how many events each run has made, by request id.
+	// Made is the number of events that each run has made, by request id.
 	Made map[string]int
-	// Complete: Made names all that the engine has, what waits there included.
+	// Complete is set if Made lists all runs of the engine, including those that wait.
 	Complete bool
 }
 
-// Wire translates between the project's terms and the headers in use.
+// Wire translates between this package's types and the headers and calls in use.
 type Wire interface {
-	// Caller reads a caller's headers.
+	// ReadCaller reads the headers of a caller.
 	Caller(h http.Header) (Caller, error)
-	// Engine puts s into the headers of a request on its way to an engine. It
-	// first takes out what only the system may say there.
+	// SetSendHeaders writes s into the headers of a request to an engine. It first removes
+	// the headers that only the system may set.
 	Engine(h http.Header, s Send)
-	// PerAttempt are the headers, in canonical form, that differ between two attempts
-	// of one request.
+	// PerAttemptHeaders returns the names, in canonical form, of the headers that differ
+	// between the attempts of a request.
 	PerAttempt() []string
-	// Answer reads the headers of a backend server's answer.
+	// ReadAnswer reads the headers of a backend server's answer.
 	Answer(status int, h http.Header) Answer
-	// ReportURI is where an engine reports, and ReadReport decodes it.
+	// ReportURI is the path of an engine's report, which ReadReport decodes.
 	ReportURI() string
 	ReadReport(body []byte) (Report, error)
-	// CopyOrder is the call that has an engine copy the memory of a run of its own to
-	// another engine, and ReadCopy the name that the copy has there; "": none was made.
+	// CopyOrder returns the call that has an engine copy the memory of one of its runs to
+	// another engine. ReadCopy reads the name of the copy from the answer; empty: none was
+	// made.
 	CopyOrder(requestID, to string) (method, uri string, body []byte)
 	ReadCopy(status int, body []byte) string
-	// CopyDrop is the call that has an engine forget a copy that it made on order.
+	// CopyDrop returns the call that has an engine drop a copy that it made on order.
 	CopyDrop(name string) (method, uri string)
-	// RetryAfter is the header's value for a wait.
+	// RetryAfter returns the value of the Retry-After header for a wait.
 	RetryAfter(d time.Duration) string
 }
