--- a/internal/forward/backup.go
+++ b/internal/forward/backup.go
@@ -53,19 +53,19 @@
 	if e == nil || !e.CopiesOnOrder || r.forwarded == 0 || r.backup.pending != nil {
 		return
 	}
-	held := r.backup.current
-	lost := held.engine == nil || r.st.h.opts.Fleet.Lost(held.engine)
+	current := r.backup.current
+	lost := current.engine == nil || r.st.h.opts.Fleet.Lost(current.engine)
 	switch {
-	case lost || !r.st.mayHoldCopy(held.engine):
+	case lost || !r.st.mayHoldCopy(current.engine):
 		r.orderBackup(r.st.chooseBackupEngine(r.server))
-	case !held.renewAt.IsZero() && time.Now().After(held.renewAt):
-		r.orderBackup(held.engine)
+	case !current.renewAt.IsZero() && time.Now().After(current.renewAt):
+		r.orderBackup(current.engine)
 	}
 }
 
 // orderBackup has the run's engine copy the run's memory while the run continues.
-func (r *run) orderBackup(keeper *upstream.Server) {
-	if keeper == nil {
+func (r *run) orderBackup(to *upstream.Server) {
+	if to == nil {
 		return
 	}
 	life := r.st.q.service.Engine.CopyLife
@@ -80,8 +80,8 @@
 	go func() {
 		defer cancel()
 		p := backupCopy{renewAt: time.Now().Add(time.Duration(copyRenewShare * float64(life)))}
-		if name := r.st.h.requestCopy(ctx, r.server, r.st.q.RequestID, keeper.Address); name != "" {
-			p.engine, p.ref = keeper, Copy{Address: r.server.Address, ID: name}
+		if name := r.st.h.requestCopy(ctx, r.server, r.st.q.RequestID, to.Address); name != "" {
+			p.engine, p.ref = to, Copy{Address: r.server.Address, ID: name}
 		}
 		ordered <- p
 	}()
@@ -105,14 +105,14 @@
 
 // setBackupEngine changes the backup engine and moves the memory that the copy takes
 // to its account.
-func (r *run) setBackupEngine(keeper *upstream.Server) {
+func (r *run) setBackupEngine(to *upstream.Server) {
 	fleet := r.st.h.opts.Fleet
 	if r.backup.current.engine != nil {
 		fleet.Give(r.backup.current.engine, r.backupUse)
 	}
 	r.backupUse = placement.CopyUse(r.st.need)
-	fleet.Take(keeper, r.backupUse)
-	r.backup.current.engine = keeper
+	fleet.Take(to, r.backupUse)
+	r.backup.current.engine = to
 }
 
 // dropBackups has the engine drop the copies that were made on order. They will not be
@@ -176,9 +176,9 @@
 }
 
 // mayHoldCopy reports whether the roll-outs let an engine hold a copy of the run.
-func (st *streamRelay) mayHoldCopy(keeper *upstream.Server) bool {
+func (st *streamRelay) mayHoldCopy(s *upstream.Server) bool {
 	v := st.backupVersions()
-	return v.Only == "" || v.Only == keeper.Version
+	return v.Only == "" || v.Only == s.Version
 }
 
 // allowsEngine reports whether the roll-outs let an engine run the stream.
@@ -189,11 +189,11 @@
 // mustLeaveVersion reports whether the run must move to its backup engine, which is of
 // the new version.
 func (r *run) mustLeaveVersion() bool {
-	q, keeper := r.st.q, r.backup.current.engine
-	if keeper == nil || !r.st.h.opts.Rollouts.State().Leaves(q.service.Name, q.versionChoice) {
+	q, backup := r.st.q, r.backup.current.engine
+	if backup == nil || !r.st.h.opts.Rollouts.State().Leaves(q.service.Name, q.versionChoice) {
 		return false
 	}
-	return r.server.Version != keeper.Version && r.st.mayHoldCopy(keeper) && !r.st.h.opts.Fleet.Lost(keeper)
+	return r.server.Version != backup.Version && r.st.mayHoldCopy(backup) && !r.st.h.opts.Fleet.Lost(backup)
 }
 
 // chooseBackupEngine chooses the backup engine of a run on s. It returns nil if the
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -90,8 +90,8 @@
 }
 
 // NewBudget returns a Budget that this VM shares with no other until SetVMs.
-func NewBudget(a Allowance, now func() time.Time) *Budget {
-	return &Budget{allowance: a, now: now, start: now(), vms: 1}
+func NewBudget(allowance Allowance, now func() time.Time) *Budget {
+	return &Budget{allowance: allowance, now: now, start: now(), vms: 1}
 }
 
 // SetVMs sets how many VMs share the allowance, this one included.
@@ -148,12 +148,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	i := b.advance()
-	limit, known, guess := b.limit(), b.knownRetries(), b.estimatedPeerRetries()
+	limit, known, estimated := b.limit(), b.knownRetries(), b.estimatedPeerRetries()
 	if u == TooLate {
 		limit *= lateRetryShare
 	}
 	switch {
-	case float64(known+guess+1) <= limit:
+	case float64(known+estimated+1) <= limit:
 		b.slots[i].Repeats++
 		b.recentRetries = append(b.recentRetries, b.now())
 		return Granted
@@ -178,11 +178,11 @@
 // knownRetries returns the retries of this VM and those that the others reported. The
 // caller must hold b.mu.
 func (b *Budget) knownRetries() int {
-	own := b.windowTotal().Repeats
+	retries := b.windowTotal().Repeats
 	if b.hasPeerReport() {
-		own += b.peers.Repeats
+		retries += b.peers.Repeats
 	}
-	return own
+	return retries
 }
 
 // estimatedPeerRetries returns the retries that the others may have made beside those
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -33,89 +33,89 @@
 
 var testAllowance = Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-func newBudgetSim(vms int, tells bool) *budgetSim {
-	w := &budgetSim{queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2)), reports: make([]Spent, vms), reportsRetries: tells}
+func newBudgetSim(vms int, reportRetries bool) *budgetSim {
+	sim := &budgetSim{queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2)), reports: make([]Spent, vms), reportsRetries: reportRetries}
 	for i := range vms {
-		b := NewBudget(testAllowance, w.queue.Now)
+		b := NewBudget(testAllowance, sim.queue.Now)
 		b.SetVMs(vms)
-		w.budgets = append(w.budgets, b)
-		w.queue.After(time.Duration(w.rng.Int64N(int64(reportInterval))), func() { w.reportPeriodically(i) })
+		sim.budgets = append(sim.budgets, b)
+		sim.queue.After(time.Duration(sim.rng.Int64N(int64(reportInterval))), func() { sim.reportPeriodically(i) })
 	}
-	return w
+	return sim
 }
 
-func (w *budgetSim) reportPeriodically(vm int) {
-	w.report(vm)
-	w.queue.After(reportInterval, func() { w.reportPeriodically(vm) })
+func (sim *budgetSim) reportPeriodically(vm int) {
+	sim.sendReport(vm)
+	sim.queue.After(reportInterval, func() { sim.reportPeriodically(vm) })
 }
 
-func (w *budgetSim) report(vm int) {
-	own := w.budgets[vm].Own()
-	w.queue.After(linkDelay, func() {
-		w.reports[vm] = own
+func (sim *budgetSim) sendReport(vm int) {
+	own := sim.budgets[vm].Own()
+	sim.queue.After(linkDelay, func() {
+		sim.reports[vm] = own
 		var others Spent
-		for i, s := range w.reports {
+		for i, s := range sim.reports {
 			if i != vm {
 				others.Requests += s.Requests
 				others.Repeats += s.Repeats
 			}
 		}
-		w.queue.After(linkDelay, func() { w.budgets[vm].SetOthers(others) })
+		sim.queue.After(linkDelay, func() { sim.budgets[vm].SetOthers(others) })
 	})
 }
 
-func (w *budgetSim) generateRequests(perSecond float64) {
-	next := time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))
-	w.queue.After(next, func() {
-		w.budgets[w.rng.IntN(len(w.budgets))].Request()
-		w.generateRequests(perSecond)
+func (sim *budgetSim) generateRequests(perSecond float64) {
+	next := time.Duration(sim.rng.ExpFloat64() / perSecond * float64(time.Second))
+	sim.queue.After(next, func() {
+		sim.budgets[sim.rng.IntN(len(sim.budgets))].Request()
+		sim.generateRequests(perSecond)
 	})
 }
 
 // loseStreams loses streams of random VMs within a time.
-func (w *budgetSim) loseStreams(streams int, within time.Duration) {
+func (sim *budgetSim) loseStreams(streams int, within time.Duration) {
 	for range streams {
-		w.queue.After(time.Duration(w.rng.Int64N(int64(within)+1)), func() { w.loseStream(w.rng.IntN(len(w.budgets))) })
+		sim.queue.After(time.Duration(sim.rng.Int64N(int64(within)+1)), func() { sim.loseStream(sim.rng.IntN(len(sim.budgets))) })
 	}
 }
 
-func (w *budgetSim) loseStream(vm int) {
-	w.lost++
+func (sim *budgetSim) loseStream(vm int) {
+	sim.lost++
 	u := InTime
-	if w.rng.Float64() < w.lateShare {
+	if sim.rng.Float64() < sim.lateShare {
 		u = TooLate
 	} else {
-		w.inTimeLost++
+		sim.inTimeLost++
 	}
-	w.retry(vm, w.queue.Now(), u)
+	sim.retry(vm, sim.queue.Now(), u)
 }
 
-func (w *budgetSim) retry(vm int, began time.Time, u Urgency) {
+func (sim *budgetSim) retry(vm int, began time.Time, u Urgency) {
 	asked := u
-	if w.ignoreUrgency {
+	if sim.ignoreUrgency {
 		asked = InTime
 	}
-	grant := w.budgets[vm].Spend(asked)
+	grant := sim.budgets[vm].Spend(asked)
 	if grant == Granted {
-		w.retries = append(w.retries, w.queue.Now())
+		sim.retries = append(sim.retries, sim.queue.Now())
 		if u == InTime {
-			w.inTimeRetried++
+			sim.inTimeRetried++
 		}
 	}
-	if grant == Denied || !w.reportsRetries {
+	if grant == Denied || !sim.reportsRetries {
 		return
 	}
-	w.report(vm)
-	if grant == Uncertain && w.queue.Now().Sub(began) < budgetPollTimeout {
-		w.queue.After(time.Duration(w.rng.Int64N(int64(2*budgetPollPause))), func() { w.retry(vm, began, u) })
+	sim.sendReport(vm)
+	if grant == Uncertain && sim.queue.Now().Sub(began) < budgetPollTimeout {
+		sim.queue.After(time.Duration(sim.rng.Int64N(int64(2*budgetPollPause))), func() { sim.retry(vm, began, u) })
 	}
 }
 
 // maxInWindow returns the largest number of retries within a window.
-func (w *budgetSim) maxInWindow() int {
+func (sim *budgetSim) maxInWindow() int {
 	most, first := 0, 0
-	for i, at := range w.retries {
-		for at.Sub(w.retries[first]) > testAllowance.Window {
+	for i, at := range sim.retries {
+		for at.Sub(sim.retries[first]) > testAllowance.Window {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -124,12 +124,12 @@
 }
 
 // simulate loses streams every three seconds, once the window is full of requests.
-func (w *budgetSim) simulate(perSecond float64, streams int, within time.Duration) {
-	w.generateRequests(perSecond)
+func (sim *budgetSim) simulate(perSecond float64, streams int, within time.Duration) {
+	sim.generateRequests(perSecond)
 	for at := 12 * time.Second; at < 40*time.Second; at += 3 * time.Second {
-		w.queue.After(at, func() { w.loseStreams(streams, within) })
+		sim.queue.After(at, func() { sim.loseStreams(streams, within) })
 	}
-	w.queue.Run(time.Unix(42, 0))
+	sim.queue.Run(time.Unix(42, 0))
 }
 
 // Guards against a budget that denies retries while much of it is left, and against VMs
@@ -139,31 +139,31 @@
 // break off streams that the allowance covers.
 func TestBudgetOfManyVMs(t *testing.T) {
 	tests := []struct {
-		name    string
-		vms     int
-		tells   bool
-		streams int // lost in each wave
-		within  time.Duration
-		least   float64 // share of the lost streams that is retried
+		name          string
+		vms           int
+		reportRetries bool
+		streams       int // lost every three seconds
+		within        time.Duration
+		least         float64 // share of the lost streams that is retried
 	}{
-		{"waves within the allowance", 67, true, 100, 1200 * time.Millisecond, 0.99},
+		{"losses within the allowance", 67, true, 100, 1200 * time.Millisecond, 0.99},
 		{"the same at once", 67, true, 100, 0, 0.9},
-		{"the same, told by notices only", 67, false, 100, 1200 * time.Millisecond, 0.75},
-		{"waves of twice the allowance", 67, true, 300, 1200 * time.Millisecond, 0.35},
+		{"the same with periodic reports only", 67, false, 100, 1200 * time.Millisecond, 0.75},
+		{"losses of twice the allowance", 67, true, 300, 1200 * time.Millisecond, 0.35},
 		{"the same at once", 67, true, 300, 0, 0.35},
-		{"few VMs, waves within", 9, true, 100, 1200 * time.Millisecond, 0.99},
+		{"few VMs, losses within the allowance", 9, true, 100, 1200 * time.Millisecond, 0.99},
 		{"few VMs, twice the allowance at once", 9, true, 300, 0, 0.35},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newBudgetSim(tt.vms, tt.tells)
+			sim := newBudgetSim(tt.vms, tt.reportRetries)
 			const perSecond = 48
-			w.simulate(perSecond, tt.streams, tt.within)
+			sim.simulate(perSecond, tt.streams, tt.within)
 			allowed := testAllowance.Ratio*10*perSecond + testAllowance.Slack
-			share := float64(len(w.retries)) / float64(w.lost)
-			t.Logf("retried %.2f of %d lost streams; at most %d retries in a window, allowed %.0f", share, w.lost, w.maxInWindow(), allowed)
-			if share < tt.least || float64(w.maxInWindow()) > 0.97*allowed {
-				t.Errorf("retried %.2f of the lost streams, want at least %.2f; at most %d retries in a window, want at most 0.97 of %.0f", share, tt.least, w.maxInWindow(), allowed)
+			share := float64(len(sim.retries)) / float64(sim.lost)
+			t.Logf("retried %.2f of %d lost streams; at most %d retries in a window, allowed %.0f", share, sim.lost, sim.maxInWindow(), allowed)
+			if share < tt.least || float64(sim.maxInWindow()) > 0.97*allowed {
+				t.Errorf("retried %.2f of the lost streams, want at least %.2f; at most %d retries in a window, want at most 0.97 of %.0f", share, tt.least, sim.maxInWindow(), allowed)
 			}
 		})
 	}
@@ -174,13 +174,13 @@
 // of losses, a quarter of all streams is broken off. If late retries have to yield, few
 // of the streams that can still be served in time are.
 func TestRestOfABudgetGoesWhereItSaves(t *testing.T) {
-	inTime := func(alike bool) float64 {
-		w := newBudgetSim(67, true)
-		w.lateShare, w.ignoreUrgency = 0.25, alike
-		w.simulate(48, 170, 100*time.Millisecond)
-		return float64(w.inTimeRetried) / float64(w.inTimeLost)
+	inTime := func(ignoreUrgency bool) float64 {
+		sim := newBudgetSim(67, true)
+		sim.lateShare, sim.ignoreUrgency = 0.25, ignoreUrgency
+		sim.simulate(48, 170, 100*time.Millisecond)
+		return float64(sim.inTimeRetried) / float64(sim.inTimeLost)
 	}
-	if alike, first := inTime(true), inTime(false); alike > 0.75 || first < 0.85 {
-		t.Errorf("retried %.2f of the streams with a copy without urgencies, want at most 0.75; %.2f with them, want at least 0.85", alike, first)
+	if without, with := inTime(true), inTime(false); without > 0.75 || with < 0.85 {
+		t.Errorf("retried %.2f of the streams with a copy without urgencies, want at most 0.75; %.2f with them, want at least 0.85", without, with)
 	}
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -126,9 +126,9 @@
 	use := placement.Use{Requests: 1}
 	h.opts.Fleet.Take(s, use)
 	began := time.Now()
-	watched := h.trackAnswer(q, s)
+	ticket := h.trackAnswer(q, s)
 	r := h.exchange(q, s, Send{}, h.hedgeDelay(q, load))
-	h.noteAnswer(watched, q, s, &r)
+	h.noteAnswer(ticket, q, s, &r)
 	h.opts.Fleet.Give(s, use)
 	h.noteSendResult(q, s, &r, time.Since(began))
 	return r
@@ -138,8 +138,8 @@
 // does not move. A call that queues at the least loaded server stays there. If it moved,
 // it would queue again elsewhere, and the first server would still run it for nothing.
 func (h *Handler) hedgeDelay(q *request, load float64) time.Duration {
-	another := q.history.repeatable && q.history.possibleRuns+1 < q.history.maxAttempts
-	if !another || load > 1 || q.route.Objective <= 0 {
+	mayMove := q.history.repeatable && q.history.possibleRuns+1 < q.history.maxAttempts
+	if !mayMove || load > 1 || q.route.Objective <= 0 {
 		return 0
 	}
 	return max(minHedgeDelay, time.Duration(hedgeShare*float64(q.route.Objective)))
--- a/internal/forward/call_test.go
+++ b/internal/forward/call_test.go
@@ -41,14 +41,14 @@
 	for _, broken := range []string{"", "HTT", "HTTP/1.1 200 OK\r\n", signedHead, signedHead + "half", "no answer at all\r\n\r\n"} {
 		t.Run(fmt.Sprintf("%d bytes", len(broken)), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, voteServer("a"), voteServer("b"))
-				defer w.close()
-				for _, s := range w.servers {
+				f := newFixture(t, voteServer("a"), voteServer("b"))
+				defer f.shutDown()
+				for _, s := range f.servers {
 					s.Answer = breakAfter(broken)
 				}
-				a := w.send("POST", "/vote/1", "r1", "yes")
+				a := f.send("POST", "/vote/1", "r1", "yes")
 				<-a.done
-				if n := w.totalRuns("r1"); n != 1 {
+				if n := f.totalRuns("r1"); n != 1 {
 					t.Errorf("the vote ran %d times, want once", n)
 				}
 				if a.status != http.StatusBadGateway {
@@ -65,16 +65,16 @@
 	for _, dead := range []bool{false, true} {
 		t.Run(fmt.Sprint(dead), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, voteServer("a"), voteServer("b"))
-				defer w.close()
-				w.servers[0].Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
+				f := newFixture(t, voteServer("a"), voteServer("b"))
+				defer f.shutDown()
+				f.servers[0].Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 					s.Refuse(w, r)
 					return true
 				}
 				if dead {
-					w.servers[0].Set(routedengine.Dead)
+					f.servers[0].Set(routedengine.Dead)
 				}
-				a := w.send("POST", "/vote/1", "r1", "yes")
+				a := f.send("POST", "/vote/1", "r1", "yes")
 				<-a.done
 				if a.status != http.StatusOK || a.text.String() != "answer of i1 to r1" {
 					t.Errorf("got status %d, body %q, want 200 and the answer of i1", a.status, a.text.String())
@@ -88,22 +88,22 @@
 // run". Both servers refuse the vote.
 func TestVoteThatNobodyTakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, voteServer("a"), voteServer("b"))
-		defer w.close()
-		for _, s := range w.servers {
+		f := newFixture(t, voteServer("a"), voteServer("b"))
+		defer f.shutDown()
+		for _, s := range f.servers {
 			s.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 				s.Refuse(w, r)
 				return true
 			}
 		}
 		began := time.Now()
-		a := w.send("POST", "/vote/1", "r1", "yes")
+		a := f.send("POST", "/vote/1", "r1", "yes")
 		<-a.done
 		if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" {
 			t.Errorf("got status %d, Retry-After %q, want 503 with a Retry-After", a.status, a.header.Get("Retry-After"))
 		}
-		if w.totalRuns("r1") != 0 || time.Since(began) > 40*time.Millisecond {
-			t.Errorf("%d runs, refused after %v, want no run and a refusal within 40 ms", w.totalRuns("r1"), time.Since(began))
+		if f.totalRuns("r1") != 0 || time.Since(began) > 40*time.Millisecond {
+			t.Errorf("%d runs, refused after %v, want no run and a refusal within 40 ms", f.totalRuns("r1"), time.Since(began))
 		}
 	})
 }
@@ -136,11 +136,11 @@
 	for name, failure := range failures {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, voteServer("a"), voteServer("b"))
-				defer w.close()
-				w.servers[0].Answer = failure
+				f := newFixture(t, voteServer("a"), voteServer("b"))
+				defer f.shutDown()
+				f.servers[0].Answer = failure
 				began := time.Now()
-				a := w.send("GET", "/tally/1", "r1", "")
+				a := f.send("GET", "/tally/1", "r1", "")
 				<-a.done
 				if a.status != http.StatusOK || a.text.String() != "answer of i1 to r1" {
 					t.Errorf("got status %d, body %q, want 200 and the answer of i1", a.status, a.text.String())
@@ -157,20 +157,20 @@
 // while the same popular call runs on both; the third must serve its next callers.
 func TestPopularLookupIsNotHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, voteServer("a"), voteServer("b"), voteServer("c"))
-		defer w.close()
+		f := newFixture(t, voteServer("a"), voteServer("b"), voteServer("c"))
+		defer f.shutDown()
 		var answers []*answer
 		for i := range 6 {
-			answers = append(answers, w.send("GET", "/tally/popular", fmt.Sprint("p", i), ""))
+			answers = append(answers, f.send("GET", "/tally/popular", fmt.Sprint("p", i), ""))
 		}
 		time.Sleep(20 * time.Millisecond)
-		w.servers[0].Set(routedengine.Dead)
-		w.servers[1].Set(routedengine.Dead)
+		f.servers[0].Set(routedengine.Dead)
+		f.servers[1].Set(routedengine.Dead)
 		for _, a := range answers {
 			<-a.done
 		}
 		time.Sleep(100 * time.Millisecond)
-		a := w.send("GET", "/tally/popular", "later", "")
+		a := f.send("GET", "/tally/popular", "later", "")
 		<-a.done
 		if a.status != http.StatusOK {
 			t.Errorf("got status %d, want 200", a.status)
@@ -182,10 +182,10 @@
 // earlier request late, on the connection where the next answer is expected.
 func TestAnswerToAnotherRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, voteServer("a"))
-		defer w.close()
-		w.servers[0].Answer = breakAfter(strayAnswer + signedHead + "0123456789")
-		a := w.send("POST", "/vote/1", "r1", "yes")
+		f := newFixture(t, voteServer("a"))
+		defer f.shutDown()
+		f.servers[0].Answer = breakAfter(strayAnswer + signedHead + "0123456789")
+		a := f.send("POST", "/vote/1", "r1", "yes")
 		<-a.done
 		if a.status != http.StatusOK || a.text.String() != "0123456789" {
 			t.Errorf("got status %d, body %q, want 200 and the ten digits", a.status, a.text.String())
@@ -197,9 +197,9 @@
 // connection must not be used again.
 func TestBytesBehindAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, voteServer("a"))
-		defer w.close()
-		w.servers[0].Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
+		f := newFixture(t, voteServer("a"))
+		defer f.shutDown()
+		f.servers[0].Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
 			s.Note(r, 0, false)
 			conn, _, _ := http.NewResponseController(rw).Hijack()
 			id := r.Header.Get(forward.HeaderRequestID)
@@ -208,7 +208,7 @@
 			return true
 		}
 		for i := range 3 {
-			a := w.send("GET", "/tally/1", fmt.Sprint("q", i), "")
+			a := f.send("GET", "/tally/1", fmt.Sprint("q", i), "")
 			<-a.done
 			if a.text.String() != "0123456789" {
 				t.Fatalf("request %d got body %q, want the ten digits", i, a.text.String())
@@ -229,12 +229,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, voteServer("a"))
-				defer w.close()
-				a := w.send(tt.method, tt.path, "r1", "", "Authorization", "Bearer "+tt.key)
+				f := newFixture(t, voteServer("a"))
+				defer f.shutDown()
+				a := f.send(tt.method, tt.path, "r1", "", "Authorization", "Bearer "+tt.key)
 				<-a.done
-				if a.status != tt.status || w.totalRuns("r1") != 0 {
-					t.Errorf("got status %d, want that of the table; %d runs, want none", a.status, w.totalRuns("r1"))
+				if a.status != tt.status || f.totalRuns("r1") != 0 {
+					t.Errorf("got status %d, want that of the table; %d runs, want none", a.status, f.totalRuns("r1"))
 				}
 			})
 		})
@@ -245,11 +245,11 @@
 // that was sent.
 func TestRouteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, voteServer("a"))
-		defer w.close()
-		w.servers[0].WorkTime = time.Minute
+		f := newFixture(t, voteServer("a"))
+		defer f.shutDown()
+		f.servers[0].WorkTime = time.Minute
 		began := time.Now()
-		a := w.send("POST", "/vote/1", "r1", "yes")
+		a := f.send("POST", "/vote/1", "r1", "yes")
 		<-a.done
 		if took := time.Since(began); a.status != http.StatusGatewayTimeout || took > 3100*time.Millisecond {
 			t.Errorf("got status %d after %v, want 504 within 3.1 s", a.status, took)
@@ -276,20 +276,20 @@
 			}
 			servers = append(servers, s)
 		}
-		w := newFixture(t, servers...)
-		defer w.close()
+		f := newFixture(t, servers...)
+		defer f.shutDown()
 		for i := range 4 {
-			<-w.send("GET", "/tally/poison", fmt.Sprint("p", i), "").done
+			<-f.send("GET", "/tally/poison", fmt.Sprint("p", i), "").done
 			time.Sleep(6 * time.Second)
 		}
 		dead := 0
-		for _, s := range w.servers {
+		for _, s := range f.servers {
 			dead += len(s.Runs())
 		}
 		if dead != 3 {
 			t.Errorf("the request killed %d servers in half a minute with four callers, want 3", dead)
 		}
-		a := w.send("GET", "/tally/fine", "r1", "")
+		a := f.send("GET", "/tally/fine", "r1", "")
 		<-a.done
 		if a.status != http.StatusOK {
 			t.Errorf("another request got status %d, want 200", a.status)
@@ -302,13 +302,13 @@
 // admitted are served.
 func TestBodiesHeldAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, voteServer("a"))
-		defer w.close()
-		w.servers[0].WorkTime = time.Second
+		f := newFixture(t, voteServer("a"))
+		defer f.shutDown()
+		f.servers[0].WorkTime = time.Second
 		body := strings.Repeat("x", 4<<20)
 		var answers []*answer
 		for i := range 12 {
-			answers = append(answers, w.send("POST", "/vote/1", fmt.Sprint("b", i), body))
+			answers = append(answers, f.send("POST", "/vote/1", fmt.Sprint("b", i), body))
 		}
 		count := map[int]int{}
 		for _, a := range answers {
--- a/internal/forward/decisions_test.go
+++ b/internal/forward/decisions_test.go
@@ -46,16 +46,16 @@
 }
 
 // simulateLostZone simulates the loss of a zone. Each VM receives 100 requests within a
-// window and then wants the given number of retries. If telling is set, the VMs exchange
+// window and then wants the given number of retries. If exchange is set, the VMs exchange
 // their usage every 400 ms. It returns the retries that each VM was granted.
-func simulateLostZone(want []int, telling bool) []int {
+func simulateLostZone(want []int, exchange bool) []int {
 	a := Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 	budgets := make([]*Budget, len(want))
 	for i := range budgets {
 		budgets[i] = NewBudget(a, time.Now)
 		budgets[i].SetVMs(len(want))
 	}
-	tell := func() {
+	exchangeUsage := func() {
 		for i, b := range budgets {
 			var others Spent
 			for k, o := range budgets {
@@ -64,7 +64,7 @@
 					others.Repeats += s.Repeats
 				}
 			}
-			if telling {
+			if exchange {
 				b.SetOthers(others)
 			}
 		}
@@ -77,7 +77,7 @@
 	}
 	got := make([]int, len(want))
 	for range 10 {
-		tell()
+		exchangeUsage()
 		for i, b := range budgets {
 			for got[i] < want[i] && b.Spend(InTime) == Granted {
 				got[i]++
@@ -95,21 +95,21 @@
 	even := []int{500, 500, 500, 500, 500, 500, 500, 500, 500}
 	one := []int{500, 0, 0, 0, 0, 0, 0, 0, 0}
 	tests := []struct {
-		name    string
-		want    []int
-		telling bool
-		least   int // of the first VM
+		name     string
+		want     []int
+		exchange bool
+		least    int // of the first VM
 	}{
-		{"all, telling", even, true, 40},
-		{"all, cut off from one another", even, false, 40},
-		{"one, telling", one, true, 110},
-		{"one, cut off", one, false, 40},
+		{"all, with reports", even, true, 40},
+		{"all, without reports", even, false, 40},
+		{"one, with reports", one, true, 110},
+		{"one, without reports", one, false, 40},
 	}
 	const allowed = 0.8*900 + 150
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				got, total := simulateLostZone(tt.want, tt.telling), 0
+				got, total := simulateLostZone(tt.want, tt.exchange), 0
 				for _, n := range got {
 					total += n
 				}
@@ -144,7 +144,7 @@
 		ids        []uint64
 		end        error
 	}{
-		{"whole", "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n", []uint64{1, 2}, io.EOF},
+		{"complete events", "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n", []uint64{1, 2}, io.EOF},
 		{"cut in a line", "id: 1\ndata: a\n\nid: 2\nda", []uint64{1}, io.ErrUnexpectedEOF},
 		{"cut before the blank line", "id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
 		{"version line first", "weights: 3\nid: 7\ndata: a\n\n", []uint64{7}, io.EOF},
@@ -204,7 +204,7 @@
 	}{
 		{"first of a stream", 0, false, at(1), true, true},
 		{"next", 4, true, at(5), true, true},
-		{"seen", 4, true, at(4), false, true},
+		{"already sent", 4, true, at(4), false, true},
 		{"missing before it", 4, true, at(6), false, false},
 		{"comment", 4, true, event{}, true, true},
 	}
@@ -227,14 +227,14 @@
 		s     silence
 		want  action
 	}{
-		{"an event's time", true, silence{duration: ms(100), engineHeardAgo: ms(100), begun: true}, keepWaiting},
-		{"longer than beside a prompt", true, silence{duration: ms(260), engineHeardAgo: ms(260), begun: true}, probeEngine},
-		{"its engine sends to others", true, silence{duration: ms(260), engineHeardAgo: ms(50), begun: true}, keepWaiting},
-		{"alive, a copy waits", true, silence{duration: ms(480), engineHeardAgo: ms(100), begun: true, hasCopy: true}, moveStream},
+		{"the interval of events", true, silence{duration: ms(100), engineHeardAgo: ms(100), begun: true}, keepWaiting},
+		{"longer than beside a prefill", true, silence{duration: ms(260), engineHeardAgo: ms(260), begun: true}, probeEngine},
+		{"its engine sends events of other streams", true, silence{duration: ms(260), engineHeardAgo: ms(50), begun: true}, keepWaiting},
+		{"alive, with a copy", true, silence{duration: ms(480), engineHeardAgo: ms(100), begun: true, hasCopy: true}, moveStream},
 		{"alive, no copy", true, silence{duration: ms(480), engineHeardAgo: ms(100), begun: true}, keepWaiting},
 		{"alive, moved before", true, silence{duration: ms(480), engineHeardAgo: ms(100), begun: true, hasCopy: true, moved: true}, keepWaiting},
-		{"its events are made and do not come", true, silence{duration: ms(300), engineHeardAgo: ms(10), begun: true, reportIsCurrent: true, eventsAhead: 9}, moveStream},
-		{"the prompt is being read", false, silence{duration: ms(1000), engineHeardAgo: ms(1000), hasCopy: true}, keepWaiting},
+		{"its events are made but do not arrive", true, silence{duration: ms(300), engineHeardAgo: ms(10), begun: true, reportIsCurrent: true, eventsAhead: 9}, moveStream},
+		{"the prompt is being prefilled", false, silence{duration: ms(1000), engineHeardAgo: ms(1000), hasCopy: true}, keepWaiting},
 		{"a long wait for the first event", false, silence{duration: ms(1600), engineHeardAgo: ms(1600), hasCopy: true}, probeEngine},
 	}
 	for _, tt := range tests {
--- a/internal/forward/explain_test.go
+++ b/internal/forward/explain_test.go
@@ -29,7 +29,7 @@
 	return b.buf.Write(p)
 }
 
-func (b *logBuffer) explain(t *testing.T, request string) explain.Story {
+func (b *logBuffer) explanation(t *testing.T, request string) explain.Story {
 	t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,17 +47,17 @@
 	tests := []struct {
 		name    string
 		servers func() []*routedengine.Server
-		failure func(w *fixture, request string)
+		failure func(f *fixture, request string)
 		want    []string // in the cause
 		around  string   // in a line about a server
 	}{
 		{
 			"a stream that broke",
 			func() []*routedengine.Server { return []*routedengine.Server{engine("a")} },
-			func(w *fixture, id string) {
-				a := w.send("POST", "/s/1", id, "log")
+			func(f *fixture, id string) {
+				a := f.send("POST", "/s/1", id, "log")
 				time.Sleep(2 * time.Second)
-				w.servers[0].Set(routedengine.Dark)
+				f.servers[0].Set(routedengine.Dark)
 				<-a.done
 			},
 			[]string{"broken off behind event", "its run on i0 was lost: engine does not answer"},
@@ -66,11 +66,11 @@
 		{
 			"a vote whose outcome is unknown",
 			func() []*routedengine.Server { return []*routedengine.Server{voteServer("a"), voteServer("b")} },
-			func(w *fixture, id string) {
-				for _, s := range w.servers {
+			func(f *fixture, id string) {
+				for _, s := range f.servers {
 					s.Answer = breakAfter(signedHead + "half")
 				}
-				<-w.send("POST", "/vote/1", id, "yes").done
+				<-f.send("POST", "/vote/1", id, "yes").done
 			},
 			[]string{"4003 outcome_unknown", "after 1 arrivals", "unknown broken"},
 			"",
@@ -78,14 +78,14 @@
 		{
 			"a call refused under load",
 			func() []*routedengine.Server { return []*routedengine.Server{voteServer("a"), voteServer("b")} },
-			func(w *fixture, id string) {
-				for _, s := range w.servers {
+			func(f *fixture, id string) {
+				for _, s := range f.servers {
 					s.Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
 						s.Refuse(rw, r)
 						return true
 					}
 				}
-				<-w.send("POST", "/vote/1", id, "yes").done
+				<-f.send("POST", "/vote/1", id, "yes").done
 			},
 			[]string{"3015 backends_full", "after 2 arrivals", "refused"},
 			"",
@@ -95,12 +95,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var log logBuffer
-				w := newFixtureWithLog(t, zerolog.New(&log).With().Timestamp().Str("vm", "r1").Logger(), tt.servers()...)
-				defer w.close()
+				f := newFixtureWithLog(t, zerolog.New(&log).With().Timestamp().Str("vm", "r1").Logger(), tt.servers()...)
+				defer f.shutDown()
 				id := fmt.Sprint("q", i)
-				tt.failure(w, id)
+				tt.failure(f, id)
 				synctest.Wait()
-				s := log.explain(t, id)
+				s := log.explanation(t, id)
 				for _, want := range tt.want {
 					if !strings.Contains(s.Cause, want) {
 						t.Errorf("got cause %q, want it to contain %q", s.Cause, want)
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -40,12 +40,12 @@
 	shutdownTimeLeft time.Duration // until the router stops; 0: it is not shutting down
 }
 
-func (w *fixture) cannotFinish(_ bool, takes time.Duration) bool {
-	return w.shutdownTimeLeft > 0 && takes > w.shutdownTimeLeft
+func (f *fixture) cannotFinish(_ bool, takes time.Duration) bool {
+	return f.shutdownTimeLeft > 0 && takes > f.shutdownTimeLeft
 }
 
-func (w *fixture) findOrphan(_ context.Context, identity uint64) (forward.Left, bool) {
-	c, ok := w.orphans[identity]
+func (f *fixture) findOrphan(_ context.Context, identity uint64) (forward.Left, bool) {
+	c, ok := f.orphans[identity]
 	return forward.Left{Copy: c}, ok
 }
 
@@ -84,48 +84,48 @@
 }
 
 func newFixtureWithLog(t *testing.T, log zerolog.Logger, servers ...*routedengine.Server) *fixture {
-	w := &fixture{t: t, net: routedengine.NewNet()}
+	f := &fixture{t: t, net: routedengine.NewNet()}
 	for i, s := range servers {
 		s.ID, s.Address = fmt.Sprintf("i%d", i), fmt.Sprintf("10.0.0.%d:80", i)
-		w.servers = append(w.servers, w.net.Add(s))
+		f.servers = append(f.servers, f.net.Add(s))
 	}
-	w.log, w.pool = log, upstream.NewPoolWith(w.net.Dial)
-	w.fleet = upstream.NewFleet(w.pool, log)
-	w.fleet.Apply(upstream.List{Backends: w.net.List(), AsOf: time.Now()})
-	w.table.Store(testRoutes())
-	w.state.Store(&rollout.State{})
-	w.book = rollout.NewBook(time.Now)
+	f.log, f.pool = log, upstream.NewPoolWith(f.net.Dial)
+	f.fleet = upstream.NewFleet(f.pool, log)
+	f.fleet.Apply(upstream.List{Backends: f.net.List(), AsOf: time.Now()})
+	f.table.Store(testRoutes())
+	f.state.Store(&rollout.State{})
+	f.book = rollout.NewBook(time.Now)
 	ready := make(chan struct{})
 	close(ready)
-	w.newHandler(ready)
-	return w
+	f.newHandler(ready)
+	return f
 }
 
 // newHandler replaces the router's handler by one that has its lists once ready is closed.
-func (w *fixture) newHandler(ready <-chan struct{}) {
-	w.handler = forward.NewHandler(forward.Options{
-		Zone: "a", Wire: forward.NewPlainWire(), Pool: w.pool, Fleet: w.fleet,
-		Routes: w.table.Load, Prepared: ready, Allowance: forward.Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
-		Log: w.log, Ordinary: w.log, Metrics: metrics.NewSet(), Blame: forward.NewBlameBook(), Closing: func() bool { return w.closing },
-		TooLate: w.cannotFinish, Find: w.findOrphan, Placer: w.placer,
-		Rollouts: &forward.Rollouts{State: w.state.Load, Book: w.book},
+func (f *fixture) newHandler(ready <-chan struct{}) {
+	f.handler = forward.NewHandler(forward.Options{
+		Zone: "a", Wire: forward.NewPlainWire(), Pool: f.pool, Fleet: f.fleet,
+		Routes: f.table.Load, Prepared: ready, Allowance: forward.Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
+		Log: f.log, Ordinary: f.log, Metrics: metrics.NewSet(), Blame: forward.NewBlameBook(), Closing: func() bool { return f.closing },
+		TooLate: f.cannotFinish, Find: f.findOrphan, Placer: f.placer,
+		Rollouts: &forward.Rollouts{State: f.state.Load, Book: f.book},
 	})
 }
 
 // setPlacer replaces the router's handler by one that uses a Placer.
-func (w *fixture) setPlacer(p forward.Placer) {
-	w.placer = p
+func (f *fixture) setPlacer(p forward.Placer) {
+	f.placer = p
 	ready := make(chan struct{})
 	close(ready)
-	w.newHandler(ready)
+	f.newHandler(ready)
 }
 
-// close resets every connection, since no goroutine of a synctest bubble may remain.
-func (w *fixture) close() {
-	for _, s := range w.servers {
+// shutDown resets every connection, since no goroutine of a synctest bubble may remain.
+func (f *fixture) shutDown() {
+	for _, s := range f.servers {
 		s.Set(routedengine.Dead)
 	}
-	w.fleet.Apply(upstream.List{AsOf: time.Now().Add(time.Hour)})
+	f.fleet.Apply(upstream.List{AsOf: time.Now().Add(time.Hour)})
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
@@ -185,16 +185,16 @@
 }
 
 // send starts a caller's request and returns at once.
-func (w *fixture) send(method, path, id, body string, more ...string) *answer {
+func (f *fixture) send(method, path, id, body string, headers ...string) *answer {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Host = "shelf"
 	r.Header.Set(forward.HeaderRequestID, id)
 	r.Header.Set("Authorization", "Bearer key-of-nelson")
 	r.Header.Set(forward.HeaderTokens, "8000,1000")
-	for i := 0; i+1 < len(more); i += 2 {
-		r.Header.Set(more[i], more[i+1])
+	for i := 0; i+1 < len(headers); i += 2 {
+		r.Header.Set(headers[i], headers[i+1])
 	}
-	ctx, cancel := context.WithCancel(w.t.Context())
+	ctx, cancel := context.WithCancel(f.t.Context())
 	a := &answer{header: http.Header{}, done: make(chan struct{}), leave: cancel}
 	go func() {
 		defer close(a.done)
@@ -206,7 +206,7 @@
 				a.broken = true
 			}
 		}()
-		w.handler.ServeHTTP(a, r.WithContext(ctx))
+		f.handler.ServeHTTP(a, r.WithContext(ctx))
 	}()
 	return a
 }
@@ -229,9 +229,9 @@
 }
 
 // totalRuns counts the runs of a request over all servers.
-func (w *fixture) totalRuns(id string) int {
+func (f *fixture) totalRuns(id string) int {
 	n := 0
-	for _, s := range w.servers {
+	for _, s := range f.servers {
 		for _, r := range s.Runs() {
 			if r.RequestID == id {
 				n++
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -322,11 +322,11 @@
 		w.Header().Set("Connection", "close") // the rest is not read
 		return result.New(result.BodyTooLarge)
 	}
-	leave, ok := h.inFlight.Enter(countedBytes(r))
+	release, ok := h.inFlight.Enter(countedBytes(r))
 	if !ok {
 		return result.New(result.QueueFull).WithRetryAfter(otherRouterRetryAfter)
 	}
-	q.releaseBody = leave
+	q.releaseBody = release
 	body, err := readBody(w, r, limit, q.expires)
 	if err != nil {
 		w.Header().Set("Connection", "close")
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -56,15 +56,15 @@
 // and its copy must be kept at the granted backup engine.
 func TestGrantedEngineIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"), engine("c"))
-		defer w.close()
+		f := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer f.shutDown()
 		d := &scriptedPlacer{decide: func() (scheduler.Answer, bool) {
 			return scheduler.Answer{Outcome: scheduler.Granted, Number: 1, Server: "i2", Keeper: "i0"}, true
 		}}
-		w.setPlacer(d)
-		a := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
+		f.setPlacer(d)
+		a := f.send(http.MethodPost, "/s/x", "q1", "unit 12")
 		time.Sleep(2 * time.Second)
-		if runs, kept, other := len(w.servers[2].Runs()), w.servers[0].Copies(), w.servers[1].Copies(); runs != 1 || kept != 1 || other != 0 {
+		if runs, kept, other := len(f.servers[2].Runs()), f.servers[0].Copies(), f.servers[1].Copies(); runs != 1 || kept != 1 || other != 0 {
 			t.Errorf("got %d runs on the granted engine, %d copies at the granted backup engine, %d copies elsewhere; want 1, 1, 0", runs, kept, other)
 		}
 		a.requireCompleteStream(t, 100)
@@ -83,15 +83,15 @@
 // it were placed elsewhere, all waiting streams would be, at once and on full engines.
 func TestGrantOfAnEngineThatIsNotListedYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"))
-		defer w.close()
-		all := w.net.List()
-		w.fleet.Apply(upstream.List{Backends: all[:1], AsOf: time.Now().Add(time.Millisecond)})
+		f := newFixture(t, engine("a"), engine("b"))
+		defer f.shutDown()
+		all := f.net.List()
+		f.fleet.Apply(upstream.List{Backends: all[:1], AsOf: time.Now().Add(time.Millisecond)})
 		d := &scriptedPlacer{decide: grantInTurn("i1")}
-		d.refresh = func() { w.fleet.Apply(upstream.List{Backends: all, AsOf: time.Now().Add(2 * time.Millisecond)}) }
-		w.setPlacer(d)
-		w.send(http.MethodPost, "/s/x", "q1", "unit 12").requireCompleteStream(t, 100)
-		if len(w.servers[1].Runs()) != 1 || len(w.servers[0].Runs()) != 0 {
+		d.refresh = func() { f.fleet.Apply(upstream.List{Backends: all, AsOf: time.Now().Add(2 * time.Millisecond)}) }
+		f.setPlacer(d)
+		f.send(http.MethodPost, "/s/x", "q1", "unit 12").requireCompleteStream(t, 100)
+		if len(f.servers[1].Runs()) != 1 || len(f.servers[0].Runs()) != 0 {
 			t.Error("the stream did not run on the granted engine only")
 		}
 	})
@@ -112,18 +112,18 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, engine("a"))
-				defer w.close()
-				w.setPlacer(&scriptedPlacer{decide: func() (scheduler.Answer, bool) {
+				f := newFixture(t, engine("a"))
+				defer f.shutDown()
+				f.setPlacer(&scriptedPlacer{decide: func() (scheduler.Answer, bool) {
 					return scheduler.Answer{Outcome: tt.outcome, RetryAfter: tt.after}, true
 				}})
 				began := time.Now()
-				a := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
+				a := f.send(http.MethodPost, "/s/x", "q1", "unit 12")
 				<-a.done
 				if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") != tt.want || time.Since(began) > 10*time.Millisecond {
 					t.Errorf("got status %d, Retry-After %q after %v, want 503 and the Retry-After of the table within 10 ms", a.status, a.header.Get("Retry-After"), time.Since(began))
 				}
-				if n := w.totalRuns("q1"); n != 0 {
+				if n := f.totalRuns("q1"); n != 0 {
 					t.Errorf("refused as not run, but ran %d times", n)
 				}
 			})
@@ -134,10 +134,10 @@
 // Guards against streams that fail without a scheduler: the VM must choose engines itself.
 func TestNobodyDecides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"))
-		defer w.close()
-		w.setPlacer(&scriptedPlacer{decide: func() (scheduler.Answer, bool) { return scheduler.Answer{}, false }})
-		w.send(http.MethodPost, "/s/x", "q1", "unit 12").requireCompleteStream(t, 100)
+		f := newFixture(t, engine("a"), engine("b"))
+		defer f.shutDown()
+		f.setPlacer(&scriptedPlacer{decide: func() (scheduler.Answer, bool) { return scheduler.Answer{}, false }})
+		f.send(http.MethodPost, "/s/x", "q1", "unit 12").requireCompleteStream(t, 100)
 	})
 }
 
@@ -147,20 +147,20 @@
 func TestShutdownLeavesTheCopy(t *testing.T) {
 	for _, closing := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newFixture(t, engine("a"))
-			defer w.close()
-			w.closing = closing
-			a := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
+			f := newFixture(t, engine("a"))
+			defer f.shutDown()
+			f.closing = closing
+			a := f.send(http.MethodPost, "/s/x", "q1", "unit 12")
 			time.Sleep(1200 * time.Millisecond)
-			keeper := engine("c")
-			keeper.ID, keeper.Address = "i9", "10.0.0.9:80"
-			w.servers = append(w.servers, w.net.Add(keeper))
-			w.fleet.Apply(upstream.List{Backends: w.net.List(), AsOf: time.Now()})
+			backup := engine("c")
+			backup.ID, backup.Address = "i9", "10.0.0.9:80"
+			f.servers = append(f.servers, f.net.Add(backup))
+			f.fleet.Apply(upstream.List{Backends: f.net.List(), AsOf: time.Now()})
 			time.Sleep(1200 * time.Millisecond)
-			ordered := keeper.Copies()
+			ordered := backup.Copies()
 			a.leave()
 			time.Sleep(100 * time.Millisecond)
-			if left := keeper.Copies() == 1; ordered != 1 || left != closing {
+			if left := backup.Copies() == 1; ordered != 1 || left != closing {
 				t.Errorf("shutting down: %t; %d copies ordered, want 1; copy left: %t, want it only after a shutdown", closing, ordered, left)
 			}
 		})
@@ -172,20 +172,20 @@
 // served elsewhere. The rest of a stream that is nearly complete must be served.
 func TestShutdownTakesWhatItCanFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"))
-		defer w.close()
-		first := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
+		f := newFixture(t, engine("a"), engine("b"))
+		defer f.shutDown()
+		first := f.send(http.MethodPost, "/s/x", "q1", "unit 12")
 		<-first.done
 		if first.status != http.StatusOK {
 			t.Fatalf("got status %d, want 200", first.status)
 		}
-		w.shutdownTimeLeft = 3 * time.Second
-		late := w.send(http.MethodPost, "/s/x", "q2", "unit 13")
+		f.shutdownTimeLeft = 3 * time.Second
+		late := f.send(http.MethodPost, "/s/x", "q2", "unit 13")
 		<-late.done
-		if late.status != http.StatusServiceUnavailable || late.header.Get("Retry-After") == "" || w.totalRuns("q2") != 0 {
-			t.Errorf("got status %d, Retry-After %q, %d runs; want 503 with a Retry-After and no run", late.status, late.header.Get("Retry-After"), w.totalRuns("q2"))
+		if late.status != http.StatusServiceUnavailable || late.header.Get("Retry-After") == "" || f.totalRuns("q2") != 0 {
+			t.Errorf("got status %d, Retry-After %q, %d runs; want 503 with a Retry-After and no run", late.status, late.header.Get("Retry-After"), f.totalRuns("q2"))
 		}
-		rest := w.send(http.MethodPost, "/s/x", "q3", "unit 14", forward.HeaderLastEvent, "90")
+		rest := f.send(http.MethodPost, "/s/x", "q3", "unit 14", forward.HeaderLastEvent, "90")
 		<-rest.done
 		if rest.status != http.StatusOK {
 			t.Errorf("got status %d for the rest of a stream, want 200", rest.status)
@@ -197,14 +197,14 @@
 // the pace that the other routers observed.
 func TestShutdownGoesByWhatOthersObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"))
-		defer w.close()
-		w.shutdownTimeLeft = 3 * time.Second
-		w.handler.SetPaces(map[string]scheduler.Pace{"models": {PerToken: 125 * time.Microsecond, Run: 3 * time.Second, Events: 100}})
-		late := w.send(http.MethodPost, "/s/x", "q1", "unit 12")
+		f := newFixture(t, engine("a"))
+		defer f.shutDown()
+		f.shutdownTimeLeft = 3 * time.Second
+		f.handler.SetPaces(map[string]scheduler.Pace{"models": {PerToken: 125 * time.Microsecond, Run: 3 * time.Second, Events: 100}})
+		late := f.send(http.MethodPost, "/s/x", "q1", "unit 12")
 		<-late.done
-		if late.status != http.StatusServiceUnavailable || w.totalRuns("q1") != 0 {
-			t.Errorf("got status %d, %d runs, want 503 and no run", late.status, w.totalRuns("q1"))
+		if late.status != http.StatusServiceUnavailable || f.totalRuns("q1") != 0 {
+			t.Errorf("got status %d, %d runs, want 503 and no run", late.status, f.totalRuns("q1"))
 		}
 	})
 }
--- a/internal/forward/prepare_test.go
+++ b/internal/forward/prepare_test.go
@@ -11,14 +11,14 @@
 
 // newWithoutLists returns a router that has just started and has no route list. prepare
 // gives it one.
-func newWithoutLists(t *testing.T) (w *fixture, prepare func()) {
-	w = newFixture(t, voteServer("a"))
-	table := w.table.Load()
-	w.table.Store(nil)
+func newWithoutLists(t *testing.T) (f *fixture, prepare func()) {
+	f = newFixture(t, voteServer("a"))
+	table := f.table.Load()
+	f.table.Store(nil)
 	ready := make(chan struct{})
-	w.newHandler(ready)
-	return w, func() {
-		w.table.Store(table)
+	f.newHandler(ready)
+	return f, func() {
+		f.table.Store(table)
 		close(ready)
 	}
 }
@@ -27,9 +27,9 @@
 // its only retry before the route list arrives; it must be held and served.
 func TestCallerThatComesBeforeTheLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, prepare := newWithoutLists(t)
-		defer w.close()
-		a := w.send("POST", "/vote/1", "r1", "yes", forward.HeaderDeadline, "3000")
+		f, prepare := newWithoutLists(t)
+		defer f.shutDown()
+		a := f.send("POST", "/vote/1", "r1", "yes", forward.HeaderDeadline, "3000")
 		time.Sleep(300 * time.Millisecond)
 		prepare()
 		<-a.done
@@ -44,10 +44,10 @@
 func TestCallerIsNotKeptForLong(t *testing.T) {
 	for deadline, most := range map[string]time.Duration{"600": 120 * time.Millisecond, "25000": 600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			w, _ := newWithoutLists(t)
-			defer w.close()
+			f, _ := newWithoutLists(t)
+			defer f.shutDown()
 			began := time.Now()
-			a := w.send("POST", "/vote/1", "r1", "yes", forward.HeaderDeadline, deadline)
+			a := f.send("POST", "/vote/1", "r1", "yes", forward.HeaderDeadline, deadline)
 			<-a.done
 			took := time.Since(began)
 			if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || took > most {
--- a/internal/forward/probe.go
+++ b/internal/forward/probe.go
@@ -9,8 +9,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// probeTimeout is three times the longest time in which a live engine accepts a
-// connection, within two round trips, and reports, which takes no slot.
+// probeTimeout is three times the longest time that a live engine takes to accept a
+// connection, which needs two round trips at most, and to report, which needs no slot.
 const probeTimeout = 150 * time.Millisecond
 
 // probeRetryInterval separates the attempts of a probe, which run concurrently. A lossy
@@ -77,9 +77,9 @@
 	answers := make(chan probeResult, tries)
 	next := time.NewTicker(probeRetryInterval)
 	defer next.Stop()
-	begun := 1
+	started := 1
 	go func() { answers <- p.try(ctx, s) }()
-	for ended := 0; ended < begun; {
+	for ended := 0; ended < started; {
 		select {
 		case v := <-answers:
 			ended++
@@ -88,8 +88,8 @@
 				return v
 			}
 		case <-next.C:
-			if begun < tries {
-				begun++
+			if started < tries {
+				started++
 				go func() { answers <- p.try(ctx, s) }()
 			}
 		}
@@ -111,13 +111,13 @@
 }
 
 // recordSuspectContent records that a server died while it ran the request.
-func (h *Handler) recordSuspectContent(q *request, s *upstream.Server, passed int) {
+func (h *Handler) recordSuspectContent(q *request, s *upstream.Server, forwarded int) {
 	// A stream with that many events is past the point where its content could kill
 	// the server.
-	if passed < clearedAfterEvents {
+	if forwarded < clearedAfterEvents {
 		h.opts.Blame.Died(q.digest, s.ID)
 	}
-	h.opts.Log.Info().Str("request", q.RequestID).Str("server", s.ID).Int("passed", passed).Uint64("digest", q.digest).Msg("server died while it ran the request; content suspected")
+	h.opts.Log.Info().Str("request", q.RequestID).Str("server", s.ID).Int("passed", forwarded).Uint64("digest", q.digest).Msg("server died while it ran the request")
 }
 
 // confirmDeath probes, concurrently with the request, whether the server that broke off
@@ -127,7 +127,7 @@
 //
 // A request whose content is suspect already waits for the result. Otherwise it could
 // reach, and kill, the next server in the meantime.
-func (h *Handler) confirmDeath(q *request, s *upstream.Server, passed int) {
+func (h *Handler) confirmDeath(q *request, s *upstream.Server, forwarded int) {
 	h.Stats.Probes.Inc()
 	p := h.prober.start(s)
 	found := make(chan struct{})
@@ -136,7 +136,7 @@
 		<-p.done
 		if !p.alive {
 			h.opts.Fleet.Dead(s)
-			h.recordSuspectContent(q, s, passed)
+			h.recordSuspectContent(q, s, forwarded)
 		}
 	}()
 	if h.opts.Blame.Suspect(q.digest) {
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -25,7 +25,7 @@
 
 	sentAt       time.Time // when the request was sent
 	firstEventAt time.Time // when the first event came
-	granted      bool      // by the scheduler: the engine was prefilling no other prompt
+	granted      bool      // the scheduler granted the engine, which was prefilling no other prompt
 
 	conn               *upstream.Conn
 	stopWatchingCaller func() bool
@@ -75,10 +75,10 @@
 	}
 	h.opts.Fleet.Take(s, r.use)
 	send := Send{After: st.seq.last, HasAfter: st.seq.started, From: from}
-	if keeper := st.backupEngineFor(&c); keeper != nil {
-		r.setBackupEngine(keeper)
-		r.backup.current.ref = Copy{Address: keeper.Address, ID: st.q.RequestID}
-		send.CopyTo = keeper.Address
+	if backup := st.backupEngineFor(&c); backup != nil {
+		r.setBackupEngine(backup)
+		r.backup.current.ref = Copy{Address: backup.Address, ID: st.q.RequestID}
+		send.CopyTo = backup.Address
 	}
 	if c.granted {
 		h.opts.Placer.Took(c.grant.Number)
@@ -111,9 +111,9 @@
 	if r.from != nil {
 		h.Stats.FromCopy.Inc()
 	}
-	keeper := ""
+	backupID := ""
 	if r.backup.current.engine != nil {
-		keeper = r.backup.current.engine.ID
+		backupID = r.backup.current.engine.ID
 	}
 	use := h.opts.Fleet.UseOf(r.server)
 	log := h.opts.Ordinary
@@ -121,7 +121,7 @@
 		log = h.opts.Log
 	}
 	log.Info().Str("request", st.q.RequestID).Str("route", st.q.route.Name).Str("engine", r.server.ID).
-		Str("zone", r.server.Zone).Str("keeper", keeper).Bool("from_copy", r.from != nil).Int("send", st.sends).
+		Str("zone", r.server.Zone).Str("keeper", backupID).Bool("from_copy", r.from != nil).Int("send", st.sends).
 		Uint64("after", st.seq.last).Int("tokens", st.need.Tokens()).Int("there", use.Requests).
 		Int("tokens_there", use.Tokens).Int("prompt_there", use.Prompt).Str("version", r.server.Version).Bool("granted", r.granted).Dur("waited", st.waited).
 		Dur("list_age", time.Since(h.opts.Fleet.AsOf())).Msg("stream placed")
@@ -155,10 +155,10 @@
 	}
 	r.silenceTimer = newSilenceTimer(r.silenceLimits().Ask)
 	defer r.silenceTimer.timer.Stop()
-	look := time.NewTicker(backupCheckInterval)
-	defer look.Stop()
+	backupCheck := time.NewTicker(backupCheckInterval)
+	defer backupCheck.Stop()
 	for {
-		if end, done := r.step(look.C); done {
+		if end, done := r.step(backupCheck.C); done {
 			return end
 		}
 	}
@@ -166,10 +166,10 @@
 
 // step waits for the next occurrence that concerns the run and handles it. It reports
 // whether the run has ended.
-func (r *run) step(look <-chan time.Time) (runEnd, bool) {
+func (r *run) step(backupCheck <-chan time.Time) (runEnd, bool) {
 	select {
-	case it := <-r.results:
-		end, done := r.handleResult(it)
+	case res := <-r.results:
+		end, done := r.handleResult(res)
 		r.silenceTimer.set(r.silenceLimits().Ask)
 		return end, done
 	case <-r.probeDone():
@@ -178,7 +178,7 @@
 		return end, done
 	case <-r.silenceTimer.timer.C:
 		return r.onSilenceTimer()
-	case <-look:
+	case <-backupCheck:
 		if r.mustLeaveVersion() {
 			return r.lost("goes on at the new version"), true
 		}
@@ -202,16 +202,16 @@
 
 // handleResult handles a result of the reader and all others that have come by then.
 // One flush serves them all.
-func (r *run) handleResult(it readResult) (runEnd, bool) {
+func (r *run) handleResult(res readResult) (runEnd, bool) {
 	r.lastHeard, r.reportIsCurrent, r.probeFailed, r.missingReports = time.Now(), false, false, 0
 	r.st.h.opts.Fleet.Heard(r.server)
 	for {
-		end, done := r.handleOne(it)
+		end, done := r.handleOne(res)
 		if done {
 			return end, true
 		}
 		select {
-		case it = <-r.results:
+		case res = <-r.results:
 			continue
 		default:
 		}
@@ -222,17 +222,17 @@
 	}
 }
 
-func (r *run) handleOne(it readResult) (runEnd, bool) {
+func (r *run) handleOne(res readResult) (runEnd, bool) {
 	switch {
-	case it.head != nil:
-		r.reply.resp, r.reply.answer = it.head, it.answer
+	case res.head != nil:
+		r.reply.resp, r.reply.answer = res.head, res.answer
 		return r.handleHead()
-	case it.err != nil && r.reply.resp != nil && isCleanEOF(it.err) && r.isComplete():
+	case res.err != nil && r.reply.resp != nil && isCleanEOF(res.err) && r.isComplete():
 		return r.finish()
-	case it.err != nil:
-		return r.handleReadError(it.err), true
+	case res.err != nil:
+		return r.handleReadError(res.err), true
 	}
-	return r.handleEvent(it.event)
+	return r.handleEvent(res.event)
 }
 
 // isComplete reports whether the answer ended regularly. An answer without a length
@@ -370,6 +370,7 @@
 	return r.lost(err.Error())
 }
 
+// lost logs that the run was lost, and why, and returns how it ended.
 func (r *run) lost(why string) runEnd {
 	r.st.h.opts.Log.Info().Str("request", r.st.q.RequestID).Str("engine", r.server.ID).Int("passed", r.forwarded).
 		Dur("silent", time.Since(r.lastHeard)).Str("reason", why).Msg("run lost")
@@ -395,8 +396,8 @@
 	if r.conn == nil {
 		return
 	}
-	kept := r.stopWatchingCaller() && (end == endComplete || end == endPlainAnswer)
-	if kept {
+	reusable := r.stopWatchingCaller() && (end == endComplete || end == endPlainAnswer)
+	if reusable {
 		r.st.h.opts.Pool.Put(r.conn, r.reply.resp)
 		return
 	}
--- a/internal/forward/run_silence.go
+++ b/internal/forward/run_silence.go
@@ -23,7 +23,7 @@
 func (c *silenceTimer) firedLate() bool { return time.Since(c.startedAt)-c.wait >= maxTimerDelay }
 
 // onSilenceTimer reacts to a silence. If this VM was stalled, the silence is its own:
-// events wait in the socket buffers, and otherwise every stream would move at once.
+// events wait in the socket buffers. Without this check every stream would move at once.
 func (r *run) onSilenceTimer() (runEnd, bool) {
 	if r.silenceTimer.firedLate() {
 		r.lastHeard = time.Now()
@@ -62,9 +62,9 @@
 
 // nextSilenceCheck returns after which time the silence is checked again.
 func (r *run) nextSilenceCheck() time.Duration {
-	p, lasted := r.silenceLimits(), time.Since(r.lastHeard)
-	if p.Move > lasted {
-		return min(probeInterval, p.Move-lasted)
+	p, silent := r.silenceLimits(), time.Since(r.lastHeard)
+	if p.Move > silent {
+		return min(probeInterval, p.Move-silent)
 	}
 	return probeInterval
 }
@@ -119,8 +119,8 @@
 
 // countMissingReports counts the complete reports in a row that do not list the run.
 func (r *run) countMissingReports() {
-	_, named := r.report.Made[r.st.q.RequestID]
-	if r.reportIsCurrent && r.report.Complete && !named {
+	_, listed := r.report.Made[r.st.q.RequestID]
+	if r.reportIsCurrent && r.report.Complete && !listed {
 		r.missingReports++
 		return
 	}
--- a/internal/forward/run_silence_test.go
+++ b/internal/forward/run_silence_test.go
@@ -10,13 +10,13 @@
 // finds all streams silent, although the events of the engines wait to be read.
 func TestStalledVMBlamesNobody(t *testing.T) {
 	tests := []struct {
-		name  string
-		slept time.Duration // beyond the time that the timer was set to
-		own   bool
+		name    string
+		slept   time.Duration // beyond the time that the timer was set to
+		stalled bool
 	}{
 		{"in time", 0, false},
 		{"busy", 100 * time.Millisecond, false},
-		{"stood still", 3 * time.Second, true},
+		{"stalled", 3 * time.Second, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -24,13 +24,13 @@
 				const wait = 250 * time.Millisecond
 				r := &run{lastHeard: time.Now(), silenceTimer: newSilenceTimer(wait)}
 				time.Sleep(wait + tt.slept)
-				if got := r.silenceTimer.firedLate(); got != tt.own {
+				if got := r.silenceTimer.firedLate(); got != tt.stalled {
 					t.Fatalf("got stall detected: %t, want the opposite", got)
 				}
-				if !tt.own {
+				if !tt.stalled {
 					return
 				}
-				if _, over := r.onSilenceTimer(); over || time.Since(r.lastHeard) > 0 {
+				if _, done := r.onSilenceTimer(); done || time.Since(r.lastHeard) > 0 {
 					t.Errorf("got a silence of %v after a stall, want none", time.Since(r.lastHeard))
 				}
 			})
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -205,21 +205,21 @@
 	if !st.q.HasAfter || !st.q.history.repeatable || st.h.opts.Find == nil {
 		return
 	}
-	left, ok := st.h.opts.Find(st.q.ctx, st.id)
+	orphan, ok := st.h.opts.Find(st.q.ctx, st.id)
 	if !ok {
 		return
 	}
-	st.orphanEngine = left.Ran
-	if left.Copy.Address != "" {
-		st.orphanCopy = &left.Copy
+	st.orphanEngine = orphan.Ran
+	if orphan.Copy.Address != "" {
+		st.orphanCopy = &orphan.Copy
 	}
 }
 
 func (st *streamRelay) chooseEngine() engineChoice {
-	if left := st.orphanCopy; left != nil {
+	if ref := st.orphanCopy; ref != nil {
 		st.orphanCopy = nil // a copy can be used only once
-		if s := st.h.opts.Fleet.At(st.q.service.Name, left.Address); s != nil && st.allowsEngine(s) {
-			return engineChoice{server: s, from: left}
+		if s := st.h.opts.Fleet.At(st.q.service.Name, ref.Address); s != nil && st.allowsEngine(s) {
+			return engineChoice{server: s, from: ref}
 		}
 	}
 	if p := st.lastCopy; p.engine != nil {
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -20,8 +20,8 @@
 const pauseObjective = 700 * time.Millisecond
 
 // engineRunning returns the server that has a run of the request; nil: none has.
-func (w *fixture) engineRunning(id string) *routedengine.Server {
-	for _, s := range w.servers {
+func (f *fixture) engineRunning(id string) *routedengine.Server {
+	for _, s := range f.servers {
 		for _, r := range s.Runs() {
 			if r.RequestID == id {
 				return s
@@ -33,11 +33,11 @@
 
 func TestStreamUndisturbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"))
-		defer w.close()
-		a := w.send("POST", "/s/1?x=%2f", "r1", "unit log")
+		f := newFixture(t, engine("a"), engine("b"))
+		defer f.shutDown()
+		a := f.send("POST", "/s/1?x=%2f", "r1", "unit log")
 		a.requireCompleteStream(t, 100)
-		run := w.engineRunning("r1").Runs()[0]
+		run := f.engineRunning("r1").Runs()[0]
 		if run.Path != "/s/1?x=%2f" || run.Body != "unit log" {
 			t.Errorf("the engine got path %q, body %q, want those of the caller", run.Path, run.Body)
 		}
@@ -58,17 +58,17 @@
 	for _, state := range []routedengine.State{routedengine.Dead, routedengine.Dark} {
 		t.Run(fmt.Sprint(state), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, engine("a"), engine("a"), engine("b"), engine("b"))
-				defer w.close()
-				a := w.send("POST", "/s/1", "r1", "log")
+				f := newFixture(t, engine("a"), engine("a"), engine("b"), engine("b"))
+				defer f.shutDown()
+				a := f.send("POST", "/s/1", "r1", "log")
 				time.Sleep(2500 * time.Millisecond)
-				first := w.engineRunning("r1")
+				first := f.engineRunning("r1")
 				first.Set(state)
 				a.requireCompleteStream(t, 100)
 				if pause := a.longestPause(); pause > pauseObjective {
 					t.Errorf("got a pause of %v, want at most %v", pause, pauseObjective)
 				}
-				for _, s := range w.servers {
+				for _, s := range f.servers {
 					for _, r := range s.Runs() {
 						if s != first && (r.ReadAnew || s.Zone == first.Zone) {
 							t.Errorf("resumed in zone %s, prompt prefilled again: %t; want another zone and no prefill", s.Zone, r.ReadAnew)
@@ -85,11 +85,11 @@
 // the last event.
 func TestStreamGoesOnWithoutItsCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"), engine("c"))
-		defer w.close()
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer f.shutDown()
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2500 * time.Millisecond)
-		for _, s := range w.servers {
+		for _, s := range f.servers {
 			if len(s.Runs()) > 0 || s.Copies() > 0 {
 				s.Set(routedengine.Dead)
 			}
@@ -112,12 +112,12 @@
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		w := newFixture(t, cut, engine("b"))
-		defer w.close()
-		w.servers[1].Set(routedengine.Dead)
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, cut, engine("b"))
+		defer f.shutDown()
+		f.servers[1].Set(routedengine.Dead)
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(10 * time.Millisecond)
-		w.servers[1].Set(routedengine.Alive)
+		f.servers[1].Set(routedengine.Alive)
 		a.requireCompleteStream(t, 100)
 	})
 }
@@ -126,11 +126,11 @@
 // mid-stream, and the caller's connection must be aborted.
 func TestStreamThatCannotGoOnBreaksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"))
-		defer w.close()
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, engine("a"))
+		defer f.shutDown()
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
-		w.servers[0].Set(routedengine.Dead)
+		f.servers[0].Set(routedengine.Dead)
 		<-a.done
 		if !a.broken {
 			t.Error("an incomplete stream ended regularly, want an aborted connection")
@@ -146,11 +146,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		slow := engine("a")
 		slow.Events, slow.EventTime = 10, 650*time.Millisecond
-		w := newFixture(t, slow)
-		defer w.close()
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, slow)
+		defer f.shutDown()
+		a := f.send("POST", "/s/1", "r1", "log")
 		a.requireCompleteStream(t, 10)
-		if n := w.totalRuns("r1"); n != 1 {
+		if n := f.totalRuns("r1"); n != 1 {
 			t.Errorf("got %d runs of one stream on a live engine, want 1", n)
 		}
 	})
@@ -163,9 +163,9 @@
 func TestRequestLostByALiveEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var lost atomic.Int32
-		w := newFixture(t, engine("a"), engine("b"), engine("c"))
-		defer w.close()
-		for _, s := range w.servers {
+		f := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer f.shutDown()
+		for _, s := range f.servers {
 			s.Answer = func(_ *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
 				if lost.Add(1) > 1 {
 					return false
@@ -175,7 +175,7 @@
 				return true
 			}
 		}
-		a := w.send("POST", "/s/1", "r1", "log")
+		a := f.send("POST", "/s/1", "r1", "log")
 		began := time.Now()
 		a.requireCompleteStream(t, 100)
 		if took := time.Since(began); took > 10*time.Second {
@@ -190,15 +190,15 @@
 // Guards against an engine that keeps working for a caller that has left.
 func TestCallerLeavesAStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"))
-		defer w.close()
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, engine("a"))
+		defer f.shutDown()
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
 		a.leave()
 		<-a.done
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		use := w.fleet.Mine()
+		use := f.fleet.Mine()
 		if len(use) != 0 {
 			t.Errorf("got use %v after the caller left, want none", use)
 		}
@@ -209,9 +209,9 @@
 // must start after the caller's last event.
 func TestCallerResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"))
-		defer w.close()
-		a := w.send("POST", "/s/1", "r2", "log", "Last-Event-Id", "97")
+		f := newFixture(t, engine("a"), engine("b"))
+		defer f.shutDown()
+		a := f.send("POST", "/s/1", "r2", "log", "Last-Event-Id", "97")
 		<-a.done
 		want := "id: 98\ndata: piece 98\n\nid: 99\ndata: piece 99\n\nid: 100\ndata: piece 100\n\n"
 		if got := a.text.String(); got != want || a.broken {
@@ -230,18 +230,18 @@
 		for i := range 18 {
 			servers = append(servers, engine(string(rune('a'+i%3))))
 		}
-		w := newFixture(t, servers...)
-		defer w.close()
+		f := newFixture(t, servers...)
+		defer f.shutDown()
 		var answers []*answer
 		for i := range 36 {
 			if i == 18 {
-				for k, s := range w.servers {
+				for k, s := range f.servers {
 					if s.Zone == "b" {
 						s.Set([]routedengine.State{routedengine.Dark, routedengine.Dead}[k%2])
 					}
 				}
 			}
-			answers = append(answers, w.send("POST", "/s/1", fmt.Sprint("r", i), fmt.Sprint("log", i)))
+			answers = append(answers, f.send("POST", "/s/1", fmt.Sprint("r", i), fmt.Sprint("log", i)))
 			time.Sleep(100 * time.Millisecond)
 		}
 		late := 0
@@ -262,22 +262,22 @@
 // identity that both attempts share. The caller must not wait longer than for a pause.
 func TestStreamOfADeadRouterGoesOnFromItsCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"), engine("c"))
-		defer w.close()
-		first := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer f.shutDown()
+		first := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
-		w.orphans = map[uint64]forward.Copy{}
-		for _, k := range w.handler.Kept() {
-			w.orphans[k.Identity] = k.Copy
+		f.orphans = map[uint64]forward.Copy{}
+		for _, k := range f.handler.Kept() {
+			f.orphans[k.Identity] = k.Copy
 		}
 		first.leave()
 		<-first.done
-		if len(w.orphans) != 1 || len(w.handler.Kept()) != 0 {
-			t.Fatalf("got %d copies reported, want 1; %d copies of an ended stream, want none", len(w.orphans), len(w.handler.Kept()))
+		if len(f.orphans) != 1 || len(f.handler.Kept()) != 0 {
+			t.Fatalf("got %d copies reported, want 1; %d copies of an ended stream, want none", len(f.orphans), len(f.handler.Kept()))
 		}
 		began := time.Now()
 		got := strings.Count(first.text.String(), "id: ")
-		second := w.send("POST", "/s/1", "r2", "log", "Last-Event-Id", fmt.Sprint(got), forward.HeaderDeadline, "20000")
+		second := f.send("POST", "/s/1", "r2", "log", "Last-Event-Id", fmt.Sprint(got), forward.HeaderDeadline, "20000")
 		<-second.done
 		if second.broken || strings.Count(second.text.String(), "id: ") != 100-got {
 			t.Fatalf("the rest has %d events, want all that the first router did not send", strings.Count(second.text.String(), "id: "))
@@ -285,18 +285,18 @@
 		if pause := second.arrived[0].Sub(began); pause > 300*time.Millisecond {
 			t.Errorf("resumed after %v, want at most 300 ms", pause)
 		}
-		other := w.send("POST", "/s/1", "r3", "another log", "Last-Event-Id", "5")
+		other := f.send("POST", "/s/1", "r3", "another log", "Last-Event-Id", "5")
 		<-other.done
-		if run := w.engineRunning("r3").Runs(); !run[len(run)-1].ReadAnew {
+		if run := f.engineRunning("r3").Runs(); !run[len(run)-1].ReadAnew {
 			t.Error("another request resumed from the copy of this one")
 		}
 	})
 }
 
 // killBackupEngines kills the engines that hold copies and returns their ids.
-func (w *fixture) killBackupEngines() []string {
+func (f *fixture) killBackupEngines() []string {
 	var dead []string
-	for _, s := range w.servers {
+	for _, s := range f.servers {
 		if s.Copies() > 0 {
 			s.Set(routedengine.Dead)
 			dead = append(dead, s.ID)
@@ -310,14 +310,14 @@
 // engine dies. The run must resume from a copy that was ordered in between.
 func TestRunWhoseKeeperDiedIsProtectedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"), engine("c"))
-		defer w.close()
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer f.shutDown()
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(1500 * time.Millisecond)
-		first := w.engineRunning("r1")
-		dead := w.killBackupEngines()
-		rows := slices.DeleteFunc(w.net.List(), func(b upstream.Backend) bool { return slices.Contains(dead, b.ID) })
-		w.fleet.Apply(upstream.List{Backends: rows, AsOf: time.Now()})
+		first := f.engineRunning("r1")
+		dead := f.killBackupEngines()
+		rows := slices.DeleteFunc(f.net.List(), func(b upstream.Backend) bool { return slices.Contains(dead, b.ID) })
+		f.fleet.Apply(upstream.List{Backends: rows, AsOf: time.Now()})
 		time.Sleep(2 * time.Second)
 		first.Set(routedengine.Dead)
 		a.requireCompleteStream(t, 100)
@@ -333,12 +333,12 @@
 // apart, and the list, the check of it and the order together take as long.
 func TestKeeperThatOthersJudgedDeadIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, engine("a"), engine("b"), engine("c"))
-		defer w.close()
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, engine("a"), engine("b"), engine("c"))
+		defer f.shutDown()
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(1500 * time.Millisecond)
-		first := w.engineRunning("r1")
-		w.fleet.HearsayDead(w.killBackupEngines())
+		first := f.engineRunning("r1")
+		f.fleet.HearsayDead(f.killBackupEngines())
 		time.Sleep(1200 * time.Millisecond)
 		first.Set(routedengine.Dead)
 		a.requireCompleteStream(t, 100)
@@ -355,21 +355,21 @@
 		synctest.Test(t, func(t *testing.T) {
 			first := engine("a")
 			first.Events, first.CopyTime = 60, copyTime
-			w := newFixture(t, first)
-			defer w.close()
-			a := w.send("POST", "/s/1", "r1", "log")
+			f := newFixture(t, first)
+			defer f.shutDown()
+			a := f.send("POST", "/s/1", "r1", "log")
 			time.Sleep(1200 * time.Millisecond)
-			keeper := engine("c")
-			keeper.ID, keeper.Address = "i9", "10.0.0.9:80"
-			w.servers = append(w.servers, w.net.Add(keeper))
-			w.fleet.Apply(upstream.List{Backends: w.net.List(), AsOf: time.Now()})
+			backup := engine("c")
+			backup.ID, backup.Address = "i9", "10.0.0.9:80"
+			f.servers = append(f.servers, f.net.Add(backup))
+			f.fleet.Apply(upstream.List{Backends: f.net.List(), AsOf: time.Now()})
 			time.Sleep(1200 * time.Millisecond)
-			if copyTime == 0 && keeper.Copies() != 1 {
-				t.Fatalf("got %d copies ordered, want 1", keeper.Copies())
+			if copyTime == 0 && backup.Copies() != 1 {
+				t.Fatalf("got %d copies ordered, want 1", backup.Copies())
 			}
 			a.requireCompleteStream(t, 60)
 			time.Sleep(time.Second)
-			if n := keeper.Copies(); n != 0 {
+			if n := backup.Copies(); n != 0 {
 				t.Errorf("got %d copies after the run, want none", n)
 			}
 		})
@@ -390,12 +390,12 @@
 			go s.Set(routedengine.Dead)
 			return true
 		}
-		w := newFixture(t, dying, engine("b"))
-		defer w.close()
-		w.servers[1].Set(routedengine.Dead)
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, dying, engine("b"))
+		defer f.shutDown()
+		f.servers[1].Set(routedengine.Dead)
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(5 * time.Millisecond)
-		w.servers[1].Set(routedengine.Alive)
+		f.servers[1].Set(routedengine.Alive)
 		a.requireCompleteStream(t, 100)
 	})
 }
--- a/internal/forward/versions_test.go
+++ b/internal/forward/versions_test.go
@@ -20,22 +20,22 @@
 
 // setRollout sets the phase of a service's roll-out to v2. share is the part of the
 // requests that v2 gets during the trial.
-func (w *fixture) setRollout(service string, phase rollout.Phase, share float64) {
+func (f *fixture) setRollout(service string, phase rollout.Phase, share float64) {
 	next := rollout.State{Records: map[string]rollout.Record{}}
-	for name, r := range w.state.Load().Records {
+	for name, r := range f.state.Load().Records {
 		next.Records[name] = r
 	}
 	next.Records[service] = rollout.Record{
 		Order: rollout.Order{Service: service, To: "v2", Duration: time.Minute}, Number: uint64(len(service)), Phase: phase, DefaultShare: share,
 	}
-	w.state.Store(&next)
-	w.book.Watch(next.UnderWay())
+	f.state.Store(&next)
+	f.book.Watch(next.UnderWay())
 }
 
 // runsOnVersion counts the runs on the servers of a version.
-func (w *fixture) runsOnVersion(service, version string) int {
+func (f *fixture) runsOnVersion(service, version string) int {
 	n := 0
-	for _, s := range w.servers {
+	for _, s := range f.servers {
 		if s.Service == service && s.Version == version {
 			n += len(s.Runs())
 		}
@@ -43,9 +43,9 @@
 	return n
 }
 
-func (w *fixture) sendCalls(path string, n int) (failed int) {
+func (f *fixture) sendCalls(path string, n int) (failed int) {
 	for i := range n {
-		a := w.send("GET", path, fmt.Sprintf("%s-%d-%d", path, i, time.Now().UnixNano()), "")
+		a := f.send("GET", path, fmt.Sprintf("%s-%d-%d", path, i, time.Now().UnixNano()), "")
 		<-a.done
 		if a.status != http.StatusOK {
 			failed++
@@ -58,18 +58,18 @@
 // a roll-out to it, and against a service that stops once all of its servers are replaced.
 func TestUnorderedVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
-		defer w.close()
-		w.fleet.Apply(upstream.List{Backends: []upstream.Backend{w.servers[0].Backend}, AsOf: time.Now().Add(time.Millisecond)})
+		f := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
+		defer f.shutDown()
+		f.fleet.Apply(upstream.List{Backends: []upstream.Backend{f.servers[0].Backend}, AsOf: time.Now().Add(time.Millisecond)})
 		time.Sleep(time.Second)
-		both := []upstream.Backend{w.servers[0].Backend, w.servers[1].Backend}
-		w.fleet.Apply(upstream.List{Backends: both, AsOf: time.Now()})
-		if failed := w.sendCalls("/tally/1", 20); failed > 0 || w.runsOnVersion("votes", "v2") > 0 {
-			t.Errorf("%d of 20 calls failed, %d ran on a version without a roll-out; want none of either", failed, w.runsOnVersion("votes", "v2"))
+		both := []upstream.Backend{f.servers[0].Backend, f.servers[1].Backend}
+		f.fleet.Apply(upstream.List{Backends: both, AsOf: time.Now()})
+		if failed := f.sendCalls("/tally/1", 20); failed > 0 || f.runsOnVersion("votes", "v2") > 0 {
+			t.Errorf("%d of 20 calls failed, %d ran on a version without a roll-out; want none of either", failed, f.runsOnVersion("votes", "v2"))
 		}
 		time.Sleep(time.Second)
-		w.fleet.Apply(upstream.List{Backends: both[1:], AsOf: time.Now()})
-		if failed := w.sendCalls("/tally/1", 5); failed > 0 {
+		f.fleet.Apply(upstream.List{Backends: both[1:], AsOf: time.Now()})
+		if failed := f.sendCalls("/tally/1", 5); failed > 0 {
 			t.Errorf("%d of 5 calls failed after all servers were replaced, want none", failed)
 		}
 	})
@@ -86,26 +86,26 @@
 		status, runs int
 	}{
 		{"may be repeated", "/tally/1", false, http.StatusOK, 2},
-		{"may not", "/vote/1", false, http.StatusInternalServerError, 1},
+		{"may not be repeated", "/vote/1", false, http.StatusInternalServerError, 1},
 		{"no servers", "/vote/1", true, http.StatusOK, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
-				defer w.close()
-				w.servers[1].Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
+				f := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
+				defer f.shutDown()
+				f.servers[1].Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
 					s.Call(rw, r, http.StatusInternalServerError)
 					return true
 				}
 				if tt.gone {
-					w.fleet.Apply(upstream.List{Backends: []upstream.Backend{w.servers[0].Backend}, AsOf: time.Now().Add(time.Millisecond)})
+					f.fleet.Apply(upstream.List{Backends: []upstream.Backend{f.servers[0].Backend}, AsOf: time.Now().Add(time.Millisecond)})
 				}
-				w.setRollout("votes", rollout.Trial, 1)
-				a := w.send("GET", tt.path, "r1", "")
+				f.setRollout("votes", rollout.Trial, 1)
+				a := f.send("GET", tt.path, "r1", "")
 				<-a.done
-				if a.status != tt.status || w.totalRuns("r1") != tt.runs {
-					t.Errorf("got status %d after %d runs, want those of the table", a.status, w.totalRuns("r1"))
+				if a.status != tt.status || f.totalRuns("r1") != tt.runs {
+					t.Errorf("got status %d after %d runs, want those of the table", a.status, f.totalRuns("r1"))
 				}
 			})
 		})
@@ -116,22 +116,22 @@
 // its copy or with a new prefill.
 func TestStreamLeavesARevertedVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, withVersion("v1", engine("a")), withVersion("v1", engine("b")), withVersion("v2", engine("a")), withVersion("v2", engine("b")))
-		defer w.close()
-		w.setRollout("models", rollout.Trial, 1)
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, withVersion("v1", engine("a")), withVersion("v1", engine("b")), withVersion("v2", engine("a")), withVersion("v2", engine("b")))
+		defer f.shutDown()
+		f.setRollout("models", rollout.Trial, 1)
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
-		if n := w.runsOnVersion("models", "v2"); n != 1 {
+		if n := f.runsOnVersion("models", "v2"); n != 1 {
 			t.Fatalf("got %d runs on the new version, want 1", n)
 		}
-		w.setRollout("models", rollout.Reverted, 0)
-		for _, s := range w.servers {
+		f.setRollout("models", rollout.Reverted, 0)
+		for _, s := range f.servers {
 			if s.Version == "v2" && len(s.Runs()) > 0 {
 				s.Set(routedengine.Dead)
 			}
 		}
 		a.requireCompleteStream(t, 100)
-		if v1, v2 := w.runsOnVersion("models", "v1"), w.runsOnVersion("models", "v2"); v1 != 1 || v2 != 1 {
+		if v1, v2 := f.runsOnVersion("models", "v1"), f.runsOnVersion("models", "v2"); v1 != 1 || v2 != 1 {
 			t.Errorf("got %d runs on the old version, %d on the new one, want 1 on each", v1, v2)
 		}
 	})
@@ -140,15 +140,15 @@
 // Guards against roll-outs of two services that are mixed up.
 func TestTwoRollouts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")), withVersion("v1", engine("a")), withVersion("v2", engine("a")))
-		defer w.close()
-		w.setRollout("votes", rollout.Completed, 0)
-		w.setRollout("models", rollout.Reverted, 0)
-		if failed := w.sendCalls("/tally/1", 10); failed > 0 || w.runsOnVersion("votes", "v1") > 0 {
-			t.Errorf("%d calls failed, %d ran on the old version of a service that was rolled out; want none of either", failed, w.runsOnVersion("votes", "v1"))
+		f := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")), withVersion("v1", engine("a")), withVersion("v2", engine("a")))
+		defer f.shutDown()
+		f.setRollout("votes", rollout.Completed, 0)
+		f.setRollout("models", rollout.Reverted, 0)
+		if failed := f.sendCalls("/tally/1", 10); failed > 0 || f.runsOnVersion("votes", "v1") > 0 {
+			t.Errorf("%d calls failed, %d ran on the old version of a service that was rolled out; want none of either", failed, f.runsOnVersion("votes", "v1"))
 		}
-		w.send("POST", "/s/1", "r1", "log").requireCompleteStream(t, 100)
-		if n := w.runsOnVersion("models", "v2"); n > 0 {
+		f.send("POST", "/s/1", "r1", "log").requireCompleteStream(t, 100)
+		if n := f.runsOnVersion("models", "v2"); n > 0 {
 			t.Errorf("got %d runs on a reverted version, want none", n)
 		}
 	})
@@ -158,12 +158,12 @@
 // received, sent and answered must be counted once in what the router reports.
 func TestTrialIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
-		defer w.close()
-		w.setRollout("votes", rollout.Trial, 0.5)
-		w.sendCalls("/tally/1", 60)
+		f := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
+		defer f.shutDown()
+		f.setRollout("votes", rollout.Trial, 0.5)
+		f.sendCalls("/tally/1", 60)
 		l := rollout.NewLedger()
-		l.Note(1, w.book.Told(), time.Now())
+		l.Note(1, f.book.Told(), time.Now())
 		e := l.Sum("votes", uint64(len("votes")), time.Now())
 		cell := rollout.Cell{Route: "tally"}
 		answered := 0
@@ -172,8 +172,8 @@
 				answered += c.Answers
 			}
 		}
-		if e.Requests["tally"] != 60 || answered != 60 || e.Sent != w.runsOnVersion("votes", "v2") || e.Sent == 0 {
-			t.Errorf("got %d requests, want 60; %d answers, want 60; %d sends, want the %d runs on the new version", e.Requests["tally"], answered, e.Sent, w.runsOnVersion("votes", "v2"))
+		if e.Requests["tally"] != 60 || answered != 60 || e.Sent != f.runsOnVersion("votes", "v2") || e.Sent == 0 {
+			t.Errorf("got %d requests, want 60; %d answers, want 60; %d sends, want the %d runs on the new version", e.Requests["tally"], answered, e.Sent, f.runsOnVersion("votes", "v2"))
 		}
 	})
 }
@@ -182,14 +182,14 @@
 // The pace must be reported after the first events.
 func TestSlowPaceIsToldEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, withVersion("v1", engine("a")), withVersion("v2", engine("a")))
-		defer w.close()
-		w.servers[1].EventTime *= 5
-		w.setRollout("models", rollout.Trial, 1)
-		a := w.send("POST", "/s/1", "r1", "log")
+		f := newFixture(t, withVersion("v1", engine("a")), withVersion("v2", engine("a")))
+		defer f.shutDown()
+		f.servers[1].EventTime *= 5
+		f.setRollout("models", rollout.Trial, 1)
+		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(4 * time.Second)
 		l := rollout.NewLedger()
-		l.Note(1, w.book.Told(), time.Now())
+		l.Note(1, f.book.Told(), time.Now())
 		e := l.Sum("models", uint64(len("models")), time.Now())
 		if c := e.Target[rollout.Cell{Route: "summary", Measure: rollout.Pace}]["i1"]; c.Answers != 1 {
 			t.Errorf("got observations %+v after four seconds, want one pace of i1", e.Target)
