--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -71,18 +71,18 @@
 
 // Notice is what a VM says of itself.
 type Notice struct {
-	Zone     string           `cbor:"1,keyasint"`
-	Callers  string           `cbor:"2,keyasint,omitempty"` // ip:port; empty: takes none
-	Ready    bool             `cbor:"3,keyasint,omitempty"`
-	Told     Told             `cbor:"4,keyasint"` // use of backend servers; empty: not for this control VM
-	Deaths   []recovery.Death `cbor:"5,keyasint,omitempty"`
-	Held     uint64           `cbor:"6,keyasint,omitempty"`  // digest of the list of backend servers; 0: none is held
-	HeldAge  int64            `cbor:"7,keyasint,omitempty"`  // ms; how old that list is
-	WantLoad bool             `cbor:"8,keyasint,omitempty"`  // a Summary is wanted
-	Dead     []string         `cbor:"9,keyasint,omitempty"`  // backend servers judged dead lately
-	Kept     []forward.Kept   `cbor:"10,keyasint,omitempty"` // streams here with a copy
-	Spent    Spending         `cbor:"11,keyasint"`           // of the services' retry budgets
-	Control  bool             `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
+	Zone     string                 `cbor:"1,keyasint"`
+	Callers  string                 `cbor:"2,keyasint,omitempty"` // ip:port; empty: takes none
+	Ready    bool                   `cbor:"3,keyasint,omitempty"`
+	Told     Told                   `cbor:"4,keyasint"` // use of backend servers; empty: not for this control VM
+	Deaths   []recovery.Death       `cbor:"5,keyasint,omitempty"`
+	Held     uint64                 `cbor:"6,keyasint,omitempty"`  // digest of the list of backend servers; 0: none is held
+	HeldAge  int64                  `cbor:"7,keyasint,omitempty"`  // ms; how old that list is
+	WantLoad bool                   `cbor:"8,keyasint,omitempty"`  // a Summary is wanted
+	Dead     []string               `cbor:"9,keyasint,omitempty"`  // backend servers judged dead lately
+	Kept     []forward.ResumableRun `cbor:"10,keyasint,omitempty"` // streams here with a copy
+	Spent    Spending               `cbor:"11,keyasint"`           // of the services' retry budgets
+	Control  bool                   `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
 	// WantEntrances: the directory is wanted, by an Observer.
 	WantEntrances bool `cbor:"13,keyasint,omitempty"`
 	// WantUse: the use of engines is wanted with the Summary; RoutersHeld is the digest of
@@ -112,7 +112,7 @@
 	Listed  bool              `cbor:"7,keyasint,omitempty"`
 	Changed *PackedDifference `cbor:"15,keyasint,omitempty"`
 	// Spent is what the other VMs together spent of the retry budgets, by service.
-	Spent map[string]forward.Spent `cbor:"10,keyasint,omitempty"`
+	Spent map[string]forward.RetryUsage `cbor:"10,keyasint,omitempty"`
 	// Entrances are the callers' addresses of all VMs that take callers.
 	Entrances []string `cbor:"12,keyasint,omitempty"`
 	// Observer: the VM that answers is an Observer, and knows nothing but Controls.
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -226,8 +226,8 @@
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
 		a, b := forward.Copy{Address: "e1:1", ID: "q1"}, forward.Copy{Address: "e2:1", ID: "q2"}
-		h.hub.note("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}, {Identity: 8, Left: forward.Left{Copy: a}}}})
-		h.hub.note("alive", Notice{Kept: []forward.Kept{{Identity: 8, Left: forward.Left{Copy: b}}}})
+		h.hub.note("dead", Notice{Kept: []forward.ResumableRun{{Identity: 7, Orphan: forward.Orphan{Copy: a}}, {Identity: 8, Orphan: forward.Orphan{Copy: a}}}})
+		h.hub.note("alive", Notice{Kept: []forward.ResumableRun{{Identity: 8, Orphan: forward.Orphan{Copy: b}}}})
 		for _, tt := range []struct {
 			identity uint64
 			want     forward.Copy
@@ -253,7 +253,7 @@
 		h := startHub(life, n, "c1", controls[:1])
 		a := forward.Copy{Address: "e1:1", ID: "q1"}
 		go h.hub.Remember(life, disk, "/data")
-		h.hub.note("router", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}}})
+		h.hub.note("router", Notice{Kept: []forward.ResumableRun{{Identity: 7, Orphan: forward.Orphan{Copy: a}}}})
 		time.Sleep(2 * rememberEvery)
 		kill()
 		time.Sleep(time.Second)
@@ -280,7 +280,7 @@
 		go h.hub.Remember(ctx, disk, "/data")
 		written := func() string {
 			for i := range uint64(20) {
-				h.hub.note(fmt.Sprint("r", i), Notice{Kept: []forward.Kept{{Identity: i, Left: forward.Left{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
+				h.hub.note(fmt.Sprint("r", i), Notice{Kept: []forward.ResumableRun{{Identity: i, Orphan: forward.Orphan{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
 			}
 			time.Sleep(2 * rememberEvery)
 			data, err := disk.ReadFile("/data/" + keptFile)
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -34,7 +34,7 @@
 	deaths []toldDeath
 	summed *summary // nil: to be made anew
 	// recalled is what an earlier life wrote down; its copies are there until copiesTo.
-	recalled             []forward.Kept
+	recalled             []forward.ResumableRun
 	copiesTo, recalledTo time.Time
 }
 
@@ -131,7 +131,7 @@
 	defer h.mu.Unlock()
 	now := time.Now()
 	left := find(h.allKept(now), identity)
-	if left == (forward.Left{}) && now.Before(h.recalledTo) {
+	if left == (forward.Orphan{}) && now.Before(h.recalledTo) {
 		left = find(expired(h.recalled, now.After(h.copiesTo)), identity)
 	}
 	return left, nil
@@ -139,23 +139,23 @@
 
 // find returns what the one stream under an identity left. Two copies are of two
 // streams that look alike: neither is given out.
-func find(kept []forward.Kept, identity uint64) forward.Left {
-	var found forward.Left
+func find(kept []forward.ResumableRun, identity uint64) forward.Orphan {
+	var found forward.Orphan
 	for _, k := range kept {
 		if k.Identity != identity {
 			continue
 		}
 		if found.Copy.Address != "" && found.Copy != k.Copy {
-			return forward.Left{}
+			return forward.Orphan{}
 		}
-		found = k.Left
+		found = k.Orphan
 	}
 	return found
 }
 
 // allKept is what the streams of all VMs leave, as they last told. It needs h.mu.
-func (h *Hub) allKept(now time.Time) []forward.Kept {
-	var out []forward.Kept
+func (h *Hub) allKept(now time.Time) []forward.ResumableRun {
+	var out []forward.ResumableRun
 	for _, s := range h.vms {
 		out = append(out, expired(s.notice.Kept, now.Sub(s.at) > keptFor)...)
 	}
@@ -163,11 +163,11 @@
 }
 
 // expired leaves the copies out where engines have dropped them.
-func expired(kept []forward.Kept, copies bool) []forward.Kept {
+func expired(kept []forward.ResumableRun, copies bool) []forward.ResumableRun {
 	if !copies {
 		return kept
 	}
-	out := make([]forward.Kept, len(kept))
+	out := make([]forward.ResumableRun, len(kept))
 	for i, k := range kept {
 		out[i] = k
 		out[i].Copy = forward.Copy{}
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -29,8 +29,8 @@
 	Use     func() map[string]placement.Use
 	Deaths  func() []recovery.Death
 	Dead    func() []string
-	Kept    func() []forward.Kept
-	Spent   func() map[string]forward.Spent
+	Kept    func() []forward.ResumableRun
+	Spent   func() map[string]forward.RetryUsage
 	// Opinion is what this VM thinks of backend servers, and Paces what it observed of
 	// them, by service.
 	Opinion func() upstream.Opinion
@@ -38,7 +38,7 @@
 	// Learn takes what a control VM knows of the other VMs, and LearnSpent what
 	// they together spent of the retry budgets.
 	Learn      func(Known)
-	LearnSpent func(map[string]forward.Spent)
+	LearnSpent func(map[string]forward.RetryUsage)
 	// Rollouts is what this VM observes of roll-outs, and Urgent that it is wanted soon.
 	Rollouts func() []rollout.Told
 	Urgent   func() bool
@@ -290,15 +290,15 @@
 }
 
 // Find asks a control VM for what a stream left that another VM carried.
-func (m *Member) Find(ctx context.Context, identity uint64) (forward.Left, bool) {
+func (m *Member) Find(ctx context.Context, identity uint64) (forward.Orphan, bool) {
 	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
-	var out forward.Left
+	var out forward.Orphan
 	if err := m.t.Call(ctx, m.source(), peer.KindKept, identity, &out); err != nil {
 		m.log.Debug().Err(err).Msg("no answer about a copy")
-		return forward.Left{}, false
+		return forward.Orphan{}, false
 	}
-	return out, out != (forward.Left{})
+	return out, out != (forward.Orphan{})
 }
 
 func (m *Member) heard(vm string, a *Answer) {
--- a/internal/cluster/place_test.go
+++ b/internal/cluster/place_test.go
@@ -168,13 +168,13 @@
 		h := startHub(ctx, n, "c1", controls[:1])
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
-		left := forward.Left{Copy: forward.Copy{Address: "e2:1", ID: "q1"}, Ran: "e1:1"}
-		h.hub.note("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: left}}})
+		left := forward.Orphan{Copy: forward.Copy{Address: "e2:1", ID: "q1"}, PrefillEngine: "e1:1"}
+		h.hub.note("dead", Notice{Kept: []forward.ResumableRun{{Identity: 7, Orphan: left}}})
 		if got, ok := v.member.Find(ctx, 7); !ok || got != left {
 			t.Errorf("at once: %+v, %t", got, ok)
 		}
 		time.Sleep(20 * time.Second)
-		if got, ok := v.member.Find(ctx, 7); !ok || got != (forward.Left{Ran: "e1:1"}) {
+		if got, ok := v.member.Find(ctx, 7); !ok || got != (forward.Orphan{PrefillEngine: "e1:1"}) {
 			t.Errorf("after 20 s: %+v, %t", got, ok)
 		}
 	})
--- a/internal/cluster/spent.go
+++ b/internal/cluster/spent.go
@@ -28,9 +28,9 @@
 // which goes on to count as a former life's. Turn grows with each message: one that
 // was overtaken on its way changes nothing.
 type Spending struct {
-	Life  uint64                   `cbor:"1,keyasint"`
-	Turn  uint64                   `cbor:"2,keyasint"`
-	Spent map[string]forward.Spent `cbor:"3,keyasint,omitempty"`
+	Life  uint64                        `cbor:"1,keyasint"`
+	Turn  uint64                        `cbor:"2,keyasint"`
+	Spent map[string]forward.RetryUsage `cbor:"3,keyasint,omitempty"`
 }
 
 // spentBook holds what each life told last.
@@ -38,7 +38,7 @@
 
 type toldSpending struct {
 	turn  uint64
-	spent map[string]forward.Spent
+	spent map[string]forward.RetryUsage
 	at    time.Time
 }
 
@@ -56,8 +56,8 @@
 
 // others sums what all lives but one spent. One that has ended counts as long as
 // its sends are in the window.
-func (b spentBook) others(life uint64, now time.Time) map[string]forward.Spent {
-	out := map[string]forward.Spent{}
+func (b spentBook) others(life uint64, now time.Time) map[string]forward.RetryUsage {
+	out := map[string]forward.RetryUsage{}
 	for l, t := range b {
 		if l == life || now.Sub(t.at) > spentFor {
 			continue
@@ -65,14 +65,14 @@
 		for service, s := range t.spent {
 			sum := out[service]
 			sum.Requests += s.Requests
-			sum.Repeats += s.Repeats
+			sum.Retries += s.Retries
 			out[service] = sum
 		}
 	}
 	return out
 }
 
-func (h *Hub) spentByOthers(life uint64) map[string]forward.Spent {
+func (h *Hub) spentByOthers(life uint64) map[string]forward.RetryUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.spent.others(life, time.Now())
@@ -98,7 +98,7 @@
 	return Spending{m.life, m.turn.Add(1), m.local.Spent()}
 }
 
-func (m *Member) learnSpent(others map[string]forward.Spent) {
+func (m *Member) learnSpent(others map[string]forward.RetryUsage) {
 	if m.local.LearnSpent != nil {
 		m.local.LearnSpent(others)
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-func (m *Member) tellSpendingTo(ctx context.Context, vm string, s Spending) (others map[string]forward.Spent, ok bool) {
+func (m *Member) tellSpendingTo(ctx context.Context, vm string, s Spending) (others map[string]forward.RetryUsage, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, spendingTimeout)
 	defer cancel()
 	if err := m.t.Call(ctx, vm, peer.KindSpent, s, &others); err != nil {
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -61,7 +61,7 @@
 	Routers []string                 // VMs that take callers, by id
 	Use     map[string]placement.Use // of backend servers, by the others
 	// Spent is what the others spent of the retry budgets, by service.
-	Spent map[string]forward.Spent
+	Spent map[string]forward.RetryUsage
 }
 
 // summary is a Summary as it is told.
--- a/internal/forward/backup.go
+++ b/internal/forward/backup.go
@@ -93,7 +93,7 @@
 	if p.engine == nil {
 		return // ordered again at the next check
 	}
-	r.st.h.Stats.Protected.Inc()
+	r.st.h.Stats.CopiesOrdered.Inc()
 	if p.engine != r.backup.current.engine {
 		r.setBackupEngine(p.engine)
 	}
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -36,7 +36,7 @@
 // nothing has to be estimated.
 
 // RetryAllowance bounds the retries to a service over all VMs.
-type Allowance struct {
+type RetryAllowance struct {
 	Ratio  float64 // retries per request within Window
 	Slack  float64 // retries within Window in addition to those of Ratio
 	Window time.Duration
@@ -44,12 +44,12 @@
 
 // DefaultRetryAllowance applies to deployments that configure none. A fifth of the
 // requests is common for retry budgets.
-var DefaultAllowance = Allowance{Ratio: 0.2, Slack: 30, Window: 10 * time.Second}
+var DefaultRetryAllowance = RetryAllowance{Ratio: 0.2, Slack: 30, Window: 10 * time.Second}
 
 // RetryUsage counts what a VM received and sent again within the window.
-type Spent struct {
+type RetryUsage struct {
 	Requests int `cbor:"1,keyasint,omitempty"`
-	Repeats  int `cbor:"2,keyasint,omitempty"`
+	Retries  int `cbor:"2,keyasint,omitempty"`
 }
 
 const (
@@ -76,21 +76,21 @@
 // Budget counts the requests and the retries to one service. It is safe for
 // concurrent use.
 type Budget struct {
-	allowance Allowance
+	allowance RetryAllowance
 	now       func() time.Time
 	start     time.Time // slots are counted from here, on the monotonic clock
 
 	mu            sync.Mutex
 	vms           int
-	peers         Spent
+	peers         RetryUsage
 	reportedAt    time.Time
 	recentRetries []time.Time // within peerReportMaxAge and peerReportDelay, oldest first
 	currentSlot   int64
-	slots         [budgetSlots + 1]Spent
+	slots         [budgetSlots + 1]RetryUsage
 }
 
 // NewBudget returns a Budget that this VM shares with no other until SetVMs.
-func NewBudget(allowance Allowance, now func() time.Time) *Budget {
+func NewBudget(allowance RetryAllowance, now func() time.Time) *Budget {
 	return &Budget{allowance: allowance, now: now, start: now(), vms: 1}
 }
 
@@ -102,21 +102,21 @@
 }
 
 // SetPeerUsage sets the reported usage of all other VMs together.
-func (b *Budget) SetOthers(s Spent) {
+func (b *Budget) SetPeerUsage(s RetryUsage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.peers, b.reportedAt = s, b.now()
 }
 
 // CountRequest counts a request of a caller.
-func (b *Budget) Request() {
+func (b *Budget) CountRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slots[b.advance()].Requests++
 }
 
 // OwnUsage returns the usage of this VM within the window.
-func (b *Budget) Own() Spent {
+func (b *Budget) OwnUsage() RetryUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
@@ -138,8 +138,8 @@
 
 // Urgencies of a retry.
 const (
-	InTime  Urgency = iota // the caller can still be served within its objective
-	TooLate                // nothing was sent to the caller yet, or it will be late in any case
+	InTime Urgency = iota // the caller can still be served within its objective
+	Late                  // nothing was sent to the caller yet, or it will be late in any case
 )
 
 // Spend takes one retry from the budget if the part that is open to its urgency is
@@ -149,12 +149,12 @@
 	defer b.mu.Unlock()
 	i := b.advance()
 	limit, known, estimated := b.limit(), b.knownRetries(), b.estimatedPeerRetries()
-	if u == TooLate {
+	if u == Late {
 		limit *= lateRetryShare
 	}
 	switch {
 	case float64(known+estimated+1) <= limit:
-		b.slots[i].Repeats++
+		b.slots[i].Retries++
 		b.recentRetries = append(b.recentRetries, b.now())
 		return Granted
 	case b.hasPeerReport() && float64(known+1) <= limit:
@@ -178,9 +178,9 @@
 // knownRetries returns the retries of this VM and those that the others reported. The
 // caller must hold b.mu.
 func (b *Budget) knownRetries() int {
-	retries := b.windowTotal().Repeats
+	retries := b.windowTotal().Retries
 	if b.hasPeerReport() {
-		retries += b.peers.Repeats
+		retries += b.peers.Retries
 	}
 	return retries
 }
@@ -191,7 +191,7 @@
 	if b.hasPeerReport() {
 		return (b.vms - 1) * b.retriesSinceReport()
 	}
-	return (b.vms - 1) * b.windowTotal().Repeats
+	return (b.vms - 1) * b.windowTotal().Retries
 }
 
 func (b *Budget) hasPeerReport() bool {
@@ -211,11 +211,11 @@
 	return n
 }
 
-func (b *Budget) windowTotal() Spent {
-	var s Spent
+func (b *Budget) windowTotal() RetryUsage {
+	var s RetryUsage
 	for _, slot := range b.slots {
 		s.Requests += slot.Requests
-		s.Repeats += slot.Repeats
+		s.Retries += slot.Retries
 	}
 	return s
 }
@@ -226,7 +226,7 @@
 	n := int64(len(b.slots))
 	slot := int64(b.now().Sub(b.start) / (b.allowance.Window / budgetSlots))
 	for s := max(b.currentSlot+1, slot-n+1); s <= slot; s++ {
-		b.slots[s%n] = Spent{}
+		b.slots[s%n] = RetryUsage{}
 	}
 	b.currentSlot = max(b.currentSlot, slot)
 	return int(b.currentSlot % n)
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -15,7 +15,7 @@
 	queue          *virtualtime.Queue
 	rng            *rand.Rand
 	budgets        []*Budget
-	reports        []Spent
+	reports        []RetryUsage
 	reportsRetries bool // VMs report each retry at once
 	retries        []time.Time
 	lost           int
@@ -31,10 +31,10 @@
 	reportInterval = 400 * time.Millisecond
 )
 
-var testAllowance = Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var testAllowance = RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 func newBudgetSim(vms int, reportRetries bool) *budgetSim {
-	sim := &budgetSim{queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2)), reports: make([]Spent, vms), reportsRetries: reportRetries}
+	sim := &budgetSim{queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2)), reports: make([]RetryUsage, vms), reportsRetries: reportRetries}
 	for i := range vms {
 		b := NewBudget(testAllowance, sim.queue.Now)
 		b.SetVMs(vms)
@@ -50,24 +50,24 @@
 }
 
 func (sim *budgetSim) sendReport(vm int) {
-	own := sim.budgets[vm].Own()
+	own := sim.budgets[vm].OwnUsage()
 	sim.queue.After(linkDelay, func() {
 		sim.reports[vm] = own
-		var others Spent
+		var others RetryUsage
 		for i, s := range sim.reports {
 			if i != vm {
 				others.Requests += s.Requests
-				others.Repeats += s.Repeats
+				others.Retries += s.Retries
 			}
 		}
-		sim.queue.After(linkDelay, func() { sim.budgets[vm].SetOthers(others) })
+		sim.queue.After(linkDelay, func() { sim.budgets[vm].SetPeerUsage(others) })
 	})
 }
 
 func (sim *budgetSim) generateRequests(perSecond float64) {
 	next := time.Duration(sim.rng.ExpFloat64() / perSecond * float64(time.Second))
 	sim.queue.After(next, func() {
-		sim.budgets[sim.rng.IntN(len(sim.budgets))].Request()
+		sim.budgets[sim.rng.IntN(len(sim.budgets))].CountRequest()
 		sim.generateRequests(perSecond)
 	})
 }
@@ -83,7 +83,7 @@
 	sim.lost++
 	u := InTime
 	if sim.rng.Float64() < sim.lateShare {
-		u = TooLate
+		u = Late
 	} else {
 		sim.inTimeLost++
 	}
@@ -173,7 +173,7 @@
 // quarters of the lost streams, and a quarter of these has no copy. Granted in the order
 // of losses, a quarter of all streams is broken off. If late retries have to yield, few
 // of the streams that can still be served in time are.
-func TestRestOfABudgetGoesWhereItSaves(t *testing.T) {
+func TestBudgetPrefersInTimeRetries(t *testing.T) {
 	inTime := func(ignoreUrgency bool) float64 {
 		sim := newBudgetSim(67, true)
 		sim.lateShare, sim.ignoreUrgency = 0.25, ignoreUrgency
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -44,7 +44,7 @@
 			return
 		}
 		r := h.sendCall(q, s, load)
-		q.history.Note(r.outcome)
+		q.history.Add(r.outcome)
 		h.logSend(q, s, &r)
 		skip[s.ID] = true
 		if q.ctx.Err() != nil {
@@ -59,7 +59,7 @@
 			}
 			failure = &r
 		}
-		if !q.history.MaySend() || h.opts.Blame.Kills(q.digest) {
+		if !q.history.MaySend() || h.opts.SuspectContents.ForbidsRetry(q.digest) {
 			h.endCall(w, q, failure, result.OutcomeUnknown)
 			return
 		}
@@ -73,7 +73,7 @@
 		status = r.resp.StatusCode
 	}
 	if r.outcome == sendAnswered && status < http.StatusInternalServerError && q.history.arrivals == 1 {
-		log = h.opts.Ordinary
+		log = h.opts.RoutineLog
 	}
 	log.Info().Str("request", q.RequestID).Str("route", q.route.Name).Str("server", s.ID).Str("sent", r.outcome.String()).
 		Str("fault", r.fault.String()).Int("status", status).Int("arrivals", q.history.arrivals).
@@ -110,7 +110,7 @@
 			return nil, 0, result.DeadlineTooSoon
 		case admission.SendCall:
 		}
-		if q.history.IsRepeat() && !h.mayRetry(q, InTime) {
+		if q.history.IsRetry() && !h.mayRetry(q, InTime) {
 			return nil, 0, result.RetriesSpent
 		}
 		return servers[i], load, 0
@@ -150,7 +150,7 @@
 	f := h.opts.Fleet
 	switch {
 	case q.ctx.Err() != nil, r.fault == faultDial:
-	case r.outcome == sendRefused && r.answer.Moved:
+	case r.outcome == sendRefused && r.answer.WrongInstance:
 		f.Stale(s)
 	case r.outcome == sendRefused:
 		f.Full(s)
@@ -164,7 +164,7 @@
 		f.Failed(s)
 	default:
 		f.Succeeded(s, took)
-		h.opts.Blame.Succeeded(q.digest)
+		h.opts.SuspectContents.Clear(q.digest)
 	}
 	if r.answer.Load >= 0 && r.resp != nil {
 		f.Reported(s, r.answer.Load)
@@ -177,7 +177,7 @@
 	case failure != nil:
 		h.deliver(w, failure)
 	case q.left() > 0 && q.ctx.Err() != nil:
-		h.Stats.CallerGone.Inc()
+		h.Stats.CallersGone.Inc()
 	default:
 		h.giveUp(w, q, code)
 	}
@@ -207,7 +207,7 @@
 	}
 	w.WriteHeader(r.resp.StatusCode)
 	if _, err := w.Write(r.body); err != nil {
-		h.Stats.CallerGone.Inc()
+		h.Stats.CallersGone.Inc()
 	}
 }
 
--- a/internal/forward/call_test.go
+++ b/internal/forward/call_test.go
@@ -86,7 +86,7 @@
 
 // Guards against a refusal that comes late, lacks a Retry-After, or wrongly promises "not
 // run". Both servers refuse the vote.
-func TestVoteThatNobodyTakes(t *testing.T) {
+func TestVoteRefusedByAllServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, voteServer("a"), voteServer("b"))
 		defer f.shutDown()
@@ -110,7 +110,7 @@
 
 // Guards against an idempotent call that fails with its first server. Whatever the failure,
 // the second server must answer within the objective.
-func TestLookupIsRepeated(t *testing.T) {
+func TestIdempotentCallIsRetried(t *testing.T) {
 	failures := map[string]answerFunc{
 		"broken": breakAfter(signedHead + "half"),
 		"silent": func(s *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
@@ -155,7 +155,7 @@
 
 // Guards against the quarantine of a request that kills no server. Two servers die at once
 // while the same popular call runs on both; the third must serve its next callers.
-func TestPopularLookupIsNotHeldBack(t *testing.T) {
+func TestPopularCallIsNotQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, voteServer("a"), voteServer("b"), voteServer("c"))
 		defer f.shutDown()
@@ -195,7 +195,7 @@
 
 // Guards against extra bytes after an answer that are taken for the next answer. The
 // connection must not be used again.
-func TestBytesBehindAnAnswer(t *testing.T) {
+func TestExtraBytesAfterAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, voteServer("a"))
 		defer f.shutDown()
@@ -260,7 +260,7 @@
 // Guards against a request that kills one server after the other. Its callers send it
 // under new ids; its content must be quarantined, longer after each death. Other requests
 // must be served.
-func TestRequestThatEndsItsServers(t *testing.T) {
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var servers []*routedengine.Server
 		for range 6 {
--- a/internal/forward/decisions_test.go
+++ b/internal/forward/decisions_test.go
@@ -34,12 +34,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := NewRecord(tt.repeatable, tt.attempts)
+			r := NewSendHistory(tt.repeatable, tt.attempts)
 			for _, s := range tt.sends {
-				r.Note(s)
+				r.Add(s)
 			}
-			if r.MaySend() != tt.maySend || r.IsRepeat() != tt.repeat || r.Refusal(result.BackendsFull) != tt.refusal {
-				t.Errorf("got may send %t, retry %t, final code %d; want the values of the table", r.MaySend(), r.IsRepeat(), r.Refusal(result.BackendsFull))
+			if r.MaySend() != tt.maySend || r.IsRetry() != tt.repeat || r.FinalCode(result.BackendsFull) != tt.refusal {
+				t.Errorf("got may send %t, retry %t, final code %d; want the values of the table", r.MaySend(), r.IsRetry(), r.FinalCode(result.BackendsFull))
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 // window and then wants the given number of retries. If exchange is set, the VMs exchange
 // their usage every 400 ms. It returns the retries that each VM was granted.
 func simulateLostZone(want []int, exchange bool) []int {
-	a := Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+	a := RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 	budgets := make([]*Budget, len(want))
 	for i := range budgets {
 		budgets[i] = NewBudget(a, time.Now)
@@ -57,21 +57,21 @@
 	}
 	exchangeUsage := func() {
 		for i, b := range budgets {
-			var others Spent
+			var others RetryUsage
 			for k, o := range budgets {
-				if s := o.Own(); k != i {
+				if s := o.OwnUsage(); k != i {
 					others.Requests += s.Requests
-					others.Repeats += s.Repeats
+					others.Retries += s.Retries
 				}
 			}
 			if exchange {
-				b.SetOthers(others)
+				b.SetPeerUsage(others)
 			}
 		}
 	}
 	for range 100 {
 		for _, b := range budgets {
-			b.Request()
+			b.CountRequest()
 		}
 		time.Sleep(a.Window / 200)
 	}
@@ -91,7 +91,7 @@
 // Guards against VMs that exceed the allowance together, with and without reports from
 // each other, and against an even split: a VM that lost many streams while the others
 // lost none must get more than its even part.
-func TestBudgetInAWave(t *testing.T) {
+func TestBudgetWhenAZoneIsLost(t *testing.T) {
 	even := []int{500, 500, 500, 500, 500, 500, 500, 500, 500}
 	one := []int{500, 0, 0, 0, 0, 0, 0, 0, 0}
 	tests := []struct {
@@ -124,7 +124,7 @@
 // Guards against a budget that refills before the window has passed, or not at all.
 func TestBudgetRefills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBudget(Allowance{Slack: 20, Window: 10 * time.Second}, time.Now)
+		b := NewBudget(RetryAllowance{Slack: 20, Window: 10 * time.Second}, time.Now)
 		for b.Spend(InTime) == Granted {
 		}
 		time.Sleep(9 * time.Second)
@@ -239,7 +239,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := PatienceFor(pause, tt.begun).decide(tt.s); got != tt.want {
+			if got := SilenceLimitsFor(pause, tt.begun).decide(tt.s); got != tt.want {
 				t.Errorf("action %d, want %d", got, tt.want)
 			}
 		})
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -45,7 +45,7 @@
 	header := q.outbound.Header.Clone()
 	send.Deadline, send.Instance = max(time.Millisecond, q.left()), s.ID
 	send.Workspace, send.Priority = q.workspace, q.priority
-	h.opts.Wire.Engine(header, send)
+	h.opts.Wire.SetSendHeaders(header, send)
 	return header
 }
 
@@ -87,11 +87,11 @@
 		if err != nil {
 			return nil, Answer{}, err
 		}
-		a := h.opts.Wire.Answer(resp.StatusCode, resp.Header)
+		a := h.opts.Wire.ReadAnswer(resp.StatusCode, resp.Header)
 		if a.RequestID == "" || a.RequestID == q.RequestID || q.RequestID == "" {
 			return resp, a, nil
 		}
-		h.Stats.Strays.Inc()
+		h.Stats.StrayAnswers.Inc()
 		h.opts.Log.Warn().Str("request", q.RequestID).Str("answered", a.RequestID).Msg("answer carries the id of another request; dropped")
 		if _, err := upstream.ReadBody(resp, maxAnswerBytes); err != nil {
 			return nil, Answer{}, err
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -44,9 +44,9 @@
 	return f.shutdownTimeLeft > 0 && takes > f.shutdownTimeLeft
 }
 
-func (f *fixture) findOrphan(_ context.Context, identity uint64) (forward.Left, bool) {
+func (f *fixture) findOrphan(_ context.Context, identity uint64) (forward.Orphan, bool) {
 	c, ok := f.orphans[identity]
-	return forward.Left{Copy: c}, ok
+	return forward.Orphan{Copy: c}, ok
 }
 
 // testRoutes returns routes of a resumable stream, a vote that may run once, and an
@@ -105,9 +105,9 @@
 func (f *fixture) newHandler(ready <-chan struct{}) {
 	f.handler = forward.NewHandler(forward.Options{
 		Zone: "a", Wire: forward.NewPlainWire(), Pool: f.pool, Fleet: f.fleet,
-		Routes: f.table.Load, Prepared: ready, Allowance: forward.Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
-		Log: f.log, Ordinary: f.log, Metrics: metrics.NewSet(), Blame: forward.NewBlameBook(), Closing: func() bool { return f.closing },
-		TooLate: f.cannotFinish, Find: f.findOrphan, Placer: f.placer,
+		Routes: f.table.Load, ListsReady: ready, RetryAllowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
+		Log: f.log, RoutineLog: f.log, Metrics: metrics.NewSet(), SuspectContents: forward.NewSuspectContents(), Closing: func() bool { return f.closing },
+		CannotFinish: f.cannotFinish, FindOrphan: f.findOrphan, Placer: f.placer,
 		Rollouts: &forward.Rollouts{State: f.state.Load, Book: f.book},
 	})
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -61,28 +61,28 @@
 	Routes func() *routes.Table // returns nil until a route list is received
 	// ListsReady is closed once the route list and the list of backend servers are
 	// received.
-	Prepared  <-chan struct{}
-	Allowance Allowance
-	Log       zerolog.Logger
+	ListsReady     <-chan struct{}
+	RetryAllowance RetryAllowance
+	Log            zerolog.Logger
 	// RoutineLog receives the lines about what succeeded. It may drop lines under load.
-	Ordinary zerolog.Logger
+	RoutineLog zerolog.Logger
 	// Metrics is the set in which the counters are registered.
-	Metrics *metrics.Set
-	Blame   *BlameBook
+	Metrics         *metrics.Set
+	SuspectContents *SuspectContents
 	// FindOrphan looks up what is known of a stream that another router carried; nil:
 	// streams are not looked up.
-	Find func(ctx context.Context, identity uint64) (Left, bool)
+	FindOrphan func(ctx context.Context, identity uint64) (Orphan, bool)
 	// Placer grants engines to streams on behalf of all VMs; nil: this VM chooses.
 	Placer Placer
 	// ReportRetries exchanges retry counts with the other VMs without waiting for the
 	// result. It is called after each retry, and while a budget is uncertain. nil: this
 	// VM reports nothing.
-	Spending func()
+	ReportRetries func()
 	// Rollouts decides which versions may run a request; nil: all may.
 	Rollouts *Rollouts
 	// CannotFinish reports that a request cannot be finished before this VM shuts down.
 	// takes is its expected duration; 0: not known.
-	TooLate func(stream bool, takes time.Duration) bool
+	CannotFinish func(stream bool, takes time.Duration) bool
 	// Closing reports that callers should send their next request to another VM.
 	Closing func() bool
 }
@@ -104,8 +104,8 @@
 
 // NewHandler returns a Handler.
 func NewHandler(o Options) *Handler {
-	if o.Spending == nil {
-		o.Spending = func() {}
+	if o.ReportRetries == nil {
+		o.ReportRetries = func() {}
 	}
 	if o.Placer == nil {
 		o.Placer = localPlacer{}
@@ -119,7 +119,7 @@
 }
 
 // ResumableRuns returns the streams in flight that another router could resume.
-func (h *Handler) Kept() []Kept { return h.activeRuns.all() }
+func (h *Handler) ResumableRuns() []ResumableRun { return h.activeRuns.all() }
 
 // Paces returns the pace of each service's engines as this VM observed it.
 func (h *Handler) Paces() map[string]scheduler.Pace { return h.paces.all() }
@@ -139,7 +139,7 @@
 
 // SetCopiesDisabled sets the services for which no copies are made, since all of the
 // engines' memory is needed for prompts.
-func (h *Handler) SetShort(services []string) {
+func (h *Handler) SetCopiesDisabled(services []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copiesDisabled = services
@@ -152,22 +152,22 @@
 }
 
 // RetryUsage returns this VM's usage of the retry budgets, by service.
-func (h *Handler) Spent() map[string]Spent {
+func (h *Handler) RetryUsage() map[string]RetryUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make(map[string]Spent, len(h.budgets))
+	out := make(map[string]RetryUsage, len(h.budgets))
 	for service, b := range h.budgets {
-		out[service] = b.Own()
+		out[service] = b.OwnUsage()
 	}
 	return out
 }
 
 // SetPeerRetryUsage sets the usage of all other VMs together, by service.
-func (h *Handler) SetSpent(others map[string]Spent) {
+func (h *Handler) SetPeerRetryUsage(others map[string]RetryUsage) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for service, b := range h.budgets {
-		b.SetOthers(others[service])
+		b.SetPeerUsage(others[service])
 	}
 }
 
@@ -176,7 +176,7 @@
 	defer h.mu.Unlock()
 	b := h.budgets[service]
 	if b == nil {
-		b = NewBudget(h.opts.Allowance, time.Now)
+		b = NewBudget(h.opts.RetryAllowance, time.Now)
 		b.SetVMs(h.vms)
 		h.budgets[service] = b
 	}
@@ -195,7 +195,7 @@
 	expires       time.Time
 	digest        uint64
 	outbound      upstream.Request
-	history       *Record
+	history       *SendHistory
 	budget        *Budget
 	versionChoice rollout.Choice
 	// retryAfterSet is set if the refusal of the request came with a retryAfter. There, 0
@@ -237,7 +237,7 @@
 		defer q.releaseBody()
 	}
 	if err != nil {
-		h.opts.Ordinary.Info().Str("request", q.id()).Str("path", r.URL.Path).Int("code", int(result.CodeOf(err))).Msg("not admitted")
+		h.opts.RoutineLog.Info().Str("request", q.id()).Str("path", r.URL.Path).Int("code", int(result.CodeOf(err))).Msg("not admitted")
 		h.refuse(w, err)
 		return
 	}
@@ -247,7 +247,7 @@
 	defer cancel()
 	q.ctx = ctx
 	h.chooseVersion(q)
-	q.budget.Request()
+	q.budget.CountRequest()
 	h.Stats.Requests.Inc()
 	if q.route.Kind == routes.Stream {
 		h.serveStream(w, q)
@@ -259,18 +259,18 @@
 // waitForLists waits for the lists on a router that has just started.
 func (h *Handler) waitForLists(r *http.Request) {
 	select {
-	case <-h.opts.Prepared:
+	case <-h.opts.ListsReady:
 		return
 	default:
 	}
 	hold := startupMaxWait
-	if c, err := h.opts.Wire.Caller(r.Header); err == nil && c.Deadline > 0 {
+	if c, err := h.opts.Wire.ReadCaller(r.Header); err == nil && c.Deadline > 0 {
 		hold = min(hold, time.Duration(startupMaxWaitShare*float64(c.Deadline)))
 	}
 	t := time.NewTimer(hold)
 	defer t.Stop()
 	select {
-	case <-h.opts.Prepared:
+	case <-h.opts.ListsReady:
 	case <-t.C:
 	case <-r.Context().Done():
 	}
@@ -287,10 +287,10 @@
 	if route == nil {
 		return nil, result.New(result.NoRoute)
 	}
-	if h.opts.TooLate(route.Kind == routes.Stream, 0) {
+	if h.opts.CannotFinish(route.Kind == routes.Stream, 0) {
 		return nil, result.New(result.ShuttingDown).WithRetryAfter(otherRouterRetryAfter)
 	}
-	caller, err := h.opts.Wire.Caller(r.Header)
+	caller, err := h.opts.Wire.ReadCaller(r.Header)
 	if err != nil {
 		return nil, result.Newf(result.UnsupportedHeader, "%v", err)
 	}
@@ -302,10 +302,10 @@
 		return q, err
 	}
 	q.service = table.Service(route.Draw())
-	if route.Kind == routes.Stream && h.opts.TooLate(true, h.expectedDuration(q)) {
+	if route.Kind == routes.Stream && h.opts.CannotFinish(true, h.expectedDuration(q)) {
 		return q, result.New(result.ShuttingDown).WithRetryAfter(otherRouterRetryAfter)
 	}
-	q.history = NewRecord(route.Repeatable(), route.MaxAttempts)
+	q.history = NewSendHistory(route.Repeatable(), route.MaxAttempts)
 	q.budget = h.budget(q.service.Name)
 	return q, h.readRequest(w, r, q, bodyLimit(table))
 }
@@ -334,7 +334,7 @@
 	}
 	q.outbound = upstream.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: endToEnd(r.Header), Body: body}
 	q.digest = digest(rawPath(r), q.workspace, body)
-	if until, held := h.opts.Blame.Held(q.digest); held {
+	if until, held := h.opts.SuspectContents.Quarantined(q.digest); held {
 		return result.New(result.ContentHeldBack).WithRetryAfter(time.Until(until))
 	}
 	return nil
@@ -374,7 +374,7 @@
 
 // giveUp gives the final answer to an admitted request that could not be served.
 func (h *Handler) giveUp(w http.ResponseWriter, q *request, code result.Code) {
-	code = q.history.Refusal(code)
+	code = q.history.FinalCode(code)
 	e := result.New(code).WithRan(q.history.Ran())
 	if after := q.retryDelay(); result.Lookup(code).Ran == result.RanNo && after > 0 {
 		e = e.WithRetryAfter(after)
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -35,7 +35,7 @@
 
 // ReadCaller implements Wire. A value that cannot be parsed is ignored, since counts and
 // deadlines only help to place the request.
-func (n *Headers) Caller(h http.Header) (Caller, error) {
+func (n *Headers) ReadCaller(h http.Header) (Caller, error) {
 	c := Caller{RequestID: h.Get(n.RequestID)}
 	if key, ok := strings.CutPrefix(h.Get(n.Key), n.KeyScheme); ok {
 		c.Key = strings.TrimSpace(key)
@@ -47,7 +47,7 @@
 		c.After, c.HasAfter = after, true
 	}
 	in, out, _ := strings.Cut(h.Get(n.Tokens), ",")
-	c.Prompt, c.Output = parseTokens(in), parseTokens(out)
+	c.PromptTokens, c.OutputTokens = parseTokens(in), parseTokens(out)
 	return c, nil
 }
 
@@ -61,7 +61,7 @@
 }
 
 // SetSendHeaders implements Wire.
-func (n *Headers) Engine(h http.Header, s Send) {
+func (n *Headers) SetSendHeaders(h http.Header, s Send) {
 	for _, name := range n.Reserved {
 		h.Del(name)
 	}
@@ -83,20 +83,20 @@
 	if s.CopyTo != "" {
 		h.Set(n.CopyTo, s.CopyTo)
 	}
-	if s.From != nil {
-		h.Set(n.CopyFrom, s.From.Address+"/"+s.From.ID)
+	if s.ResumeFrom != nil {
+		h.Set(n.CopyFrom, s.ResumeFrom.Address+"/"+s.ResumeFrom.ID)
 	}
 }
 
 // PerAttemptHeaders implements Wire.
-func (n *Headers) PerAttempt() []string { return []string{n.RequestID, n.Deadline, n.LastEvent} }
+func (n *Headers) PerAttemptHeaders() []string { return []string{n.RequestID, n.Deadline, n.LastEvent} }
 
 // ReadAnswer implements Wire. A server that states that it is another incarnation has
 // not run the request.
-func (n *Headers) Answer(status int, h http.Header) Answer {
+func (n *Headers) ReadAnswer(status int, h http.Header) Answer {
 	moved := status == http.StatusMisdirectedRequest
 	return Answer{
 		RequestID: h.Get(n.RequestID), Signed: h.Get(n.Signature) != "",
-		NotRun: moved || len(h.Values(n.NotRun)) > 0, Moved: moved, Load: n.ReadLoad(h.Get(n.Load)),
+		NotRun: moved || len(h.Values(n.NotRun)) > 0, WrongInstance: moved, Load: n.ReadLoad(h.Get(n.Load)),
 	}
 }
--- a/internal/forward/orphan.go
+++ b/internal/forward/orphan.go
@@ -22,29 +22,29 @@
 // is sent there is resumed without another prefill.
 
 // ResumableRun is a stream in flight and what another router needs to resume it.
-type Kept struct {
+type ResumableRun struct {
 	Identity uint64 `cbor:"1,keyasint"` // see request.identity
-	Left
+	Orphan
 }
 
 // Orphan is what remains of a run when its router is gone.
-type Left struct {
-	Copy Copy   `cbor:"2,keyasint"`           // of the run's memory; empty: none
-	Ran  string `cbor:"3,keyasint,omitempty"` // address of the engine that prefilled the prompt
+type Orphan struct {
+	Copy          Copy   `cbor:"2,keyasint"`           // of the run's memory; empty: none
+	PrefillEngine string `cbor:"3,keyasint,omitempty"` // address of the engine that prefilled the prompt
 }
 
 // runRegistry holds the runs that a router reports to the others. It is safe for
 // concurrent use.
 type runRegistry struct {
 	mu   sync.Mutex
-	runs map[string]Kept // by request id
+	runs map[string]ResumableRun // by request id
 }
 
-func (b *runRegistry) put(id string, k Kept) {
+func (b *runRegistry) put(id string, k ResumableRun) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.runs == nil {
-		b.runs = map[string]Kept{}
+		b.runs = map[string]ResumableRun{}
 	}
 	b.runs[id] = k
 }
@@ -55,10 +55,10 @@
 	delete(b.runs, id)
 }
 
-func (b *runRegistry) all() []Kept {
+func (b *runRegistry) all() []ResumableRun {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Kept, 0, len(b.runs))
+	out := make([]ResumableRun, 0, len(b.runs))
 	for _, k := range b.runs {
 		out = append(out, k)
 	}
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -128,7 +128,7 @@
 // no engine has received. If it were held until the process ends, its caller would get
 // no answer. Refused now, it can still be served by another VM.
 func (st *streamRelay) cannotFinish() bool {
-	return st.q.history.arrivals == 0 && st.h.opts.TooLate(true, st.h.expectedDuration(st.q))
+	return st.q.history.arrivals == 0 && st.h.opts.CannotFinish(true, st.h.expectedDuration(st.q))
 }
 
 // longRunFactor is the duration of a long run relative to the mean.
@@ -136,7 +136,7 @@
 
 // expectedDuration returns the duration of a long stream of the service; 0: not known.
 func (h *Handler) expectedDuration(q *request) time.Duration {
-	return h.paces.pace(q.service.Name).Lasts(q.Prompt, eventCount(q.After), longRunFactor)
+	return h.paces.pace(q.service.Name).Lasts(q.PromptTokens, eventCount(q.After), longRunFactor)
 }
 
 // eventCount returns how many events a caller has, given the id of the last one.
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -132,7 +132,7 @@
 }
 
 // Guards against streams that fail without a scheduler: the VM must choose engines itself.
-func TestNobodyDecides(t *testing.T) {
+func TestLocalPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"), engine("b"))
 		defer f.shutDown()
@@ -144,7 +144,7 @@
 // Guards against a shutdown that drops the ordered copy of a stream which it cuts off. Its
 // caller asks another router for the rest a moment later, which resumes from the copy.
 // The copy must be dropped only if a caller leaves without a shutdown.
-func TestShutdownLeavesTheCopy(t *testing.T) {
+func TestShutdownKeepsBackupCopies(t *testing.T) {
 	for _, closing := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, engine("a"))
@@ -170,7 +170,7 @@
 // Guards against a stream that a shutdown cuts off. The router has carried a stream of four
 // seconds and has three seconds left. A new stream must be refused as not run, and can be
 // served elsewhere. The rest of a stream that is nearly complete must be served.
-func TestShutdownTakesWhatItCanFinish(t *testing.T) {
+func TestShutdownAdmitsWhatItCanFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"), engine("b"))
 		defer f.shutDown()
@@ -195,7 +195,7 @@
 
 // Guards against the same failure on a router that has carried no stream yet. It must use
 // the pace that the other routers observed.
-func TestShutdownGoesByWhatOthersObserved(t *testing.T) {
+func TestShutdownUsesPeerPaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"))
 		defer f.shutDown()
--- a/internal/forward/prepare_test.go
+++ b/internal/forward/prepare_test.go
@@ -25,7 +25,7 @@
 
 // Guards against lost requests when all routers restart at once. A caller comes back with
 // its only retry before the route list arrives; it must be held and served.
-func TestCallerThatComesBeforeTheLists(t *testing.T) {
+func TestRequestWaitsForListsAtStartup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, prepare := newWithoutLists(t)
 		defer f.shutDown()
@@ -41,7 +41,7 @@
 
 // Guards against a long hold while the lists are missing. After a fifth of its deadline, or
 // 0.6 s, a caller must be told that nothing ran and when to retry.
-func TestCallerIsNotKeptForLong(t *testing.T) {
+func TestStartupWaitIsBounded(t *testing.T) {
 	for deadline, most := range map[string]time.Duration{"600": 120 * time.Millisecond, "25000": 600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newWithoutLists(t)
--- a/internal/forward/probe.go
+++ b/internal/forward/probe.go
@@ -115,7 +115,7 @@
 	// A stream with that many events is past the point where its content could kill
 	// the server.
 	if forwarded < clearedAfterEvents {
-		h.opts.Blame.Died(q.digest, s.ID)
+		h.opts.SuspectContents.AddDeath(q.digest, s.ID)
 	}
 	h.opts.Log.Info().Str("request", q.RequestID).Str("server", s.ID).Int("passed", forwarded).Uint64("digest", q.digest).Msg("server died while it ran the request")
 }
@@ -139,7 +139,7 @@
 			h.recordSuspectContent(q, s, forwarded)
 		}
 	}()
-	if h.opts.Blame.Suspect(q.digest) {
+	if h.opts.SuspectContents.IsSuspect(q.digest) {
 		<-found
 	}
 }
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -25,14 +25,14 @@
 	for {
 		switch q.budget.Spend(u) {
 		case Granted:
-			h.Stats.Repeats.Inc()
-			h.opts.Spending()
+			h.Stats.Retries.Inc()
+			h.opts.ReportRetries()
 			return true
 		case Denied:
 			return false
 		case Uncertain:
 		}
-		h.opts.Spending()
+		h.opts.ReportRetries()
 		if time.Since(began) >= budgetPollTimeout || timer.Sleep(q.ctx, rand.N(2*budgetPollPause)) != nil {
 			return false
 		}
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -74,7 +74,7 @@
 		r.use.Prompt = 0
 	}
 	h.opts.Fleet.Take(s, r.use)
-	send := Send{After: st.seq.last, HasAfter: st.seq.started, From: from}
+	send := Send{After: st.seq.last, HasAfter: st.seq.started, ResumeFrom: from}
 	if backup := st.backupEngineFor(&c); backup != nil {
 		r.setBackupEngine(backup)
 		r.backup.current.ref = Copy{Address: backup.Address, ID: st.q.RequestID}
@@ -109,14 +109,14 @@
 		h.Stats.Resumes.Inc()
 	}
 	if r.from != nil {
-		h.Stats.FromCopy.Inc()
+		h.Stats.ResumesFromCopy.Inc()
 	}
 	backupID := ""
 	if r.backup.current.engine != nil {
 		backupID = r.backup.current.engine.ID
 	}
 	use := h.opts.Fleet.UseOf(r.server)
-	log := h.opts.Ordinary
+	log := h.opts.RoutineLog
 	if st.sends > 1 {
 		log = h.opts.Log
 	}
@@ -153,7 +153,7 @@
 		}
 		return endBroken
 	}
-	r.silenceTimer = newSilenceTimer(r.silenceLimits().Ask)
+	r.silenceTimer = newSilenceTimer(r.silenceLimits().ProbeAfter)
 	defer r.silenceTimer.timer.Stop()
 	backupCheck := time.NewTicker(backupCheckInterval)
 	defer backupCheck.Stop()
@@ -170,7 +170,7 @@
 	select {
 	case res := <-r.results:
 		end, done := r.handleResult(res)
-		r.silenceTimer.set(r.silenceLimits().Ask)
+		r.silenceTimer.set(r.silenceLimits().ProbeAfter)
 		return end, done
 	case <-r.probeDone():
 		end, done := r.handleProbe()
@@ -196,8 +196,8 @@
 	return 0, false
 }
 
-func (r *run) silenceLimits() Patience {
-	return PatienceFor(r.st.q.route.PauseObjective, r.st.headSent)
+func (r *run) silenceLimits() SilenceLimits {
+	return SilenceLimitsFor(r.st.q.route.PauseObjective, r.st.headSent)
 }
 
 // handleResult handles a result of the reader and all others that have come by then.
@@ -259,7 +259,7 @@
 	switch {
 	case rep.outcome == sendRefused:
 		r.outcome = sendRefused
-		if rep.answer.Moved {
+		if rep.answer.WrongInstance {
 			r.st.h.opts.Fleet.Stale(r.server)
 		} else if r.from == nil {
 			r.st.h.opts.Fleet.Full(r.server)
@@ -308,7 +308,7 @@
 		return endCallerDone, true
 	}
 	if r.forwarded++; r.forwarded == clearedAfterEvents {
-		st.h.opts.Blame.Succeeded(st.q.digest)
+		st.h.opts.SuspectContents.Clear(st.q.digest)
 		r.notePace()
 	}
 	return 0, false
@@ -318,12 +318,12 @@
 // records the resume latency, which is how long the caller saw no event.
 func (r *run) noteFirstEvent() {
 	if st := r.st; st.headSent {
-		observe(st.h.Stats.Pause, st.lastEventAt)
+		observe(st.h.Stats.ResumePause, st.lastEventAt)
 		st.h.opts.Log.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Bool("from_copy", r.from != nil).
 			Dur("pause", time.Since(st.lastEventAt)).Msg("stream went on")
 	} else {
 		observe(st.h.Stats.FirstEvent, st.q.arrived)
-		st.h.opts.Ordinary.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Int("send", st.sends).
+		st.h.opts.RoutineLog.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Int("send", st.sends).
 			Dur("after", time.Since(st.q.arrived)).Msg("stream began")
 	}
 	fleet := r.st.h.opts.Fleet
@@ -342,8 +342,8 @@
 }
 
 // resumable returns what another router needs to resume the stream now.
-func (r *run) resumable() Kept {
-	k := Kept{Identity: r.st.id, Left: Left{Ran: r.server.Address}}
+func (r *run) resumable() ResumableRun {
+	k := ResumableRun{Identity: r.st.id, Orphan: Orphan{PrefillEngine: r.server.Address}}
 	if r.backup.current.engine != nil {
 		k.Copy = r.backup.current.ref
 	}
@@ -358,7 +358,7 @@
 		r.st.h.paces.noteRun(r.st.q.service.Name, time.Since(r.firstEventAt), r.forwarded)
 	}
 	r.st.flush()
-	r.st.h.opts.Blame.Succeeded(r.st.q.digest)
+	r.st.h.opts.SuspectContents.Clear(r.st.q.digest)
 	return endComplete, true
 }
 
--- a/internal/forward/run_silence.go
+++ b/internal/forward/run_silence.go
@@ -63,8 +63,8 @@
 // nextSilenceCheck returns after which time the silence is checked again.
 func (r *run) nextSilenceCheck() time.Duration {
 	p, silent := r.silenceLimits(), time.Since(r.lastHeard)
-	if p.Move > silent {
-		return min(probeInterval, p.Move-silent)
+	if p.MoveAfter > silent {
+		return min(probeInterval, p.MoveAfter-silent)
 	}
 	return probeInterval
 }
--- a/internal/forward/run_silence_test.go
+++ b/internal/forward/run_silence_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a stalled VM that moves all of its streams. After a stall of seconds it
 // finds all streams silent, although the events of the engines wait to be read.
-func TestStalledVMBlamesNobody(t *testing.T) {
+func TestStalledVMSuspectsNoEngine(t *testing.T) {
 	tests := []struct {
 		name    string
 		slept   time.Duration // beyond the time that the timer was set to
--- a/internal/forward/send_history.go
+++ b/internal/forward/send_history.go
@@ -23,7 +23,7 @@
 // Without it a broken connection looks the same whether or not the request had
 // left this VM. A vote could then be cast twice, or be refused as "not run"
 // although it was counted.
-type Record struct {
+type SendHistory struct {
 	repeatable   bool
 	maxAttempts  int
 	arrivals     int // sends of which bytes may have reached a server
@@ -32,12 +32,12 @@
 
 // NewSendHistory returns the history of a request that has not been sent yet. A
 // repeatable request may run up to maxAttempts times, any other once.
-func NewRecord(repeatable bool, maxAttempts int) *Record {
-	return &Record{repeatable: repeatable, maxAttempts: max(1, maxAttempts)}
+func NewSendHistory(repeatable bool, maxAttempts int) *SendHistory {
+	return &SendHistory{repeatable: repeatable, maxAttempts: max(1, maxAttempts)}
 }
 
 // Add records the outcome of one send.
-func (r *Record) Note(s sendOutcome) {
+func (r *SendHistory) Add(s sendOutcome) {
 	if s != sendNotSent {
 		r.arrivals++
 	}
@@ -47,7 +47,7 @@
 }
 
 // MaySend reports whether the request may be sent to another server.
-func (r *Record) MaySend() bool {
+func (r *SendHistory) MaySend() bool {
 	if r.possibleRuns == 0 {
 		return true
 	}
@@ -56,10 +56,10 @@
 
 // IsRetry reports whether the next send draws on the retry budget, since a server
 // may already have received the request.
-func (r *Record) IsRepeat() bool { return r.arrivals > 0 }
+func (r *SendHistory) IsRetry() bool { return r.arrivals > 0 }
 
 // Ran returns what a caller may be told about whether its request ran.
-func (r *Record) Ran() result.Ran {
+func (r *SendHistory) Ran() result.Ran {
 	if r.possibleRuns > 0 {
 		return result.RanUnknown
 	}
@@ -68,7 +68,7 @@
 
 // FinalCode replaces a code that promises "not run" by OutcomeUnknown if the request
 // may have run, and returns any other code unchanged.
-func (r *Record) Refusal(code result.Code) result.Code {
+func (r *SendHistory) FinalCode(code result.Code) result.Code {
 	if r.possibleRuns > 0 && result.Lookup(code).Ran == result.RanNo {
 		return result.OutcomeUnknown
 	}
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -19,9 +19,9 @@
 // lost the run if two complete reports in a row do not list it.
 
 // SilenceLimits are the durations of silence after which a run acts.
-type Patience struct {
-	Ask  time.Duration // silence after which the engine is probed
-	Move time.Duration // silence after which a stream leaves a live engine; 0: never
+type SilenceLimits struct {
+	ProbeAfter time.Duration // silence after which the engine is probed
+	MoveAfter  time.Duration // silence after which a stream leaves a live engine; 0: never
 }
 
 // Constants of the silence limits.
@@ -55,16 +55,16 @@
 
 // SilenceLimitsFor derives the limits from a route's pause objective. begun: the caller
 // was sent a part of the answer.
-func PatienceFor(pause time.Duration, begun bool) Patience {
+func SilenceLimitsFor(pause time.Duration, begun bool) SilenceLimits {
 	if pause <= 0 {
 		pause = defaultPauseObjective
 	}
 	if !begun {
-		return Patience{Ask: max(firstEventProbeAfter, 2*pause)}
+		return SilenceLimits{ProbeAfter: max(firstEventProbeAfter, 2*pause)}
 	}
-	return Patience{
-		Ask:  time.Duration(probeShare * float64(pause)),
-		Move: time.Duration(moveAfterShare * float64(pause)),
+	return SilenceLimits{
+		ProbeAfter: time.Duration(probeShare * float64(pause)),
+		MoveAfter:  time.Duration(moveAfterShare * float64(pause)),
 	}
 }
 
@@ -96,17 +96,17 @@
 
 // decide chooses the reaction to a silence. A dead engine needs no decision, since its
 // streams move at once.
-func (p Patience) decide(s silence) action {
+func (p SilenceLimits) decide(s silence) action {
 	if s.engineLostRun() {
 		return moveStream
 	}
 	if s.reportIsCurrent && s.begun && s.eventsAhead > maxEventsInFlight {
 		return moveStream // the engine makes events, but the connection does not deliver them
 	}
-	if p.Move > 0 && s.begun && s.duration >= p.Move && s.hasCopy && !s.moved {
+	if p.MoveAfter > 0 && s.begun && s.duration >= p.MoveAfter && s.hasCopy && !s.moved {
 		return moveStream
 	}
-	if s.duration >= p.Ask && s.engineHeardAgo >= recentlyHeard {
+	if s.duration >= p.ProbeAfter && s.engineHeardAgo >= recentlyHeard {
 		return probeEngine
 	}
 	return keepWaiting
--- a/internal/forward/stats.go
+++ b/internal/forward/stats.go
@@ -14,30 +14,30 @@
 type Stats struct {
 	set *metrics.Set
 
-	Requests   *metrics.Counter
-	Repeats    *metrics.Counter // sends that drew on the retry budget
-	Resumes    *metrics.Counter // streams that were resumed at another engine
-	FromCopy   *metrics.Counter // of these, from a backup copy
-	Probes     *metrics.Counter
-	Protected  *metrics.Counter // backup copies made on order
-	Strays     *metrics.Counter // answers to other requests, dropped
-	Broken     *metrics.Counter // streams that were broken off
-	CallerGone *metrics.Counter
-
-	FirstEvent *metrics.Histogram // seconds from a caller's request
-	Pause      *metrics.Histogram // seconds without an event for the caller of a resumed stream
-	CallTime   *metrics.Histogram // seconds from a caller's request to the answer
-	StreamWait *metrics.Histogram // seconds that a stream waited for an engine
+	Requests        *metrics.Counter
+	Retries         *metrics.Counter // sends that drew on the retry budget
+	Resumes         *metrics.Counter // streams that were resumed at another engine
+	ResumesFromCopy *metrics.Counter // of these, from a backup copy
+	Probes          *metrics.Counter
+	CopiesOrdered   *metrics.Counter // backup copies made on order
+	StrayAnswers    *metrics.Counter // answers to other requests, dropped
+	BrokenStreams   *metrics.Counter // streams that were broken off
+	CallersGone     *metrics.Counter
+
+	FirstEvent  *metrics.Histogram // seconds from a caller's request
+	ResumePause *metrics.Histogram // seconds without an event for the caller of a resumed stream
+	CallTime    *metrics.Histogram // seconds from a caller's request to the answer
+	StreamWait  *metrics.Histogram // seconds that a stream waited for an engine
 }
 
 // NewStats returns Stats whose metrics are registered in set.
 func NewStats(set *metrics.Set) *Stats {
 	counter := func(name string) *metrics.Counter { return set.NewCounter("shelf_" + name + "_total") }
 	return &Stats{
-		set: set, Requests: counter("requests"), Repeats: counter("repeats"), Resumes: counter("resumes"),
-		FromCopy: counter("resumes_from_copy"), Probes: counter("probes"), Protected: counter("copies_ordered"),
-		Strays: counter("stray_answers"), Broken: counter("streams_broken"), CallerGone: counter("callers_gone"),
-		FirstEvent: set.NewHistogram("shelf_first_event_seconds"), Pause: set.NewHistogram("shelf_resume_pause_seconds"),
+		set: set, Requests: counter("requests"), Retries: counter("repeats"), Resumes: counter("resumes"),
+		ResumesFromCopy: counter("resumes_from_copy"), Probes: counter("probes"), CopiesOrdered: counter("copies_ordered"),
+		StrayAnswers: counter("stray_answers"), BrokenStreams: counter("streams_broken"), CallersGone: counter("callers_gone"),
+		FirstEvent: set.NewHistogram("shelf_first_event_seconds"), ResumePause: set.NewHistogram("shelf_resume_pause_seconds"),
 		CallTime: set.NewHistogram("shelf_call_seconds"), StreamWait: set.NewHistogram("shelf_stream_wait_seconds"),
 	}
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -62,9 +62,9 @@
 func (h *Handler) serveStream(w http.ResponseWriter, q *request) {
 	st := &streamRelay{
 		h: h, q: q, w: w, skip: map[string]bool{},
-		need: placement.Need{Prompt: q.Prompt, Output: q.Output},
+		need: placement.Need{Prompt: q.PromptTokens, Output: q.OutputTokens},
 		seq:  sequence{last: q.After, started: q.HasAfter},
-		id:   q.identity(h.opts.Wire.PerAttempt()),
+		id:   q.identity(h.opts.Wire.PerAttemptHeaders()),
 	}
 	defer h.activeRuns.drop(q.RequestID)
 	st.findOrphan()
@@ -106,7 +106,7 @@
 	if !st.firstEventAt.IsZero() {
 		first = st.firstEventAt.Sub(st.q.arrived)
 	}
-	st.h.opts.Ordinary.Info().Str("request", st.q.RequestID).Str("outcome", outcome).Int("events", st.events).
+	st.h.opts.RoutineLog.Info().Str("request", st.q.RequestID).Str("outcome", outcome).Int("events", st.events).
 		Dur("first_event", first).Dur("longest_pause", st.longestPause).Dur("waited", st.waited).Int("sends", st.sends).
 		Bool("rest_only", st.q.HasAfter).Dur("objective", st.q.route.Objective).Dur("pause_objective", st.q.route.PauseObjective).Dur("held", time.Since(st.q.arrived)).Msg("stream ended")
 }
@@ -114,7 +114,7 @@
 // handleEnd acts on the end of a run. It reports whether the caller has its final
 // answer.
 func (st *streamRelay) handleEnd(run *run, end runEnd) bool {
-	st.q.history.Note(run.outcome)
+	st.q.history.Add(run.outcome)
 	switch end {
 	case endComplete:
 		return true
@@ -159,7 +159,7 @@
 // If there is none, the choice carries the reason.
 func (st *streamRelay) nextEngine() engineChoice {
 	for {
-		if !st.q.history.MaySend() || st.sends > 0 && st.h.opts.Blame.Kills(st.q.digest) {
+		if !st.q.history.MaySend() || st.sends > 0 && st.h.opts.SuspectContents.ForbidsRetry(st.q.digest) {
 			return engineChoice{reason: result.StreamBroken}
 		}
 		c := st.chooseEngine()
@@ -178,7 +178,7 @@
 			c.reason = result.NoBackendServer
 		case c.server == nil:
 			c.reason = result.BackendsFull
-		case st.q.history.IsRepeat() && !st.h.mayRetry(st.q, st.retryUrgency(c.from)):
+		case st.q.history.IsRetry() && !st.h.mayRetry(st.q, st.retryUrgency(c.from)):
 			c.reason = result.RetriesSpent
 		default:
 			st.sends++
@@ -197,19 +197,19 @@
 	if st.headSent && from != nil {
 		return InTime
 	}
-	return TooLate
+	return Late
 }
 
 // findOrphan looks for the copy of a stream if its caller asks for the rest of it.
 func (st *streamRelay) findOrphan() {
-	if !st.q.HasAfter || !st.q.history.repeatable || st.h.opts.Find == nil {
+	if !st.q.HasAfter || !st.q.history.repeatable || st.h.opts.FindOrphan == nil {
 		return
 	}
-	orphan, ok := st.h.opts.Find(st.q.ctx, st.id)
+	orphan, ok := st.h.opts.FindOrphan(st.q.ctx, st.id)
 	if !ok {
 		return
 	}
-	st.orphanEngine = orphan.Ran
+	st.orphanEngine = orphan.PrefillEngine
 	if orphan.Copy.Address != "" {
 		st.orphanCopy = &orphan.Copy
 	}
@@ -261,9 +261,9 @@
 	h := st.h
 	switch {
 	case st.callerGone():
-		h.Stats.CallerGone.Inc()
+		h.Stats.CallersGone.Inc()
 	case st.headSent:
-		h.Stats.Broken.Inc()
+		h.Stats.BrokenStreams.Inc()
 		h.opts.Log.Warn().Str("request", st.q.RequestID).Uint64("last_event", st.seq.last).Int("sends", st.q.history.arrivals).
 			Str("reason", result.Lookup(code).Name).Msg("stream broken off")
 		panic(http.ErrAbortHandler)
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -54,7 +54,7 @@
 // or without a reset. The backup engine in another zone must resume after the last
 // complete event. A new prefill of 8,000 tokens would take a second, which is more than
 // the pause objective.
-func TestStreamGoesOnFromACopy(t *testing.T) {
+func TestStreamResumesFromBackupCopy(t *testing.T) {
 	for _, state := range []routedengine.State{routedengine.Dead, routedengine.Dark} {
 		t.Run(fmt.Sprint(state), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -83,7 +83,7 @@
 // Guards against a stream that fails if its engine and its backup engine die together, as
 // in a loss of two zones. A third engine must prefill the prompt again and resume after
 // the last event.
-func TestStreamGoesOnWithoutItsCopy(t *testing.T) {
+func TestStreamResumesWithoutBackupCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"), engine("b"), engine("c"))
 		defer f.shutDown()
@@ -124,7 +124,7 @@
 
 // Guards against an incomplete stream that looks complete. The only engine dies in
 // mid-stream, and the caller's connection must be aborted.
-func TestStreamThatCannotGoOnBreaksOff(t *testing.T) {
+func TestStreamThatCannotResumeIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"))
 		defer f.shutDown()
@@ -260,20 +260,20 @@
 // Guards against a new prefill when a router dies. The first router carries the stream for
 // two seconds and reports where its copy is. The second router finds the copy by the
 // identity that both attempts share. The caller must not wait longer than for a pause.
-func TestStreamOfADeadRouterGoesOnFromItsCopy(t *testing.T) {
+func TestOrphanedStreamResumesFromBackupCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"), engine("b"), engine("c"))
 		defer f.shutDown()
 		first := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
 		f.orphans = map[uint64]forward.Copy{}
-		for _, k := range f.handler.Kept() {
+		for _, k := range f.handler.ResumableRuns() {
 			f.orphans[k.Identity] = k.Copy
 		}
 		first.leave()
 		<-first.done
-		if len(f.orphans) != 1 || len(f.handler.Kept()) != 0 {
-			t.Fatalf("got %d copies reported, want 1; %d copies of an ended stream, want none", len(f.orphans), len(f.handler.Kept()))
+		if len(f.orphans) != 1 || len(f.handler.ResumableRuns()) != 0 {
+			t.Fatalf("got %d copies reported, want 1; %d copies of an ended stream, want none", len(f.orphans), len(f.handler.ResumableRuns()))
 		}
 		began := time.Now()
 		got := strings.Count(first.text.String(), "id: ")
@@ -308,7 +308,7 @@
 // Guards against a long pause when two zones are lost one after the other. The backup
 // engine dies and leaves the list while the run continues. Two seconds later the run's
 // engine dies. The run must resume from a copy that was ordered in between.
-func TestRunWhoseKeeperDiedIsProtectedAgain(t *testing.T) {
+func TestLostBackupCopyIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"), engine("b"), engine("c"))
 		defer f.shutDown()
@@ -331,7 +331,7 @@
 // of the first. The backup engine dies, stays listed for two more seconds and is reported
 // dead by another VM. 1.2 s later the run's engine dies. Zones are lost three seconds
 // apart, and the list, the check of it and the order together take as long.
-func TestKeeperThatOthersJudgedDeadIsReplaced(t *testing.T) {
+func TestBackupEngineReportedDeadIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"), engine("b"), engine("c"))
 		defer f.shutDown()
@@ -379,7 +379,7 @@
 // Guards against an incomplete answer that is taken for complete. An answer without a
 // length ends with its connection after two events, since its engine died. The next
 // engine must resume it.
-func TestStreamWithoutALengthOfADeadEngine(t *testing.T) {
+func TestUnframedStreamOfDeadEngineResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dying := engine("a")
 		dying.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
--- a/internal/forward/suspect_content.go
+++ b/internal/forward/suspect_content.go
@@ -11,7 +11,7 @@
 
 // SuspectContents records the contents of requests under which backend servers died, as
 // seen by all VMs. It is safe for concurrent use.
-type BlameBook struct {
+type SuspectContents struct {
 	mu        sync.Mutex
 	contents  *recovery.Contents
 	newDeaths []recovery.Death // not reported to the other VMs yet
@@ -22,10 +22,10 @@
 const maxNewDeaths = 64
 
 // NewSuspectContents returns a SuspectContents without any content.
-func NewBlameBook() *BlameBook { return &BlameBook{contents: recovery.NewContents()} }
+func NewSuspectContents() *SuspectContents { return &SuspectContents{contents: recovery.NewContents()} }
 
 // Quarantined reports whether a content must not start now, and until when.
-func (b *BlameBook) Held(digest uint64) (until time.Time, held bool) {
+func (b *SuspectContents) Quarantined(digest uint64) (until time.Time, held bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Held(digest, time.Now())
@@ -33,21 +33,21 @@
 
 // IsSuspect reports whether a server died under a content that has not succeeded
 // since.
-func (b *BlameBook) Suspect(digest uint64) bool {
+func (b *SuspectContents) IsSuspect(digest uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Suspect(digest)
 }
 
 // ForbidsRetry reports whether a request in flight must not be sent to another server.
-func (b *BlameBook) Kills(digest uint64) bool {
+func (b *SuspectContents) ForbidsRetry(digest uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Kills(digest)
 }
 
 // AddDeath records that a server died while it ran a content.
-func (b *BlameBook) Died(digest uint64, server string) {
+func (b *SuspectContents) AddDeath(digest uint64, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -58,14 +58,14 @@
 }
 
 // Clear removes a content after it ran successfully at some server.
-func (b *BlameBook) Succeeded(digest uint64) {
+func (b *SuspectContents) Clear(digest uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.contents.Succeeded(digest)
 }
 
 // TakeNewDeaths returns the deaths that this VM has seen since the last call.
-func (b *BlameBook) Fresh() []recovery.Death {
+func (b *SuspectContents) TakeNewDeaths() []recovery.Death {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.newDeaths
@@ -74,7 +74,7 @@
 }
 
 // AddPeerDeaths adds deaths that other VMs have seen.
-func (b *BlameBook) Learn(deaths []recovery.Death) {
+func (b *SuspectContents) AddPeerDeaths(deaths []recovery.Death) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, d := range deaths {
--- a/internal/forward/versions_test.go
+++ b/internal/forward/versions_test.go
@@ -78,7 +78,7 @@
 // Guards against failed requests because of a trial. An idempotent call that fails on the
 // trial version is retried on the former one, and any other call runs once. If the trial
 // version has no servers left, its requests go to the former version.
-func TestTrialGoesBack(t *testing.T) {
+func TestFailedTrialRequestFallsBack(t *testing.T) {
 	tests := []struct {
 		name         string
 		path         string
@@ -156,7 +156,7 @@
 
 // Guards against observations that are missing or counted twice. Each request that was
 // received, sent and answered must be counted once in what the router reports.
-func TestTrialIsTold(t *testing.T) {
+func TestTrialObservationsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
 		defer f.shutDown()
@@ -180,7 +180,7 @@
 
 // Guards against a version with slow events that is noticed only when its long answers end.
 // The pace must be reported after the first events.
-func TestSlowPaceIsToldEarly(t *testing.T) {
+func TestSlowPaceIsReportedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, withVersion("v1", engine("a")), withVersion("v2", engine("a")))
 		defer f.shutDown()
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -12,13 +12,13 @@
 
 // Caller is what a caller states about its request in headers.
 type Caller struct {
-	RequestID string
-	Key       string        // API key of a workspace; empty: none
-	Deadline  time.Duration // how long the caller waits; 0: not stated
-	After     uint64        // id of the last event that the caller has, valid if HasAfter
-	HasAfter  bool
-	Prompt    int // 0: not stated
-	Output    int // at most; 0: not stated
+	RequestID    string
+	Key          string        // API key of a workspace; empty: none
+	Deadline     time.Duration // how long the caller waits; 0: not stated
+	After        uint64        // id of the last event that the caller has, valid if HasAfter
+	HasAfter     bool
+	PromptTokens int // 0: not stated
+	OutputTokens int // at most; 0: not stated
 }
 
 // Copy identifies a copy of a run's memory to engines by an address and an id that is
@@ -30,14 +30,14 @@
 
 // Send is what the system states in headers about one send of a request.
 type Send struct {
-	Deadline  time.Duration
-	Instance  string // the incarnation that is addressed; any other must refuse
-	Workspace string
-	Priority  int // 0 is the highest
-	After     uint64
-	HasAfter  bool
-	CopyTo    string // address of the backup engine; empty: none
-	From      *Copy  // copy to resume from; nil: none
+	Deadline   time.Duration
+	Instance   string // the incarnation that is addressed; any other must refuse
+	Workspace  string
+	Priority   int // 0 is the highest
+	After      uint64
+	HasAfter   bool
+	CopyTo     string // address of the backup engine; empty: none
+	ResumeFrom *Copy  // copy to resume from; nil: none
 }
 
 // Answer is what a backend server states in headers about its answer.
@@ -47,7 +47,7 @@
 	// NotRun states that the server did not run the request and never will.
 	NotRun bool
 	// WrongInstance is set if another incarnation answers at this address.
-	Moved bool
+	WrongInstance bool
 	// Load is how many requests run or wait at the server; -1: not stated.
 	Load int
 }
@@ -63,15 +63,15 @@
 // Wire translates between this package's types and the headers and calls in use.
 type Wire interface {
 	// ReadCaller reads the headers of a caller.
-	Caller(h http.Header) (Caller, error)
+	ReadCaller(h http.Header) (Caller, error)
 	// SetSendHeaders writes s into the headers of a request to an engine. It first removes
 	// the headers that only the system may set.
-	Engine(h http.Header, s Send)
+	SetSendHeaders(h http.Header, s Send)
 	// PerAttemptHeaders returns the names, in canonical form, of the headers that differ
 	// between the attempts of a request.
-	PerAttempt() []string
+	PerAttemptHeaders() []string
 	// ReadAnswer reads the headers of a backend server's answer.
-	Answer(status int, h http.Header) Answer
+	ReadAnswer(status int, h http.Header) Answer
 	// ReportURI is the path of an engine's report, which ReadReport decodes.
 	ReportURI() string
 	ReadReport(body []byte) (Report, error)
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -27,7 +27,7 @@
 	held    *cluster.Held
 	fleet   *upstream.Fleet
 	handler *forward.Handler
-	blame   *forward.BlameBook
+	blame   *forward.SuspectContents
 	table   atomic.Pointer[routes.Table]
 	state   atomic.Pointer[rollout.State]
 	book    *rollout.Book
@@ -44,7 +44,7 @@
 
 // StartRouter binds the addresses and serves.
 func StartRouter(o RouterOptions) (*Router, error) {
-	r := &Router{o: o, blame: forward.NewBlameBook(), prepared: make(chan struct{}), conns: newCallerConns(DefaultLimits), book: rollout.NewBook(time.Now)}
+	r := &Router{o: o, blame: forward.NewSuspectContents(), prepared: make(chan struct{}), conns: newCallerConns(DefaultLimits), book: rollout.NewBook(time.Now)}
 	r.state.Store(&rollout.State{})
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.drain = newDrain(o.Drain)
@@ -54,7 +54,7 @@
 	r.held = cluster.NewHeld(r.takeList)
 	r.network = newNetwork(&o.Common)
 	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.held, cluster.Local{
-		Zone: o.Zone, Callers: o.Callers, Ready: r.Ready, Use: r.fleet.Mine, Deaths: r.blame.Fresh,
+		Zone: o.Zone, Callers: o.Callers, Ready: r.Ready, Use: r.fleet.Mine, Deaths: r.blame.TakeNewDeaths,
 		Dead: r.fleet.Dying, Kept: r.kept, Spent: r.spent, Learn: r.learn, LearnSpent: r.learnSpent,
 		Opinion: r.fleet.Opinion, Paces: r.paces, Rollouts: r.book.Told, Urgent: func() bool { return r.state.Load().Urgent() },
 	}, o.Log)
@@ -64,9 +64,9 @@
 	r.feed.OnChange(control.PartRoutes, r.take)
 	r.feed.OnChange(control.PartRollouts, r.takeRollouts)
 	r.handler = forward.NewHandler(forward.Options{
-		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, Prepared: r.prepared,
-		Allowance: o.Allowance, Log: o.Log, Ordinary: o.Ordinary, Metrics: o.Metrics, Blame: r.blame, Closing: r.drain.started,
-		Placer: r.member, Find: r.member.Find, Spending: r.member.Spending, TooLate: r.drain.tooLate,
+		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.prepared,
+		RetryAllowance: o.Allowance, Log: o.Log, RoutineLog: o.Ordinary, Metrics: o.Metrics, SuspectContents: r.blame, Closing: r.drain.started,
+		Placer: r.member, FindOrphan: r.member.Find, ReportRetries: r.member.Spending, CannotFinish: r.drain.tooLate,
 		Rollouts: &forward.Rollouts{State: r.state.Load, Book: r.book},
 	})
 	if err := r.serve(); err != nil {
@@ -164,21 +164,23 @@
 func (r *Router) learn(k cluster.Known) {
 	r.fleet.SetOthers(k.Use)
 	r.fleet.HearsayDead(k.Dead)
-	r.blame.Learn(k.Deaths)
+	r.blame.AddPeerDeaths(k.Deaths)
 	r.handler.SetVMs(len(k.Routers))
-	r.handler.SetShort(k.Short)
+	r.handler.SetCopiesDisabled(k.Short)
 	r.handler.SetPaces(k.Paces)
 	r.fleet.SetRouters(r.o.ID, k.Routers)
 }
 
 // kept are the streams here with a copy. The member starts after the handler.
-func (r *Router) kept() []forward.Kept { return r.handler.Kept() }
+func (r *Router) kept() []forward.ResumableRun { return r.handler.ResumableRuns() }
 
-func (r *Router) learnSpent(others map[string]forward.Spent) { r.handler.SetSpent(others) }
+func (r *Router) learnSpent(others map[string]forward.RetryUsage) {
+	r.handler.SetPeerRetryUsage(others)
+}
 
 func (r *Router) paces() map[string]scheduler.Pace { return r.handler.Paces() }
 
-func (r *Router) spent() map[string]forward.Spent { return r.handler.Spent() }
+func (r *Router) spent() map[string]forward.RetryUsage { return r.handler.RetryUsage() }
 
 // Ready reports whether callers may be sent here.
 func (r *Router) Ready() bool {
