--- a/internal/forward/decisions_test.go
+++ b/internal/forward/decisions_test.go
@@ -34,12 +34,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := NewSendHistory(tt.repeatable, tt.attempts)
+			h := NewSendHistory(tt.repeatable, tt.attempts)
 			for _, s := range tt.sends {
-				r.Add(s)
+				h.Add(s)
 			}
-			if r.MaySend() != tt.maySend || r.IsRetry() != tt.repeat || r.FinalCode(result.BackendsFull) != tt.refusal {
-				t.Errorf("got may send %t, retry %t, final code %d; want the values of the table", r.MaySend(), r.IsRetry(), r.FinalCode(result.BackendsFull))
+			if h.MaySend() != tt.maySend || h.IsRetry() != tt.repeat || h.FinalCode(result.BackendsFull) != tt.refusal {
+				t.Errorf("got may send %t, retry %t, final code %d; want the values of the table", h.MaySend(), h.IsRetry(), h.FinalCode(result.BackendsFull))
 			}
 		})
 	}
--- a/internal/forward/orphan.go
+++ b/internal/forward/orphan.go
@@ -40,26 +40,26 @@
 	runs map[string]ResumableRun // by request id
 }
 
-func (b *runRegistry) put(id string, k ResumableRun) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.runs == nil {
-		b.runs = map[string]ResumableRun{}
+func (r *runRegistry) put(id string, run ResumableRun) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.runs == nil {
+		r.runs = map[string]ResumableRun{}
 	}
-	b.runs[id] = k
+	r.runs[id] = run
 }
 
-func (b *runRegistry) drop(id string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.runs, id)
+func (r *runRegistry) drop(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.runs, id)
 }
 
-func (b *runRegistry) all() []ResumableRun {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]ResumableRun, 0, len(b.runs))
-	for _, k := range b.runs {
+func (r *runRegistry) all() []ResumableRun {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := make([]ResumableRun, 0, len(r.runs))
+	for _, k := range r.runs {
 		out = append(out, k)
 	}
 	return out
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -108,20 +108,20 @@
 
 func (st *streamRelay) placementRequest() scheduler.Stream {
 	q := st.q
-	a := scheduler.Stream{
+	out := scheduler.Stream{
 		ID: q.RequestID, Service: q.service.Name, Workspace: q.workspace, Need: st.need, KVTokens: st.kvTokens(),
 		Due: q.dueTime(), Deadline: q.expires, Priority: q.priority,
 		Interrupted: st.seq.started, WantsCopy: st.mayKeepCopy(), After: eventCount(st.seq.last),
 		Zone: st.h.opts.Zone, Version: st.h.opts.Fleet.Version(q.service.Name, q.versionChoice.Versions), Part: q.versionChoice.Part,
 	}
 	for id := range st.skip {
-		a.Skip = append(a.Skip, id)
+		out.Skip = append(out.Skip, id)
 	}
-	slices.Sort(a.Skip)
-	if s := st.h.opts.Fleet.At(q.service.Name, st.orphanEngine); s != nil && s.Version == a.Version {
-		a.Cached = s.ID
+	slices.Sort(out.Skip)
+	if s := st.h.opts.Fleet.At(q.service.Name, st.orphanEngine); s != nil && s.Version == out.Version {
+		out.Cached = s.ID
 	}
-	return a
+	return out
 }
 
 // cannotFinish reports that this VM shuts down before it could finish the stream, which
@@ -185,56 +185,56 @@
 const newestPaceWeight = 0.15
 
 // notePrompt records the prefill time of a prompt at an engine that prefilled no other.
-func (b *paceTracker) notePrompt(service string, tokens int, took time.Duration) {
+func (t *paceTracker) notePrompt(service string, tokens int, took time.Duration) {
 	if tokens <= 0 {
 		return
 	}
-	b.update(service, func(p *scheduler.Pace) {
+	t.update(service, func(p *scheduler.Pace) {
 		p.PerToken = scheduler.Smooth(p.PerToken, took/time.Duration(tokens), newestPaceWeight)
 	})
 }
 
 // noteRun records the time from the first event of a complete run to its end, and the
 // number of its events.
-func (b *paceTracker) noteRun(service string, took time.Duration, events int) {
-	b.update(service, func(p *scheduler.Pace) {
+func (t *paceTracker) noteRun(service string, took time.Duration, events int) {
+	t.update(service, func(p *scheduler.Pace) {
 		p.Run = scheduler.Smooth(p.Run, took, newestPaceWeight)
 		p.Events = scheduler.Smooth(p.Events, float64(events), newestPaceWeight)
 	})
 }
 
-func (b *paceTracker) update(service string, f func(*scheduler.Pace)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.paces == nil {
-		b.paces = map[string]scheduler.Pace{}
+func (t *paceTracker) update(service string, f func(*scheduler.Pace)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.paces == nil {
+		t.paces = map[string]scheduler.Pace{}
 	}
-	p := b.paces[service]
+	p := t.paces[service]
 	f(&p)
-	b.paces[service] = p
+	t.paces[service] = p
 }
 
-func (b *paceTracker) setAllVMs(told map[string]scheduler.Pace) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.allVMs = told
+func (t *paceTracker) setAllVMs(told map[string]scheduler.Pace) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.allVMs = told
 }
 
 // pace returns what all VMs observed, or what this VM did if nothing was reported yet.
-func (b *paceTracker) pace(service string) scheduler.Pace {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if p := b.allVMs[service]; p.Run > 0 {
+func (t *paceTracker) pace(service string) scheduler.Pace {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if p := t.allVMs[service]; p.Run > 0 {
 		return p
 	}
-	return b.paces[service]
+	return t.paces[service]
 }
 
-func (b *paceTracker) all() map[string]scheduler.Pace {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make(map[string]scheduler.Pace, len(b.paces))
-	for service, p := range b.paces {
+func (t *paceTracker) all() map[string]scheduler.Pace {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := make(map[string]scheduler.Pace, len(t.paces))
+	for service, p := range t.paces {
 		out[service] = p
 	}
 	return out
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -343,11 +343,11 @@
 
 // resumable returns what another router needs to resume the stream now.
 func (r *run) resumable() ResumableRun {
-	k := ResumableRun{Identity: r.st.id, Orphan: Orphan{PrefillEngine: r.server.Address}}
+	out := ResumableRun{Identity: r.st.id, Orphan: Orphan{PrefillEngine: r.server.Address}}
 	if r.backup.current.engine != nil {
-		k.Copy = r.backup.current.ref
+		out.Copy = r.backup.current.ref
 	}
-	return k
+	return out
 }
 
 // finish ends a complete stream.
--- a/internal/forward/run_silence.go
+++ b/internal/forward/run_silence.go
@@ -14,13 +14,13 @@
 	return &silenceTimer{timer: time.NewTimer(wait), wait: wait, startedAt: time.Now()}
 }
 
-func (c *silenceTimer) set(wait time.Duration) {
-	c.timer.Reset(wait)
-	c.wait, c.startedAt = wait, time.Now()
+func (t *silenceTimer) set(wait time.Duration) {
+	t.timer.Reset(wait)
+	t.wait, t.startedAt = wait, time.Now()
 }
 
 // firedLate reports whether the timer fired much later than it was set to.
-func (c *silenceTimer) firedLate() bool { return time.Since(c.startedAt)-c.wait >= maxTimerDelay }
+func (t *silenceTimer) firedLate() bool { return time.Since(t.startedAt)-t.wait >= maxTimerDelay }
 
 // onSilenceTimer reacts to a silence. If this VM was stalled, the silence is its own:
 // events wait in the socket buffers. Without this check every stream would move at once.
--- a/internal/forward/send_history.go
+++ b/internal/forward/send_history.go
@@ -37,30 +37,30 @@
 }
 
 // Add records the outcome of one send.
-func (r *SendHistory) Add(s sendOutcome) {
-	if s != sendNotSent {
-		r.arrivals++
+func (h *SendHistory) Add(outcome sendOutcome) {
+	if outcome != sendNotSent {
+		h.arrivals++
 	}
-	if s == sendUnknown || s == sendAnswered {
-		r.possibleRuns++
+	if outcome == sendUnknown || outcome == sendAnswered {
+		h.possibleRuns++
 	}
 }
 
 // MaySend reports whether the request may be sent to another server.
-func (r *SendHistory) MaySend() bool {
-	if r.possibleRuns == 0 {
+func (h *SendHistory) MaySend() bool {
+	if h.possibleRuns == 0 {
 		return true
 	}
-	return r.repeatable && r.possibleRuns < r.maxAttempts
+	return h.repeatable && h.possibleRuns < h.maxAttempts
 }
 
 // IsRetry reports whether the next send draws on the retry budget, since a server
 // may already have received the request.
-func (r *SendHistory) IsRetry() bool { return r.arrivals > 0 }
+func (h *SendHistory) IsRetry() bool { return h.arrivals > 0 }
 
 // Ran returns what a caller may be told about whether its request ran.
-func (r *SendHistory) Ran() result.Ran {
-	if r.possibleRuns > 0 {
+func (h *SendHistory) Ran() result.Ran {
+	if h.possibleRuns > 0 {
 		return result.RanUnknown
 	}
 	return result.RanNo
@@ -68,8 +68,8 @@
 
 // FinalCode replaces a code that promises "not run" by OutcomeUnknown if the request
 // may have run, and returns any other code unchanged.
-func (r *SendHistory) FinalCode(code result.Code) result.Code {
-	if r.possibleRuns > 0 && result.Lookup(code).Ran == result.RanNo {
+func (h *SendHistory) FinalCode(code result.Code) result.Code {
+	if h.possibleRuns > 0 && result.Lookup(code).Ran == result.RanNo {
 		return result.OutcomeUnknown
 	}
 	return code
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -101,7 +101,7 @@
 // Guards against a truncated event at the caller. The engine dies in the middle of an
 // event; the part that came must not be forwarded, since the next engine generates the
 // event again.
-func TestEventCutInTheMiddle(t *testing.T) {
+func TestTruncatedEventIsNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cut := engine("a")
 		cut.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
--- a/internal/forward/suspect_content.go
+++ b/internal/forward/suspect_content.go
@@ -25,60 +25,60 @@
 func NewSuspectContents() *SuspectContents { return &SuspectContents{contents: recovery.NewContents()} }
 
 // Quarantined reports whether a content must not start now, and until when.
-func (b *SuspectContents) Quarantined(digest uint64) (until time.Time, held bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.contents.Held(digest, time.Now())
+func (s *SuspectContents) Quarantined(digest uint64) (until time.Time, quarantined bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.contents.Held(digest, time.Now())
 }
 
 // IsSuspect reports whether a server died under a content that has not succeeded
 // since.
-func (b *SuspectContents) IsSuspect(digest uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.contents.Suspect(digest)
+func (s *SuspectContents) IsSuspect(digest uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.contents.Suspect(digest)
 }
 
 // ForbidsRetry reports whether a request in flight must not be sent to another server.
-func (b *SuspectContents) ForbidsRetry(digest uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.contents.Kills(digest)
+func (s *SuspectContents) ForbidsRetry(digest uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.contents.Kills(digest)
 }
 
 // AddDeath records that a server died while it ran a content.
-func (b *SuspectContents) AddDeath(digest uint64, server string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (s *SuspectContents) AddDeath(digest uint64, server string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	b.contents.Died(digest, server, now)
-	if len(b.newDeaths) < maxNewDeaths {
-		b.newDeaths = append(b.newDeaths, recovery.Death{Digest: digest, Engine: server, At: now})
+	s.contents.Died(digest, server, now)
+	if len(s.newDeaths) < maxNewDeaths {
+		s.newDeaths = append(s.newDeaths, recovery.Death{Digest: digest, Engine: server, At: now})
 	}
 }
 
 // Clear removes a content after it ran successfully at some server.
-func (b *SuspectContents) Clear(digest uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.contents.Succeeded(digest)
+func (s *SuspectContents) Clear(digest uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.contents.Succeeded(digest)
 }
 
 // TakeNewDeaths returns the deaths that this VM has seen since the last call.
-func (b *SuspectContents) TakeNewDeaths() []recovery.Death {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := b.newDeaths
-	b.newDeaths = nil
+func (s *SuspectContents) TakeNewDeaths() []recovery.Death {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := s.newDeaths
+	s.newDeaths = nil
 	return out
 }
 
 // AddPeerDeaths adds deaths that other VMs have seen.
-func (b *SuspectContents) AddPeerDeaths(deaths []recovery.Death) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (s *SuspectContents) AddPeerDeaths(deaths []recovery.Death) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, d := range deaths {
-		b.contents.Died(d.Digest, d.Engine, time.Now())
+		s.contents.Died(d.Digest, d.Engine, time.Now())
 	}
 }
 
--- a/internal/forward/versions_test.go
+++ b/internal/forward/versions_test.go
@@ -56,7 +56,7 @@
 
 // Guards against requests to a version whose servers are listed before the router knows of
 // a roll-out to it, and against a service that stops once all of its servers are replaced.
-func TestUnorderedVersion(t *testing.T) {
+func TestVersionWithoutRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
 		defer f.shutDown()
