--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -32,9 +32,9 @@
 	// 1 it waits.
 	Load float64
 	// Work is how long a call takes there without waiting; 0: not known.
-	Work      time.Duration
-	Objective time.Duration // 0: none is stated
-	Held      time.Duration // so far, at this VM
+	ServiceTime time.Duration
+	Objective   time.Duration // 0: none is stated
+	Held        time.Duration // so far, at this VM
 }
 
 // CallVerdict is what to do with a call.
@@ -48,15 +48,15 @@
 )
 
 // Expected is how long the answer will take.
-func (c CallWait) Expected() time.Duration {
-	return time.Duration(max(1, c.Load) * float64(c.Work))
+func (c CallWait) ExpectedLatency() time.Duration {
+	return time.Duration(max(1, c.Load) * float64(c.ServiceTime))
 }
 
 // Decide is the whole policy. While a server has a free slot every call is sent.
 func (c CallWait) Decide() CallVerdict {
 	inTime := time.Duration(sendShare * float64(c.Objective))
 	switch {
-	case c.Load <= 1, c.Work == 0, c.Objective <= 0, c.Held+c.Expected() <= inTime:
+	case c.Load <= 1, c.ServiceTime == 0, c.Objective <= 0, c.Held+c.ExpectedLatency() <= inTime:
 		return SendCall
 	case c.Held < time.Duration(holdShare*float64(c.Objective)):
 		return HoldCall
@@ -67,7 +67,7 @@
 // RetryAfter is when a refused caller may come back: once the queue is short enough, and
 // spread over as long again, draw being from [0, 1).
 func (c CallWait) RetryAfter(draw float64) time.Duration {
-	excess := c.Expected() - time.Duration(sendShare*float64(c.Objective)) + c.Work
+	excess := c.ExpectedLatency() - time.Duration(sendShare*float64(c.Objective)) + c.ServiceTime
 	d := min(max(excess, leastCallRetry), mostCallRetry)
 	return d + time.Duration(draw*float64(d))
 }
--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -17,13 +17,13 @@
 		wait admission.CallWait
 		want admission.CallVerdict
 	}{
-		{"a free slot", admission.CallWait{Load: 1, Work: 60 * ms, Objective: 300 * ms}, admission.SendCall},
-		{"a free slot for work that is late anyhow", admission.CallWait{Load: 0.9, Work: 900 * ms, Objective: 300 * ms}, admission.SendCall},
-		{"a queue that moves in time", admission.CallWait{Load: 3, Work: 60 * ms, Objective: 300 * ms}, admission.SendCall},
-		{"a queue that does not", admission.CallWait{Load: 5, Work: 60 * ms, Objective: 300 * ms}, admission.HoldCall},
-		{"the same, held for long", admission.CallWait{Load: 5, Work: 60 * ms, Objective: 300 * ms, Held: 40 * ms}, admission.RefuseCall},
+		{"a free slot", admission.CallWait{Load: 1, ServiceTime: 60 * ms, Objective: 300 * ms}, admission.SendCall},
+		{"a free slot for work that is late anyhow", admission.CallWait{Load: 0.9, ServiceTime: 900 * ms, Objective: 300 * ms}, admission.SendCall},
+		{"a queue that moves in time", admission.CallWait{Load: 3, ServiceTime: 60 * ms, Objective: 300 * ms}, admission.SendCall},
+		{"a queue that does not", admission.CallWait{Load: 5, ServiceTime: 60 * ms, Objective: 300 * ms}, admission.HoldCall},
+		{"the same, held for long", admission.CallWait{Load: 5, ServiceTime: 60 * ms, Objective: 300 * ms, Held: 40 * ms}, admission.RefuseCall},
 		{"nothing known of the work", admission.CallWait{Load: 9, Objective: 300 * ms}, admission.SendCall},
-		{"no objective", admission.CallWait{Load: 9, Work: 60 * ms}, admission.SendCall},
+		{"no objective", admission.CallWait{Load: 9, ServiceTime: 60 * ms}, admission.SendCall},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -113,15 +113,15 @@
 		for i := range candidates {
 			candidates[i] = placement.CallCandidate{
 				Slots: callSlots, Own: own[c.vm][i], Others: max(0, news[i]-own[c.vm][i]), Reported: reported[c.vm][i],
-				ReportAge: time.Duration(now-told[c.vm][i]) * time.Millisecond, CallTime: time.Duration(latency[c.vm] * float64(time.Millisecond)), Slow: 1,
+				ReportAge: time.Duration(now-told[c.vm][i]) * time.Millisecond, CallTime: time.Duration(latency[c.vm] * float64(time.Millisecond)), Slowdown: 1,
 			}
 		}
-		return placement.Server(candidates, "", rng.IntN)
+		return placement.ChooseServer(candidates, "", rng.IntN)
 	}
 	try := func(now int, c *simCall) {
 		i, load := place(now, c)
 		if admit {
-			w := admission.CallWait{Load: load, Work: callWork * time.Millisecond, Objective: callObjective * time.Millisecond}
+			w := admission.CallWait{Load: load, ServiceTime: callWork * time.Millisecond, Objective: callObjective * time.Millisecond}
 			w.Held = time.Duration(now-max(c.came, c.again)) * time.Millisecond
 			switch w.Decide() {
 			case admission.HoldCall:
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -69,7 +69,7 @@
 }
 
 // Wait estimates the wait of a request as Enter would.
-func (q *Queue) Wait(it *Item) time.Duration { return q.wait(it, q.flow(it)) }
+func (q *Queue) EstimateWait(it *Item) time.Duration { return q.wait(it, q.flow(it)) }
 
 // retryAfter tells a refused caller when to come back: when what waits now will
 // have been served; and spread, so that callers refused together do not come
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -53,7 +53,7 @@
 // leave a third of a batch empty.
 func NewLimiter(peers int, offset float64) *Limiter {
 	l := &Limiter{peers: float64(max(1, peers)), offset: offset}
-	l.Lost()
+	l.Reset()
 	return l
 }
 
@@ -89,6 +89,6 @@
 }
 
 // Lost forgets what was learned: the server died and comes back empty.
-func (l *Limiter) Lost() {
+func (l *Limiter) Reset() {
 	*l = Limiter{peers: l.peers, offset: l.offset, limit: min(limitStartMax, max(limitStartMin, limitStart/l.peers))}
 }
--- a/internal/cluster/remember.go
+++ b/internal/cluster/remember.go
@@ -39,7 +39,7 @@
 }
 
 // Recall reads what was written before this process started.
-func (h *Hub) Recall(fsys wal.FS, dir string) {
+func (h *Hub) LoadRuns(fsys wal.FS, dir string) {
 	data, err := wal.ReadFile(fsys, filepath.Join(dir, keptFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return
@@ -64,7 +64,7 @@
 
 // Remember writes where copies are kept until ctx ends. A disk that is slow or full
 // costs the memory of copies, and holds nothing else up.
-func (h *Hub) Remember(ctx context.Context, fsys wal.FS, dir string) {
+func (h *Hub) RunSaver(ctx context.Context, fsys wal.FS, dir string) {
 	var last []byte
 	failing := false
 	for timer.Sleep(ctx, rememberEvery) == nil {
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -20,32 +20,32 @@
 // the routers last told them, and some prompts meet on an engine.
 
 // Told is what a router tells of its use of engines.
-type Told struct {
-	Life uint64                   `cbor:"1,keyasint"` // of the process
-	Turn uint64                   `cbor:"2,keyasint"` // grows with each message
-	Use  map[string]placement.Use `cbor:"3,keyasint,omitempty"`
+type UseReport struct {
+	Incarnation uint64                     `cbor:"1,keyasint"` // of the process
+	Seq         uint64                     `cbor:"2,keyasint"` // grows with each message
+	Use         map[string]placement.Usage `cbor:"3,keyasint,omitempty"`
 	// Taken is the last grant that Use includes.
-	Taken uint64                    `cbor:"4,keyasint,omitempty"`
-	Avoid []string                  `cbor:"5,keyasint,omitempty"`
-	Paces map[string]scheduler.Pace `cbor:"6,keyasint,omitempty"`
-	Doubt []string                  `cbor:"7,keyasint,omitempty"`
-	Alive []string                  `cbor:"8,keyasint,omitempty"`
+	LastGrant uint64                            `cbor:"4,keyasint,omitempty"`
+	Avoid     []string                          `cbor:"5,keyasint,omitempty"`
+	Paces     map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
+	Suspected []string                          `cbor:"7,keyasint,omitempty"`
+	Alive     []string                          `cbor:"8,keyasint,omitempty"`
 	// SameDoubt: Doubt is left out, and as it was last told. While a zone is lost it
 	// names all of its engines, and a router tells of its use with each stream.
-	SameDoubt bool `cbor:"9,keyasint,omitempty"`
+	SuspectedUnchanged bool `cbor:"9,keyasint,omitempty"`
 }
 
 // PlaceAsk asks for an engine for one stream. Times are from now, so that clocks need
 // not agree.
-type PlaceAsk struct {
-	Told   Told             `cbor:"1,keyasint"`
-	Stream scheduler.Stream `cbor:"2,keyasint"`
-	DueMS  int64            `cbor:"3,keyasint"`
-	LeftMS int64            `cbor:"4,keyasint"`
+type PlaceRequest struct {
+	Report     UseReport        `cbor:"1,keyasint"`
+	Stream     scheduler.Stream `cbor:"2,keyasint"`
+	DueMS      int64            `cbor:"3,keyasint"`
+	DeadlineMS int64            `cbor:"4,keyasint"`
 }
 
 // Placed is what was decided about a stream.
-type Placed struct {
+type PlaceDecision struct {
 	ID     string           `cbor:"1,keyasint"` // of the request
 	Answer scheduler.Answer `cbor:"2,keyasint"`
 }
@@ -70,14 +70,14 @@
 
 	mu    sync.Mutex
 	s     *scheduler.Scheduler
-	turns map[string]Told // the last of each router, for its life, turn and doubt
+	turns map[string]UseReport // the last of each router, for its life, turn and doubt
 	// logged is when the state was last logged.
 	logged           time.Time
 	granted, refused uint64
 }
 
 func newSchedule(t peer.Transport, log zerolog.Logger) *schedule {
-	return &schedule{t: t, log: log, s: scheduler.New(nil), turns: map[string]Told{}}
+	return &schedule{t: t, log: log, s: scheduler.New(nil), turns: map[string]UseReport{}}
 }
 
 // setServers takes a list of backend servers. A server that is leaving gets nothing new.
@@ -96,7 +96,7 @@
 
 // told takes what a router tells. A message that was overtaken on its way changes
 // nothing.
-func (c *schedule) told(from string, t *Told) {
+func (c *schedule) told(from string, t *UseReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.note(from, t)
@@ -104,27 +104,27 @@
 }
 
 // note needs c.mu.
-func (c *schedule) note(from string, t *Told) {
-	if t.Life == 0 {
+func (c *schedule) note(from string, t *UseReport) {
+	if t.Incarnation == 0 {
 		return // a control process, which sends no streams
 	}
 	last := c.turns[from]
-	if last.Life == t.Life && t.Turn < last.Turn {
+	if last.Incarnation == t.Incarnation && t.Seq < last.Seq {
 		return
 	}
-	if t.SameDoubt && last.Life == t.Life {
-		t.Doubt = last.Doubt
+	if t.SuspectedUnchanged && last.Incarnation == t.Incarnation {
+		t.Suspected = last.Suspected
 	}
-	c.turns[from] = Told{Life: t.Life, Turn: t.Turn, Doubt: t.Doubt}
-	c.s.Told(from, scheduler.Report{Use: t.Use, Taken: t.Taken, Avoid: t.Avoid, Doubt: t.Doubt, Alive: t.Alive, Paces: t.Paces}, time.Now())
+	c.turns[from] = UseReport{Incarnation: t.Incarnation, Seq: t.Seq, Suspected: t.Suspected}
+	c.s.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.LastGrant, Avoid: t.Avoid, Suspected: t.Suspected, Alive: t.Alive, EngineTimings: t.Paces}, time.Now())
 }
 
 // outlook names the services that have no memory for copies, and what is known of the
 // pace of all.
-func (c *schedule) outlook() (short []string, paces map[string]scheduler.Pace) {
+func (c *schedule) outlook() (short []string, paces map[string]scheduler.EngineTiming) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.s.Short(time.Now()), c.s.Paces()
+	return c.s.ShortOfMemory(time.Now()), c.s.EngineTimings()
 }
 
 // forget drops a router that is silent.
@@ -136,22 +136,22 @@
 }
 
 func (c *schedule) servePlace(_ context.Context, from string, body []byte) (any, error) {
-	var a PlaceAsk
+	var a PlaceRequest
 	if err := codec.Unmarshal(body, &a); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.note(from, &a.Told)
+	c.note(from, &a.Report)
 	now, st := time.Now(), a.Stream
 	st.VM = from
-	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.LeftMS)*time.Millisecond)
-	c.s.Ask(st, now)
+	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.DeadlineMS)*time.Millisecond)
+	c.s.Enqueue(st, now)
 	return c.runFor(st.ID), nil
 }
 
 func (c *schedule) serveUse(_ context.Context, from string, body []byte) (any, error) {
-	var t Told
+	var t UseReport
 	if err := codec.Unmarshal(body, &t); err != nil {
 		return nil, err
 	}
@@ -163,7 +163,7 @@
 // c.mu.
 func (c *schedule) runFor(id string) scheduler.Answer {
 	var out scheduler.Answer
-	for _, d := range c.s.Run(time.Now()) {
+	for _, d := range c.s.Decide(time.Now()) {
 		c.count(&d)
 		if d.Stream.ID == id {
 			out = d.Answer
@@ -191,7 +191,7 @@
 func (c *schedule) run() { c.runFor("") }
 
 func (c *schedule) tell(st *scheduler.Stream, a scheduler.Answer) {
-	if err := c.t.Send(st.VM, peer.KindPlaced, Placed{st.ID, a}); err != nil {
+	if err := c.t.Send(st.VM, peer.KindPlaced, PlaceDecision{st.ID, a}); err != nil {
 		// The router asks again; a grant that it never heard of expires.
 		c.log.Debug().Err(err).Str("request", st.ID).Str("router", st.VM).Msg("decision not told")
 	}
@@ -221,7 +221,7 @@
 			return
 		}
 		c.mu.Lock()
-		if c.s.Waits() {
+		if c.s.HasWaiting() {
 			c.run()
 			c.logState()
 		}
@@ -238,8 +238,8 @@
 	c.logged = now
 	for _, st := range c.s.States(now) {
 		c.log.Info().Str("service", st.Service).Int("interrupted", st.Interrupted).Int("in_time", st.InTime).Int("late", st.Late).
-			Int("servers", st.Servers).Int("usable", st.Usable).Int("reading", st.Reading).Int("runs", st.Use.Requests).
-			Int("tokens", st.Use.Tokens).Int("copies", st.Use.Copies).Float64("begun_per_s", st.Rate).
-			Dur("per_token", st.Pace.PerToken).Dur("run", st.Pace.Run).Msg("streams wait")
+			Int("servers", st.Servers).Int("usable", st.Usable).Int("reading", st.Prefilling).Int("runs", st.Usage.Requests).
+			Int("tokens", st.Usage.Tokens).Int("copies", st.Usage.Copies).Float64("begun_per_s", st.StartRate).
+			Dur("per_token", st.EngineTiming.PrefillPerToken).Dur("run", st.EngineTiming.RunDuration).Msg("streams wait")
 	}
 }
--- a/internal/cluster/spent_test.go
+++ b/internal/cluster/spent_test.go
@@ -26,7 +26,7 @@
 
 func startSpender(ctx context.Context, n *peertest.Net, id string) *spender {
 	s := &spender{}
-	s.member = NewMember(id, n.VM(id), controls, NewHeld(func(upstream.List) {}), Local{
+	s.member = NewMember(id, n.VM(id), controls, NewListReplica(func(upstream.List) {}), Local{
 		Spent: func() map[string]forward.RetryUsage {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	}, zerolog.Nop())
 	ctx, s.stop = context.WithCancel(ctx)
 	go s.member.Run(ctx)
-	go s.member.RunSpending(ctx)
+	go s.member.RunRetryReports(ctx)
 	return s
 }
 
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	s.own.Retries++
 	s.mu.Unlock()
-	s.member.Spending()
+	s.member.NotifyRetry()
 }
 
 func (s *spender) knows() int {
@@ -120,8 +120,8 @@
 
 func TestSpendingThatWasOvertaken(t *testing.T) {
 	b, now := spentBook{}, time.Now()
-	told := func(turn uint64, repeats int) Spending {
-		return Spending{Life: 7, Turn: turn, Spent: map[string]forward.RetryUsage{"m": {Retries: repeats}}}
+	told := func(turn uint64, repeats int) RetrySpending {
+		return RetrySpending{Incarnation: 7, Seq: turn, Spent: map[string]forward.RetryUsage{"m": {Retries: repeats}}}
 	}
 	b.note(told(2, 5), now)
 	b.note(told(1, 3), now)
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -88,7 +88,7 @@
 	t.Helper()
 	v := &vm{id: id, t: t, machine: NewMachine(), failed: make(chan error, 1)}
 	v.machine.Register(PartPlans, &list{})
-	v.machine.Register(PartRollouts, rollout.NewPart())
+	v.machine.Register(PartRollouts, rollout.NewStateMachine())
 	v.feed = NewFeed(FeedOptions{Self: id, Voters: Fixed(voters), Transport: port{f, id}, Lease: testLease, Log: zerolog.Nop()})
 	v.feed.OnChange(PartPlans, func(data []byte) {
 		var items []string
--- a/internal/control/rollout_history_test.go
+++ b/internal/control/rollout_history_test.go
@@ -133,7 +133,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		if err := v.client.Barrier(ctx); err == nil {
 			v.machine.Read(PartRollouts, func(p Part) {
-				r, _ := p.(*rollout.Part).Record("desk")
+				r, _ := p.(*rollout.StateMachine).Record("desk")
 				op.Output = seenOf(&r)
 			})
 			op.Return = time.Now().UnixNano()
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -219,7 +219,7 @@
 	c, cached := w.cache[key]
 	var data []byte
 	w.g.o.Machine.Read(part, func(p Part) {
-		if cached && c.Version == p.Version() && w.g.o.Values.Offers(c.Value) {
+		if cached && c.Version == p.Version() && w.g.o.Values.StillOffers(c.Value) {
 			return
 		}
 		c, data = partChange{Part: part, Version: p.Version()}, p.Changes(since)
--- a/internal/forward/backup.go
+++ b/internal/forward/backup.go
@@ -108,9 +108,9 @@
 func (r *run) setBackupEngine(to *upstream.Server) {
 	fleet := r.st.h.opts.Fleet
 	if r.backup.current.engine != nil {
-		fleet.Give(r.backup.current.engine, r.backupUse)
+		fleet.Release(r.backup.current.engine, r.backupUse)
 	}
-	r.backupUse = placement.CopyUse(r.st.need)
+	r.backupUse = placement.CopyUsage(r.st.need)
 	fleet.Take(to, r.backupUse)
 	r.backup.current.engine = to
 }
@@ -137,7 +137,7 @@
 	defer cancel()
 	method, uri := h.opts.Wire.CopyDrop(p.ref.ID)
 	r := upstream.Request{Method: method, URI: uri, Host: s.Address, Header: http.Header{}}
-	if _, _, err := h.opts.Pool.Ask(ctx, s.ID, s.Address, &r); err != nil {
+	if _, _, err := h.opts.Pool.Do(ctx, s.ID, s.Address, &r); err != nil {
 		h.opts.Log.Debug().Err(err).Str("engine", s.ID).Msg("backup copy could not be dropped; it remains until it expires")
 	}
 }
@@ -147,7 +147,7 @@
 func (h *Handler) requestCopy(ctx context.Context, s *upstream.Server, requestID, to string) string {
 	method, uri, body := h.opts.Wire.CopyOrder(requestID, to)
 	header := http.Header{"Content-Type": {"application/json"}}
-	resp, text, err := h.opts.Pool.Ask(ctx, s.ID, s.Address, &upstream.Request{Method: method, URI: uri, Host: s.Address, Header: header, Body: body})
+	resp, text, err := h.opts.Pool.Do(ctx, s.ID, s.Address, &upstream.Request{Method: method, URI: uri, Host: s.Address, Header: header, Body: body})
 	if err != nil {
 		h.opts.Log.Info().Err(err).Str("request", requestID).Str("engine", s.ID).Msg("backup copy could not be ordered")
 		return ""
@@ -161,17 +161,17 @@
 	if !c.granted {
 		return st.chooseBackupEngine(c.server)
 	}
-	if c.grant.Keeper == "" {
+	if c.grant.BackupEngine == "" {
 		return nil
 	}
-	return st.h.opts.Fleet.Lookup(c.grant.Keeper)
+	return st.h.opts.Fleet.Lookup(c.grant.BackupEngine)
 }
 
 // backupVersions returns the versions whose engines may hold copies of the stream's
 // run.
 func (st *streamRelay) backupVersions() rollout.Versions {
-	v := st.h.opts.Rollouts.State().Keep(st.q.service.Name, st.q.versionChoice)
-	v.Part = 0 // copies are spread over all engines
+	v := st.h.opts.Rollouts.State().CopyVersions(st.q.service.Name, st.q.versionChoice)
+	v.ServerShare = 0 // copies are spread over all engines
 	return v
 }
 
@@ -190,7 +190,7 @@
 // the new version.
 func (r *run) mustLeaveVersion() bool {
 	q, backup := r.st.q, r.backup.current.engine
-	if backup == nil || !r.st.h.opts.Rollouts.State().Leaves(q.service.Name, q.versionChoice) {
+	if backup == nil || !r.st.h.opts.Rollouts.State().MustMove(q.service.Name, q.versionChoice) {
 		return false
 	}
 	return r.server.Version != backup.Version && r.st.mayHoldCopy(backup) && !r.st.h.opts.Fleet.Lost(backup)
@@ -207,7 +207,7 @@
 		skip[id] = true
 	}
 	servers, candidates := st.h.opts.Fleet.Candidates(st.q.service.Name, st.backupVersions(), st.kvTokens(), skip)
-	if i := placement.Copy(candidates, s.Zone, st.need, rand.IntN); i >= 0 {
+	if i := placement.ChooseBackupEngine(candidates, s.Zone, st.need, rand.IntN); i >= 0 {
 		return servers[i]
 	}
 	return nil
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -88,7 +88,7 @@
 	}
 	for {
 		servers, candidates := h.opts.Fleet.CallCandidates(q.service.Name, q.versionChoice.Versions, skip)
-		i, load := placement.Server(candidates, h.opts.Zone, rand.IntN)
+		i, load := placement.ChooseServer(candidates, h.opts.Zone, rand.IntN)
 		switch {
 		case i < 0 && h.leaveTrialVersion(q):
 			continue
@@ -97,7 +97,7 @@
 		case i < 0:
 			return nil, 0, result.NoBackendServer
 		}
-		w := admission.CallWait{Load: load, Work: h.opts.Fleet.Work(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
+		w := admission.CallWait{Load: load, ServiceTime: h.opts.Fleet.ServiceTime(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
 		switch w.Decide() {
 		case admission.HoldCall:
 			if timer.Sleep(q.ctx, callHoldInterval) != nil {
@@ -123,13 +123,13 @@
 // sendCall sends a call to one server and records what the result says about the
 // server.
 func (h *Handler) sendCall(q *request, s *upstream.Server, load float64) reply {
-	use := placement.Use{Requests: 1}
+	use := placement.Usage{Requests: 1}
 	h.opts.Fleet.Take(s, use)
 	began := time.Now()
 	ticket := h.trackAnswer(q, s)
 	r := h.exchange(q, s, Send{}, h.hedgeDelay(q, load))
 	h.noteAnswer(ticket, q, s, &r)
-	h.opts.Fleet.Give(s, use)
+	h.opts.Fleet.Release(s, use)
 	h.noteSendResult(q, s, &r, time.Since(began))
 	return r
 }
@@ -151,9 +151,9 @@
 	switch {
 	case q.ctx.Err() != nil, r.fault == faultDial:
 	case r.outcome == sendRefused && r.answer.WrongInstance:
-		f.Stale(s)
+		f.MarkStale(s)
 	case r.outcome == sendRefused:
-		f.Full(s)
+		f.MarkFull(s)
 	case r.fault == faultBroken:
 		f.Failed(s)
 		h.confirmDeath(q, s, 0)
@@ -167,7 +167,7 @@
 		h.opts.SuspectContents.Clear(q.digest)
 	}
 	if r.answer.Load >= 0 && r.resp != nil {
-		f.Reported(s, r.answer.Load)
+		f.SetReportedLoad(s, r.answer.Load)
 	}
 }
 
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -35,7 +35,7 @@
 	orphans          map[uint64]forward.Copy // copies that another router has reported, by identity
 	placer           forward.Placer          // nil: the router chooses engines itself
 	state            atomic.Pointer[rollout.State]
-	book             *rollout.Book
+	book             *rollout.Recorder
 	closing          bool          // the router is shutting down
 	shutdownTimeLeft time.Duration // until the router stops; 0: it is not shutting down
 }
@@ -94,7 +94,7 @@
 	f.fleet.Apply(upstream.List{Backends: f.net.List(), AsOf: time.Now()})
 	f.table.Store(testRoutes())
 	f.state.Store(&rollout.State{})
-	f.book = rollout.NewBook(time.Now)
+	f.book = rollout.NewRecorder(time.Now)
 	ready := make(chan struct{})
 	close(ready)
 	f.newHandler(ready)
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -122,7 +122,7 @@
 func (h *Handler) ResumableRuns() []ResumableRun { return h.activeRuns.all() }
 
 // Paces returns the pace of each service's engines as this VM observed it.
-func (h *Handler) Paces() map[string]scheduler.Pace { return h.paces.all() }
+func (h *Handler) Paces() map[string]scheduler.EngineTiming { return h.paces.all() }
 
 // SetVMs sets how many VMs share the retry budgets of the services.
 func (h *Handler) SetVMs(n int) {
@@ -135,7 +135,7 @@
 }
 
 // SetPaces sets the pace of each service's engines as observed by all VMs.
-func (h *Handler) SetPaces(paces map[string]scheduler.Pace) { h.paces.setAllVMs(paces) }
+func (h *Handler) SetPaces(paces map[string]scheduler.EngineTiming) { h.paces.setAllVMs(paces) }
 
 // SetCopiesDisabled sets the services for which no copies are made, since all of the
 // engines' memory is needed for prompts.
@@ -301,7 +301,7 @@
 	if err := q.authorize(table); err != nil {
 		return q, err
 	}
-	q.service = table.Service(route.Draw())
+	q.service = table.Service(route.PickRandom())
 	if route.Kind == routes.Stream && h.opts.CannotFinish(true, h.expectedDuration(q)) {
 		return q, result.New(result.ShuttingDown).WithRetryAfter(otherRouterRetryAfter)
 	}
@@ -344,7 +344,7 @@
 	if !table.List.Keyed {
 		return nil
 	}
-	holder := table.Holder(q.Key)
+	holder := table.WorkspaceByKey(q.Key)
 	if q.Key == "" || holder == nil {
 		if q.route.Public {
 			return nil
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -111,15 +111,15 @@
 	out := scheduler.Stream{
 		ID: q.RequestID, Service: q.service.Name, Workspace: q.workspace, Need: st.need, KVTokens: st.kvTokens(),
 		Due: q.dueTime(), Deadline: q.expires, Priority: q.priority,
-		Interrupted: st.seq.started, WantsCopy: st.mayKeepCopy(), After: eventCount(st.seq.last),
-		Zone: st.h.opts.Zone, Version: st.h.opts.Fleet.Version(q.service.Name, q.versionChoice.Versions), Part: q.versionChoice.Part,
+		Interrupted: st.seq.started, WantsCopy: st.mayKeepCopy(), EventsReceived: eventCount(st.seq.last),
+		Zone: st.h.opts.Zone, Version: st.h.opts.Fleet.Version(q.service.Name, q.versionChoice.Versions), VersionShare: q.versionChoice.ServerShare,
 	}
 	for id := range st.skip {
-		out.Skip = append(out.Skip, id)
+		out.ExcludedEngines = append(out.ExcludedEngines, id)
 	}
-	slices.Sort(out.Skip)
+	slices.Sort(out.ExcludedEngines)
 	if s := st.h.opts.Fleet.At(q.service.Name, st.orphanEngine); s != nil && s.Version == out.Version {
-		out.Cached = s.ID
+		out.CachedEngine = s.ID
 	}
 	return out
 }
@@ -136,7 +136,7 @@
 
 // expectedDuration returns the duration of a long stream of the service; 0: not known.
 func (h *Handler) expectedDuration(q *request) time.Duration {
-	return h.paces.pace(q.service.Name).Lasts(q.PromptTokens, eventCount(q.After), longRunFactor)
+	return h.paces.pace(q.service.Name).ExpectedDuration(q.PromptTokens, eventCount(q.After), longRunFactor)
 }
 
 // eventCount returns how many events a caller has, given the id of the last one.
@@ -156,9 +156,9 @@
 	for {
 		servers, candidates := st.h.opts.Fleet.Candidates(st.q.service.Name, st.q.versionChoice.Versions, st.kvTokens(), st.skip)
 		for i := range candidates {
-			candidates[i].Far = candidates[i].Zone != st.h.opts.Zone
+			candidates[i].OtherZone = candidates[i].Zone != st.h.opts.Zone
 		}
-		if i := placement.Engine(candidates, st.need, rand.IntN); i >= 0 {
+		if i := placement.ChooseEngine(candidates, st.need, rand.IntN); i >= 0 {
 			return servers[i]
 		}
 		if !st.h.leaveTrialVersion(st.q) {
@@ -176,8 +176,8 @@
 // paceTracker records the pace of each service's engines. It is safe for concurrent use.
 type paceTracker struct {
 	mu     sync.Mutex
-	paces  map[string]scheduler.Pace // as this VM observed them
-	allVMs map[string]scheduler.Pace // as all VMs together observed them
+	paces  map[string]scheduler.EngineTiming // as this VM observed them
+	allVMs map[string]scheduler.EngineTiming // as all VMs together observed them
 }
 
 // newestPaceWeight is the weight of the newest observation in the mean. Some ten runs
@@ -189,51 +189,51 @@
 	if tokens <= 0 {
 		return
 	}
-	t.update(service, func(p *scheduler.Pace) {
-		p.PerToken = scheduler.Smooth(p.PerToken, took/time.Duration(tokens), newestPaceWeight)
+	t.update(service, func(p *scheduler.EngineTiming) {
+		p.PrefillPerToken = scheduler.Smooth(p.PrefillPerToken, took/time.Duration(tokens), newestPaceWeight)
 	})
 }
 
 // noteRun records the time from the first event of a complete run to its end, and the
 // number of its events.
 func (t *paceTracker) noteRun(service string, took time.Duration, events int) {
-	t.update(service, func(p *scheduler.Pace) {
-		p.Run = scheduler.Smooth(p.Run, took, newestPaceWeight)
-		p.Events = scheduler.Smooth(p.Events, float64(events), newestPaceWeight)
+	t.update(service, func(p *scheduler.EngineTiming) {
+		p.RunDuration = scheduler.Smooth(p.RunDuration, took, newestPaceWeight)
+		p.EventsPerRun = scheduler.Smooth(p.EventsPerRun, float64(events), newestPaceWeight)
 	})
 }
 
-func (t *paceTracker) update(service string, f func(*scheduler.Pace)) {
+func (t *paceTracker) update(service string, f func(*scheduler.EngineTiming)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.paces == nil {
-		t.paces = map[string]scheduler.Pace{}
+		t.paces = map[string]scheduler.EngineTiming{}
 	}
 	p := t.paces[service]
 	f(&p)
 	t.paces[service] = p
 }
 
-func (t *paceTracker) setAllVMs(told map[string]scheduler.Pace) {
+func (t *paceTracker) setAllVMs(told map[string]scheduler.EngineTiming) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.allVMs = told
 }
 
 // pace returns what all VMs observed, or what this VM did if nothing was reported yet.
-func (t *paceTracker) pace(service string) scheduler.Pace {
+func (t *paceTracker) pace(service string) scheduler.EngineTiming {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if p := t.allVMs[service]; p.Run > 0 {
+	if p := t.allVMs[service]; p.RunDuration > 0 {
 		return p
 	}
 	return t.paces[service]
 }
 
-func (t *paceTracker) all() map[string]scheduler.Pace {
+func (t *paceTracker) all() map[string]scheduler.EngineTiming {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]scheduler.Pace, len(t.paces))
+	out := make(map[string]scheduler.EngineTiming, len(t.paces))
 	for service, p := range t.paces {
 		out[service] = p
 	}
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -59,7 +59,7 @@
 		f := newFixture(t, engine("a"), engine("b"), engine("c"))
 		defer f.shutDown()
 		d := &scriptedPlacer{decide: func() (scheduler.Answer, bool) {
-			return scheduler.Answer{Outcome: scheduler.Granted, Number: 1, Server: "i2", Keeper: "i0"}, true
+			return scheduler.Answer{Outcome: scheduler.Granted, Number: 1, Server: "i2", BackupEngine: "i0"}, true
 		}}
 		f.setPlacer(d)
 		a := f.send(http.MethodPost, "/s/x", "q1", "unit 12")
@@ -200,7 +200,7 @@
 		f := newFixture(t, engine("a"))
 		defer f.shutDown()
 		f.shutdownTimeLeft = 3 * time.Second
-		f.handler.SetPaces(map[string]scheduler.Pace{"models": {PerToken: 125 * time.Microsecond, Run: 3 * time.Second, Events: 100}})
+		f.handler.SetPaces(map[string]scheduler.EngineTiming{"models": {PrefillPerToken: 125 * time.Microsecond, RunDuration: 3 * time.Second, EventsPerRun: 100}})
 		late := f.send(http.MethodPost, "/s/x", "q1", "unit 12")
 		<-late.done
 		if late.status != http.StatusServiceUnavailable || f.totalRuns("q1") != 0 {
--- a/internal/forward/probe.go
+++ b/internal/forward/probe.go
@@ -99,7 +99,7 @@
 
 func (p *prober) try(ctx context.Context, s *upstream.Server) probeResult {
 	r := upstream.Request{Method: http.MethodGet, URI: p.wire.ReportURI(), Host: s.Address, Header: http.Header{}}
-	resp, body, err := p.pool.Ask(ctx, s.ID, s.Address, &r)
+	resp, body, err := p.pool.Do(ctx, s.ID, s.Address, &r)
 	if err != nil {
 		return probeResult{}
 	}
@@ -135,7 +135,7 @@
 		defer close(found)
 		<-p.done
 		if !p.alive {
-			h.opts.Fleet.Dead(s)
+			h.opts.Fleet.MarkDead(s)
 			h.recordSuspectContent(q, s, forwarded)
 		}
 	}()
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -15,9 +15,9 @@
 type run struct {
 	st        *streamRelay
 	server    *upstream.Server
-	from      *Copy         // the copy that it resumes from; nil: none
-	use       placement.Use // counted at the engine
-	backupUse placement.Use // counted at the backup engine
+	from      *Copy           // the copy that it resumes from; nil: none
+	use       placement.Usage // counted at the engine
+	backupUse placement.Usage // counted at the backup engine
 	backup    backupState
 	died      <-chan struct{}
 	suspected <-chan struct{}
@@ -68,10 +68,10 @@
 // startRun sends the request to an engine and reserves memory for a copy at another.
 func (st *streamRelay) startRun(c engineChoice) *run {
 	h, s, from := st.h, c.server, c.from
-	r := &run{st: st, server: s, from: from, fromStart: !st.seq.started, died: h.opts.Fleet.Died(s), suspected: h.opts.Fleet.Doubted(s)}
-	r.use = placement.Use{Requests: 1, Tokens: st.need.Tokens(), Prompt: st.need.Prompt}
+	r := &run{st: st, server: s, from: from, fromStart: !st.seq.started, died: h.opts.Fleet.Died(s), suspected: h.opts.Fleet.Suspected(s)}
+	r.use = placement.Usage{Requests: 1, Tokens: st.need.Tokens(), PendingPrompt: st.need.Prompt}
 	if from != nil {
-		r.use.Prompt = 0
+		r.use.PendingPrompt = 0
 	}
 	h.opts.Fleet.Take(s, r.use)
 	send := Send{After: st.seq.last, HasAfter: st.seq.started, ResumeFrom: from}
@@ -123,7 +123,7 @@
 	log.Info().Str("request", st.q.RequestID).Str("route", st.q.route.Name).Str("engine", r.server.ID).
 		Str("zone", r.server.Zone).Str("keeper", backupID).Bool("from_copy", r.from != nil).Int("send", st.sends).
 		Uint64("after", st.seq.last).Int("tokens", st.need.Tokens()).Int("there", use.Requests).
-		Int("tokens_there", use.Tokens).Int("prompt_there", use.Prompt).Str("version", r.server.Version).Bool("granted", r.granted).Dur("waited", st.waited).
+		Int("tokens_there", use.Tokens).Int("prompt_there", use.PendingPrompt).Str("version", r.server.Version).Bool("granted", r.granted).Dur("waited", st.waited).
 		Dur("list_age", time.Since(h.opts.Fleet.AsOf())).Msg("stream placed")
 }
 
@@ -186,7 +186,7 @@
 	case p := <-r.backup.pending:
 		r.handleBackupOrdered(p)
 	case <-r.suspected:
-		r.suspected = r.st.h.opts.Fleet.Doubted(r.server)
+		r.suspected = r.st.h.opts.Fleet.Suspected(r.server)
 		r.startProbe()
 	case <-r.died:
 		return r.lost("engine judged dead"), true
@@ -253,16 +253,16 @@
 func (r *run) handleHead() (runEnd, bool) {
 	rep := &r.reply
 	if rep.answer.Load >= 0 {
-		r.st.h.opts.Fleet.Reported(r.server, rep.answer.Load)
+		r.st.h.opts.Fleet.SetReportedLoad(r.server, rep.answer.Load)
 	}
 	*rep = r.st.h.classifyReply(*rep)
 	switch {
 	case rep.outcome == sendRefused:
 		r.outcome = sendRefused
 		if rep.answer.WrongInstance {
-			r.st.h.opts.Fleet.Stale(r.server)
+			r.st.h.opts.Fleet.MarkStale(r.server)
 		} else if r.from == nil {
-			r.st.h.opts.Fleet.Full(r.server)
+			r.st.h.opts.Fleet.MarkFull(r.server)
 		}
 		return endNotRun, true
 	case rep.fault != noFault:
@@ -330,10 +330,10 @@
 	r.firstEventAt = time.Now()
 	r.st.h.opts.Rollouts.Book.End(r.ticket, false, fleet.Cold(r.server))
 	if r.granted && r.fromStart {
-		r.st.h.paces.notePrompt(r.st.q.service.Name, r.use.Prompt, r.firstEventAt.Sub(r.sentAt))
+		r.st.h.paces.notePrompt(r.st.q.service.Name, r.use.PendingPrompt, r.firstEventAt.Sub(r.sentAt))
 	}
-	fleet.Give(r.server, placement.Use{Prompt: r.use.Prompt})
-	r.use.Prompt = 0
+	fleet.Release(r.server, placement.Usage{PendingPrompt: r.use.PendingPrompt})
+	r.use.PendingPrompt = 0
 	r.st.h.opts.Placer.UseChanged()
 	fleet.Succeeded(r.server, 0)
 	r.st.h.activeRuns.put(r.st.q.RequestID, r.resumable())
@@ -383,9 +383,9 @@
 func (r *run) close(end runEnd) {
 	fleet := r.st.h.opts.Fleet
 	r.st.h.opts.Rollouts.Book.Drop(r.ticket)
-	fleet.Give(r.server, r.use)
+	fleet.Release(r.server, r.use)
 	if r.backup.current.engine != nil {
-		fleet.Give(r.backup.current.engine, r.backupUse)
+		fleet.Release(r.backup.current.engine, r.backupUse)
 	}
 	r.st.h.opts.Placer.UseChanged()
 	// Callers whose streams end with this VM's shutdown ask another router for the
--- a/internal/forward/run_silence.go
+++ b/internal/forward/run_silence.go
@@ -48,7 +48,7 @@
 
 func (r *run) currentSilence() silence {
 	s := silence{
-		duration: time.Since(r.lastHeard), engineHeardAgo: r.st.h.opts.Fleet.HeardAgo(r.server),
+		duration: time.Since(r.lastHeard), engineHeardAgo: r.st.h.opts.Fleet.SilentFor(r.server),
 		begun: r.forwarded > 0 || r.from != nil, moved: r.st.movedOffLive, hasCopy: r.backup.current.engine != nil && r.st.q.history.possibleRuns+1 < r.st.q.history.maxAttempts,
 		reportIsCurrent: r.reportIsCurrent, missingReports: r.missingReports,
 	}
@@ -94,7 +94,7 @@
 		if r.probeAgain() {
 			return 0, false
 		}
-		r.st.h.opts.Fleet.Dead(r.server)
+		r.st.h.opts.Fleet.MarkDead(r.server)
 		r.st.h.recordSuspectContent(r.st.q, r.server, r.forwarded)
 		return r.lost("engine does not answer"), true
 	}
@@ -133,7 +133,7 @@
 		return r.lost("engine does not have the run")
 	}
 	r.st.movedOffLive = true
-	r.st.h.opts.Fleet.Suspect(r.server)
+	r.st.h.opts.Fleet.Avoid(r.server)
 	return r.lost("silent too long on a live engine")
 }
 
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -198,7 +198,7 @@
 		<-a.done
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		use := f.fleet.Mine()
+		use := f.fleet.OwnUse()
 		if len(use) != 0 {
 			t.Errorf("got use %v after the caller left, want none", use)
 		}
@@ -338,7 +338,7 @@
 		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(1500 * time.Millisecond)
 		first := f.engineRunning("r1")
-		f.fleet.HearsayDead(f.killBackupEngines())
+		f.fleet.PeerReportedDead(f.killBackupEngines())
 		time.Sleep(1200 * time.Millisecond)
 		first.Set(routedengine.Dead)
 		a.requireCompleteStream(t, 100)
--- a/internal/forward/suspect_content.go
+++ b/internal/forward/suspect_content.go
@@ -13,7 +13,7 @@
 // seen by all VMs. It is safe for concurrent use.
 type SuspectContents struct {
 	mu        sync.Mutex
-	contents  *recovery.Contents
+	contents  *recovery.SuspectContents
 	newDeaths []recovery.Death // not reported to the other VMs yet
 }
 
@@ -22,13 +22,15 @@
 const maxNewDeaths = 64
 
 // NewSuspectContents returns a SuspectContents without any content.
-func NewSuspectContents() *SuspectContents { return &SuspectContents{contents: recovery.NewContents()} }
+func NewSuspectContents() *SuspectContents {
+	return &SuspectContents{contents: recovery.NewSuspectContents()}
+}
 
 // Quarantined reports whether a content must not start now, and until when.
 func (s *SuspectContents) Quarantined(digest uint64) (until time.Time, quarantined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.contents.Held(digest, time.Now())
+	return s.contents.Quarantined(digest, time.Now())
 }
 
 // IsSuspect reports whether a server died under a content that has not succeeded
@@ -43,7 +45,7 @@
 func (s *SuspectContents) ForbidsRetry(digest uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.contents.Kills(digest)
+	return s.contents.MustAbort(digest)
 }
 
 // AddDeath records that a server died while it ran a content.
@@ -51,7 +53,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.contents.Died(digest, server, now)
+	s.contents.ServerDied(digest, server, now)
 	if len(s.newDeaths) < maxNewDeaths {
 		s.newDeaths = append(s.newDeaths, recovery.Death{Digest: digest, Engine: server, At: now})
 	}
@@ -78,7 +80,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range deaths {
-		s.contents.Died(d.Digest, d.Engine, time.Now())
+		s.contents.ServerDied(d.Digest, d.Engine, time.Now())
 	}
 }
 
--- a/internal/forward/versions.go
+++ b/internal/forward/versions.go
@@ -15,13 +15,13 @@
 // its observations of them.
 type Rollouts struct {
 	State func() *rollout.State
-	Book  *rollout.Book
+	Book  *rollout.Recorder
 }
 
 // NewRollouts returns a Rollouts without any roll-out.
 func NewRollouts() *Rollouts {
 	none := &rollout.State{}
-	return &Rollouts{State: func() *rollout.State { return none }, Book: rollout.NewBook(time.Now)}
+	return &Rollouts{State: func() *rollout.State { return none }, Book: rollout.NewRecorder(time.Now)}
 }
 
 // chooseVersion chooses the version that a new request goes to.
@@ -36,7 +36,7 @@
 func (h *Handler) recheckVersion(q *request, failed bool) {
 	state := h.opts.Rollouts.State()
 	if failed && q.versionChoice.Target || !state.Allows(q.service.Name, q.versionChoice) {
-		q.versionChoice = state.Back(q.service.Name, q.versionChoice)
+		q.versionChoice = state.Fallback(q.service.Name, q.versionChoice)
 	}
 }
 
@@ -46,7 +46,7 @@
 	if !q.versionChoice.Target {
 		return false
 	}
-	back := h.opts.Rollouts.State().Back(q.service.Name, q.versionChoice)
+	back := h.opts.Rollouts.State().Fallback(q.service.Name, q.versionChoice)
 	if back.Only == q.versionChoice.Only {
 		return false
 	}
--- a/internal/forward/versions_test.go
+++ b/internal/forward/versions_test.go
@@ -163,11 +163,11 @@
 		f.setRollout("votes", rollout.Trial, 0.5)
 		f.sendCalls("/tally/1", 60)
 		l := rollout.NewLedger()
-		l.Note(1, f.book.Told(), time.Now())
+		l.Note(1, f.book.Reports(), time.Now())
 		e := l.Sum("votes", uint64(len("votes")), time.Now())
 		cell := rollout.Cell{Route: "tally"}
 		answered := 0
-		for _, servers := range []rollout.Servers{e.Former[cell], e.Target[cell]} {
+		for _, servers := range []rollout.CountsByServer{e.Former[cell], e.Target[cell]} {
 			for _, c := range servers {
 				answered += c.Answers
 			}
@@ -189,7 +189,7 @@
 		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(4 * time.Second)
 		l := rollout.NewLedger()
-		l.Note(1, f.book.Told(), time.Now())
+		l.Note(1, f.book.Reports(), time.Now())
 		e := l.Sum("models", uint64(len("models")), time.Now())
 		if c := e.Target[rollout.Cell{Route: "summary", Measure: rollout.Pace}]["i1"]; c.Answers != 1 {
 			t.Errorf("got observations %+v after four seconds, want one pace of i1", e.Target)
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -189,7 +189,7 @@
 	q.Leave(&t.item, false, time.Now())
 	a.metrics.Add("admission_expired", 1)
 	a.note(t.id, explain.Refused, "the deadline passed while it waited")
-	return result.New(result.DeadlinePassed).WithRetryAfter(max(time.Second, q.Wait(&t.item)))
+	return result.New(result.DeadlinePassed).WithRetryAfter(max(time.Second, q.EstimateWait(&t.item)))
 }
 
 // FirstToken implements relay.Ticket.
--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -33,8 +33,8 @@
 	// CallTime is how long a call takes there; 0: not known.
 	CallTime time.Duration
 	// Avoid and Slow are as a Candidate's.
-	Avoid bool
-	Slow  float64
+	Avoid    bool
+	Slowdown float64
 }
 
 const (
@@ -47,7 +47,7 @@
 // Server chooses for a call the server with the least load that is to be expected
 // for its slots; among equals, one in the VM's own zone; -1: there is no candidate. load
 // is the part of its slots that is then taken.
-func Server(all []CallCandidate, near string, rng func(n int) int) (i int, load float64) {
+func ChooseServer(all []CallCandidate, near string, rng func(n int) int) (i int, load float64) {
 	perSlot := othersPerSlot(all)
 	loads := make([]float64, len(all))
 	for i := range all {
@@ -79,7 +79,7 @@
 	slots := float64(max(1, c.Slots))
 	others := perSlot * slots
 	others += freshness(c) * (float64(c.Reported) - others)
-	load := (float64(c.Own) + others + 1) / slots * max(1, c.Slow)
+	load := (float64(c.Own) + others + 1) / slots * max(1, c.Slowdown)
 	if c.Avoid {
 		load += avoidCost
 	}
--- a/internal/placement/call_test.go
+++ b/internal/placement/call_test.go
@@ -22,7 +22,7 @@
 		{"by its slots", []CallCandidate{{Slots: 6, Own: 2}, {Slots: 60, Own: 8}}, 1},
 		{"near, among equals", []CallCandidate{{Slots: 6, Zone: "b"}, {Slots: 6, Zone: "a"}}, 1},
 		{"load before nearness", []CallCandidate{{Slots: 6, Zone: "b"}, {Slots: 6, Zone: "a", Own: 1}}, 0},
-		{"not the slow one", []CallCandidate{{Slots: 6, Zone: "a", Slow: 5}, {Slots: 6, Zone: "b", Slow: 1, Own: 1}}, 1},
+		{"not the slow one", []CallCandidate{{Slots: 6, Zone: "a", Slowdown: 5}, {Slots: 6, Zone: "b", Slowdown: 1, Own: 1}}, 1},
 		{"not the suspect", []CallCandidate{{Slots: 6, Zone: "a", Avoid: true}, {Slots: 6, Zone: "b", Own: 5}}, 1},
 		{"a suspect if alone", []CallCandidate{{Slots: 6, Avoid: true}}, 0},
 		{"a fresh report counts", []CallCandidate{{Slots: 6, Zone: "a", Reported: 6, CallTime: call}, {Slots: 6, Zone: "b", CallTime: call}}, 1},
@@ -32,7 +32,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got, _ := Server(tt.all, "a", func(int) int { return 0 }); got != tt.want {
+			if got, _ := ChooseServer(tt.all, "a", func(int) int { return 0 }); got != tt.want {
 				t.Errorf("chose %d, want %d", got, tt.want)
 			}
 		})
@@ -58,7 +58,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			placed := tt.load.meanWait(func(vm *callVM, rng *rand.Rand) int {
-				i, _ := Server(vm.candidates(), vm.zone, rng.IntN)
+				i, _ := ChooseServer(vm.candidates(), vm.zone, rng.IntN)
 				return i
 			})
 			byNews := tt.load.meanWait(placeByNews)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -24,23 +24,23 @@
 import "math"
 
 // Use is what runs on a backend server.
-type Use struct {
-	Requests int `cbor:"1,keyasint,omitempty"` // under way
-	Tokens   int `cbor:"2,keyasint,omitempty"` // memory, of runs and copies
-	Prompt   int `cbor:"3,keyasint,omitempty"` // prompt tokens that wait to be read
-	Copies   int `cbor:"4,keyasint,omitempty"` // of Tokens, those of copies
+type Usage struct {
+	Requests      int `cbor:"1,keyasint,omitempty"` // under way
+	Tokens        int `cbor:"2,keyasint,omitempty"` // memory, of runs and copies
+	PendingPrompt int `cbor:"3,keyasint,omitempty"` // prompt tokens that wait to be read
+	Copies        int `cbor:"4,keyasint,omitempty"` // of Tokens, those of copies
 }
 
 // Add returns the sum.
-func (u Use) Add(o Use) Use {
-	return Use{u.Requests + o.Requests, u.Tokens + o.Tokens, u.Prompt + o.Prompt, u.Copies + o.Copies}
+func (u Usage) Add(o Usage) Usage {
+	return Usage{u.Requests + o.Requests, u.Tokens + o.Tokens, u.PendingPrompt + o.PendingPrompt, u.Copies + o.Copies}
 }
 
 // Negative returns what takes u off a sum.
-func (u Use) Negative() Use { return Use{-u.Requests, -u.Tokens, -u.Prompt, -u.Copies} }
+func (u Usage) Negated() Usage { return Usage{-u.Requests, -u.Tokens, -u.PendingPrompt, -u.Copies} }
 
 // CopyUse is what the copy of a run takes of the engine that keeps it.
-func CopyUse(n Need) Use { return Use{Tokens: n.Tokens(), Copies: n.Tokens()} }
+func CopyUsage(n Need) Usage { return Usage{Tokens: n.Tokens(), Copies: n.Tokens()} }
 
 // Candidate is a backend server as a VM knows it at the moment of a choice.
 type Candidate struct {
@@ -48,17 +48,17 @@
 	Zone     string
 	Slots    int
 	KVTokens int // memory; 0: no model engine
-	Use      Use
+	Usage    Usage
 	// Avoid: suspected, failing or known to be full. It is taken only where
 	// nothing else is left.
 	Avoid bool
 	// Turn is this VM's place in the line of those that may turn to the server; 0:
 	// it is at home there.
-	Turn int
+	RendezvousRank int
 	// Far: it is in another zone than the VM that carries the request.
-	Far bool
+	OtherZone bool
 	// Slow is how much longer its work takes than its neighbours'; 1 is usual.
-	Slow float64
+	Slowdown float64
 }
 
 // Need is what a request will take of an engine.
@@ -102,12 +102,12 @@
 
 // streamCost is the delay that a stream meets, and brings about, at a candidate.
 func streamCost(c *Candidate, n Need) float64 {
-	cost := float64(c.Use.Prompt)/promptPerMS + perRequest*float64(c.Use.Requests)
-	if c.Slow > 1 {
-		cost = (cost + float64(n.Prompt)/promptPerMS) * c.Slow
+	cost := float64(c.Usage.PendingPrompt)/promptPerMS + perRequest*float64(c.Usage.Requests)
+	if c.Slowdown > 1 {
+		cost = (cost + float64(n.Prompt)/promptPerMS) * c.Slowdown
 	}
-	cost += memoryCost(c, n) + awayCost*float64(c.Turn)
-	if c.Far {
+	cost += memoryCost(c, n) + awayCost*float64(c.RendezvousRank)
+	if c.OtherZone {
 		cost += farCost
 	}
 	if c.Avoid {
@@ -121,12 +121,12 @@
 	if c.KVTokens == 0 {
 		return 0
 	}
-	taken := float64(c.Use.Tokens + n.Tokens())
+	taken := float64(c.Usage.Tokens + n.Tokens())
 	return fullCost * max(0, taken/float64(c.KVTokens)-fullShare)
 }
 
 // Engine chooses for a stream; -1: there is no candidate.
-func Engine(all []Candidate, n Need, rng func(n int) int) int {
+func ChooseEngine(all []Candidate, n Need, rng func(n int) int) int {
 	return cheapest(all, rng, func(c *Candidate) (float64, bool) { return streamCost(c, n), true })
 }
 
@@ -136,12 +136,12 @@
 
 // Copy chooses the engine that keeps a copy of a run: in another zone than the
 // run, since a zone's engines die together. -1: none has room.
-func Copy(all []Candidate, zone string, n Need, rng func(n int) int) int {
+func ChooseBackupEngine(all []Candidate, zone string, n Need, rng func(n int) int) int {
 	return cheapest(all, rng, func(c *Candidate) (float64, bool) {
-		room := float64(c.Use.Tokens+n.Tokens()) <= copyShare*float64(c.KVTokens)
+		room := float64(c.Usage.Tokens+n.Tokens()) <= copyShare*float64(c.KVTokens)
 		ok := c.Zone != zone && !c.Avoid && room
-		cost := 1000 * float64(c.Use.Tokens) / float64(max(1, c.KVTokens))
-		if c.Turn > 0 {
+		cost := 1000 * float64(c.Usage.Tokens) / float64(max(1, c.KVTokens))
+		if c.RendezvousRank > 0 {
 			cost += awayCost / 2
 		}
 		return cost, ok
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,7 +10,7 @@
 	var out []Candidate
 	for _, zone := range []string{"a", "b", "c"} {
 		for range perZone {
-			out = append(out, Candidate{Zone: zone, Slots: 64, KVTokens: 88_000, Slow: 1})
+			out = append(out, Candidate{Zone: zone, Slots: 64, KVTokens: 88_000, Slowdown: 1})
 		}
 	}
 	return out
@@ -27,9 +27,9 @@
 	random := map[int]int{}
 	baseline := rand.New(rand.NewPCG(7, 7))
 	for range 36 {
-		i := Engine(all, need, rng.IntN)
-		all[i].Use = all[i].Use.Add(Use{Requests: 1, Tokens: need.Tokens(), Prompt: need.Prompt})
-		most = max(most, all[i].Use.Requests)
+		i := ChooseEngine(all, need, rng.IntN)
+		all[i].Usage = all[i].Usage.Add(Usage{Requests: 1, Tokens: need.Tokens(), PendingPrompt: need.Prompt})
+		most = max(most, all[i].Usage.Requests)
 		k := baseline.IntN(len(all))
 		random[k]++
 		mostRandom = max(mostRandom, random[k])
@@ -47,18 +47,18 @@
 	need := Need{Prompt: 8000, Output: 1000}
 	kept := map[string]int{}
 	for range 70 {
-		i := Engine(all, need, rng.IntN)
-		all[i].Use = all[i].Use.Add(Use{Requests: 1, Tokens: need.Tokens()})
-		k := Copy(all, all[i].Zone, need, rng.IntN)
+		i := ChooseEngine(all, need, rng.IntN)
+		all[i].Usage = all[i].Usage.Add(Usage{Requests: 1, Tokens: need.Tokens()})
+		k := ChooseBackupEngine(all, all[i].Zone, need, rng.IntN)
 		if k < 0 || all[k].Zone == all[i].Zone {
 			t.Fatalf("copy of a run in zone %s at %d", all[i].Zone, k)
 		}
-		all[k].Use = all[k].Use.Add(Use{Tokens: need.Tokens()})
+		all[k].Usage = all[k].Usage.Add(Usage{Tokens: need.Tokens()})
 		kept[all[k].Zone]++
 	}
 	for i := range all {
-		if all[i].Use.Tokens > 6*need.Tokens() {
-			t.Errorf("engine %d holds %d tokens", i, all[i].Use.Tokens)
+		if all[i].Usage.Tokens > 6*need.Tokens() {
+			t.Errorf("engine %d holds %d tokens", i, all[i].Usage.Tokens)
 		}
 	}
 	for zone, n := range kept {
@@ -76,15 +76,15 @@
 		want int
 	}{
 		{"none", nil, -1},
-		{"the one without a prompt", []Candidate{{KVTokens: 88_000, Use: Use{Prompt: 8000}}, {KVTokens: 88_000, Use: Use{Requests: 3}}}, 1},
-		{"the one with room", []Candidate{{KVTokens: 88_000, Use: Use{Tokens: 85_000}}, {KVTokens: 88_000, Use: Use{Requests: 9}}}, 1},
-		{"a suspect only if alone", []Candidate{{KVTokens: 88_000, Avoid: true}, {KVTokens: 88_000, Use: Use{Tokens: 85_000, Requests: 9}}}, 1},
+		{"the one without a prompt", []Candidate{{KVTokens: 88_000, Usage: Usage{PendingPrompt: 8000}}, {KVTokens: 88_000, Usage: Usage{Requests: 3}}}, 1},
+		{"the one with room", []Candidate{{KVTokens: 88_000, Usage: Usage{Tokens: 85_000}}, {KVTokens: 88_000, Usage: Usage{Requests: 9}}}, 1},
+		{"a suspect only if alone", []Candidate{{KVTokens: 88_000, Avoid: true}, {KVTokens: 88_000, Usage: Usage{Tokens: 85_000, Requests: 9}}}, 1},
 		{"alone", []Candidate{{KVTokens: 88_000, Avoid: true}}, 0},
-		{"not the slow one", []Candidate{{KVTokens: 88_000, Slow: 4}, {KVTokens: 88_000, Slow: 1, Use: Use{Requests: 2}}}, 1},
+		{"not the slow one", []Candidate{{KVTokens: 88_000, Slowdown: 4}, {KVTokens: 88_000, Slowdown: 1, Usage: Usage{Requests: 2}}}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := Engine(tt.all, need, func(int) int { return 0 }); got != tt.want {
+			if got := ChooseEngine(tt.all, need, func(int) int { return 0 }); got != tt.want {
 				t.Errorf("chose %d, want %d", got, tt.want)
 			}
 		})
@@ -107,15 +107,15 @@
 		for _, vm := range vms {
 			all := engines(8)
 			for i := range all {
-				all[i].Use.Requests = 2 + i%2
+				all[i].Usage.Requests = 2 + i%2
 				if homes {
-					all[i].Turn = Turn(fmt.Sprint("i-", i), vm, vms)
+					all[i].RendezvousRank = RendezvousRank(fmt.Sprint("i-", i), vm, vms)
 				}
 			}
-			all[5].Use, all[11].Use = Use{}, Use{}
+			all[5].Usage, all[11].Usage = Usage{}, Usage{}
 			for range 2 {
-				i := Engine(all, need, rng.IntN)
-				all[i].Use = all[i].Use.Add(Use{Requests: 1, Prompt: need.Prompt, Tokens: need.Tokens()})
+				i := ChooseEngine(all, need, rng.IntN)
+				all[i].Usage = all[i].Usage.Add(Usage{Requests: 1, PendingPrompt: need.Prompt, Tokens: need.Tokens()})
 				prompts[i]++
 			}
 		}
@@ -142,11 +142,11 @@
 	for vm := range vms {
 		all := engines(10)
 		for i := range all {
-			all[i].Use = Use{Requests: 6, Tokens: 72_000 + 200*(i%10)}
-			all[i].Turn = (i + vm) % vms
+			all[i].Usage = Usage{Requests: 6, Tokens: 72_000 + 200*(i%10)}
+			all[i].RendezvousRank = (i + vm) % vms
 		}
-		all[17].Use.Tokens = 70_000
-		taken[Engine(all, need, rng.IntN)]++
+		all[17].Usage.Tokens = 70_000
+		taken[ChooseEngine(all, need, rng.IntN)]++
 	}
 	most := 0
 	for _, n := range taken {
@@ -173,14 +173,14 @@
 		for _, vm := range vms {
 			all := engines(60)
 			for i := range all {
-				all[i].Use = Use{Requests: 3, Tokens: 30_000, Prompt: 8000}
-				all[i].Turn = Turn(fmt.Sprint("i-", i), vm, vms)
+				all[i].Usage = Usage{Requests: 3, Tokens: 30_000, PendingPrompt: 8000}
+				all[i].RendezvousRank = RendezvousRank(fmt.Sprint("i-", i), vm, vms)
 				if alike {
-					all[i].Turn = min(1, all[i].Turn)
+					all[i].RendezvousRank = min(1, all[i].RendezvousRank)
 				}
 			}
-			all[5].Use, all[71].Use, all[140].Use = Use{}, Use{}, Use{}
-			prompts[Engine(all, need, rng.IntN)]++
+			all[5].Usage, all[71].Usage, all[140].Usage = Usage{}, Usage{}, Usage{}
+			prompts[ChooseEngine(all, need, rng.IntN)]++
 		}
 		n := 0
 		for _, i := range []int{5, 71, 140} {
@@ -201,10 +201,10 @@
 	need := Need{Prompt: 5000, Output: 1000}
 	place := func(zone string, prompt int) string {
 		for i := range all {
-			all[i].Far = all[i].Zone != zone
+			all[i].OtherZone = all[i].Zone != zone
 		}
-		i := Engine(all, need, rng.IntN)
-		all[i].Use = all[i].Use.Add(Use{Requests: 1, Tokens: need.Tokens(), Prompt: prompt})
+		i := ChooseEngine(all, need, rng.IntN)
+		all[i].Usage = all[i].Usage.Add(Usage{Requests: 1, Tokens: need.Tokens(), PendingPrompt: prompt})
 		return all[i].Zone
 	}
 	crossed := 0
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -4,7 +4,7 @@
 
 // Turn returns the place of a VM in a server's line, by rendezvous hashing: a VM
 // that comes or goes moves those behind it by one, and nothing else.
-func Turn(server, vm string, vms []string) int {
+func RendezvousRank(server, vm string, vms []string) int {
 	own, turn := weight(server, vm), 0
 	for _, other := range vms {
 		if weight(server, other) > own {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -12,21 +12,21 @@
 // while 300 streams of 70 VMs wait.
 func BenchmarkToldUnderLoad(b *testing.B) {
 	s, now := book(40), time.Unix(0, 0)
-	use := map[string]placement.Use{}
+	use := map[string]placement.Usage{}
 	for id := range s.servers {
-		use[id] = placement.Use{Requests: 1, Prompt: 8000, Tokens: 8600}
+		use[id] = placement.Usage{Requests: 1, PendingPrompt: 8000, Tokens: 8600}
 	}
-	s.Told("others", Report{Use: use}, now)
+	s.ReceiveReport("others", Report{Usage: use}, now)
 	for i := range 300 {
 		st := stream(fmt.Sprint(i), now)
 		st.VM = fmt.Sprint("vm", i%70)
-		s.Ask(st, now)
+		s.Enqueue(st, now)
 	}
-	own := Report{Use: map[string]placement.Use{"a1": {Requests: 1, Prompt: 8000}, "b1": {Requests: 1, Prompt: 8000}}}
+	own := Report{Usage: map[string]placement.Usage{"a1": {Requests: 1, PendingPrompt: 8000}, "b1": {Requests: 1, PendingPrompt: 8000}}}
 	b.ReportAllocs()
 	for i := range b.N {
-		s.Told(fmt.Sprint("vm", i%70), own, now)
-		s.Run(now)
+		s.ReceiveReport(fmt.Sprint("vm", i%70), own, now)
+		s.Decide(now)
 	}
 }
 
@@ -36,8 +36,8 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		st := stream(fmt.Sprint(i), now)
-		s.Ask(st, now)
-		d := s.Run(now)
-		s.Told("vm", Report{Taken: d[0].Number}, now)
+		s.Enqueue(st, now)
+		d := s.Decide(now)
+		s.ReceiveReport("vm", Report{LastGrant: d[0].Number}, now)
 	}
 }
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -53,7 +53,7 @@
 	for _, id := range r.Avoid {
 		s.opinionsOf(id).avoid += by
 	}
-	for _, id := range r.Doubt {
+	for _, id := range r.Suspected {
 		o := s.opinionsOf(id)
 		if o.doubt == 0 {
 			o.doubtedAt = now
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -22,7 +22,7 @@
 			vm := fmt.Sprint("vm", rapid.IntRange(0, 3).Draw(t, "vm"))
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				s.Told(vm, Report{Avoid: some("avoid"), Doubt: some("doubt")}, now)
+				s.ReceiveReport(vm, Report{Avoid: some("avoid"), Suspected: some("doubt")}, now)
 			case 2:
 				s.Forget(vm)
 			case 3:
@@ -60,7 +60,7 @@
 				o.avoid++
 			}
 		}
-		for _, other := range v.report.Doubt {
+		for _, other := range v.report.Suspected {
 			if other == id {
 				o.doubt++
 			}
--- a/internal/scheduler/memory.go
+++ b/internal/scheduler/memory.go
@@ -55,7 +55,7 @@
 var anyVersion waiter
 
 // Short names the services whose memory is needed for prompts: no copies are ordered.
-func (s *Scheduler) Short(now time.Time) []string {
+func (s *Scheduler) ShortOfMemory(now time.Time) []string {
 	h := s.health(now)
 	var out []string
 	for name, v := range s.services {
@@ -78,7 +78,7 @@
 		}
 	}
 	r.v.able, r.v.candidates = able, candidates
-	if i := placement.Copy(candidates, e.Zone, w.Need, rng); i >= 0 {
+	if i := placement.ChooseBackupEngine(candidates, e.Zone, w.Need, rng); i >= 0 {
 		return able[i]
 	}
 	return nil
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -6,13 +6,13 @@
 )
 
 // Pace is what is observed of a service's engines.
-type Pace struct {
+type EngineTiming struct {
 	// PerToken is how long an engine reads one token of a prompt; 0: not observed.
-	PerToken time.Duration `cbor:"1,keyasint,omitempty"`
+	PrefillPerToken time.Duration `cbor:"1,keyasint,omitempty"`
 	// Run is how long a run takes from its first event to its end; 0: not observed.
-	Run time.Duration `cbor:"2,keyasint,omitempty"`
+	RunDuration time.Duration `cbor:"2,keyasint,omitempty"`
 	// Events is how many events a whole run has; 0: not observed.
-	Events float64 `cbor:"3,keyasint,omitempty"`
+	EventsPerRun float64 `cbor:"3,keyasint,omitempty"`
 }
 
 const (
@@ -29,10 +29,10 @@
 )
 
 // Paces are what all VMs together observed of each service's engines.
-func (s *Scheduler) Paces() map[string]Pace {
-	out := make(map[string]Pace, len(s.services))
+func (s *Scheduler) EngineTimings() map[string]EngineTiming {
+	out := make(map[string]EngineTiming, len(s.services))
 	for name, v := range s.services {
-		if v.pace != (Pace{}) {
+		if v.pace != (EngineTiming{}) {
 			out[name] = v.pace
 		}
 	}
@@ -40,10 +40,10 @@
 }
 
 // learn takes one VM's observation into the mean.
-func (p *Pace) learn(o Pace) {
-	p.PerToken = Smooth(p.PerToken, o.PerToken, paceWeight)
-	p.Run = Smooth(p.Run, o.Run, paceWeight)
-	p.Events = Smooth(p.Events, o.Events, paceWeight)
+func (p *EngineTiming) learn(o EngineTiming) {
+	p.PrefillPerToken = Smooth(p.PrefillPerToken, o.PrefillPerToken, paceWeight)
+	p.RunDuration = Smooth(p.RunDuration, o.RunDuration, paceWeight)
+	p.EventsPerRun = Smooth(p.EventsPerRun, o.EventsPerRun, paceWeight)
 }
 
 // Smooth moves a mean towards what was seen, by a weight in (0, 1]. The first that was
@@ -59,8 +59,8 @@
 }
 
 // reading is how long an engine takes to read a number of tokens.
-func (p Pace) reading(tokens int) time.Duration {
-	per := p.PerToken
+func (p EngineTiming) reading(tokens int) time.Duration {
+	per := p.PrefillPerToken
 	if per <= 0 {
 		per = startPerToken
 	}
@@ -69,19 +69,19 @@
 
 // Lasts is how long a stream takes whose run is so many times as long as the mean, and
 // whose caller has some events; 0: not known.
-func (p Pace) Lasts(prompt, after int, times float64) time.Duration {
-	if p.Run <= 0 {
+func (p EngineTiming) ExpectedDuration(prompt, after int, times float64) time.Duration {
+	if p.RunDuration <= 0 {
 		return 0
 	}
-	return p.reading(prompt) + time.Duration(times*p.rest(after)*float64(p.Run))
+	return p.reading(prompt) + time.Duration(times*p.rest(after)*float64(p.RunDuration))
 }
 
 // rest is the share of a run that is still to be made where its caller has some events.
-func (p Pace) rest(after int) float64 {
-	if after == 0 || p.Events <= 0 {
+func (p EngineTiming) rest(after int) float64 {
+	if after == 0 || p.EventsPerRun <= 0 {
 		return 1
 	}
-	return max(leastRest, 1-float64(after)/p.Events)
+	return max(leastRest, 1-float64(after)/p.EventsPerRun)
 }
 
 // leastRest is for runs that are longer than usual.
@@ -111,7 +111,7 @@
 
 // held is the memory that runs will hold at the present rate of arrivals, in tokens:
 // the rate times how long a run keeps its memory (Little's law).
-func (d *demand) held(now time.Time, p Pace) float64 {
+func (d *demand) held(now time.Time, p EngineTiming) float64 {
 	d.expire(now)
 	sum := 0
 	for _, n := range d.tokens {
@@ -120,7 +120,7 @@
 	if len(d.at) == 0 {
 		return 0
 	}
-	hold := p.reading(sum/len(d.at)) + p.Run
+	hold := p.reading(sum/len(d.at)) + p.RunDuration
 	return float64(sum) / window.Seconds() * hold.Seconds()
 }
 
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -59,7 +59,7 @@
 	if r.usable > 0 && r.health.lost(e) || e.Slots > 0 && e.use.Requests >= e.Slots {
 		return false
 	}
-	return r.v.pace.reading(e.use.Prompt) <= openReading
+	return r.v.pace.reading(e.use.PendingPrompt) <= openReading
 }
 
 // close takes an engine off those that could begin.
@@ -80,7 +80,7 @@
 		}
 	}
 	r.v.able, r.v.candidates = able, candidates
-	i := placement.Engine(candidates, w.Need, rng)
+	i := placement.ChooseEngine(candidates, w.Need, rng)
 	if i < 0 {
 		r.reserve(w)
 		return nil
@@ -92,7 +92,7 @@
 // there. That it reads another prompt is no matter: there is nothing to be read.
 func (r *round) cached(w *waiter) *server {
 	for _, e := range r.servers {
-		if e.ID == w.Cached && r.takes(e, w) && r.fits(e, w) {
+		if e.ID == w.CachedEngine && r.takes(e, w) && r.fits(e, w) {
 			return e
 		}
 	}
@@ -106,7 +106,7 @@
 
 // takes reports whether an engine may have a stream at all, now or later.
 func (r *round) takes(e *server, w *waiter) bool {
-	return w.of(e) && !slices.Contains(w.Skip, e.ID) && !r.avoids(w, e) && (w.Part == 0 || r.few(w)[e.ID])
+	return w.of(e) && !slices.Contains(w.ExcludedEngines, e.ID) && !r.avoids(w, e) && (w.VersionShare == 0 || r.few(w)[e.ID])
 }
 
 // of reports whether an engine is of the version that may have a stream.
@@ -130,7 +130,7 @@
 	}
 	slices.Sort(ids)
 	out := map[string]bool{}
-	for _, id := range ids[:min(len(ids), rollout.Few(w.Part, others))] {
+	for _, id := range ids[:min(len(ids), rollout.TrialServers(w.VersionShare, others))] {
 		out[id] = true
 	}
 	if r.fews == nil {
@@ -144,8 +144,8 @@
 
 func (r *round) candidate(e *server, w *waiter) placement.Candidate {
 	return placement.Candidate{
-		ID: e.ID, Zone: e.Zone, Slots: e.Slots, KVTokens: w.KVTokens, Use: e.use, Slow: r.slowness(e),
-		Far: w.Zone != "" && w.Zone != e.Zone,
+		ID: e.ID, Zone: e.Zone, Slots: e.Slots, KVTokens: w.KVTokens, Usage: e.use, Slowdown: r.slowness(e),
+		OtherZone: w.Zone != "" && w.Zone != e.Zone,
 	}
 }
 
@@ -211,7 +211,7 @@
 // fastest is the least time that a stream needs from the moment at which an engine
 // begins with it.
 func (r *round) fastest(w *waiter) time.Duration {
-	run := time.Duration(quickRun * r.v.pace.rest(w.After) * float64(r.v.pace.Run))
+	run := time.Duration(quickRun * r.v.pace.rest(w.EventsReceived) * float64(r.v.pace.RunDuration))
 	if r.cached(w) != nil {
 		return run
 	}
@@ -247,7 +247,7 @@
 	servers := r.count(w)
 	rate := float64(servers) / reading
 	if w.KVTokens > 0 {
-		hold := reading + quickRun*r.v.pace.Run.Seconds()
+		hold := reading + quickRun*r.v.pace.RunDuration.Seconds()
 		rate = min(rate, float64(servers*w.KVTokens)/float64(max(1, w.Need.Tokens()))/hold)
 	}
 	return max(rate, leastRate)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -48,18 +48,18 @@
 	Need      placement.Need `cbor:"5,keyasint"`
 	Priority  int            `cbor:"6,keyasint,omitempty"` // 0 is the first
 	// Interrupted: its caller has a part of the answer, and sees it stand still.
-	Interrupted bool     `cbor:"7,keyasint,omitempty"`
-	Skip        []string `cbor:"8,keyasint,omitempty"` // engines that refused it, or that it lost
+	Interrupted     bool     `cbor:"7,keyasint,omitempty"`
+	ExcludedEngines []string `cbor:"8,keyasint,omitempty"` // engines that refused it, or that it lost
 	// WantsCopy: a copy of the run's memory in another zone can be used.
 	WantsCopy bool `cbor:"9,keyasint,omitempty"`
 	// Cached is the engine that has probably kept the prompt; empty: none is known.
-	Cached string `cbor:"10,keyasint,omitempty"`
+	CachedEngine string `cbor:"10,keyasint,omitempty"`
 	// After is how many events its caller has.
-	After int `cbor:"11,keyasint,omitempty"`
+	EventsReceived int `cbor:"11,keyasint,omitempty"`
 	// Version of the engines that may have it, and its copy; empty: any. Part of them, by
 	// id, has all such streams; 0: all of them.
-	Version string  `cbor:"12,keyasint,omitempty"`
-	Part    float64 `cbor:"13,keyasint,omitempty"`
+	Version      string  `cbor:"12,keyasint,omitempty"`
+	VersionShare float64 `cbor:"13,keyasint,omitempty"`
 	// Zone of the VM that carries it; empty: not stated.
 	Zone string `cbor:"14,keyasint,omitempty"`
 
@@ -90,23 +90,23 @@
 type Answer struct {
 	Outcome Outcome `cbor:"1,keyasint"`
 	// Number of a grant, growing; the VM names the last that it acted on.
-	Number uint64 `cbor:"2,keyasint,omitempty"`
-	Server string `cbor:"3,keyasint,omitempty"`
-	Keeper string `cbor:"4,keyasint,omitempty"` // of the copy; empty: none is to be kept now
+	Number       uint64 `cbor:"2,keyasint,omitempty"`
+	Server       string `cbor:"3,keyasint,omitempty"`
+	BackupEngine string `cbor:"4,keyasint,omitempty"` // of the copy; empty: none is to be kept now
 	// RetryAfter of a refusal.
 	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
 // Report is what a VM tells of itself.
 type Report struct {
-	Use map[string]placement.Use // of engines, all that it has running
+	Usage map[string]placement.Usage // of engines, all that it has running
 	// Taken is the number of the last grant that Use includes.
-	Taken uint64
+	LastGrant uint64
 	// Avoid names engines that it cannot use now, as it found itself; Doubt those that
 	// it takes for lost with their neighbours; Alive those that it heard just now.
-	Avoid, Doubt, Alive []string
+	Avoid, Suspected, Alive []string
 	// Paces are what it observed of each service's engines.
-	Paces map[string]Pace
+	EngineTimings map[string]EngineTiming
 }
 
 const (
@@ -136,7 +136,7 @@
 
 type server struct {
 	Server
-	use      placement.Use // of all VMs, grants that were not told of included
+	use      placement.Usage // of all VMs, grants that were not told of included
 	opinions *opinions
 	// aliveAt is when a VM last said that it had heard it.
 	aliveAt time.Time
@@ -150,7 +150,7 @@
 	waiting []*waiter
 	// kvTokens is the memory of an engine as the last stream stated it; 0: not known.
 	kvTokens int
-	pace     Pace
+	pace     EngineTiming
 	demand   demand
 	drain    drain
 	flows    map[string]*flow // by workspace
@@ -187,7 +187,7 @@
 
 type serverUse struct {
 	server string
-	use    placement.Use
+	use    placement.Usage
 }
 
 // New returns a Scheduler that knows no servers. rng draws from [0, n).
@@ -228,10 +228,10 @@
 }
 
 // useOf sums what is known of a server that was not on the list.
-func (s *Scheduler) useOf(id string) placement.Use {
-	var sum placement.Use
+func (s *Scheduler) useOf(id string) placement.Usage {
+	var sum placement.Usage
 	for _, v := range s.vms {
-		sum = sum.Add(v.report.Use[id])
+		sum = sum.Add(v.report.Usage[id])
 	}
 	for _, g := range s.grants {
 		for _, u := range g.uses {
@@ -243,35 +243,35 @@
 	return sum
 }
 
-func (s *Scheduler) add(id string, u placement.Use) {
+func (s *Scheduler) add(id string, u placement.Usage) {
 	if v := s.servers[id]; v != nil {
 		v.use = v.use.Add(u)
 	}
 }
 
 // Told takes what a VM tells of itself in place of what it told before.
-func (s *Scheduler) Told(name string, r Report, now time.Time) {
+func (s *Scheduler) ReceiveReport(name string, r Report, now time.Time) {
 	v := s.vms[name]
 	if v == nil {
 		v = &vm{}
 		s.vms[name] = v
 	}
-	for id, u := range v.report.Use {
-		s.add(id, u.Negative())
+	for id, u := range v.report.Usage {
+		s.add(id, u.Negated())
 	}
-	for id, u := range r.Use {
+	for id, u := range r.Usage {
 		s.add(id, u)
 	}
-	former := v.report.Use
+	former := v.report.Usage
 	// The new word first: an engine that is doubted before and after is doubted on.
 	s.countOpinions(&r, 1, now)
 	s.dropWord(v, now)
 	v.report, v.at, v.counts = r, now, true
 	s.noteAlive(r.Alive, now)
-	for name, p := range r.Paces {
+	for name, p := range r.EngineTimings {
 		s.service(name).pace.learn(p)
 	}
-	s.dropGrants(func(g *grant) bool { return g.vm == name && g.number <= r.Taken })
+	s.dropGrants(func(g *grant) bool { return g.vm == name && g.number <= r.LastGrant })
 	for id := range former {
 		if e := s.servers[id]; e != nil {
 			e.endReading(now)
@@ -285,8 +285,8 @@
 	if v == nil {
 		return
 	}
-	for id, u := range v.report.Use {
-		s.add(id, u.Negative())
+	for id, u := range v.report.Usage {
+		s.add(id, u.Negated())
 	}
 	s.dropWord(v, v.at)
 	delete(s.vms, name)
@@ -305,19 +305,19 @@
 			continue
 		}
 		for _, u := range g.uses {
-			s.add(u.server, u.use.Negative())
+			s.add(u.server, u.use.Negated())
 		}
 	}
 	s.grants = kept
 }
 
 // Ask has a stream wait for an engine. One that waits already keeps its place.
-func (s *Scheduler) Ask(st Stream, now time.Time) {
+func (s *Scheduler) Enqueue(st Stream, now time.Time) {
 	v := s.service(st.Service)
 	v.kvTokens = st.KVTokens
 	for _, w := range v.waiting {
 		if w.ID == st.ID {
-			w.Skip, w.After, w.Version, w.Part, w.askedAt = st.Skip, st.After, st.Version, st.Part, now
+			w.ExcludedEngines, w.EventsReceived, w.Version, w.VersionShare, w.askedAt = st.ExcludedEngines, st.EventsReceived, st.Version, st.VersionShare, now
 			return
 		}
 	}
@@ -327,7 +327,7 @@
 }
 
 // Waits reports whether streams wait.
-func (s *Scheduler) Waits() bool {
+func (s *Scheduler) HasWaiting() bool {
 	for _, v := range s.services {
 		if len(v.waiting) > 0 {
 			return true
@@ -337,7 +337,7 @@
 }
 
 // Run decides about all streams that can be decided now.
-func (s *Scheduler) Run(now time.Time) []Decision {
+func (s *Scheduler) Decide(now time.Time) []Decision {
 	s.dropGrants(func(g *grant) bool { return now.Sub(g.at) > grantFor })
 	h := s.health(now)
 	var out []Decision
@@ -401,13 +401,13 @@
 // grant gives a stream its engine and, where memory allows, a copy its keeper.
 func (s *Scheduler) grant(w *waiter, r *round, e *server, d *Decision) {
 	s.number++
-	run := placement.Use{Requests: 1, Tokens: w.Need.Tokens(), Prompt: w.Need.Prompt}
+	run := placement.Usage{Requests: 1, Tokens: w.Need.Tokens(), PendingPrompt: w.Need.Prompt}
 	g := grant{vm: w.VM, number: s.number, at: r.now, uses: []serverUse{{e.ID, run}}}
 	d.Outcome, d.Number, d.Server = Granted, s.number, e.ID
 	if w.WantsCopy {
 		if k := r.keeper(w, e, s.rng); k != nil {
-			d.Keeper = k.ID
-			g.uses = append(g.uses, serverUse{k.ID, placement.CopyUse(w.Need)})
+			d.BackupEngine = k.ID
+			g.uses = append(g.uses, serverUse{k.ID, placement.CopyUsage(w.Need)})
 		}
 	}
 	e.beginReading(w.Need.Prompt, r.now)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -142,23 +142,23 @@
 func TestEngineReadsOnePromptAtATime(t *testing.T) {
 	s, now := book(1), time.Unix(0, 0)
 	for _, id := range []string{"1", "2", "3", "4"} {
-		s.Ask(stream(id, now), now)
+		s.Enqueue(stream(id, now), now)
 	}
-	got := decisions(s.Run(now))
+	got := decisions(s.Decide(now))
 	used := map[string]bool{}
 	for _, d := range got {
 		used[d.Server] = true
-		if d.Keeper == "" || d.Keeper[0] == d.Server[0] {
-			t.Errorf("copy of a run on %s at %q", d.Server, d.Keeper)
+		if d.BackupEngine == "" || d.BackupEngine[0] == d.Server[0] {
+			t.Errorf("copy of a run on %s at %q", d.Server, d.BackupEngine)
 		}
 	}
-	if len(got) != 3 || len(used) != 3 || !s.Waits() {
+	if len(got) != 3 || len(used) != 3 || !s.HasWaiting() {
 		t.Fatalf("decided %v", got)
 	}
-	s.Told("vm", Report{Taken: 3, Use: map[string]placement.Use{
-		"a0": {Requests: 1, Tokens: 8600, Prompt: 8000}, "b0": {Requests: 1, Tokens: 8600}, "c0": {Requests: 1, Tokens: 8600, Prompt: 8000},
+	s.ReceiveReport("vm", Report{LastGrant: 3, Usage: map[string]placement.Usage{
+		"a0": {Requests: 1, Tokens: 8600, PendingPrompt: 8000}, "b0": {Requests: 1, Tokens: 8600}, "c0": {Requests: 1, Tokens: 8600, PendingPrompt: 8000},
 	}}, now)
-	if got := decisions(s.Run(now)); got["4"].Server != "b0" {
+	if got := decisions(s.Decide(now)); got["4"].Server != "b0" {
 		t.Errorf("once b0 has read its prompt: %v", got)
 	}
 }
@@ -179,7 +179,7 @@
 	}
 	s := book(0)
 	for _, st := range streams {
-		s.Ask(st, now)
+		s.Enqueue(st, now)
 	}
 	v := s.services["models"]
 	order := func() (ids []string) {
@@ -202,19 +202,19 @@
 // due later come all the time: were they let past, it would be late each time.
 func TestLargePromptIsNotPassedForever(t *testing.T) {
 	s, now := book(1), time.Unix(0, 0)
-	half := placement.Use{Requests: 4, Tokens: 50_000}
-	s.Told("other", Report{Use: map[string]placement.Use{"a0": {Requests: 3, Tokens: 40_000}, "b0": half, "c0": half}}, now)
+	half := placement.Usage{Requests: 4, Tokens: 50_000}
+	s.ReceiveReport("other", Report{Usage: map[string]placement.Usage{"a0": {Requests: 3, Tokens: 40_000}, "b0": half, "c0": half}}, now)
 	large := stream("large", now)
 	large.Need = placement.Need{Prompt: 60_000, Output: 1000}
-	s.Ask(large, now)
+	s.Enqueue(large, now)
 	for _, id := range []string{"1", "2", "3"} {
 		st := stream(id, now)
 		st.Due = st.Due.Add(time.Minute)
 		st.Need.Prompt = 1000
-		s.Ask(st, now)
+		s.Enqueue(st, now)
 	}
 	large.Due = now.Add(30 * time.Second)
-	for _, d := range s.Run(now) {
+	for _, d := range s.Decide(now) {
 		if d.Server == "a0" {
 			t.Errorf("%s got the engine that is kept for the large prompt", d.Stream.ID)
 		}
@@ -227,29 +227,29 @@
 		name    string
 		servers int
 		change  func(*Stream)
-		use     placement.Use
+		use     placement.Usage
 		want    Outcome
 	}{
-		{"free", 1, func(*Stream) {}, placement.Use{}, Granted},
-		{"none", 0, func(*Stream) {}, placement.Use{}, NoServer},
-		{"all skipped", 1, func(st *Stream) { st.Skip = []string{"a0", "b0", "c0"} }, placement.Use{}, NoServer},
-		{"larger than any engine", 1, func(st *Stream) { st.Need.Prompt = 90_000 }, placement.Use{}, TooLarge},
-		{"memory is taken", 1, func(*Stream) {}, placement.Use{Requests: 9, Tokens: 80_000}, Waiting},
-		{"no slot", 1, func(*Stream) {}, placement.Use{Requests: 64}, Waiting},
-		{"late, and little memory", 1, func(st *Stream) { st.Due = now }, placement.Use{Requests: 6, Tokens: 60_000}, Waiting},
-		{"late, and larger than late ones may be", 1, func(st *Stream) { st.Due, st.Need.Prompt = now, 75_000 }, placement.Use{Tokens: 8_000}, Granted},
-		{"nearly the whole memory", 1, func(st *Stream) { st.Need.Prompt = 87_000 }, placement.Use{}, Granted},
-		{"late, and memory", 1, func(st *Stream) { st.Due = now }, placement.Use{Requests: 4, Tokens: 40_000}, Granted},
-		{"no time left to be served", 1, func(st *Stream) { st.Deadline = now.Add(100 * time.Millisecond) }, placement.Use{Requests: 9, Tokens: 80_000}, Refused},
+		{"free", 1, func(*Stream) {}, placement.Usage{}, Granted},
+		{"none", 0, func(*Stream) {}, placement.Usage{}, NoServer},
+		{"all skipped", 1, func(st *Stream) { st.ExcludedEngines = []string{"a0", "b0", "c0"} }, placement.Usage{}, NoServer},
+		{"larger than any engine", 1, func(st *Stream) { st.Need.Prompt = 90_000 }, placement.Usage{}, TooLarge},
+		{"memory is taken", 1, func(*Stream) {}, placement.Usage{Requests: 9, Tokens: 80_000}, Waiting},
+		{"no slot", 1, func(*Stream) {}, placement.Usage{Requests: 64}, Waiting},
+		{"late, and little memory", 1, func(st *Stream) { st.Due = now }, placement.Usage{Requests: 6, Tokens: 60_000}, Waiting},
+		{"late, and larger than late ones may be", 1, func(st *Stream) { st.Due, st.Need.Prompt = now, 75_000 }, placement.Usage{Tokens: 8_000}, Granted},
+		{"nearly the whole memory", 1, func(st *Stream) { st.Need.Prompt = 87_000 }, placement.Usage{}, Granted},
+		{"late, and memory", 1, func(st *Stream) { st.Due = now }, placement.Usage{Requests: 4, Tokens: 40_000}, Granted},
+		{"no time left to be served", 1, func(st *Stream) { st.Deadline = now.Add(100 * time.Millisecond) }, placement.Usage{Requests: 9, Tokens: 80_000}, Refused},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := book(tt.servers)
-			s.Told("other", Report{Use: map[string]placement.Use{"a0": tt.use, "b0": tt.use, "c0": tt.use}}, now)
+			s.ReceiveReport("other", Report{Usage: map[string]placement.Usage{"a0": tt.use, "b0": tt.use, "c0": tt.use}}, now)
 			st := stream("1", now)
 			tt.change(&st)
-			s.Ask(st, now)
-			d := decisions(s.Run(now))["1"]
+			s.Enqueue(st, now)
+			d := decisions(s.Decide(now))["1"]
 			if d.Outcome != tt.want {
 				t.Errorf("outcome %d, want %d", d.Outcome, tt.want)
 			}
@@ -265,15 +265,15 @@
 func TestGrantsOfLostVMs(t *testing.T) {
 	now := time.Unix(0, 0)
 	free := func(s *Scheduler, now time.Time) bool {
-		s.Ask(stream("next", now), now)
-		return decisions(s.Run(now))["next"].Outcome == Granted
+		s.Enqueue(stream("next", now), now)
+		return decisions(s.Decide(now))["next"].Outcome == Granted
 	}
 	grantAll := func() *Scheduler {
 		s := book(1)
 		for _, id := range []string{"1", "2", "3"} {
-			s.Ask(stream(id, now), now)
+			s.Enqueue(stream(id, now), now)
 		}
-		s.Run(now)
+		s.Decide(now)
 		return s
 	}
 	if s := grantAll(); free(s, now) {
@@ -283,7 +283,7 @@
 		t.Error("a grant that was never told of does not expire")
 	}
 	s := grantAll()
-	s.Told("vm", Report{}, now)
+	s.ReceiveReport("vm", Report{}, now)
 	s.Forget("vm")
 	if !free(s, now) {
 		t.Error("the grants of a VM that is gone are kept")
@@ -300,22 +300,22 @@
 		v := s.services["models"]
 		return newRound(v, s.vms, s.health(now), now).usable
 	}
-	s.Told("vm1", Report{Doubt: all}, now)
-	s.Told("vm2", Report{Doubt: all}, now)
+	s.ReceiveReport("vm1", Report{Suspected: all}, now)
+	s.ReceiveReport("vm2", Report{Suspected: all}, now)
 	if n := usable(now); n != 0 {
 		t.Errorf("%d usable while two VMs doubt them", n)
 	}
-	s.Told("vm3", Report{Alive: []string{"a0"}}, now.Add(aliveDelay/2))
+	s.ReceiveReport("vm3", Report{Alive: []string{"a0"}}, now.Add(aliveDelay/2))
 	if n := usable(now.Add(aliveDelay / 2)); n != 0 {
 		t.Errorf("%d usable by news from before", n)
 	}
 	later := now.Add(aliveDelay + time.Millisecond)
-	s.Told("vm3", Report{Alive: []string{"a0", "b1"}}, later)
+	s.ReceiveReport("vm3", Report{Alive: []string{"a0", "b1"}}, later)
 	if n := usable(later); n != 2 {
 		t.Errorf("%d usable, two are heard", n)
 	}
-	s.Told("vm4", Report{Avoid: []string{"a0"}}, later)
-	s.Told("vm5", Report{Avoid: []string{"a0"}}, later)
+	s.ReceiveReport("vm4", Report{Avoid: []string{"a0"}}, later)
+	s.ReceiveReport("vm5", Report{Avoid: []string{"a0"}}, later)
 	if n := usable(later); n != 1 {
 		t.Errorf("%d usable once two VMs found one dead", n)
 	}
@@ -324,18 +324,18 @@
 // One VM has lost its own link to a zone. Its streams go elsewhere; the others' do not.
 func TestOneVMsLinkIsItsOwnMatter(t *testing.T) {
 	s, now := book(1), time.Unix(0, 0)
-	s.Told("cut off", Report{Avoid: []string{"a0", "b0"}}, now)
-	s.Told("vm", Report{}, now)
+	s.ReceiveReport("cut off", Report{Avoid: []string{"a0", "b0"}}, now)
+	s.ReceiveReport("vm", Report{}, now)
 	mine := stream("mine", now)
 	mine.VM = "cut off"
-	s.Ask(mine, now)
-	if d := decisions(s.Run(now))["mine"]; d.Server != "c0" {
+	s.Enqueue(mine, now)
+	if d := decisions(s.Decide(now))["mine"]; d.Server != "c0" {
 		t.Errorf("the VM's own stream went to %s", d.Server)
 	}
 	for _, id := range []string{"1", "2"} {
-		s.Ask(stream(id, now), now)
+		s.Enqueue(stream(id, now), now)
 	}
-	if n := len(s.Run(now)); n != 2 {
+	if n := len(s.Decide(now)); n != 2 {
 		t.Errorf("%d of two streams of another VM placed", n)
 	}
 }
@@ -346,7 +346,7 @@
 // for nothing, and its caller wait for an answer that is cut off.
 func TestStreamsWithoutTheTimeAreRefused(t *testing.T) {
 	now := time.Unix(0, 0)
-	pace := Pace{PerToken: 125 * time.Microsecond, Run: 5 * time.Second, Events: 140}
+	pace := EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
 	tests := []struct {
 		name   string
 		after  int // events that the caller has
@@ -366,12 +366,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := book(1)
-			s.Told("other", Report{Paces: map[string]Pace{"models": pace}}, now)
+			s.ReceiveReport("other", Report{EngineTimings: map[string]EngineTiming{"models": pace}}, now)
 			st := stream("1", now)
-			st.Need.Prompt, st.After, st.Interrupted, st.Cached = 8000, tt.after, tt.after > 0, tt.cached
+			st.Need.Prompt, st.EventsReceived, st.Interrupted, st.CachedEngine = 8000, tt.after, tt.after > 0, tt.cached
 			st.Deadline = now.Add(tt.left)
-			s.Ask(st, now)
-			d := decisions(s.Run(now))["1"]
+			s.Enqueue(st, now)
+			d := decisions(s.Decide(now))["1"]
 			if d.Outcome != tt.want {
 				t.Errorf("outcome %d, want %d", d.Outcome, tt.want)
 			}
@@ -388,13 +388,13 @@
 	s := book(1)
 	rng := 0
 	s.rng = func(n int) int { rng += n / 7; return rng % n }
-	full := placement.Use{Requests: 9, Tokens: 84_000}
-	s.Told("other", Report{Use: map[string]placement.Use{"a0": full, "b0": full, "c0": full}, Paces: map[string]Pace{"models": {PerToken: 160 * time.Microsecond, Run: 6 * time.Second}}}, now)
+	full := placement.Usage{Requests: 9, Tokens: 84_000}
+	s.ReceiveReport("other", Report{Usage: map[string]placement.Usage{"a0": full, "b0": full, "c0": full}, EngineTimings: map[string]EngineTiming{"models": {PrefillPerToken: 160 * time.Microsecond, RunDuration: 6 * time.Second}}}, now)
 	for i := range 400 {
-		s.Ask(stream(fmt.Sprint(i), now), now)
+		s.Enqueue(stream(fmt.Sprint(i), now), now)
 	}
 	after := map[time.Duration]bool{}
-	for _, d := range s.Run(now) {
+	for _, d := range s.Decide(now) {
 		if d.Outcome == Refused {
 			after[d.RetryAfter] = true
 			if d.RetryAfter > deadline/3 {
@@ -413,21 +413,21 @@
 	now := time.Unix(0, 0)
 	for _, tt := range []struct {
 		name string
-		use  placement.Use
+		use  placement.Usage
 		skip []string
 		want string
 	}{
-		{"it reads another prompt", placement.Use{Requests: 2, Tokens: 20_000, Prompt: 8000}, nil, "b0"},
-		{"it is full", placement.Use{Requests: 9, Tokens: 84_000}, nil, "a0"},
-		{"it has refused the stream", placement.Use{}, []string{"b0"}, "a0"},
+		{"it reads another prompt", placement.Usage{Requests: 2, Tokens: 20_000, PendingPrompt: 8000}, nil, "b0"},
+		{"it is full", placement.Usage{Requests: 9, Tokens: 84_000}, nil, "a0"},
+		{"it has refused the stream", placement.Usage{}, []string{"b0"}, "a0"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := book(1)
-			s.Told("other", Report{Use: map[string]placement.Use{"b0": tt.use, "c0": {Requests: 5}}}, now)
+			s.ReceiveReport("other", Report{Usage: map[string]placement.Usage{"b0": tt.use, "c0": {Requests: 5}}}, now)
 			st := stream("1", now)
-			st.Cached, st.Skip, st.Interrupted = "b0", tt.skip, true
-			s.Ask(st, now)
-			if d := decisions(s.Run(now))["1"]; d.Server != tt.want {
+			st.CachedEngine, st.ExcludedEngines, st.Interrupted = "b0", tt.skip, true
+			s.Enqueue(st, now)
+			if d := decisions(s.Decide(now))["1"]; d.Server != tt.want {
 				t.Errorf("went to %q, want %q", d.Server, tt.want)
 			}
 		})
@@ -441,19 +441,19 @@
 func TestSlowEnginesAreKnown(t *testing.T) {
 	s, now := book(1), time.Unix(0, 0)
 	usual := 160 * time.Microsecond
-	pace := map[string]Pace{"models": {PerToken: usual, Run: 6 * time.Second}}
-	s.Told("vm", Report{Paces: pace}, now)
+	pace := map[string]EngineTiming{"models": {PrefillPerToken: usual, RunDuration: 6 * time.Second}}
+	s.ReceiveReport("vm", Report{EngineTimings: pace}, now)
 	read := func(id string, took time.Duration, skip ...string) string {
 		st := stream(id, now)
-		st.Skip = skip
-		s.Ask(st, now)
-		d := decisions(s.Run(now))[id]
-		s.Told("vm", Report{Paces: pace, Taken: d.Number, Use: map[string]placement.Use{d.Server: {Requests: 1, Prompt: 8000}}}, now)
+		st.ExcludedEngines = skip
+		s.Enqueue(st, now)
+		d := decisions(s.Decide(now))[id]
+		s.ReceiveReport("vm", Report{EngineTimings: pace, LastGrant: d.Number, Usage: map[string]placement.Usage{d.Server: {Requests: 1, PendingPrompt: 8000}}}, now)
 		if d.Server == "a0" {
 			took *= 3
 		}
 		now = now.Add(took)
-		s.Told("vm", Report{Paces: pace, Taken: d.Number}, now)
+		s.ReceiveReport("vm", Report{EngineTimings: pace, LastGrant: d.Number}, now)
 		return d.Server
 	}
 	read("1", 1280*time.Millisecond, "b0", "c0")
@@ -483,11 +483,11 @@
 	for _, e := range s.services["models"].servers {
 		e.speed = speed{800 * time.Microsecond, now}
 	}
-	s.Told("vm", Report{Paces: map[string]Pace{"models": {PerToken: 800 * time.Microsecond, Run: 6 * time.Second}}}, now)
+	s.ReceiveReport("vm", Report{EngineTimings: map[string]EngineTiming{"models": {PrefillPerToken: 800 * time.Microsecond, RunDuration: 6 * time.Second}}}, now)
 	for _, id := range []string{"1", "2", "3"} {
-		s.Ask(stream(id, now), now)
+		s.Enqueue(stream(id, now), now)
 	}
-	if n := len(s.Run(now)); n != 3 {
+	if n := len(s.Decide(now)); n != 3 {
 		t.Errorf("%d of three placed", n)
 	}
 }
--- a/internal/scheduler/sim_test.go
+++ b/internal/scheduler/sim_test.go
@@ -122,7 +122,7 @@
 
 	// newsAge is how old a VM's knowledge of the others is where nobody schedules.
 	newsAge time.Duration
-	news    map[string]placement.Use
+	news    map[string]placement.Usage
 	newsAt  time.Time
 
 	askedAt time.Time
@@ -205,7 +205,7 @@
 		s.placeAtOnce(r)
 		return
 	}
-	s.s.Ask(Stream{
+	s.s.Enqueue(Stream{
 		ID: r.id, VM: r.vm, Service: "models", Workspace: r.workspace, Need: r.need, KVTokens: s.engines[0].traits.kv, Due: r.due,
 		Deadline: s.now.Add(deadline), WantsCopy: s.wantsCopy,
 	}, s.now)
@@ -216,27 +216,27 @@
 	own := s.use(func(o *simRun) bool { return o.vm == r.vm })
 	all := make([]placement.Candidate, len(s.engines))
 	for i, e := range s.engines {
-		all[i] = placement.Candidate{ID: e.ID, Zone: e.Zone, KVTokens: e.traits.kv, Use: own[e.ID].Add(s.news[e.ID]), Avoid: e.dark, Slow: 1}
+		all[i] = placement.Candidate{ID: e.ID, Zone: e.Zone, KVTokens: e.traits.kv, Usage: own[e.ID].Add(s.news[e.ID]), Avoid: e.dark, Slowdown: 1}
 	}
-	e := s.engines[placement.Engine(all, r.need, s.rng.IntN)]
+	e := s.engines[placement.ChooseEngine(all, r.need, s.rng.IntN)]
 	r.engine = e
 	e.queue = append(e.queue, r)
 }
 
 // use sums the runs that are placed, by engine.
-func (s *sim) use(which func(*simRun) bool) map[string]placement.Use {
-	out := map[string]placement.Use{}
+func (s *sim) use(which func(*simRun) bool) map[string]placement.Usage {
+	out := map[string]placement.Usage{}
 	for _, r := range s.live {
 		if r.engine == nil || !which(r) {
 			continue
 		}
-		u := placement.Use{Requests: 1, Tokens: r.need.Tokens()}
+		u := placement.Usage{Requests: 1, Tokens: r.need.Tokens()}
 		if r.first.IsZero() {
-			u.Prompt = r.need.Prompt
+			u.PendingPrompt = r.need.Prompt
 		}
 		out[r.engine.ID] = out[r.engine.ID].Add(u)
 		if r.keeper != nil {
-			out[r.keeper.ID] = out[r.keeper.ID].Add(placement.CopyUse(r.need))
+			out[r.keeper.ID] = out[r.keeper.ID].Add(placement.CopyUsage(r.need))
 		}
 	}
 	return out
@@ -265,7 +265,7 @@
 	for vm := range told {
 		s.tell(vm)
 	}
-	for _, d := range s.s.Run(s.now) {
+	for _, d := range s.s.Decide(s.now) {
 		s.decided(d)
 	}
 }
@@ -275,7 +275,7 @@
 	s.askedAt = s.now
 	for _, r := range s.live {
 		if r.engine == nil {
-			s.s.Ask(Stream{ID: r.id, Service: "models", KVTokens: s.engines[0].traits.kv}, s.now)
+			s.s.Enqueue(Stream{ID: r.id, Service: "models", KVTokens: s.engines[0].traits.kv}, s.now)
 		}
 	}
 }
@@ -288,17 +288,17 @@
 }
 
 func (s *sim) tell(vm string) {
-	s.s.Told(vm, Report{
-		Use: s.use(func(r *simRun) bool { return r.vm == vm }), Taken: s.taken[vm],
-		Paces: map[string]Pace{"models": s.pace()},
+	s.s.ReceiveReport(vm, Report{
+		Usage: s.use(func(r *simRun) bool { return r.vm == vm }), LastGrant: s.taken[vm],
+		EngineTimings: map[string]EngineTiming{"models": s.pace()},
 	}, s.now)
 }
 
 // pace is what the VMs would observe.
-func (s *sim) pace() Pace {
+func (s *sim) pace() EngineTiming {
 	t := s.engines[0].traits
 	perChunk := time.Duration(chunk/t.perMS*float64(time.Millisecond)) + t.step
-	return Pace{PerToken: perChunk / chunk, Run: 6 * time.Second}
+	return EngineTiming{PrefillPerToken: perChunk / chunk, RunDuration: 6 * time.Second}
 }
 
 func (s *sim) decided(d Decision) {
@@ -310,8 +310,8 @@
 	}
 	r.engine = s.byID[d.Server]
 	r.engine.queue = append(r.engine.queue, r)
-	if d.Keeper != "" {
-		r.keeper = s.byID[d.Keeper]
+	if d.BackupEngine != "" {
+		r.keeper = s.byID[d.BackupEngine]
 		r.keeper.copies += r.need.Tokens()
 		s.copied++
 	}
--- a/internal/scheduler/slow.go
+++ b/internal/scheduler/slow.go
@@ -48,14 +48,14 @@
 // beginReading times a prompt that an engine gets while it reads none.
 func (e *server) beginReading(tokens int, now time.Time) {
 	e.reading = reading{}
-	if e.use.Prompt == 0 && tokens > 0 {
+	if e.use.PendingPrompt == 0 && tokens > 0 {
 		e.reading = reading{now, tokens}
 	}
 }
 
 // endReading takes the news that an engine reads nothing any more.
 func (e *server) endReading(now time.Time) {
-	if e.reading.since.IsZero() || e.use.Prompt > 0 {
+	if e.reading.since.IsZero() || e.use.PendingPrompt > 0 {
 		return
 	}
 	took := now.Sub(e.reading.since) / time.Duration(e.reading.tokens)
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -12,12 +12,12 @@
 	// Interrupted, InTime and Late streams wait.
 	Interrupted, InTime, Late int
 	// Servers are known, Usable of them not avoided, Reading busy with a prompt.
-	Servers, Usable, Reading int
+	Servers, Usable, Prefilling int
 	// Use is of all servers together.
-	Use placement.Use
+	Usage placement.Usage
 	// Rate is how many streams were begun a second of late.
-	Rate float64
-	Pace Pace
+	StartRate    float64
+	EngineTiming EngineTiming
 }
 
 // States returns the state of each service whose streams wait.
@@ -29,11 +29,11 @@
 			continue
 		}
 		r := newRound(v, s.vms, h, now)
-		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, Rate: v.drain.rate(now), Pace: v.pace}
+		st := State{Service: name, Servers: len(v.servers), Usable: r.usable, StartRate: v.drain.rate(now), EngineTiming: v.pace}
 		for _, e := range v.servers {
-			st.Use = st.Use.Add(e.use)
-			if e.use.Prompt > 0 {
-				st.Reading++
+			st.Usage = st.Usage.Add(e.use)
+			if e.use.PendingPrompt > 0 {
+				st.Prefilling++
 			}
 		}
 		for _, w := range v.waiting {
--- a/internal/upstream/fleet.go
+++ b/internal/upstream/fleet.go
@@ -63,7 +63,7 @@
 // Fleet; Backend never changes but for Draining, which the Fleet reads.
 type Server struct {
 	Backend
-	use      placement.Use
+	use      placement.Usage
 	died     chan struct{} // closed when it is judged dead
 	doubt    chan struct{} // closed when others give reason to ask it
 	heard    time.Time
@@ -92,7 +92,7 @@
 	servers map[string]*Server
 	order   []*Server // of the list
 	inUse   inUse
-	others  map[string]placement.Use
+	others  map[string]placement.Usage
 	outage  recovery.Outage
 	self    string
 	routers []string             // VMs that place requests, this one included
@@ -160,7 +160,7 @@
 }
 
 // SetOthers takes what other VMs have running on each server.
-func (f *Fleet) SetOthers(use map[string]placement.Use) {
+func (f *Fleet) SetPeerUse(use map[string]placement.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.others = use
@@ -183,18 +183,18 @@
 // times a second while hundreds of VMs are restarted in turn. It needs f.mu.
 func (f *Fleet) turn(s *Server) int {
 	if s.turnOf != f.changes {
-		s.turn, s.turnOf = placement.Turn(s.ID, f.self, f.routers), f.changes
+		s.turn, s.turnOf = placement.RendezvousRank(s.ID, f.self, f.routers), f.changes
 	}
 	return s.turn
 }
 
 // Mine is what this VM has running on each server.
-func (f *Fleet) Mine() map[string]placement.Use {
+func (f *Fleet) OwnUse() map[string]placement.Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := map[string]placement.Use{}
+	out := map[string]placement.Usage{}
 	for id, s := range f.servers {
-		if s.use != (placement.Use{}) {
+		if s.use != (placement.Usage{}) {
 			out[id] = s.use
 		}
 	}
@@ -202,7 +202,7 @@
 }
 
 // Work is how long a call takes at a server once it has a slot; 0: not known.
-func (f *Fleet) Work(s *Server) time.Duration {
+func (f *Fleet) ServiceTime(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(s.work * float64(time.Millisecond))
@@ -220,8 +220,8 @@
 	out := make([]placement.Candidate, 0, len(servers))
 	for _, s := range servers {
 		out = append(out, placement.Candidate{
-			ID: s.ID, Zone: s.Zone, Slots: s.Slots, KVTokens: kvTokens, Use: f.useOf(s, now),
-			Turn: f.turn(s), Avoid: s.avoided(now), Slow: slowness(s.latency, usual),
+			ID: s.ID, Zone: s.Zone, Slots: s.Slots, KVTokens: kvTokens, Usage: f.useOf(s, now),
+			RendezvousRank: f.turn(s), Avoid: s.avoided(now), Slowdown: slowness(s.latency, usual),
 		})
 	}
 	return servers, out
@@ -239,7 +239,7 @@
 		out = append(out, placement.CallCandidate{
 			Zone: s.Zone, Slots: s.Slots, Own: s.use.Requests, Others: f.others[s.ID].Requests,
 			Reported: s.reported, ReportAge: now.Sub(s.told), CallTime: time.Duration(s.latency * float64(time.Millisecond)),
-			Avoid: s.avoided(now), Slow: slowness(s.latency, usual),
+			Avoid: s.avoided(now), Slowdown: slowness(s.latency, usual),
 		})
 	}
 	return servers, out
@@ -259,13 +259,13 @@
 			out = append(out, s)
 		}
 	}
-	if v.Part > 0 {
-		return few(out, rollout.Few(v.Part, others), f.now())
+	if v.ServerShare > 0 {
+		return few(out, rollout.TrialServers(v.ServerShare, others), f.now())
 	}
 	return out
 }
 
-func (f *Fleet) useOf(s *Server, now time.Time) placement.Use {
+func (f *Fleet) useOf(s *Server, now time.Time) placement.Usage {
 	use := s.use.Add(f.others[s.ID])
 	if now.Sub(s.told) < loadFor {
 		use.Requests = max(use.Requests, s.use.Requests+s.reported)
@@ -299,18 +299,18 @@
 func (s *Server) avoided(now time.Time) bool { return now.Before(s.avoid) || now.Before(s.doubted) }
 
 // Opinion is what this VM would tell others of servers, by id.
-type Opinion struct {
-	Avoid []string // not to be used, as this VM found itself
-	Doubt []string // taken for lost with their zone, or by hearsay
-	Alive []string // heard just now
+type Report struct {
+	Avoid     []string // not to be used, as this VM found itself
+	Suspected []string // taken for lost with their zone, or by hearsay
+	Alive     []string // heard just now
 }
 
 // Opinion returns what this VM knows of its servers that others may not.
-func (f *Fleet) Opinion() Opinion {
+func (f *Fleet) Report() Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	var o Opinion
+	var o Report
 	for _, s := range f.order {
 		switch {
 		case s.stale || now.Before(s.avoid):
@@ -318,7 +318,7 @@
 		case now.Sub(s.heard) < heardLately:
 			o.Alive = append(o.Alive, s.ID)
 		case now.Before(s.doubted):
-			o.Doubt = append(o.Doubt, s.ID)
+			o.Suspected = append(o.Suspected, s.ID)
 		}
 	}
 	return o
@@ -346,7 +346,7 @@
 }
 
 // UseOf is what is known to run on a server, of this VM and the others.
-func (f *Fleet) UseOf(s *Server) placement.Use {
+func (f *Fleet) UseOf(s *Server) placement.Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.useOf(s, f.now())
@@ -365,15 +365,15 @@
 }
 
 // Take notes what a request uses of a server.
-func (f *Fleet) Take(s *Server, u placement.Use) {
+func (f *Fleet) Take(s *Server, u placement.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.use = s.use.Add(u)
 }
 
 // Give takes it off again.
-func (f *Fleet) Give(s *Server, u placement.Use) {
-	f.Take(s, u.Negative())
+func (f *Fleet) Release(s *Server, u placement.Usage) {
+	f.Take(s, u.Negated())
 }
 
 // Died is closed when the server is judged dead.
@@ -385,7 +385,7 @@
 
 // Doubted is closed when its neighbours' deaths give reason to ask the server
 // whether it lives.
-func (f *Fleet) Doubted(s *Server) <-chan struct{} {
+func (f *Fleet) Suspected(s *Server) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.doubt
@@ -399,7 +399,7 @@
 }
 
 // HeardAgo is how long the server has been silent towards this VM.
-func (f *Fleet) HeardAgo(s *Server) time.Duration {
+func (f *Fleet) SilentFor(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now().Sub(s.heard)
