--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -72,18 +72,18 @@
 
 // Heartbeat is the periodic report of a VM about itself.
 type Heartbeat struct {
-	Zone        string           `cbor:"1,keyasint"`
-	Endpoint    string           `cbor:"2,keyasint,omitempty"` // ip:port for callers; empty: accepts none
-	Ready       bool             `cbor:"3,keyasint,omitempty"`
-	UseReport   UseReport        `cbor:"4,keyasint"` // empty for control VMs that do not schedule
-	Deaths      []recovery.Death `cbor:"5,keyasint,omitempty"`
-	ListDigest  uint64           `cbor:"6,keyasint,omitempty"`  // of the list of backend servers; 0: the VM holds none
-	ListAgeMS   int64            `cbor:"7,keyasint,omitempty"`  // of that list
-	WantSummary bool             `cbor:"8,keyasint,omitempty"`  // requests a Summary
-	Dead        []string         `cbor:"9,keyasint,omitempty"`  // backend servers recently judged dead
-	Runs        []forward.Kept   `cbor:"10,keyasint,omitempty"` // streams of this VM, with their engines and backup copies
-	Spent       RetrySpending    `cbor:"11,keyasint"`           // of the services' retry budgets
-	Control     bool             `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
+	Zone        string                 `cbor:"1,keyasint"`
+	Endpoint    string                 `cbor:"2,keyasint,omitempty"` // ip:port for callers; empty: accepts none
+	Ready       bool                   `cbor:"3,keyasint,omitempty"`
+	UseReport   UseReport              `cbor:"4,keyasint"` // empty for control VMs that do not schedule
+	Deaths      []recovery.Death       `cbor:"5,keyasint,omitempty"`
+	ListDigest  uint64                 `cbor:"6,keyasint,omitempty"`  // of the list of backend servers; 0: the VM holds none
+	ListAgeMS   int64                  `cbor:"7,keyasint,omitempty"`  // of that list
+	WantSummary bool                   `cbor:"8,keyasint,omitempty"`  // requests a Summary
+	Dead        []string               `cbor:"9,keyasint,omitempty"`  // backend servers recently judged dead
+	Runs        []forward.ResumableRun `cbor:"10,keyasint,omitempty"` // streams of this VM, with their engines and backup copies
+	Spent       RetrySpending          `cbor:"11,keyasint"`           // of the services' retry budgets
+	Control     bool                   `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
 	// WantEndpoints requests the directory. Only an Observer sets it.
 	WantEndpoints bool `cbor:"13,keyasint,omitempty"`
 	// WantUse requests the use of engines with the Summary. RoutersDigest is the digest
@@ -114,7 +114,7 @@
 	HasList    bool              `cbor:"7,keyasint,omitempty"`
 	Changes    *PackedDifference `cbor:"15,keyasint,omitempty"`
 	// Spent is what all other VMs spent of the retry budgets, by service.
-	Spent map[string]forward.Spent `cbor:"10,keyasint,omitempty"`
+	Spent map[string]forward.RetryUsage `cbor:"10,keyasint,omitempty"`
 	// Endpoints are the addresses of all VMs that accept callers.
 	Endpoints []string `cbor:"12,keyasint,omitempty"`
 	// Observer reports that the sender is an Observer, whose reply holds only Controls.
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -226,8 +226,8 @@
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
 		a, b := forward.Copy{Address: "e1:1", ID: "q1"}, forward.Copy{Address: "e2:1", ID: "q2"}
-		h.hub.recordHeartbeat("dead", Heartbeat{Runs: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}, {Identity: 8, Left: forward.Left{Copy: a}}}})
-		h.hub.recordHeartbeat("alive", Heartbeat{Runs: []forward.Kept{{Identity: 8, Left: forward.Left{Copy: b}}}})
+		h.hub.recordHeartbeat("dead", Heartbeat{Runs: []forward.ResumableRun{{Identity: 7, Orphan: forward.Orphan{Copy: a}}, {Identity: 8, Orphan: forward.Orphan{Copy: a}}}})
+		h.hub.recordHeartbeat("alive", Heartbeat{Runs: []forward.ResumableRun{{Identity: 8, Orphan: forward.Orphan{Copy: b}}}})
 		for _, tt := range []struct {
 			identity uint64
 			want     forward.Copy
@@ -253,7 +253,7 @@
 		h := startHub(processCtx, n, "c1", controls[:1])
 		a := forward.Copy{Address: "e1:1", ID: "q1"}
 		go h.hub.RunSaver(processCtx, disk, "/data")
-		h.hub.recordHeartbeat("router", Heartbeat{Runs: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}}})
+		h.hub.recordHeartbeat("router", Heartbeat{Runs: []forward.ResumableRun{{Identity: 7, Orphan: forward.Orphan{Copy: a}}}})
 		time.Sleep(2 * saveInterval)
 		kill()
 		time.Sleep(time.Second)
@@ -280,7 +280,7 @@
 		go h.hub.RunSaver(ctx, disk, "/data")
 		written := func() string {
 			for i := range uint64(20) {
-				h.hub.recordHeartbeat(fmt.Sprint("r", i), Heartbeat{Runs: []forward.Kept{{Identity: i, Left: forward.Left{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
+				h.hub.recordHeartbeat(fmt.Sprint("r", i), Heartbeat{Runs: []forward.ResumableRun{{Identity: i, Orphan: forward.Orphan{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
 			}
 			time.Sleep(2 * saveInterval)
 			data, err := disk.ReadFile("/data/" + copiesFile)
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -36,7 +36,7 @@
 	summary       *encodedSummary // nil: must be rebuilt
 	// savedRuns are the stream runs that a former process saved; their copies are
 	// offered until copiesExpireAt.
-	savedRuns                         []forward.Kept
+	savedRuns                         []forward.ResumableRun
 	copiesExpireAt, savedRunsExpireAt time.Time
 }
 
@@ -134,7 +134,7 @@
 	defer h.mu.Unlock()
 	now := time.Now()
 	orphan := findOrphan(h.allRuns(now), identity)
-	if orphan == (forward.Left{}) && now.Before(h.savedRunsExpireAt) {
+	if orphan == (forward.Orphan{}) && now.Before(h.savedRunsExpireAt) {
 		orphan = findOrphan(withoutExpiredCopies(h.savedRuns, now.After(h.copiesExpireAt)), identity)
 	}
 	return orphan, nil
@@ -142,23 +142,23 @@
 
 // findOrphan returns the orphan with an identity. Two different copies belong to two
 // requests with equal content, and neither is returned.
-func findOrphan(runs []forward.Kept, identity uint64) forward.Left {
-	var found forward.Left
+func findOrphan(runs []forward.ResumableRun, identity uint64) forward.Orphan {
+	var found forward.Orphan
 	for _, k := range runs {
 		if k.Identity != identity {
 			continue
 		}
 		if found.Copy.Address != "" && found.Copy != k.Copy {
-			return forward.Left{}
+			return forward.Orphan{}
 		}
-		found = k.Left
+		found = k.Orphan
 	}
 	return found
 }
 
 // allRuns returns the stream runs of all VMs as last reported. It needs h.mu.
-func (h *Hub) allRuns(now time.Time) []forward.Kept {
-	var out []forward.Kept
+func (h *Hub) allRuns(now time.Time) []forward.ResumableRun {
+	var out []forward.ResumableRun
 	for _, s := range h.vms {
 		out = append(out, withoutExpiredCopies(s.heartbeat.Runs, now.Sub(s.at) > copyLifetime)...)
 	}
@@ -166,11 +166,11 @@
 }
 
 // withoutExpiredCopies returns the runs without their copies if those have expired.
-func withoutExpiredCopies(runs []forward.Kept, copiesExpired bool) []forward.Kept {
+func withoutExpiredCopies(runs []forward.ResumableRun, copiesExpired bool) []forward.ResumableRun {
 	if !copiesExpired {
 		return runs
 	}
-	out := make([]forward.Kept, len(runs))
+	out := make([]forward.ResumableRun, len(runs))
 	for i, k := range runs {
 		out[i] = k
 		out[i].Copy = forward.Copy{}
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -30,8 +30,8 @@
 	Use      func() map[string]placement.Usage
 	Deaths   func() []recovery.Death
 	Dead     func() []string
-	Runs     func() []forward.Kept
-	Spent    func() map[string]forward.Spent
+	Runs     func() []forward.ResumableRun
+	Spent    func() map[string]forward.RetryUsage
 	// Opinion returns this VM's view of the backend servers, and Paces the pace that it
 	// observed for each service.
 	Opinion func() upstream.Report
@@ -39,7 +39,7 @@
 	// Learn takes the reports of the other VMs, and LearnSpent what all of them spent of
 	// the retry budgets, by service.
 	Learn      func(PeerReports)
-	LearnSpent func(map[string]forward.Spent)
+	LearnSpent func(map[string]forward.RetryUsage)
 	// Rollouts returns what this VM observed of roll-outs. Urgent reports whether the
 	// control VMs need it soon.
 	Rollouts func() []rollout.Report
@@ -299,15 +299,15 @@
 
 // FindOrphan asks a control VM for the orphan with an identity: the engine and the backup
 // copy of a stream that another VM ran. It returns false if there is none or no reply.
-func (m *Member) FindOrphan(ctx context.Context, identity uint64) (forward.Left, bool) {
+func (m *Member) FindOrphan(ctx context.Context, identity uint64) (forward.Orphan, bool) {
 	ctx, cancel := context.WithTimeout(ctx, orphanLookupTimeout)
 	defer cancel()
-	var out forward.Left
+	var out forward.Orphan
 	if err := m.t.Call(ctx, m.freshestControl(), peer.KindKept, identity, &out); err != nil {
 		m.log.Debug().Err(err).Msg("lookup of an orphaned run failed; its prompt may be computed again")
-		return forward.Left{}, false
+		return forward.Orphan{}, false
 	}
-	return out, out != (forward.Left{})
+	return out, out != (forward.Orphan{})
 }
 
 func (m *Member) recordAnswer(vm string, a *HeartbeatReply) {
--- a/internal/cluster/retry_spending.go
+++ b/internal/cluster/retry_spending.go
@@ -27,9 +27,9 @@
 // count under the former incarnation. Seq grows with each message, and a message that
 // arrives after a later one is ignored.
 type RetrySpending struct {
-	Incarnation uint64                   `cbor:"1,keyasint"`
-	Seq         uint64                   `cbor:"2,keyasint"`
-	Spent       map[string]forward.Spent `cbor:"3,keyasint,omitempty"`
+	Incarnation uint64                        `cbor:"1,keyasint"`
+	Seq         uint64                        `cbor:"2,keyasint"`
+	Spent       map[string]forward.RetryUsage `cbor:"3,keyasint,omitempty"`
 }
 
 // spendingTable holds the last report of each incarnation.
@@ -37,7 +37,7 @@
 
 type receivedSpending struct {
 	seq   uint64
-	spent map[string]forward.Spent
+	spent map[string]forward.RetryUsage
 	at    time.Time
 }
 
@@ -55,8 +55,8 @@
 
 // others sums, by service, what all incarnations but one spent. An incarnation that has
 // ended counts while its retries are in the window.
-func (b spendingTable) others(incarnation uint64, now time.Time) map[string]forward.Spent {
-	out := map[string]forward.Spent{}
+func (b spendingTable) others(incarnation uint64, now time.Time) map[string]forward.RetryUsage {
+	out := map[string]forward.RetryUsage{}
 	for other, t := range b {
 		if other == incarnation || now.Sub(t.at) > spendingTTL {
 			continue
@@ -64,14 +64,14 @@
 		for service, s := range t.spent {
 			sum := out[service]
 			sum.Requests += s.Requests
-			sum.Repeats += s.Repeats
+			sum.Retries += s.Retries
 			out[service] = sum
 		}
 	}
 	return out
 }
 
-func (h *Hub) spentByOthers(incarnation uint64) map[string]forward.Spent {
+func (h *Hub) spentByOthers(incarnation uint64) map[string]forward.RetryUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.retrySpending.others(incarnation, time.Now())
@@ -96,7 +96,7 @@
 	return RetrySpending{m.incarnation, m.spendingSeq.Add(1), m.local.Spent()}
 }
 
-func (m *Member) learnSpent(others map[string]forward.Spent) {
+func (m *Member) learnSpent(others map[string]forward.RetryUsage) {
 	if m.local.LearnSpent != nil {
 		m.local.LearnSpent(others)
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (m *Member) reportSpendingTo(ctx context.Context, vm string, s RetrySpending) (others map[string]forward.Spent, ok bool) {
+func (m *Member) reportSpendingTo(ctx context.Context, vm string, s RetrySpending) (others map[string]forward.RetryUsage, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, spendingTimeout)
 	defer cancel()
 	if err := m.t.Call(ctx, vm, peer.KindSpent, s, &others); err != nil {
--- a/internal/cluster/retry_spending_test.go
+++ b/internal/cluster/retry_spending_test.go
@@ -20,19 +20,19 @@
 	stop   context.CancelFunc
 
 	mu     sync.Mutex
-	own    forward.Spent
-	others forward.Spent
+	own    forward.RetryUsage
+	others forward.RetryUsage
 }
 
 func startRetryingRouter(ctx context.Context, n *peertest.Net, id string) *retryingRouter {
 	s := &retryingRouter{}
 	s.member = NewMember(id, n.VM(id), controls, NewListReplica(func(upstream.List) {}), Local{
-		Spent: func() map[string]forward.Spent {
+		Spent: func() map[string]forward.RetryUsage {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return map[string]forward.Spent{"m": s.own}
+			return map[string]forward.RetryUsage{"m": s.own}
 		},
-		LearnSpent: func(others map[string]forward.Spent) {
+		LearnSpent: func(others map[string]forward.RetryUsage) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.others = others["m"]
@@ -46,7 +46,7 @@
 
 func (s *retryingRouter) retry() {
 	s.mu.Lock()
-	s.own.Repeats++
+	s.own.Retries++
 	s.mu.Unlock()
 	s.member.NotifyRetry()
 }
@@ -54,7 +54,7 @@
 func (s *retryingRouter) knownRetries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.others.Repeats
+	return s.others.Retries
 }
 
 // Many engines are lost, and every VM retries one stream within 30 ms. Before its next
@@ -120,11 +120,11 @@
 func TestOutOfOrderSpending(t *testing.T) {
 	b, now := spendingTable{}, time.Now()
 	report := func(seq uint64, retries int) RetrySpending {
-		return RetrySpending{Incarnation: 7, Seq: seq, Spent: map[string]forward.Spent{"m": {Repeats: retries}}}
+		return RetrySpending{Incarnation: 7, Seq: seq, Spent: map[string]forward.RetryUsage{"m": {Retries: retries}}}
 	}
 	b.record(report(2, 5), now)
 	b.record(report(1, 3), now)
-	if got := b.others(0, now)["m"].Repeats; got != 5 {
+	if got := b.others(0, now)["m"].Retries; got != 5 {
 		t.Errorf("got %d retries, want 5 of the later report", got)
 	}
 }
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -63,7 +63,7 @@
 	Routers []string                   // ids of VMs that accept callers
 	Use     map[string]placement.Usage // of backend servers by the other VMs
 	// Spent is what the other VMs spent of the retry budgets, by service.
-	Spent map[string]forward.Spent
+	Spent map[string]forward.RetryUsage
 }
 
 // encodedSummary is a Summary in its wire form, with the parts that are sent on request.
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -8,114 +8,114 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/virtualtime"
 )
 
-// budgetWorld plays VMs that share a service's retry budget on a clock of its own.
-// What a VM spends is known to a control VM after a link's time, and the answer
-// with the others' after another.
-type budgetWorld struct {
-	queue   *virtualtime.Queue
-	rng     *rand.Rand
-	budgets []*Budget
-	hub     []Spent
-	tells   bool // of each second send at once
-	sends   []time.Time
-	wanted  int
-	// late is the share of the losses that will be late whoever sends them again, and
-	// alike has them asked for like all others.
-	late                    float64
-	alike                   bool
-	inTime, inTimeSentAgain int
+// budgetSim simulates VMs that share a service's retry budget, in virtual time. A report
+// of a VM reaches the control VM after one link delay, and the answer with the usage of
+// the others arrives after another.
+type budgetSim struct {
+	queue          *virtualtime.Queue
+	rng            *rand.Rand
+	budgets        []*Budget
+	reports        []RetryUsage
+	reportsRetries bool // VMs report each retry at once
+	retries        []time.Time
+	lost           int
+	// lateShare is the share of the lost streams whose retries are Late. ignoreUrgency
+	// requests all retries as InTime.
+	lateShare                 float64
+	ignoreUrgency             bool
+	inTimeLost, inTimeRetried int
 }
 
 const (
-	budgetLink   = 4 * time.Millisecond
-	budgetNotice = 400 * time.Millisecond
+	linkDelay      = 4 * time.Millisecond
+	reportInterval = 400 * time.Millisecond
 )
 
-var waveAllowance = Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var testAllowance = RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-func newBudgetWorld(vms int, tells bool) *budgetWorld {
-	w := &budgetWorld{queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2)), hub: make([]Spent, vms), tells: tells}
+func newBudgetSim(vms int, reportRetries bool) *budgetSim {
+	sim := &budgetSim{queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2)), reports: make([]RetryUsage, vms), reportsRetries: reportRetries}
 	for i := range vms {
-		b := NewBudget(waveAllowance, w.queue.Now)
+		b := NewBudget(testAllowance, sim.queue.Now)
 		b.SetVMs(vms)
-		w.budgets = append(w.budgets, b)
-		w.queue.After(time.Duration(w.rng.Int64N(int64(budgetNotice))), func() { w.notice(i) })
+		sim.budgets = append(sim.budgets, b)
+		sim.queue.After(time.Duration(sim.rng.Int64N(int64(reportInterval))), func() { sim.reportPeriodically(i) })
 	}
-	return w
+	return sim
 }
 
-func (w *budgetWorld) notice(vm int) {
-	w.tell(vm)
-	w.queue.After(budgetNotice, func() { w.notice(vm) })
+func (sim *budgetSim) reportPeriodically(vm int) {
+	sim.sendReport(vm)
+	sim.queue.After(reportInterval, func() { sim.reportPeriodically(vm) })
 }
 
-func (w *budgetWorld) tell(vm int) {
-	own := w.budgets[vm].Own()
-	w.queue.After(budgetLink, func() {
-		w.hub[vm] = own
-		var others Spent
-		for i, s := range w.hub {
+func (sim *budgetSim) sendReport(vm int) {
+	own := sim.budgets[vm].OwnUsage()
+	sim.queue.After(linkDelay, func() {
+		sim.reports[vm] = own
+		var others RetryUsage
+		for i, s := range sim.reports {
 			if i != vm {
 				others.Requests += s.Requests
-				others.Repeats += s.Repeats
+				others.Retries += s.Retries
 			}
 		}
-		w.queue.After(budgetLink, func() { w.budgets[vm].SetOthers(others) })
+		sim.queue.After(linkDelay, func() { sim.budgets[vm].SetPeerUsage(others) })
 	})
 }
 
-func (w *budgetWorld) requests(perSecond float64) {
-	next := time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))
-	w.queue.After(next, func() {
-		w.budgets[w.rng.IntN(len(w.budgets))].Request()
-		w.requests(perSecond)
+func (sim *budgetSim) generateRequests(perSecond float64) {
+	next := time.Duration(sim.rng.ExpFloat64() / perSecond * float64(time.Second))
+	sim.queue.After(next, func() {
+		sim.budgets[sim.rng.IntN(len(sim.budgets))].CountRequest()
+		sim.generateRequests(perSecond)
 	})
 }
 
-// wave loses streams of all VMs within a time.
-func (w *budgetWorld) wave(streams int, within time.Duration) {
+// loseStreams loses streams of random VMs within a time.
+func (sim *budgetSim) loseStreams(streams int, within time.Duration) {
 	for range streams {
-		w.queue.After(time.Duration(w.rng.Int64N(int64(within)+1)), func() { w.lose(w.rng.IntN(len(w.budgets))) })
+		sim.queue.After(time.Duration(sim.rng.Int64N(int64(within)+1)), func() { sim.loseStream(sim.rng.IntN(len(sim.budgets))) })
 	}
 }
 
-func (w *budgetWorld) lose(vm int) {
-	w.wanted++
+func (sim *budgetSim) loseStream(vm int) {
+	sim.lost++
 	u := InTime
-	if w.rng.Float64() < w.late {
-		u = TooLate
+	if sim.rng.Float64() < sim.lateShare {
+		u = Late
 	} else {
-		w.inTime++
+		sim.inTimeLost++
 	}
-	w.spend(vm, w.queue.Now(), u)
+	sim.retry(vm, sim.queue.Now(), u)
 }
 
-func (w *budgetWorld) spend(vm int, began time.Time, u Urgency) {
+func (sim *budgetSim) retry(vm int, began time.Time, u Urgency) {
 	asked := u
-	if w.alike {
+	if sim.ignoreUrgency {
 		asked = InTime
 	}
-	grant := w.budgets[vm].Spend(asked)
+	grant := sim.budgets[vm].Spend(asked)
 	if grant == Granted {
-		w.sends = append(w.sends, w.queue.Now())
+		sim.retries = append(sim.retries, sim.queue.Now())
 		if u == InTime {
-			w.inTimeSentAgain++
+			sim.inTimeRetried++
 		}
 	}
-	if grant == Denied || !w.tells {
+	if grant == Denied || !sim.reportsRetries {
 		return
 	}
-	w.tell(vm)
-	if grant == Uncertain && w.queue.Now().Sub(began) < askFor {
-		w.queue.After(time.Duration(w.rng.Int64N(int64(2*askPause))), func() { w.spend(vm, began, u) })
+	sim.sendReport(vm)
+	if grant == Uncertain && sim.queue.Now().Sub(began) < budgetPollTimeout {
+		sim.queue.After(time.Duration(sim.rng.Int64N(int64(2*budgetPollPause))), func() { sim.retry(vm, began, u) })
 	}
 }
 
-// most is the largest number of second sends within a window.
-func (w *budgetWorld) most() int {
+// maxInWindow returns the largest number of retries within a window.
+func (sim *budgetSim) maxInWindow() int {
 	most, first := 0, 0
-	for i, at := range w.sends {
-		for at.Sub(w.sends[first]) > waveAllowance.Window {
+	for i, at := range sim.retries {
+		for at.Sub(sim.retries[first]) > testAllowance.Window {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -123,64 +123,64 @@
 	return most
 }
 
-// play has a wave each three seconds once the window is full of requests.
-func (w *budgetWorld) play(perSecond float64, streams int, within time.Duration) {
-	w.requests(perSecond)
+// simulate loses streams every three seconds, once the window is full of requests.
+func (sim *budgetSim) simulate(perSecond float64, streams int, within time.Duration) {
+	sim.generateRequests(perSecond)
 	for at := 12 * time.Second; at < 40*time.Second; at += 3 * time.Second {
-		w.queue.After(at, func() { w.wave(streams, within) })
+		sim.queue.After(at, func() { sim.loseStreams(streams, within) })
 	}
-	w.queue.Run(time.Unix(42, 0))
+	sim.queue.Run(time.Unix(42, 0))
 }
 
-// The load of a large deployment whose zones die by turns: every three seconds a
-// third of the streams is lost within a second, which 67 VMs send again, two or
-// three each. What the allowance holds is sent: a VM that guesses the others' part
-// by seconds of its own breaks off streams while a part of the allowance is left.
-// And where all want far more, all together stay within it.
+// Guards against a budget that denies retries while much of it is left, and against VMs
+// that exceed it together. Zones of a large deployment die in turn: every three seconds a
+// third of the streams is lost within a second, and each of 67 VMs retries two or three.
+// A VM that estimated the retries of the others from seconds of its own retries would
+// break off streams that the allowance covers.
 func TestBudgetOfManyVMs(t *testing.T) {
 	tests := []struct {
-		name    string
-		vms     int
-		tells   bool
-		streams int // lost in each wave
-		within  time.Duration
-		least   float64 // share of the lost streams that is sent again
+		name          string
+		vms           int
+		reportRetries bool
+		streams       int // lost every three seconds
+		within        time.Duration
+		least         float64 // share of the lost streams that is retried
 	}{
-		{"waves within the allowance", 67, true, 100, 1200 * time.Millisecond, 0.99},
+		{"losses within the allowance", 67, true, 100, 1200 * time.Millisecond, 0.99},
 		{"the same at once", 67, true, 100, 0, 0.9},
-		{"the same, told by notices only", 67, false, 100, 1200 * time.Millisecond, 0.75},
-		{"waves of twice the allowance", 67, true, 300, 1200 * time.Millisecond, 0.35},
+		{"the same with periodic reports only", 67, false, 100, 1200 * time.Millisecond, 0.75},
+		{"losses of twice the allowance", 67, true, 300, 1200 * time.Millisecond, 0.35},
 		{"the same at once", 67, true, 300, 0, 0.35},
-		{"few VMs, waves within", 9, true, 100, 1200 * time.Millisecond, 0.99},
+		{"few VMs, losses within the allowance", 9, true, 100, 1200 * time.Millisecond, 0.99},
 		{"few VMs, twice the allowance at once", 9, true, 300, 0, 0.35},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newBudgetWorld(tt.vms, tt.tells)
+			sim := newBudgetSim(tt.vms, tt.reportRetries)
 			const perSecond = 48
-			w.play(perSecond, tt.streams, tt.within)
-			allowed := waveAllowance.Ratio*10*perSecond + waveAllowance.Slack
-			share := float64(len(w.sends)) / float64(w.wanted)
-			t.Logf("%.2f of %d sent again; most in a window %d of %.0f", share, w.wanted, w.most(), allowed)
-			if share < tt.least || float64(w.most()) > 0.97*allowed {
-				t.Errorf("%.2f sent again, want %.2f; most in a window %d of %.0f", share, tt.least, w.most(), allowed)
+			sim.simulate(perSecond, tt.streams, tt.within)
+			allowed := testAllowance.Ratio*10*perSecond + testAllowance.Slack
+			share := float64(len(sim.retries)) / float64(sim.lost)
+			t.Logf("retried %.2f of %d lost streams; at most %d retries in a window, allowed %.0f", share, sim.lost, sim.maxInWindow(), allowed)
+			if share < tt.least || float64(sim.maxInWindow()) > 0.97*allowed {
+				t.Errorf("retried %.2f of the lost streams, want at least %.2f; at most %d retries in a window, want at most 0.97 of %.0f", share, tt.least, sim.maxInWindow(), allowed)
 			}
 		})
 	}
 }
 
-// The load of the same waves where the allowance lasts for three quarters of them, and
-// a quarter of the streams has no copy. In the order of losses a quarter of all is
-// broken off; with what is late coming after what is not, few that can still be served
-// in time are.
-func TestRestOfABudgetGoesWhereItSaves(t *testing.T) {
-	inTime := func(alike bool) float64 {
-		w := newBudgetWorld(67, true)
-		w.late, w.alike = 0.25, alike
-		w.play(48, 170, 100*time.Millisecond)
-		return float64(w.inTimeSentAgain) / float64(w.inTime)
+// Guards against late retries that use up the budget. The allowance suffices for three
+// quarters of the lost streams, and a quarter of these has no copy. Granted in the order
+// of losses, a quarter of all streams is broken off. If late retries have to yield, few
+// of the streams that can still be served in time are.
+func TestBudgetPrefersInTimeRetries(t *testing.T) {
+	inTime := func(ignoreUrgency bool) float64 {
+		sim := newBudgetSim(67, true)
+		sim.lateShare, sim.ignoreUrgency = 0.25, ignoreUrgency
+		sim.simulate(48, 170, 100*time.Millisecond)
+		return float64(sim.inTimeRetried) / float64(sim.inTimeLost)
 	}
-	if alike, first := inTime(true), inTime(false); alike > 0.75 || first < 0.85 {
-		t.Errorf("of the streams with a copy %.2f go on where all are alike, %.2f where they are first", alike, first)
+	if without, with := inTime(true), inTime(false); without > 0.75 || with < 0.85 {
+		t.Errorf("retried %.2f of the streams with a copy without urgencies, want at most 0.75; %.2f with them, want at least 0.85", without, with)
 	}
 }
--- a/internal/forward/world_test.go
+++ b/internal/forward/fixture_test.go
@@ -22,32 +22,35 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// world is one router before stand-in servers, in virtual time.
-type world struct {
-	t       *testing.T
-	net     *routedengine.Net
-	fleet   *upstream.Fleet
-	handler *forward.Handler
-	table   atomic.Pointer[routes.Table]
-	pool    *upstream.Pool
-	log     zerolog.Logger
-	servers []*routedengine.Server
-	left    map[uint64]forward.Copy // what another router has told
-	placer  forward.Placer          // nil: the router decides for itself
-	state   atomic.Pointer[rollout.State]
-	book    *rollout.Recorder
-	closing bool          // the router is shutting down
-	grace   time.Duration // left of its shutdown's; 0: none goes on
-}
-
-func (w *world) late(_ bool, takes time.Duration) bool { return w.grace > 0 && takes > w.grace }
-
-func (w *world) find(_ context.Context, identity uint64) (forward.Left, bool) {
-	c, ok := w.left[identity]
-	return forward.Left{Copy: c}, ok
-}
-
-// testRoutes: a stream that may resume, a vote, and a lookup.
+// fixture is a router with simulated servers, in virtual time.
+type fixture struct {
+	t                *testing.T
+	net              *routedengine.Net
+	fleet            *upstream.Fleet
+	handler          *forward.Handler
+	table            atomic.Pointer[routes.Table]
+	pool             *upstream.Pool
+	log              zerolog.Logger
+	servers          []*routedengine.Server
+	orphans          map[uint64]forward.Copy // copies that another router has reported, by identity
+	placer           forward.Placer          // nil: the router chooses engines itself
+	state            atomic.Pointer[rollout.State]
+	book             *rollout.Recorder
+	closing          bool          // the router is shutting down
+	shutdownTimeLeft time.Duration // until the router stops; 0: it is not shutting down
+}
+
+func (f *fixture) cannotFinish(_ bool, takes time.Duration) bool {
+	return f.shutdownTimeLeft > 0 && takes > f.shutdownTimeLeft
+}
+
+func (f *fixture) findOrphan(_ context.Context, identity uint64) (forward.Orphan, bool) {
+	c, ok := f.orphans[identity]
+	return forward.Orphan{Copy: c}, ok
+}
+
+// testRoutes returns routes of a resumable stream, a vote that may run once, and an
+// idempotent call.
 func testRoutes() *routes.Table {
 	return routes.NewTable(&routes.List{
 		Version: 1,
@@ -75,54 +78,54 @@
 	})
 }
 
-// newWorld starts a router; each server is given its place on the network.
-func newWorld(t *testing.T, servers ...*routedengine.Server) *world {
-	return newWorldWithLog(t, zerolog.Nop(), servers...)
+// newFixture starts a router and assigns each server an id and an address.
+func newFixture(t *testing.T, servers ...*routedengine.Server) *fixture {
+	return newFixtureWithLog(t, zerolog.Nop(), servers...)
 }
 
-func newWorldWithLog(t *testing.T, log zerolog.Logger, servers ...*routedengine.Server) *world {
-	w := &world{t: t, net: routedengine.NewNet()}
+func newFixtureWithLog(t *testing.T, log zerolog.Logger, servers ...*routedengine.Server) *fixture {
+	f := &fixture{t: t, net: routedengine.NewNet()}
 	for i, s := range servers {
 		s.ID, s.Address = fmt.Sprintf("i%d", i), fmt.Sprintf("10.0.0.%d:80", i)
-		w.servers = append(w.servers, w.net.Add(s))
+		f.servers = append(f.servers, f.net.Add(s))
 	}
-	w.log, w.pool = log, upstream.NewPoolWith(w.net.Dial)
-	w.fleet = upstream.NewFleet(w.pool, log)
-	w.fleet.Apply(upstream.List{Backends: w.net.List(), AsOf: time.Now()})
-	w.table.Store(testRoutes())
-	w.state.Store(&rollout.State{})
-	w.book = rollout.NewRecorder(time.Now)
+	f.log, f.pool = log, upstream.NewPoolWith(f.net.Dial)
+	f.fleet = upstream.NewFleet(f.pool, log)
+	f.fleet.Apply(upstream.List{Backends: f.net.List(), AsOf: time.Now()})
+	f.table.Store(testRoutes())
+	f.state.Store(&rollout.State{})
+	f.book = rollout.NewRecorder(time.Now)
 	ready := make(chan struct{})
 	close(ready)
-	w.rebuild(ready)
-	return w
-}
-
-// rebuild makes the router's handler; it holds its lists once ready is closed.
-func (w *world) rebuild(ready <-chan struct{}) {
-	w.handler = forward.NewHandler(forward.Options{
-		Zone: "a", Wire: forward.NewPlainWire(), Pool: w.pool, Fleet: w.fleet,
-		Routes: w.table.Load, Prepared: ready, Allowance: forward.Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
-		Log: w.log, Ordinary: w.log, Metrics: metrics.NewSet(), Blame: forward.NewBlameBook(), Closing: func() bool { return w.closing },
-		TooLate: w.late, Find: w.find, Placer: w.placer,
-		Rollouts: &forward.Rollouts{State: w.state.Load, Book: w.book},
+	f.newHandler(ready)
+	return f
+}
+
+// newHandler replaces the router's handler by one that has its lists once ready is closed.
+func (f *fixture) newHandler(ready <-chan struct{}) {
+	f.handler = forward.NewHandler(forward.Options{
+		Zone: "a", Wire: forward.NewPlainWire(), Pool: f.pool, Fleet: f.fleet,
+		Routes: f.table.Load, ListsReady: ready, RetryAllowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
+		Log: f.log, RoutineLog: f.log, Metrics: metrics.NewSet(), SuspectContents: forward.NewSuspectContents(), Closing: func() bool { return f.closing },
+		CannotFinish: f.cannotFinish, FindOrphan: f.findOrphan, Placer: f.placer,
+		Rollouts: &forward.Rollouts{State: f.state.Load, Book: f.book},
 	})
 }
 
-// place has someone decide where streams go.
-func (w *world) place(p forward.Placer) {
-	w.placer = p
+// setPlacer replaces the router's handler by one that uses a Placer.
+func (f *fixture) setPlacer(p forward.Placer) {
+	f.placer = p
 	ready := make(chan struct{})
 	close(ready)
-	w.rebuild(ready)
+	f.newHandler(ready)
 }
 
-// end resets every connection, so that nothing of the bubble is left.
-func (w *world) end() {
-	for _, s := range w.servers {
+// shutDown resets every connection, since no goroutine of a synctest bubble may remain.
+func (f *fixture) shutDown() {
+	for _, s := range f.servers {
 		s.Set(routedengine.Dead)
 	}
-	w.fleet.Apply(upstream.List{AsOf: time.Now().Add(time.Hour)})
+	f.fleet.Apply(upstream.List{AsOf: time.Now().Add(time.Hour)})
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
@@ -147,7 +150,7 @@
 	status  int
 	text    strings.Builder
 	arrived []time.Time // of each write
-	broken  bool        // the connection was broken off
+	broken  bool        // the connection was aborted
 	done    chan struct{}
 	leave   context.CancelFunc
 }
@@ -172,7 +175,7 @@
 
 func (a *answer) Flush() {}
 
-// longestPause is the longest time between two events.
+// longestPause returns the longest time between two events.
 func (a *answer) longestPause() time.Duration {
 	var longest time.Duration
 	for i := 1; i < len(a.arrived); i++ {
@@ -182,16 +185,16 @@
 }
 
 // send starts a caller's request and returns at once.
-func (w *world) send(method, path, id, body string, more ...string) *answer {
+func (f *fixture) send(method, path, id, body string, headers ...string) *answer {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Host = "shelf"
 	r.Header.Set(forward.HeaderRequestID, id)
 	r.Header.Set("Authorization", "Bearer key-of-nelson")
 	r.Header.Set(forward.HeaderTokens, "8000,1000")
-	for i := 0; i+1 < len(more); i += 2 {
-		r.Header.Set(more[i], more[i+1])
+	for i := 0; i+1 < len(headers); i += 2 {
+		r.Header.Set(headers[i], headers[i+1])
 	}
-	ctx, cancel := context.WithCancel(w.t.Context())
+	ctx, cancel := context.WithCancel(f.t.Context())
 	a := &answer{header: http.Header{}, done: make(chan struct{}), leave: cancel}
 	go func() {
 		defer close(a.done)
@@ -203,14 +206,14 @@
 				a.broken = true
 			}
 		}()
-		w.handler.ServeHTTP(a, r.WithContext(ctx))
+		f.handler.ServeHTTP(a, r.WithContext(ctx))
 	}()
 	return a
 }
 
-// wholeStream fails unless each of n events came once, in order, and the answer
-// ended properly.
-func (a *answer) wholeStream(t *testing.T, n int) {
+// requireCompleteStream fails the test unless each of n events came once, in order, and
+// the answer ended regularly.
+func (a *answer) requireCompleteStream(t *testing.T, n int) {
 	t.Helper()
 	<-a.done
 	var want strings.Builder
@@ -218,17 +221,17 @@
 		fmt.Fprintf(&want, "id: %d\ndata: piece %d\n\n", i, i)
 	}
 	if a.broken || a.status != http.StatusOK {
-		t.Fatalf("status %d, broken off: %t", a.status, a.broken)
+		t.Fatalf("got status %d, aborted: %t, want 200 and a regular end", a.status, a.broken)
 	}
 	if got := a.text.String(); got != want.String() {
-		t.Fatalf("the caller got %d bytes that are not the whole stream:\n%s", len(got), got)
+		t.Fatalf("got %d bytes that are not the complete stream:\n%s", len(got), got)
 	}
 }
 
 // totalRuns counts the runs of a request over all servers.
-func (w *world) totalRuns(id string) int {
+func (f *fixture) totalRuns(id string) int {
 	n := 0
-	for _, s := range w.servers {
+	for _, s := range f.servers {
 		for _, r := range s.Runs() {
 			if r.RequestID == id {
 				n++
