--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -14,24 +14,24 @@
 )
 
 // PartID names a part in commands and snapshots. The numbers are on disk.
-type PartID uint8
+type StateMachineID uint8
 
 // The parts.
 const (
-	PartPlans   PartID = 1 // the operators' two lists and their history
-	PartLedger  PartID = 2 // grants and what is spent of each allowance
-	PartCalls   PartID = 3 // claims and results of non-idempotent calls
-	PartFleet   PartID = 4 // backend servers, orders, fencing numbers
-	PartMembers PartID = 5 // VMs and their incarnations
-	PartRoutes  PartID = 6 // the route list
+	PlansStateMachine   StateMachineID = 1 // the operators' two lists and their history
+	LedgerStateMachine  StateMachineID = 2 // grants and what is spent of each allowance
+	CallsStateMachine   StateMachineID = 3 // claims and results of non-idempotent calls
+	FleetStateMachine   StateMachineID = 4 // backend servers, orders, fencing numbers
+	MembersStateMachine StateMachineID = 5 // VMs and their incarnations
+	RoutesStateMachine  StateMachineID = 6 // the route list
 	// PartRollouts are the roll-outs of services' versions.
-	PartRollouts PartID = 7
+	RolloutsStateMachine StateMachineID = 7
 )
 
 // Part is one aggregate within the group's state. Apply must be deterministic:
 // it depends on its arguments and the part's state alone. nowMS is the group's
 // clock: stamped by the leader, never going back.
-type Part interface {
+type StateMachine interface {
 	// Apply executes a command and returns the encoded reply.
 	Apply(nowMS int64, cmd []byte) []byte
 	// Version grows with each change that watchers must see.
@@ -49,25 +49,25 @@
 	// Propose commits a command of a part and returns the part's reply. It
 	// retries over leader changes; the group executes the command once. After an
 	// error the outcome is unknown.
-	Propose(ctx context.Context, smID PartID, cmd []byte) ([]byte, error)
+	Propose(ctx context.Context, smID StateMachineID, cmd []byte) ([]byte, error)
 	// Barrier returns once this VM's view holds all that was committed before
 	// the call.
 	Barrier(ctx context.Context) error
 }
 
 // Propose encodes cmd, commits it and decodes the reply.
-func Propose[R any](ctx context.Context, c Client, smID PartID, cmd any) (R, error) {
+func Propose[R any](ctx context.Context, c Client, smID StateMachineID, cmd any) (R, error) {
 	return proposeWith[R](ctx, c.Propose, smID, cmd)
 }
 
 // ProposeSame is Propose for a command that runs once, however many VMs propose it.
-func ProposeSame[R any](ctx context.Context, r *Remote, smID PartID, cmd any) (R, error) {
-	return proposeWith[R](ctx, r.ProposeSame, smID, cmd)
+func ProposeDeduplicated[R any](ctx context.Context, r *RemoteClient, smID StateMachineID, cmd any) (R, error) {
+	return proposeWith[R](ctx, r.ProposeDeduplicated, smID, cmd)
 }
 
-type proposeFunc func(ctx context.Context, smID PartID, cmd []byte) ([]byte, error)
+type proposeFunc func(ctx context.Context, smID StateMachineID, cmd []byte) ([]byte, error)
 
-func proposeWith[R any](ctx context.Context, propose proposeFunc, smID PartID, cmd any) (R, error) {
+func proposeWith[R any](ctx context.Context, propose proposeFunc, smID StateMachineID, cmd any) (R, error) {
 	var out R
 	data, err := codec.Marshal(cmd)
 	if err != nil {
@@ -83,10 +83,10 @@
 // Envelope is one committed entry. ID is unique to the proposal: a retry after
 // a lost answer carries it again and gets the first reply.
 type Envelope struct {
-	Part PartID          `cbor:"1,keyasint"`
-	ID   string          `cbor:"2,keyasint"`
-	AtMS int64           `cbor:"3,keyasint"`
-	Body cbor.RawMessage `cbor:"4,keyasint,omitempty"`
+	StateMachine StateMachineID  `cbor:"1,keyasint"`
+	ID           string          `cbor:"2,keyasint"`
+	AtMS         int64           `cbor:"3,keyasint"`
+	Body         cbor.RawMessage `cbor:"4,keyasint,omitempty"`
 	// Packed is the body of a large command, compressed; Body is empty then.
 	Packed []byte `cbor:"5,keyasint,omitempty"`
 }
@@ -107,9 +107,9 @@
 const maxCachedReplyBytes = 16 << 20
 
 // Machine is the whole replicated state. Safe for concurrent use.
-type Machine struct {
+type ReplicatedState struct {
 	mu            sync.Mutex
-	stateMachines map[PartID]Part
+	stateMachines map[StateMachineID]StateMachine
 	nowMS         int64
 	replies       map[string][]byte
 	replyOrder    []string
@@ -121,19 +121,19 @@
 var ErrNotApplied = errors.New("control: command not executed")
 
 // NewMachine returns an empty Machine.
-func NewMachine() *Machine {
-	return &Machine{stateMachines: map[PartID]Part{}, replies: map[string][]byte{}, changed: make(chan struct{})}
+func NewReplicatedState() *ReplicatedState {
+	return &ReplicatedState{stateMachines: map[StateMachineID]StateMachine{}, replies: map[string][]byte{}, changed: make(chan struct{})}
 }
 
 // Register adds a part before the first command.
-func (rs *Machine) Register(id PartID, sm Part) {
+func (rs *ReplicatedState) Register(id StateMachineID, sm StateMachine) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.stateMachines[id] = sm
 }
 
 // Apply executes a committed entry.
-func (rs *Machine) Apply(entry []byte) ([]byte, error) {
+func (rs *ReplicatedState) Apply(entry []byte) ([]byte, error) {
 	var e Envelope
 	if err := codec.Unmarshal(entry, &e); err != nil {
 		return nil, fmt.Errorf("%w: committed entry: %w", ErrNotApplied, err)
@@ -147,9 +147,9 @@
 	if reply, ok := rs.replies[e.ID]; ok && e.ID != "" {
 		return reply, nil
 	}
-	sm := rs.stateMachines[e.Part]
+	sm := rs.stateMachines[e.StateMachine]
 	if sm == nil {
-		return nil, fmt.Errorf("%w: no part %d", ErrNotApplied, e.Part)
+		return nil, fmt.Errorf("%w: no part %d", ErrNotApplied, e.StateMachine)
 	}
 	rs.nowMS = max(rs.nowMS, e.AtMS)
 	before := sm.Version()
@@ -162,19 +162,19 @@
 }
 
 // Reply returns the reply to a command that was executed, as long as it is kept.
-func (rs *Machine) Reply(id string) ([]byte, bool) {
+func (rs *ReplicatedState) CachedReply(id string) ([]byte, bool) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	reply, ok := rs.replies[id]
 	return reply, ok
 }
 
-func (rs *Machine) notifyChanged() {
+func (rs *ReplicatedState) notifyChanged() {
 	close(rs.changed)
 	rs.changed = make(chan struct{})
 }
 
-func (rs *Machine) cacheReply(id string, reply []byte) {
+func (rs *ReplicatedState) cacheReply(id string, reply []byte) {
 	if id == "" {
 		return
 	}
@@ -190,14 +190,14 @@
 }
 
 // Read runs f on a part's state, which must not be kept.
-func (rs *Machine) Read(id PartID, f func(Part)) {
+func (rs *ReplicatedState) Read(id StateMachineID, f func(StateMachine)) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	f(rs.stateMachines[id])
 }
 
 // Changed returns a channel that is closed at the next change of a version.
-func (rs *Machine) Changed() <-chan struct{} {
+func (rs *ReplicatedState) Changed() <-chan struct{} {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	return rs.changed
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -45,10 +45,10 @@
 // vm is one VM of a test: a voter where it has a group.
 type vm struct {
 	id      string
-	state   *Machine
+	state   *ReplicatedState
 	group   *Group
 	feed    *Feed
-	client  *Remote
+	client  *RemoteClient
 	t       testing.TB
 	failed  chan error // why its member stopped; a test that expects it takes it
 	mu      sync.Mutex
@@ -89,11 +89,11 @@
 // startVMWith is startVM with other options of a control VM's group.
 func startVMWith(t testing.TB, f *fabric, id string, voters []string, fs *waltest.FS, change func(*GroupOptions)) *vm {
 	t.Helper()
-	v := &vm{id: id, t: t, state: NewMachine(), failed: make(chan error, 1)}
-	v.state.Register(PartPlans, &listMachine{})
-	v.state.Register(PartRollouts, rollout.NewPart())
-	v.feed = NewFeed(FeedOptions{Self: id, Voters: Fixed(voters), Transport: endpoint{f, id}, Lease: testLease, Log: zerolog.Nop()})
-	v.feed.OnChange(PartPlans, func(data []byte) {
+	v := &vm{id: id, t: t, state: NewReplicatedState(), failed: make(chan error, 1)}
+	v.state.Register(PlansStateMachine, &listMachine{})
+	v.state.Register(RolloutsStateMachine, rollout.NewPart())
+	v.feed = NewFeed(FeedOptions{Self: id, Voters: FixedVMs(voters), Transport: endpoint{f, id}, Lease: testLease, Log: zerolog.Nop()})
+	v.feed.OnChange(PlansStateMachine, func(data []byte) {
 		var items []string
 		if err := codec.Unmarshal(data, &items); err != nil {
 			t.Error(err)
@@ -104,8 +104,8 @@
 	})
 	if slices.Contains(voters, id) {
 		o := GroupOptions{
-			VM: id, Voters: voters, Dir: "/" + id, FS: fs, Transport: endpoint{f, id}, Machine: v.state,
-			Lease: testLease, Log: zerolog.Nop(), Failed: func(err error) { v.failed <- err },
+			VM: id, Voters: voters, Dir: "/" + id, FS: fs, Transport: endpoint{f, id}, State: v.state,
+			Lease: testLease, Log: zerolog.Nop(), OnFailure: func(err error) { v.failed <- err },
 		}
 		change(&o)
 		v.group = NewGroup(o)
@@ -161,7 +161,7 @@
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), 20*time.Second)
 	defer cancel()
-	n, err := Propose[int](ctx, c.vms[from].client, PartPlans, item)
+	n, err := Propose[int](ctx, c.vms[from].client, PlansStateMachine, item)
 	if err != nil {
 		c.t.Fatalf("propose %.40s from %s: %v", item, from, err)
 	}
@@ -326,7 +326,7 @@
 
 func (v *vm) items() []string {
 	var out []string
-	v.state.Read(PartPlans, func(sm Part) { out = slices.Clone(sm.(*listMachine).items) })
+	v.state.Read(PlansStateMachine, func(sm StateMachine) { out = slices.Clone(sm.(*listMachine).items) })
 	return out
 }
 
@@ -338,7 +338,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
 		defer c.stop()
-		retried := Envelope{Part: PartPlans, ID: "retried", AtMS: 1, Body: []byte{0x61, 'x'}}
+		retried := Envelope{StateMachine: PlansStateMachine, ID: "retried", AtMS: 1, Body: []byte{0x61, 'x'}}
 		entry, err := codec.Marshal(retried)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/control/rollout_history_test.go
+++ b/internal/control/rollout_history_test.go
@@ -62,7 +62,7 @@
 			command, op.Input = rollout.Command{Step: &s}, s
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		if r, err := Propose[rollout.Reply](ctx, v.client, PartRollouts, command); err == nil {
+		if r, err := Propose[rollout.Reply](ctx, v.client, RolloutsStateMachine, command); err == nil {
 			op.Output, op.Return = viewOf(&r.Record), time.Now().UnixNano()
 			last = r.Record.Number
 		}
@@ -132,7 +132,7 @@
 		op := porcupine.Operation{ClientId: client, Call: time.Now().UnixNano()}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		if err := v.client.Barrier(ctx); err == nil {
-			v.state.Read(PartRollouts, func(sm Part) {
+			v.state.Read(RolloutsStateMachine, func(sm StateMachine) {
 				r, _ := sm.(*rollout.Part).Record("desk")
 				op.Output = viewOf(&r)
 			})
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -18,8 +18,8 @@
 }
 
 type stateMachineData struct {
-	ID   PartID `cbor:"1,keyasint"`
-	Data []byte `cbor:"2,keyasint"`
+	ID   StateMachineID `cbor:"1,keyasint"`
+	Data []byte         `cbor:"2,keyasint"`
 }
 
 type cachedReply struct {
@@ -28,7 +28,7 @@
 }
 
 // Snapshot returns the whole state.
-func (rs *Machine) Snapshot() ([]byte, error) {
+func (rs *ReplicatedState) Snapshot() ([]byte, error) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	s := snapshotData{NowMS: rs.nowMS, Replies: make([]cachedReply, 0, len(rs.replyOrder))}
@@ -46,7 +46,7 @@
 }
 
 // Restore replaces the whole state.
-func (rs *Machine) Restore(data []byte) error {
+func (rs *ReplicatedState) Restore(data []byte) error {
 	var s snapshotData
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("control: snapshot: %w", err)
@@ -71,17 +71,17 @@
 }
 
 // NowMS is the group's clock, in milliseconds of the Unix epoch.
-func (rs *Machine) NowMS() int64 {
+func (rs *ReplicatedState) NowMS() int64 {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	return rs.nowMS
 }
 
 // Versions returns the version of each part asked for that is registered.
-func (rs *Machine) Versions(ids []PartID) map[PartID]uint64 {
+func (rs *ReplicatedState) Versions(ids []StateMachineID) map[StateMachineID]uint64 {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	out := make(map[PartID]uint64, len(ids))
+	out := make(map[StateMachineID]uint64, len(ids))
 	for _, id := range ids {
 		if sm := rs.stateMachines[id]; sm != nil {
 			out[id] = sm.Version()
--- a/internal/quota/pump_test.go
+++ b/internal/quota/pump_test.go
@@ -19,19 +19,19 @@
 // lossy is a control group whose answers can be lost after it has executed the
 // command, or which cannot be reached at all.
 type lossy struct {
-	*control.Solo
+	*control.LocalClient
 	mu          sync.Mutex
 	unreachable bool
 	loseAnswers int
 }
 
-func (l *lossy) Propose(ctx context.Context, part control.PartID, cmd []byte) ([]byte, error) {
+func (l *lossy) Propose(ctx context.Context, part control.StateMachineID, cmd []byte) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable {
 		return nil, errors.New("no leader")
 	}
-	reply, err := l.Solo.Propose(ctx, part, cmd)
+	reply, err := l.LocalClient.Propose(ctx, part, cmd)
 	if l.loseAnswers > 0 {
 		l.loseAnswers--
 		return nil, errors.New("answer lost")
@@ -48,18 +48,18 @@
 func newPump(t *testing.T) (*Quota, *lossy, func() plan.Use, plan.Allowance) {
 	t.Helper()
 	a := allowance(1000, 4, time.Hour)
-	book, machine := plan.NewBook(), control.NewMachine()
+	book, machine := plan.NewBook(), control.NewReplicatedState()
 	book.Do(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
 	book.Do(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
 	ledger := plan.NewLedger(book, func(err error) { t.Error(err) })
-	machine.Register(control.PartLedger, ledger)
-	group := &lossy{Solo: control.NewSolo(machine)}
+	machine.Register(control.LedgerStateMachine, ledger)
+	group := &lossy{LocalClient: control.NewLocalClient(machine)}
 	q := New("vm1", "a", group, new(expvar.Map), zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go q.Run(ctx)
 	use := func() (u plan.Use) {
-		machine.Read(control.PartLedger, func(control.Part) { u = ledger.Use("hot") })
+		machine.Read(control.LedgerStateMachine, func(control.StateMachine) { u = ledger.Use("hot") })
 		return u
 	}
 	return q, group, use, a
