--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,12 +1,11 @@
-// Package codec encodes what VMs send one another and write to their disks, as
-// CBOR. It stands apart from the transport so that the pure packages need no
-// sockets.
+// Package codec encodes messages between VMs and data on disk as CBOR. It is separate from
+// the transport, which keeps packages without I/O independent of sockets.
 package codec
 
 import "github.com/fxamacker/cbor/v2"
 
-// Decoder limits: bytes from a broken or hostile sender must not make the
-// decoder build huge or deep values before its content is looked at.
+// Limits of the decoder. Data from a faulty or hostile sender must not make the decoder
+// build huge or deeply nested values before the content is validated.
 const (
 	maxArrayElements = 1 << 20
 	maxMapPairs      = 1 << 16
@@ -25,8 +24,9 @@
 	return m
 }()
 
-// Marshal encodes a value.
+// Marshal encodes a value as CBOR.
 func Marshal(v any) ([]byte, error) { return cbor.Marshal(v) }
 
-// Unmarshal decodes a value within this package's limits.
+// Unmarshal decodes CBOR into v. It returns an error if the data exceeds the limits of
+// this package.
 func Unmarshal(data []byte, v any) error { return decMode.Unmarshal(data, v) }
--- a/internal/codec/pack.go
+++ b/internal/codec/pack.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Pack compresses data. Lists of rows alike shrink to a fifth and less.
+// Pack compresses data with DEFLATE. Lists of similar rows shrink to a fifth or less.
 func Pack(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -23,7 +23,8 @@
 	return out.Bytes(), nil
 }
 
-// Unpack undoes Pack. It refuses what would be larger than limit, in bytes.
+// Unpack decompresses the result of Pack. It returns an error if the decompressed data
+// exceeds limit, in bytes.
 func Unpack(data []byte, limit int) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(data))
 	plain, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
@@ -31,7 +32,7 @@
 		return nil, err
 	}
 	if len(plain) > limit {
-		return nil, fmt.Errorf("codec: packed data of more than %d bytes", limit)
+		return nil, fmt.Errorf("codec: decompressed data exceeds %d bytes", limit)
 	}
 	return plain, nil
 }
@@ -45,8 +46,8 @@
 	return Pack(data)
 }
 
-// UnmarshalPacked undoes MarshalPacked. It refuses what would be larger than limit, in
-// bytes, once it is unpacked.
+// UnmarshalPacked decompresses and decodes the result of MarshalPacked. It returns an error
+// if the decompressed data exceeds limit, in bytes.
 func UnmarshalPacked(data []byte, limit int, v any) error {
 	plain, err := Unpack(data, limit)
 	if err != nil {
--- a/internal/control/benchmark_test.go
+++ b/internal/control/benchmark_test.go
@@ -18,7 +18,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// loopback is a deployment in one process over real sockets and real disks.
+// loopback is a deployment in one process that uses real sockets and disks.
 type loopback struct {
 	b        *testing.B
 	vms      []*vm
@@ -26,7 +26,7 @@
 	servers  []*http.Server
 
 	mu             sync.Mutex
-	appliedVMs     map[string]int // item to VMs that applied it
+	appliedVMs     map[string]int // item to the number of VMs that have applied it
 	appliedByAllAt map[string]time.Time
 }
 
@@ -127,7 +127,7 @@
 		}
 		<-time.After(10 * time.Millisecond)
 	}
-	l.b.Fatalf("%d of %d VMs are fresh", l.countFresh(), len(l.vms))
+	l.b.Fatalf("got %d of %d VMs fresh, want all", l.countFresh(), len(l.vms))
 }
 
 func (l *loopback) countFresh() int {
@@ -147,9 +147,9 @@
 	return float64(d[int(p*float64(len(d)-1))]) / float64(time.Millisecond)
 }
 
-// BenchmarkInForce measures, for an operator's change: commit, from the request
-// to its answer; last, from the answer to the last VM that applies it; waited,
-// from the answer to the report that it is in force everywhere.
+// BenchmarkInForce measures three times of an operator's change: commit, from the request
+// to the reply; last, from the reply until the last VM applies the change; waited, from the
+// reply to the report that the change is in force everywhere.
 func BenchmarkInForce(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("vms=%d", size.all), func(b *testing.B) {
@@ -174,7 +174,7 @@
 				}
 				at, ok := l.appliedByAll(item)
 				if !ok {
-					b.Fatal("in force, but not on every VM")
+					b.Fatal("change reported in force before every VM applied it")
 				}
 				commit = append(commit, accepted.Sub(began))
 				last = append(last, max(0, at.Sub(accepted)))
@@ -188,9 +188,9 @@
 	}
 }
 
-// BenchmarkIdle measures what the control traffic of a deployment costs while
-// nothing changes: processor share and memory of a VM on average. Run it with
-// -benchtime 1x: an iteration takes ten seconds.
+// BenchmarkIdle measures the cost of the control traffic without changes, as the average
+// CPU share and heap of a VM. Run it with -benchtime 1x, since an iteration takes ten
+// seconds.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("vms=%d", size.all), func(b *testing.B) {
@@ -223,8 +223,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkGroupCommit measures commits of three voters over loopback with real
-// disks, by so many proposers at once.
+// BenchmarkGroupCommit measures commits of three voters over loopback with real disks, for
+// several numbers of concurrent proposers.
 func BenchmarkGroupCommit(b *testing.B) {
 	for _, proposers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("proposers=%d", proposers), func(b *testing.B) {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control hosts the control group's replicated state: one state machine
-// made of parts, each an aggregate with its own commands.
+// Package control hosts the control group's replicated state. The state consists
+// of several state machines, each an aggregate with its own commands. The package
+// also has the clients that propose commands and the feed that VMs follow.
 package control
 
 import (
@@ -13,54 +14,57 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// PartID names a part in commands and snapshots. The numbers are on disk.
+// StateMachineID identifies a state machine in commands and snapshots. The numbers
+// are stored on disk.
 type StateMachineID uint8
 
-// The parts.
+// The state machines.
 const (
 	PlansStateMachine   StateMachineID = 1 // the operators' two lists and their history
-	LedgerStateMachine  StateMachineID = 2 // grants and what is spent of each allowance
+	LedgerStateMachine  StateMachineID = 2 // grants and consumption of each allowance
 	CallsStateMachine   StateMachineID = 3 // claims and results of non-idempotent calls
 	FleetStateMachine   StateMachineID = 4 // backend servers, orders, fencing numbers
 	MembersStateMachine StateMachineID = 5 // VMs and their incarnations
 	RoutesStateMachine  StateMachineID = 6 // the route list
-	// PartRollouts are the roll-outs of services' versions.
+	// RolloutsStateMachine holds the roll-outs of services' versions.
 	RolloutsStateMachine StateMachineID = 7
 )
 
-// Part is one aggregate within the group's state. Apply must be deterministic:
-// it depends on its arguments and the part's state alone. nowMS is the group's
-// clock: stamped by the leader, never going back.
+// StateMachine is one aggregate within the group's state. Apply must be
+// deterministic: it may depend only on its arguments and the current state. nowMS is
+// the group's clock in Unix milliseconds, which the leader stamps and which never
+// goes back.
 type StateMachine interface {
 	// Apply executes a command and returns the encoded reply.
 	Apply(nowMS int64, cmd []byte) []byte
-	// Version grows with each change that watchers must see.
+	// Version increases with each change that following VMs must receive.
 	Version() uint64
-	// Changes returns an encoded change from version since to Version, or the
-	// whole state where since is too old.
+	// Changes returns the encoded difference between version since and the current
+	// version, or the complete state if since is too old.
 	Changes(since uint64) []byte
-	// Snapshot and Restore carry the whole state.
+	// Snapshot encodes the complete state; Restore replaces it with an encoded one.
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
 }
 
-// Client reaches the control group from any VM.
+// Client sends commands and reads to the control group from any VM.
 type Client interface {
-	// Propose commits a command of a part and returns the part's reply. It
-	// retries over leader changes; the group executes the command once. After an
-	// error the outcome is unknown.
+	// Propose commits a command of a state machine and returns the reply. It
+	// retries across leader changes, and the group executes the command once.
+	// After an error the outcome is unknown.
 	Propose(ctx context.Context, smID StateMachineID, cmd []byte) ([]byte, error)
-	// Barrier returns once this VM's view holds all that was committed before
-	// the call.
+	// Barrier returns once this VM's local view contains everything that was
+	// committed before the call.
 	Barrier(ctx context.Context) error
 }
 
-// Propose encodes cmd, commits it and decodes the reply.
+// Propose encodes cmd, commits it through c and decodes the reply.
 func Propose[R any](ctx context.Context, c Client, smID StateMachineID, cmd any) (R, error) {
 	return proposeWith[R](ctx, c.Propose, smID, cmd)
 }
 
-// ProposeSame is Propose for a command that runs once, however many VMs propose it.
+// ProposeDeduplicated is Propose for a command that the group executes once, however
+// many VMs propose it.
 func ProposeDeduplicated[R any](ctx context.Context, r *RemoteClient, smID StateMachineID, cmd any) (R, error) {
 	return proposeWith[R](ctx, r.ProposeDeduplicated, smID, cmd)
 }
@@ -80,18 +84,18 @@
 	return out, codec.Unmarshal(reply, &out)
 }
 
-// Envelope is one committed entry. ID is unique to the proposal: a retry after
-// a lost answer carries it again and gets the first reply.
+// Envelope is one committed log entry. ID is unique to the proposal: a retry after
+// a lost reply carries the same ID and receives the first reply.
 type Envelope struct {
 	StateMachine StateMachineID  `cbor:"1,keyasint"`
 	ID           string          `cbor:"2,keyasint"`
 	AtMS         int64           `cbor:"3,keyasint"`
 	Body         cbor.RawMessage `cbor:"4,keyasint,omitempty"`
-	// Packed is the body of a large command, compressed; Body is empty then.
+	// Packed is the compressed body of a large command, in which case Body is empty.
 	Packed []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// command returns the part's command.
+// command returns the uncompressed command.
 func (e *Envelope) command() ([]byte, error) {
 	if e.Packed == nil {
 		return e.Body, nil
@@ -99,40 +103,43 @@
 	return codec.Unpack(e.Packed, maxCommandBytes)
 }
 
-// maxReplies bounds how many first replies are kept for retries. A proposer
-// retries for seconds; at 5,000 commands a second this holds more than ten.
+// maxCachedReplies bounds the replies kept for retries. A proposer retries for some
+// seconds; at 5,000 commands a second the cache covers more than ten seconds.
 const maxCachedReplies = 1 << 16
 
-// replyBytes bounds their memory: 65,536 replies of some 100 bytes fit.
+// maxCachedReplyBytes bounds the memory of these replies. 65,536 replies of about
+// 100 bytes fit.
 const maxCachedReplyBytes = 16 << 20
 
-// Machine is the whole replicated state. Safe for concurrent use.
+// ReplicatedState is the complete replicated state: the state machines and the replies
+// kept for retries. It is safe for concurrent use.
 type ReplicatedState struct {
 	mu            sync.Mutex
 	stateMachines map[StateMachineID]StateMachine
 	nowMS         int64
 	replies       map[string][]byte
 	replyOrder    []string
-	replyBytes    int // bytes of replies and their ids
+	replyBytes    int // size of the cached replies and their IDs
 	changed       chan struct{}
 }
 
-// ErrNotApplied reports a committed command that no part could execute.
+// ErrNotApplied reports a committed command that no state machine could execute.
 var ErrNotApplied = errors.New("control: command not executed")
 
-// NewMachine returns an empty Machine.
+// NewReplicatedState returns a ReplicatedState without state machines.
 func NewReplicatedState() *ReplicatedState {
 	return &ReplicatedState{stateMachines: map[StateMachineID]StateMachine{}, replies: map[string][]byte{}, changed: make(chan struct{})}
 }
 
-// Register adds a part before the first command.
+// Register adds a state machine. It must be called before the first command is applied.
 func (rs *ReplicatedState) Register(id StateMachineID, sm StateMachine) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.stateMachines[id] = sm
 }
 
-// Apply executes a committed entry.
+// Apply executes a committed entry and returns the encoded reply. An entry whose ID is
+// in the reply cache is not executed again.
 func (rs *ReplicatedState) Apply(entry []byte) ([]byte, error) {
 	var e Envelope
 	if err := codec.Unmarshal(entry, &e); err != nil {
@@ -140,7 +147,7 @@
 	}
 	cmd, err := e.command()
 	if err != nil {
-		return nil, fmt.Errorf("%w: packed command: %w", ErrNotApplied, err)
+		return nil, fmt.Errorf("%w: compressed command: %w", ErrNotApplied, err)
 	}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -149,7 +156,7 @@
 	}
 	sm := rs.stateMachines[e.StateMachine]
 	if sm == nil {
-		return nil, fmt.Errorf("%w: no part %d", ErrNotApplied, e.StateMachine)
+		return nil, fmt.Errorf("%w: no state machine %d", ErrNotApplied, e.StateMachine)
 	}
 	rs.nowMS = max(rs.nowMS, e.AtMS)
 	before := sm.Version()
@@ -161,7 +168,7 @@
 	return reply, nil
 }
 
-// Reply returns the reply to a command that was executed, as long as it is kept.
+// CachedReply returns the reply to an executed proposal while it is in the cache.
 func (rs *ReplicatedState) CachedReply(id string) ([]byte, bool) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -189,14 +196,15 @@
 	}
 }
 
-// Read runs f on a part's state, which must not be kept.
+// Read runs f on a state machine under the lock. f must not retain it.
 func (rs *ReplicatedState) Read(id StateMachineID, f func(StateMachine)) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	f(rs.stateMachines[id])
 }
 
-// Changed returns a channel that is closed at the next change of a version.
+// Changed returns a channel that is closed when the version of a state machine next
+// changes.
 func (rs *ReplicatedState) Changed() <-chan struct{} {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
--- a/internal/control/fabric_test.go
+++ b/internal/control/fabric_test.go
@@ -9,20 +9,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// fabric joins VMs in one process: a millisecond each way, links that can be
-// cut silently, answers that can be lost.
+// fabric is a simulated network of VMs in one process. A message takes a millisecond each
+// way, links can be cut silently, and replies can be lost.
 type fabric struct {
 	mu            sync.Mutex
 	handlers      map[string]map[peer.Kind]peer.Handler
 	cut           map[[2]string]bool
-	lostReplyKind peer.Kind // answers of this kind are lost
-	lostReplies   int       // so many
+	lostReplyKind peer.Kind // replies of this kind are lost
+	lostReplies   int       // number of further replies to lose
 	bytes         map[string]int
 	messages      map[string]int
 	inFlight      sync.WaitGroup
-	// rate is what a VM's link carries each way, in bytes a second; 0: no limit.
+	// linkRate is the rate of a VM's link in each direction, in bytes a second; 0: no limit.
 	linkRate      map[string]float64
-	sendFreeAt    map[string]time.Time // when the VM's link has sent all that it was given
+	sendFreeAt    map[string]time.Time // when the VM's link will have sent all queued messages
 	receiveFreeAt map[string]time.Time
 }
 
@@ -34,8 +34,8 @@
 	}
 }
 
-// carry waits until a message has gone over both VMs' links, behind all that they were
-// given before.
+// transmit waits until a message has crossed the links of both VMs, after all messages that
+// were queued before it.
 func (f *fabric) transmit(from, to string, size int) {
 	f.mu.Lock()
 	now := time.Now()
@@ -48,15 +48,15 @@
 	<-time.After(at.Sub(now) + linkDelay)
 }
 
-func (f *fabric) occupyLink(until map[string]time.Time, vm string, from time.Time, size int) time.Time {
+func (f *fabric) occupyLink(freeAt map[string]time.Time, vm string, from time.Time, size int) time.Time {
 	if f.linkRate[vm] == 0 {
 		return from
 	}
-	if until[vm].After(from) {
-		from = until[vm]
+	if freeAt[vm].After(from) {
+		from = freeAt[vm]
 	}
-	until[vm] = from.Add(time.Duration(float64(size+frameOverhead) / f.linkRate[vm] * float64(time.Second)))
-	return until[vm]
+	freeAt[vm] = from.Add(time.Duration(float64(size+frameOverhead) / f.linkRate[vm] * float64(time.Second)))
+	return freeAt[vm]
 }
 
 type endpoint struct {
@@ -75,7 +75,8 @@
 	p.f.handlers[p.vm][kind] = h
 }
 
-// frameOverhead is what CBOR frame, WebSocket, TCP and IP add to a body, bytes.
+// frameOverhead is the size of the CBOR frame, WebSocket, TCP and IP headers of a message,
+// in bytes.
 const frameOverhead = 12 + 6 + 52
 
 func (f *fabric) route(from, to string, kind peer.Kind, size int) (peer.Handler, bool, error) {
@@ -157,7 +158,8 @@
 	return nil
 }
 
-// isolate cuts a VM off, silently, both ways; heal ends all cuts.
+// isolate silently cuts the links between a VM and others in both directions. heal restores
+// all links.
 func (f *fabric) isolate(vm string, others ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/control/feed.go
+++ b/internal/control/feed.go
@@ -18,46 +18,46 @@
 // Timings of a Feed.
 const (
 	failedRoundPause       = 50 * time.Millisecond // after a round in which no voter answered
-	pollPause              = 20 * time.Millisecond // between polls: changes in quick succession travel together
-	returnToPreferredAfter = 30 * time.Second      // back to the preferred voter, so that load spreads again
+	pollPause              = 20 * time.Millisecond // between polls; combines changes that follow each other closely
+	returnToPreferredAfter = 30 * time.Second      // returns to the preferred voter, which spreads the load again
 )
 
-// FeedOptions are the options of a Feed.
+// FeedOptions configures a Feed.
 type FeedOptions struct {
 	Self      string
-	Voters    func() []string // VMs with the control role, as known now
+	Voters    func() []string // VMs that are currently known to have the control role
 	Transport peer.Transport
 	Lease     time.Duration
 	Log       zerolog.Logger
 }
 
-// Feed keeps a VM's copy of the followed parts up to date by long polls at one
-// voter, at others beside it while that one is late, and holds the VM's freshness
-// lease.
+// Feed keeps a VM's copy of the followed state machines up to date and holds the VM's
+// freshness lease. It sends long polls to one voter, and hedged polls to further
+// voters while that one is late.
 //
-// Safeguards. A lease counts from when the poll was sent: the leader confirmed
-// its office after that, so that everything committed before is in the answer.
-// A VM that cannot reach the group stops being fresh when its lease ends, and
-// must then admit nothing; an operator's change is thus in force everywhere after
-// one lease at the latest.
+// Safeguards. A lease starts when the poll was sent. The leader confirmed its
+// leadership after that moment, which means that the answer contains everything
+// committed before it. A VM that cannot reach the group stops being fresh when its
+// lease ends, and must not admit anything from then on. An operator's change is
+// therefore in force everywhere after at most one lease.
 type Feed struct {
 	o      FeedOptions
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	groupID   string // whose versions these are; of the loop alone
+	groupID   string // control group that versions refer to; used only by the poll loop
 	mu        sync.Mutex
 	versions  map[StateMachineID]uint64
 	callbacks map[StateMachineID][]func([]byte)
 	changed   chan struct{}
-	leaseEnd  time.Time // end of the lease, on both clocks
+	leaseEnd  time.Time // carries the wall clock and the monotonic clock
 	polls     uint64
 	failures  uint64
-	bytes     uint64 // of changes taken
+	bytes     uint64 // of applied changes
 }
 
-// NewFeed returns a Feed; callbacks are registered before Start.
+// NewFeed returns a Feed. Callbacks must be registered before Start.
 func NewFeed(o FeedOptions) *Feed {
 	f := &Feed{
 		o: o, versions: map[StateMachineID]uint64{},
@@ -70,8 +70,8 @@
 	return f
 }
 
-// preference spreads VMs over the voters by rendezvous hashing; a voter prefers
-// itself.
+// rendezvousOrder returns the order in which a VM turns to the voters. Rendezvous
+// hashing spreads the VMs over the voters; a voter prefers itself.
 func rendezvousOrder(self string, voters []string) []string {
 	rank := func(v string) uint64 {
 		if v == self {
@@ -87,26 +87,26 @@
 	})
 }
 
-// OnChange registers a function that gets each encoded change of a part, in
-// order, before the VM reports that it applies it. It must not block.
+// OnChange registers a function that receives each encoded change of a state machine,
+// in order, before the VM reports the new version as applied. It must not block.
 func (f *Feed) OnChange(smID StateMachineID, apply func(data []byte)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.callbacks[smID] = append(f.callbacks[smID], apply)
 }
 
-// Start begins to follow.
+// Start begins to poll the voters.
 func (f *Feed) Start() { f.wg.Go(f.run) }
 
-// Close ends the Feed.
+// Close stops the polls and waits until the poll loop has ended.
 func (f *Feed) Close() {
 	f.cancel()
 	f.wg.Wait()
 }
 
-// Fresh reports whether the VM may rely on what it holds. Ask at the moment of
-// the decision. The wall clock can only shorten a lease: the monotonic clock may
-// stand still while a VM is suspended.
+// Fresh reports whether the freshness lease is valid, which allows the VM to rely on
+// its copy. Callers check it at the moment of each decision. The lease must be valid on
+// the wall clock too, because the monotonic clock may stop while a VM is suspended.
 func (f *Feed) Fresh() bool {
 	f.mu.Lock()
 	leaseEnd := f.leaseEnd
@@ -115,23 +115,23 @@
 	return now.Before(leaseEnd) && now.Round(0).Before(leaseEnd.Round(0))
 }
 
-// Version is the version of a part that this VM applies.
+// Version returns the version of a state machine that this VM applies.
 func (f *Feed) Version(smID StateMachineID) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.versions[smID]
 }
 
-// FeedStats are a Feed's metrics.
+// FeedStats holds the metrics of a Feed.
 type FeedStats struct {
 	Polls    uint64                    `json:"polls"`
 	Failures uint64                    `json:"failures"`
-	Bytes    uint64                    `json:"bytes"`    // of changes taken
-	LeaseMS  int64                     `json:"lease_ms"` // left of the freshness lease; negative: lapsed
+	Bytes    uint64                    `json:"bytes"`    // of applied changes
+	LeaseMS  int64                     `json:"lease_ms"` // remaining freshness lease; negative after it has expired
 	Versions map[StateMachineID]uint64 `json:"versions"`
 }
 
-// Stats returns the Feed's metrics.
+// Stats returns the current metrics.
 func (f *Feed) Stats() FeedStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -148,49 +148,49 @@
 		}
 		order := rotateTo(voter, rendezvousOrder(f.o.Self, f.o.Voters()))
 		answeredBy, ok := f.pollOnce(order)
-		gap := pollPause
+		pause := pollPause
 		if !ok {
-			gap = failedRoundPause
+			pause = failedRoundPause
 		}
 		if answeredBy != voter {
 			voter, switchedAt = answeredBy, time.Now()
 		}
-		if timer.Sleep(f.ctx, gap) != nil {
+		if timer.Sleep(f.ctx, pause) != nil {
 			return
 		}
 	}
 }
 
-// follow polls once and applies what the answer tells of. It returns the voter to ask
-// first next time.
+// pollOnce polls the voters and applies the first answer. It returns the voter to poll
+// first the next time.
 func (f *Feed) pollOnce(order []string) (voter string, ok bool) {
 	a, ok := f.hedgedPoll(order)
 	if !ok {
 		return "", false
 	}
 	if err := f.applyReply(a, rotateTo(a.voter, order)); err != nil {
-		f.o.Log.Warn().Err(err).Str("voter", a.voter).Msg("change not taken")
+		f.o.Log.Warn().Err(err).Str("voter", a.voter).Msg("change could not be fetched; polling again")
 		f.recordFailure(a.voter, err)
 		return "", false
 	}
 	return a.voter, true
 }
 
-// checkGroup refuses an answer of another control group: the operators formed it anew,
-// with empty folders. Its versions say nothing about those held here, and what was
-// withdrawn could stay for ever.
+// checkGroup rejects an answer from a different control group, which operators created
+// with empty folders after the loss of the former one. Its versions cannot be compared
+// with those applied here, and withdrawn entries could stay in force for ever.
 func (f *Feed) checkGroup(a pollResult) error {
 	if f.groupID != "" && a.reply.Group != f.groupID {
-		f.o.Log.Error().Str("voter", a.voter).Msg("another control group answers: this VM must be restarted")
+		f.o.Log.Error().Str("voter", a.voter).Msg("another control group answers; this VM must be restarted")
 		return errOtherGroup
 	}
 	f.groupID = a.reply.Group
 	return nil
 }
 
-// take applies a voter's answer. Large changes are fetched from the sources in turn.
-// The lease is renewed last: it promises that all which was committed when the poll was
-// sent is applied here.
+// applyReply applies a voter's answer. Large changes are fetched from the sources in
+// turn. The lease is renewed last because it promises that everything committed before
+// the poll was sent is applied here.
 func (f *Feed) applyReply(a pollResult, sources []string) error {
 	for _, c := range a.reply.Changes {
 		began := time.Now()
@@ -238,7 +238,7 @@
 	}
 }
 
-// catchUp implements viewer: a VM that is no voter reads what the Feed applied.
+// catchUp implements localView. A VM that is not a voter reads what the Feed has applied.
 func (f *Feed) catchUp(ctx context.Context, _ uint64, versions map[StateMachineID]uint64) error {
 	for {
 		f.mu.Lock()
@@ -258,7 +258,8 @@
 	}
 }
 
-// both waits for the Machine and for what the Feed's callbacks built from it.
+// combinedView waits for the replicated state and then for what the Feed's callbacks
+// have built from it.
 type combinedView struct{ first, second localView }
 
 func (b combinedView) catchUp(ctx context.Context, index uint64, versions map[StateMachineID]uint64) error {
@@ -268,15 +269,15 @@
 	return b.second.catchUp(ctx, index, versions)
 }
 
-// NewGroupClient returns the Client of a control VM that follows no Feed: it
-// reads the group's own state.
+// NewGroupClient returns the Client of a control VM without a Feed. It reads the
+// replicated state of the group member.
 func NewGroupClient(g *Group) *RemoteClient {
 	r := NewRemoteClient(g.o.Transport, g.o.VM, g.o.controlVMs)
 	r.lease, r.view = g.o.Lease, g
 	return r
 }
 
-// Client returns the Client of a VM with this Feed; g is nil on a VM without the
+// Client returns the Client of a VM that uses this Feed. g is nil on a VM without the
 // control role.
 func (f *Feed) Client(g *Group) *RemoteClient {
 	r := NewRemoteClient(f.o.Transport, f.o.Self, f.o.Voters)
--- a/internal/control/feed_test.go
+++ b/internal/control/feed_test.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// inForceBound is how long after its acknowledgement a change may be unknown to a VM
-// that reaches a majority of the voters.
+// inForceBound is the maximum time from the acknowledgement of a change until a VM that
+// reaches a majority of the voters applies it.
 const inForceBound = 2 * time.Second
 
-// A caller is served by a change that was acknowledged long ago. In order: three of
-// seven voters are lost, the three that one router would ask first; a change is
-// acknowledged by the others; the router's poll is held by a voter that will not
-// answer it, and so would be the next two. It must not wait for one after the other.
+// Guards against a router that applies an acknowledged change too late. The three of seven
+// voters that the router prefers fail, and the other voters acknowledge a change. One of
+// the failed voters holds the router's poll, and the next two would hold it as well. The
+// router must not wait for them one after the other.
 func TestFollowerPassesLostVoters(t *testing.T) {
 	voters := []string{"vm1", "vm2", "vm3", "vm4", "vm5", "vm6", "vm7"}
 	for _, test := range []struct {
 		name   string
-		silent bool // towards the router too
+		silent bool // the lost voters do not answer the router either
 	}{{"cut off from the majority", false}, {"silent", true}} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := startClusterOf(t, voters, 12)
 				defer c.stop()
-				c.waitFor("all fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
+				c.waitFor("all VMs are fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
 				router, lost, other := c.routerAwayFrom(c.leader())
 				c.propose(other, "before")
-				c.waitFor("known", inForceBound, func() bool { return len(c.vms[router].plans()) == 1 })
+				c.waitFor("the router applies the first change", inForceBound, func() bool { return len(c.vms[router].plans()) == 1 })
 				for _, vm := range lost {
 					for _, v := range voters {
 						if !slices.Contains(lost, v) {
@@ -42,17 +42,17 @@
 				}
 				c.propose(other, "after")
 				began := time.Now()
-				c.waitFor("in force", 10*time.Second, func() bool { return len(c.vms[router].plans()) == 2 })
+				c.waitFor("the router applies the second change", 10*time.Second, func() bool { return len(c.vms[router].plans()) == 2 })
 				if took := time.Since(began); took > inForceBound {
-					t.Errorf("in force after %v, at most %v", took, inForceBound)
+					t.Errorf("change in force after %v, want at most %v", took, inForceBound)
 				}
 			})
 		})
 	}
 }
 
-// routerAwayFrom returns a router that prefers three voters to the leader, these
-// voters, and another router.
+// routerAwayFrom returns a router whose three preferred voters do not include the leader,
+// these voters, and another router.
 func (c *cluster) routerAwayFrom(leader string) (router string, preferred []string, other string) {
 	for i := 1; i <= len(c.ids)-len(c.voters); i++ {
 		id := fmt.Sprintf("router%d", i)
@@ -64,49 +64,49 @@
 		}
 	}
 	if router == "" {
-		c.t.Fatal("every router prefers the leader")
+		c.t.Fatal("the leader is a preferred voter of every router, want one router without")
 	}
 	return router, preferred, other
 }
 
-// A caller is refused by a list that one living voter could have replaced. In order: a
-// router is cut off from all voters; a change is acknowledged and reaches every voter;
-// the majority of them is lost, and the router reaches the one that is left. It must
-// apply the change, which is committed, and must not take itself for fresh.
+// Guards against a router that keeps an old list although a reachable voter has the new
+// one. A router is cut off from all voters while a change is committed on every voter.
+// Then a majority fails, and the router reaches only the remaining voter. It must apply the
+// committed change and must not count as fresh.
 func TestCommittedChangeComesWithoutAMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 2)
 		defer c.stop()
-		c.waitFor("all fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
+		c.waitFor("all VMs are fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
 		c.propose("router2", "before")
-		c.waitFor("known", inForceBound, func() bool { return len(c.vms["router1"].plans()) == 1 })
+		c.waitFor("the router applies the first change", inForceBound, func() bool { return len(c.vms["router1"].plans()) == 1 })
 		c.isolate("router1", testVoters...)
 		c.propose("router2", "after")
 		<-time.After(testLease)
 		c.vms["vm1"].kill(c.fabric)
 		c.vms["vm2"].kill(c.fabric)
 		c.heal()
-		c.waitFor("in force", inForceBound, func() bool { return len(c.vms["router1"].plans()) == 2 })
+		c.waitFor("the router applies the second change", inForceBound, func() bool { return len(c.vms["router1"].plans()) == 2 })
 		if c.vms["router1"].feed.Fresh() {
-			t.Error("fresh without a majority")
+			t.Error("router is fresh without a majority, want not fresh")
 		}
 	})
 }
 
-// A router that has just started waits for a majority: the voter that it reaches may
-// lack what was acknowledged.
+// Guards against a router that starts with unconfirmed state. The only voter that it
+// reaches may lack acknowledged changes, and the router must wait for a majority.
 func TestFirstListWaitsForAMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
 		defer c.stop()
-		c.waitFor("all fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
+		c.waitFor("all VMs are fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
 		c.propose("router1", "before")
 		c.vms["vm1"].kill(c.fabric)
 		c.vms["vm2"].kill(c.fabric)
 		c.restart("router1")
 		<-time.After(2 * testLease)
 		if got := c.vms["router1"].plans(); len(got) != 0 {
-			t.Errorf("a new router applies %v, which nobody has confirmed", got)
+			t.Errorf("new router applies unconfirmed changes %v, want none", got)
 		}
 	})
 }
--- a/internal/control/founders_test.go
+++ b/internal/control/founders_test.go
@@ -10,9 +10,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal/waltest"
 )
 
-// The whole system starts for the first time and serves nobody. In order: the settings
-// name three control VMs that form the group, and the first by id has no disk. The
-// other two must not wait for its vote.
+// Guards against a group that never forms on the first start. The settings name three
+// control VMs, and the first by ID has no disk and is an observer. The other two must not
+// wait for its vote.
 func TestObserverAmongTheFounders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{fabric: newFabric(), t: t, voters: []string{"vm2", "vm3"}, vms: map[string]*vm{}, fs: map[string]*waltest.FS{}}
@@ -24,12 +24,12 @@
 		}
 		c.leader()
 		if got := c.propose("vm3", "first"); got != 1 {
-			t.Errorf("%d changes, want 1", got)
+			t.Errorf("got %d changes, want 1", got)
 		}
 		<-time.After(time.Second)
 		for _, id := range c.voters {
 			if got := c.votersAt(id); !slices.Equal(got, c.voters) {
-				t.Errorf("%s counts %v as voters", id, got)
+				t.Errorf("%s: got voters %v, want vm2 and vm3", id, got)
 			}
 		}
 	})
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -10,28 +10,28 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal/waltest"
 )
 
-// A VM is cut off silently. It stops being fresh within its lease, while all
-// others stay fresh; an operator who waits for a change to be in force is told
-// so only after that; with every VM in reach the wait takes milliseconds.
+// A VM is cut off silently. It must stop being fresh within its lease, while all other VMs
+// stay fresh. A wait for a change to be in force must not end before that. With all VMs
+// reachable the wait takes milliseconds.
 func TestFreshnessAndInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 8)
 		defer c.stop()
-		c.waitFor("all fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
-		<-time.After(2 * testLease) // the leader's view of the leases is complete
+		c.waitFor("all VMs are fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
+		<-time.After(2 * testLease) // by now the leader's view of the leases is complete
 		if took := c.waitInForce("fast"); took > 100*time.Millisecond {
-			t.Errorf("in force after %v with all VMs in reach", took)
+			t.Errorf("change in force after %v with all VMs reachable, want at most 100ms", took)
 		}
 		c.isolate("router3", c.ids...)
 		took := c.waitInForce("slow")
 		if c.vms["router3"].feed.Fresh() {
-			t.Error("in force, but a VM that was cut off still counts as fresh")
+			t.Error("change reported in force while a VM that is cut off counts as fresh")
 		}
 		if c.countFresh() != len(c.ids)-1 || took > expiredLease(testLease)+100*time.Millisecond {
-			t.Errorf("%d fresh VMs, in force after %v", c.countFresh(), took)
+			t.Errorf("got %d fresh VMs and the change in force after %v, want all VMs but one fresh and a wait of the lease with its margin", c.countFresh(), took)
 		}
 		c.heal()
-		c.waitFor("fresh again, with the change", 3*time.Second, func() bool {
+		c.waitFor("router3 is fresh again and applies the change", 3*time.Second, func() bool {
 			v := c.vms["router3"]
 			return v.feed.Fresh() && slices.Equal(v.plans(), []string{"fast", "slow"})
 		})
@@ -58,13 +58,13 @@
 	return time.Since(began)
 }
 
-// Two of three control VMs are cut off: no VM may stay fresh for longer than its
-// lease, since a majority may be accepting changes on the far side.
+// Two of three control VMs are cut off. No VM on the side of the minority may stay fresh
+// for longer than its lease, because the majority may be accepting changes.
 func TestMinorityGivesNoLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 2)
 		defer c.stop()
-		c.waitFor("all fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
+		c.waitFor("all VMs are fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
 		leader := c.leader()
 		var others []string
 		for _, id := range testVoters {
@@ -78,21 +78,22 @@
 		<-time.After(testLease)
 		for _, id := range []string{"router1", "router2", leader} {
 			if c.vms[id].feed.Fresh() {
-				t.Errorf("%s is fresh on the side of the minority", id)
+				t.Errorf("%s is fresh on the side of the minority, want not fresh", id)
 			}
 		}
-		c.waitFor("the others lead and are fresh", 3*time.Second, func() bool {
+		c.waitFor("the other two control VMs are fresh", 3*time.Second, func() bool {
 			return c.vms[others[0]].feed.Fresh() && c.vms[others[1]].feed.Fresh()
 		})
 	})
 }
 
-// idleBudget is what a VM may spend on control, in bytes a second.
+// idleBudget bounds a VM's control traffic without changes, in bytes a second.
 const idleBudget = 11_000
 
-// Nothing changes for twenty seconds. Bytes are counted in both directions, with
-// frame, TCP and IP headers. Every VM of today's deployments must stay within the
-// budget, and at 330 VMs every VM that is no voter.
+// Measures the control traffic over twenty seconds without changes. Bytes are counted in
+// both directions and include frame, TCP and IP headers. In deployments of the
+// present size, 11 VMs, every VM must stay within the budget. In larger ones, up to 330
+// VMs, every VM that is not a voter must.
 func TestIdleTraffic(t *testing.T) {
 	voters := []string{"vm1", "vm2", "vm3", "vm4", "vm5", "vm6", "vm7"}
 	for _, size := range []struct{ voters, all int }{{3, 11}, {5, 11}, {5, 110}, {7, 330}} {
@@ -101,7 +102,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := startClusterOf(t, voters[:size.voters], all-size.voters)
 				defer c.stop()
-				c.waitFor("all fresh", 3*time.Second, func() bool { return c.countFresh() == all })
+				c.waitFor("all VMs are fresh", 3*time.Second, func() bool { return c.countFresh() == all })
 				c.mu.Lock()
 				clear(c.bytes)
 				c.mu.Unlock()
@@ -122,17 +123,17 @@
 				}
 				t.Logf("%d voters of %d VMs, bytes/s: leader %d, other voters %d, others %d", size.voters, all, most["leader"], most["voter"], most["other"])
 				if most["other"] > idleBudget || all == 11 && max(most["leader"], most["voter"]) > idleBudget {
-					t.Errorf("over the budget of %d bytes/s", idleBudget)
+					t.Errorf("control traffic exceeds the budget of %d bytes/s", idleBudget)
 				}
 			})
 		})
 	}
 }
 
-// The leader is shut down, dies, or is cut off silently; a proposer on another VM
-// gets its answer from the next leader. A leader that is shut down hands over. A
-// dead VM's connections break, so that the wait is the election; a silent one
-// costs the proposer an attempt's timeout besides.
+// The leader is shut down, crashes, or is cut off silently, and a proposer on another VM
+// gets its answer from the next leader. A leader that is shut down transfers the
+// leadership. The connections of a crashed VM break, and the proposer waits for the election
+// only. A silent VM costs the proposer an attempt's timeout in addition.
 func TestLeaderChangeIsQuick(t *testing.T) {
 	for _, how := range []struct {
 		loss  string
@@ -160,23 +161,23 @@
 			})
 		}
 		slices.Sort(waits)
-		t.Logf("leader %s: until the next answer median %v, longest %v", how.loss, waits[10], waits[19])
+		t.Logf("leader %s: time until the next answer: median %v, maximum %v", how.loss, waits[10], waits[19])
 		if waits[19] > how.limit {
-			t.Errorf("leader %s: %v", how.loss, waits[19])
+			t.Errorf("leader %s: longest wait for the next answer is %v, above the limit", how.loss, waits[19])
 		}
 	}
 }
 
-// One control VM goes silent: it leads, or it does not. The VMs that polled there
-// ask another before their lease ends, so that no VM in reach of the majority
-// refuses a request for it.
+// One control VM, the leader or another, goes silent. The VMs that polled it must turn to
+// another voter before their lease ends. No VM that reaches the majority may have to refuse
+// requests because of it.
 func TestNoLeaseLapsesWithOneControlVM(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		for range 10 {
 			synctest.Test(t, func(t *testing.T) {
 				c := startCluster(t, 12)
 				defer c.stop()
-				c.waitFor("all fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
+				c.waitFor("all VMs are fresh", 3*time.Second, func() bool { return c.countFresh() == len(c.ids) })
 				victim := c.leader()
 				if !leads {
 					victim = testVoters[(slices.Index(testVoters, victim)+1)%3]
@@ -192,23 +193,23 @@
 					}
 				}
 				if least <= 0 {
-					t.Errorf("leader %v silent: a lease lapsed by %v", leads, -least)
+					t.Errorf("silent VM is leader: %v: a lease had expired for %v, want no expired lease", leads, -least)
 				}
 			})
 		}
 	}
 }
 
-// The operators lose all control VMs and form the group anew, with empty folders.
-// A VM that ran on holds a higher version than the new group: it must not count as
-// fresh with the old lists, whatever the new group confirms.
+// Operators lose all control VMs and form a new group with empty folders. A VM that kept
+// running holds a higher version than the new group has. It must not count as fresh with
+// the old lists, whatever the new group confirms.
 func TestRebuiltGroupGivesNoLeaseToOldVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
 		defer c.stop()
 		c.propose("router1", "a")
 		c.propose("router1", "b")
-		c.waitFor("router1 holds both", time.Second, func() bool { return len(c.vms["router1"].plans()) == 2 })
+		c.waitFor("router1 applies both changes", time.Second, func() bool { return len(c.vms["router1"].plans()) == 2 })
 		for _, id := range testVoters {
 			c.vms[id].kill(c.fabric)
 		}
@@ -218,7 +219,7 @@
 		c.waitFor("the new group is fresh", 5*time.Second, func() bool { return c.vms["vm1"].feed.Fresh() })
 		<-time.After(testLease)
 		if c.vms["router1"].feed.Fresh() {
-			t.Error("fresh by the lists of a group that is gone")
+			t.Error("router1 is fresh with the lists of the former group, want not fresh")
 		}
 	})
 }
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -16,31 +16,31 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal"
 )
 
-// maxCommandBytes bounds a command: every voter writes it to its disk and sends
-// it in one message, beside the heartbeats. The largest is a route list with
-// thousands of workspaces.
+// maxCommandBytes bounds a command. Every voter writes it to disk and sends it in one
+// message over the link that also carries heartbeats. The largest command is a route list
+// with thousands of workspaces.
 const maxCommandBytes = 8 << 20
 
-// GroupOptions are the options of a Group.
+// GroupOptions configures a Group.
 type GroupOptions struct {
 	VM           string
 	Voters       []string        // VMs with the control role, this one included
-	KnownVMs     func() []string // further control VMs known now; nil: none
-	JoinOnly     bool            // never form a group, a group exists
-	TargetVoters int             // voters to keep when one falls silent; 0: never remove any
-	Dir          string          // folder of the log
+	KnownVMs     func() []string // further control VMs that are currently known; nil: none
+	JoinOnly     bool            // never form a group, because one exists already
+	TargetVoters int             // number of voters to keep when one falls silent; 0: never remove a voter
+	Dir          string          // folder of the member's log
 	FS           wal.FS          // nil: the operating system's
 	Transport    peer.Transport
-	// Values holds what the VMs that follow fetch; its owner serves it. nil: one of
-	// the Group's own.
+	// Values stores the large changes that other VMs fetch. Its owner serves it. nil:
+	// the Group creates and serves a store itself.
 	Values    *bulk.Store
 	State     *ReplicatedState
-	Lease     time.Duration // freshness lease of the VMs that watch
+	Lease     time.Duration // freshness lease of the VMs that follow
 	Log       zerolog.Logger
-	OnFailure func(error) // the process must end: the log is unusable
+	OnFailure func(error) // called when the log is unusable; the process must then end
 }
 
-// controlVMs are all control VMs known now.
+// controlVMs returns all control VMs that are currently known.
 func (o *GroupOptions) controlVMs() []string {
 	if o.KnownVMs == nil {
 		return o.Voters
@@ -50,12 +50,12 @@
 	return slices.Compact(all)
 }
 
-// Group is a control VM's side of the control group: its member of the
-// consensus group, and the service for the VMs that propose and watch.
+// Group is a control VM's side of the control group. It consists of the VM's member of
+// the consensus group and the service for the VMs that propose and follow.
 type Group struct {
 	o    GroupOptions
 	node *consensus.Node
-	// stop ends what waits when the Group is closed.
+	// ctx ends when the Group is closed.
 	ctx      context.Context
 	stop     context.CancelFunc
 	watch    *watchServer
@@ -64,8 +64,8 @@
 	uploads  uploads
 }
 
-// NewGroup registers the handlers. Register the Machine's parts before Start:
-// it replays the log into them.
+// NewGroup returns a Group and registers its message handlers. The state machines must be
+// registered before Start, which replays the log into them.
 func NewGroup(o GroupOptions) *Group {
 	if o.Values == nil {
 		o.Values = bulk.NewStore()
@@ -82,32 +82,33 @@
 	return g
 }
 
-// Start opens the log and takes part. An error means that the data folder is not
-// usable, and says why.
+// Start opens the log and joins the consensus. It returns an error if the data folder is
+// not usable.
 func (g *Group) Start() error { return g.node.Start() }
 
-// handOverTimeout bounds what a shutdown waits for: after it the others elect.
+// handOverTimeout bounds the delay of a shutdown. After it the other members elect a
+// leader without a handover.
 const handOverTimeout = 500 * time.Millisecond
 
-// HandOver gives the leadership up before a planned end, so that the others need
-// not miss it first.
+// HandOver transfers the leadership before a planned shutdown, which spares the other
+// members the election timeout.
 func (g *Group) HandOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	g.node.HandOver(ctx)
 }
 
-// Close ends the member and all that waits on it.
+// Close stops the member and ends all requests that wait for it.
 func (g *Group) Close() {
 	g.stop()
 	g.node.Close()
 	g.watch.close()
 }
 
-// Status describes the member; false while it is in no group yet.
+// Status returns the state of the member, or false while it has not joined a group.
 func (g *Group) Status() (consensus.Status, bool) { return g.node.Status() }
 
-// MemberStats are a control VM's metrics.
+// MemberStats holds the metrics of a control VM's member.
 type MemberStats struct {
 	Member   string   `cbor:"1,keyasint" json:"member"`
 	Role     string   `cbor:"2,keyasint" json:"role"`
@@ -118,11 +119,12 @@
 	Snapshot uint64   `cbor:"7,keyasint" json:"snapshot"`
 	Voters   []string `cbor:"8,keyasint" json:"voters"`
 	Learners []string `cbor:"9,keyasint" json:"learners"`
-	// Behind is, on the leader, how many entries each other member lacks.
+	// LagEntries is set on the leader: the number of log entries that each other member
+	// lacks.
 	LagEntries map[string]uint64 `cbor:"10,keyasint" json:"behind,omitempty"`
 }
 
-// Stats returns the member's metrics.
+// Stats returns the current metrics.
 func (g *Group) Stats() MemberStats {
 	st, ok := g.node.Status()
 	if !ok {
@@ -147,7 +149,8 @@
 	return out
 }
 
-// IsLeader reports whether this VM leads the group, as far as it knows.
+// IsLeader reports whether this VM believes that it is the leader. A deposed leader may not
+// know it yet.
 func (g *Group) IsLeader() bool { return g.node.IsLeader() }
 
 func (g *Group) serve(ctx context.Context, from string, body []byte) (any, error) {
@@ -202,7 +205,7 @@
 	return reply{Status: statusOK, Body: body}
 }
 
-// takePiece collects a large command and proposes it once it is whole.
+// handlePiece collects the pieces of a large command and proposes it once it is complete.
 func (g *Group) handlePiece(ctx context.Context, from string, q request) reply {
 	if q.Total > maxCommandBytes {
 		return reply{Status: statusRefused, Error: "control: command too large"}
@@ -215,7 +218,8 @@
 	return g.inflight.join(ctx, q.ID, func() reply { return g.propose(complete) })
 }
 
-// offered answers for a proposal that is under way here or was executed.
+// handleOffer returns the outcome of a proposal that is in flight here or was executed,
+// and otherwise requests its body.
 func (g *Group) handleOffer(ctx context.Context, id string) reply {
 	if out, ok := g.inflight.wait(ctx, id); ok {
 		return out
@@ -226,9 +230,9 @@
 	return reply{Status: statusWanted}
 }
 
-// propose stamps the group's clock. It never goes back, whatever the new
-// leader's clock says, since Machine takes the larger of both. It returns when the
-// command is executed or the leadership is lost.
+// propose stamps a command with the group's clock and commits it. The clock never goes
+// back after a leader change, because ReplicatedState takes the maximum of both values.
+// propose returns when the command is executed or the leadership is lost.
 func (g *Group) propose(q request) reply {
 	at := max(time.Now().UnixMilli(), g.o.State.NowMS())
 	envelope := Envelope{StateMachine: q.StateMachine, ID: q.ID, AtMS: at}
@@ -259,11 +263,12 @@
 	return reply{Status: statusUnknown}
 }
 
-// largeCommandBytes: a command of this size is rare, and slow enough to be looked for.
+// largeCommandBytes is the size from which a command is logged. Such commands are rare, and
+// slow enough that an operator may search for one.
 const largeCommandBytes = 64 << 10
 
-// logLarge names a large command by its content, so that one that is proposed again
-// under another id shows.
+// logLarge logs a large command with a hash of its content, which reveals a command that
+// is proposed again under a different ID.
 func (g *Group) logLarge(q request, size int) {
 	if size < largeCommandBytes {
 		return
@@ -272,7 +277,8 @@
 		Uint64("content", xxhash.Sum64(q.Body)).Msg("large command proposed")
 }
 
-// read confirms that this VM leads, and tells what a reader must hold.
+// read confirms the leadership of this VM and returns the index and versions that a
+// linearizable read must include.
 func (g *Group) read(ctx context.Context) reply {
 	index, err := g.node.ReadIndex(ctx, true)
 	if err == nil {
@@ -284,7 +290,7 @@
 	return reply{Status: statusOK, Index: index, Versions: g.o.State.Versions(FollowedStateMachines)}
 }
 
-// catchUp implements viewer: a control VM reads its own Machine.
+// catchUp implements localView. A control VM reads its own replicated state.
 func (g *Group) catchUp(ctx context.Context, index uint64, _ map[StateMachineID]uint64) error {
 	return g.node.WaitApplied(ctx, index)
 }
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -19,7 +19,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal/waltest"
 )
 
-// list is a part that keeps every command and says how many it holds.
+// listMachine is a state machine that stores every command and replies with their number.
 type listMachine struct{ items []string }
 
 func (l *listMachine) Apply(nowMS int64, cmd []byte) []byte {
@@ -42,7 +42,7 @@
 	return codec.Unmarshal(data, &l.items)
 }
 
-// vm is one VM of a test: a voter where it has a group.
+// vm is a VM of a test. It is a voter if it has a group.
 type vm struct {
 	id      string
 	state   *ReplicatedState
@@ -50,7 +50,7 @@
 	feed    *Feed
 	client  *RemoteClient
 	t       testing.TB
-	failed  chan error // why its member stopped; a test that expects it takes it
+	failed  chan error // why its member stopped; a test that expects a failure receives it
 	mu      sync.Mutex
 	applied []string
 }
@@ -61,7 +61,7 @@
 	return slices.Clone(v.applied)
 }
 
-// kill ends a VM as a crash does.
+// kill stops a VM as a crash does.
 func (v *vm) kill(f *fabric) {
 	f.mu.Lock()
 	f.handlers[v.id] = nil
@@ -72,7 +72,7 @@
 	}
 	select {
 	case err := <-v.failed:
-		v.t.Errorf("%s stopped by itself: %v", v.id, err)
+		v.t.Errorf("%s: member stopped unexpectedly: %v", v.id, err)
 	default:
 	}
 }
@@ -86,7 +86,7 @@
 	return startVMWith(t, f, id, voters, fs, func(*GroupOptions) {})
 }
 
-// startVMWith is startVM with other options of a control VM's group.
+// startVMWith is startVM with changed options for a control VM's group.
 func startVMWith(t testing.TB, f *fabric, id string, voters []string, fs *waltest.FS, change func(*GroupOptions)) *vm {
 	t.Helper()
 	v := &vm{id: id, t: t, state: NewReplicatedState(), failed: make(chan error, 1)}
@@ -127,7 +127,7 @@
 	ids    []string
 }
 
-// startCluster starts three voters and other VMs that only follow.
+// startCluster starts three voters and a number of VMs that only follow.
 func startCluster(t testing.TB, followers int) *cluster {
 	return startClusterOf(t, testVoters, followers)
 }
@@ -168,12 +168,12 @@
 	return n
 }
 
-// until waits in the bubble's time.
+// waitFor waits for a condition in the fake time of synctest.
 func (c *cluster) waitFor(what string, limit time.Duration, ok func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(limit); !ok(); {
 		if time.Now().After(end) {
-			c.t.Fatalf("not within %v: %s", limit, what)
+			c.t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 		<-time.After(5 * time.Millisecond)
 	}
@@ -182,7 +182,7 @@
 func (c *cluster) leader() string {
 	c.t.Helper()
 	id := ""
-	c.waitFor("one leader", 5*time.Second, func() bool {
+	c.waitFor("there is a leader", 5*time.Second, func() bool {
 		for _, v := range c.voters {
 			if c.vms[v].group.IsLeader() {
 				id = v
@@ -194,9 +194,9 @@
 	return id
 }
 
-// An operator's change is accepted, but its answer is lost, twice, and then the
-// leader dies. The retry carries the same envelope ID: the change is applied once
-// and the operator gets the first answer, also from the next leader.
+// An operator's change is accepted, but the reply is lost twice, and then the leader
+// crashes. The retry carries the same envelope ID. The change must be applied once, and the
+// operator must get the first reply, also from the next leader.
 func TestRetryRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
@@ -204,7 +204,7 @@
 		began := time.Now()
 		leader := c.leader()
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("first leader after %v", took)
+			t.Errorf("first leader elected after %v, want at most 1s", took)
 		}
 		c.propose("router1", "a")
 		c.mu.Lock()
@@ -217,18 +217,18 @@
 			close(died)
 		}()
 		if n := c.propose("router1", "b"); n != 2 {
-			t.Errorf("the retried change was number %d", n)
+			t.Errorf("retried change: got number %d, want 2", n)
 		}
 		<-died
 		if n := c.propose("router1", "c"); n != 3 {
-			t.Errorf("the next change was number %d: a retry ran twice", n)
+			t.Errorf("next change: got number %d, want 3; a retry was executed twice", n)
 		}
 	})
 }
 
-// All control VMs lose power after hundreds of changes and start again: every
-// accepted change is there, in order, the clock has not gone back, and the VMs
-// that follow get each change once.
+// All control VMs lose power after hundreds of changes and start again. Every accepted
+// change must be present, in order, the group's clock must not go back, and the VMs that
+// follow must receive each change once.
 func TestRestartKeepsChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
@@ -248,18 +248,18 @@
 		}
 		want = append(want, "after")
 		if n := c.propose("router1", "after"); n != 301 {
-			t.Errorf("after the restart there are %d changes", n)
+			t.Errorf("got %d changes after the restart, want 301", n)
 		}
-		c.waitFor("the follower has all", 2*time.Second, func() bool { return slices.Equal(c.vms["router1"].plans(), want) })
+		c.waitFor("the follower applies all changes", 2*time.Second, func() bool { return slices.Equal(c.vms["router1"].plans(), want) })
 		if now := c.vms["vm1"].state.NowMS(); now < before {
-			t.Errorf("the group's clock went back: %d to %d", before, now)
+			t.Errorf("the group's clock went back from %d to %d", before, now)
 		}
 	})
 }
 
-// The leader's disk is full, or a sync fails. Its member stops at once and for
-// good, with the cause; it acknowledges nothing more, and the others go on. After
-// the cause is gone and the process started again every accepted change is there.
+// The leader's disk is full, or a sync fails. Its member must stop at once and permanently,
+// report the cause and acknowledge nothing more, while the others continue. After the fault
+// is repaired and the process restarted, every accepted change must be present.
 func TestDiskFaultStopsTheMember(t *testing.T) {
 	faults := map[string]struct {
 		begin, end func(*waltest.FS)
@@ -280,21 +280,21 @@
 				}
 				err := <-c.vms[leader].failed
 				if !errors.Is(err, fault.cause) || !errors.Is(err, wal.ErrUnusable) {
-					t.Errorf("stopped by %v", err)
+					t.Errorf("member stopped with error %v, want the disk fault and wal.ErrUnusable", err)
 				}
 				c.vms[leader].kill(c.fabric)
 				c.fs[leader].Crash(nil)
 				fault.end(c.fs[leader])
 				c.vms[leader] = startVM(t, c.fabric, leader, testVoters, c.fs[leader])
-				c.waitFor("all changes are back", 5*time.Second, func() bool { return len(c.vms[leader].items()) == 20 })
+				c.waitFor("the restarted member has all changes", 5*time.Second, func() bool { return len(c.vms[leader].items()) == 20 })
 			})
 		})
 	}
 }
 
-// A control VM comes back with an empty disk. It must not vote under its old
-// identity: it joins as a new member while operators go on, and right after the
-// repair a second control VM is lost. No change is lost and the group goes on.
+// A control VM returns with an empty disk while operators propose changes. It must not vote
+// under its old identity and joins as a new member. Right after that a second control VM is
+// lost. No change may be lost, and the group must continue.
 func TestLostDiskJoinsAsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
@@ -307,7 +307,7 @@
 		c.fs["vm2"] = waltest.New()
 		c.restart("vm2")
 		n := 50
-		c.waitFor("vm2 has a vote again and its former identity none", 10*time.Second, func() bool {
+		c.waitFor("vm2 has a vote and its former identity has none", 10*time.Second, func() bool {
 			n++
 			c.propose("router1", "x")
 			st, ok := c.vms["vm2"].group.Status()
@@ -319,7 +319,7 @@
 		}
 		c.vms[lost].kill(c.fabric)
 		if got := c.propose("router1", "after"); got != n+1 {
-			t.Errorf("%d changes, want %d", got, n+1)
+			t.Errorf("got %d changes, want %d", got, n+1)
 		}
 	})
 }
@@ -330,10 +330,10 @@
 	return out
 }
 
-// More changes than a log keeps: the voters take snapshots and compact. A VM with
-// a new disk gets the state by a snapshot in chunks; another restarts from its
-// own. Both hold every change, and both answer a retry of an old envelope as the
-// first time: the replies are part of the state.
+// There are more changes than a log keeps, and the voters take snapshots and compact the log.
+// A VM with a new disk receives the state as a snapshot in chunks, and another one restarts
+// from its own snapshot. Both must have every change. Both must also answer a retry of an
+// old envelope with the first reply, because the replies belong to the state.
 func TestSnapshotCarriesEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
@@ -369,13 +369,13 @@
 		c.restart(behind[1])
 		want := leader.items()
 		for _, id := range behind {
-			c.waitFor(id+" holds all", 20*time.Second, func() bool { return slices.Equal(c.vms[id].items(), want) })
+			c.waitFor(id+" has all changes", 20*time.Second, func() bool { return slices.Equal(c.vms[id].items(), want) })
 			st, _ := c.vms[id].group.Status()
 			if len(want) != workers*each+1 || st.Snapshot == 0 {
-				t.Errorf("%s: %d changes, snapshot %d", id, len(want), st.Snapshot)
+				t.Errorf("%s: got %d changes and snapshot index %d, want 10001 changes and a snapshot", id, len(want), st.Snapshot)
 			}
 			if again, err := c.vms[id].state.Apply(entry); err != nil || !slices.Equal(again, first) {
-				t.Errorf("%s answers the retry with %x, %v; first %x", id, again, err, first)
+				t.Errorf("%s: got reply %x and error %v to the retry, want the first reply %x", id, again, err, first)
 			}
 		}
 	})
--- a/internal/control/hedged_poll.go
+++ b/internal/control/hedged_poll.go
@@ -9,54 +9,55 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// The load pattern. A part of the voters is lost without a word, or stands on the
-// side of a partition that cannot confirm anything, and a change is committed by the
-// others. A VM whose poll one of the lost ones holds cannot tell that from a quiet
-// moment until the hold is over. If it then asked the next ones in turn, each for as
-// long, three lost voters would keep it on an old list for more than three seconds
+// The load pattern. Some voters fail silently or are on the minority side of a
+// partition, and the other voters commit a change. A VM with a long poll at a failed
+// voter cannot distinguish the failure from a period without changes until the hold time
+// has passed. If it then polled the next voters one after the other with the same
+// timeout, three failed voters would keep it on an old list for more than three seconds
 // after the change was acknowledged.
 //
-// So a voter that is late is not waited for: the next one is asked beside it, at once
-// for a confirmed answer, and the first answer counts. At worst the VM is one hold and
-// some tenths of a second behind, however many voters are lost. Answers are small; what
-// they tell of is fetched once, by its reference.
+// For this reason polls are hedged. When a voter is late, the VM polls the next one in
+// addition and requests a confirmed answer from it at once. The first answer is used.
+// The VM lags by at most one hold time and some tenths of a second, however many voters
+// have failed. The answers are small, since they carry references to large changes,
+// which are fetched once.
 
 const (
-	// lateAfter is how much longer than its hold a voter may take.
+	// lateMargin is added to the hold time before a voter counts as late.
 	lateMargin = 150 * time.Millisecond
-	// hedgeEvery is the pause before a further voter is asked: a confirmation takes a
-	// round trip to the leader and one of the leader's to its followers.
+	// hedgeInterval is the delay before a further voter is polled. A confirmation takes
+	// a round trip to the leader and one from the leader to its followers.
 	hedgeInterval = 150 * time.Millisecond
-	// refusedPause is the same after a voter that refused: it is as a rule starting or
-	// ending, and all its followers turn to the next ones.
+	// refusalDelay replaces hedgeInterval after a refusal. A voter that refuses is
+	// usually starting or shutting down, and all VMs that poll it turn to other voters.
 	refusalDelay = 10 * time.Millisecond
 )
 
-// answered is a voter's answer to a poll, or the lack of one.
+// pollResult is a voter's answer to a poll, or the error instead of one.
 type pollResult struct {
 	voter string
 	sent  time.Time
 	reply pollReply
 	err   error
-	polls int // polls of the same race, this one included
+	polls int // polls sent in the same round, this one included
 }
 
-// startingWith rotates an order of voters to one of them, if it is there.
+// rotateTo rotates an order of voters to start with one of them, if the order contains it.
 func rotateTo(voter string, order []string) []string {
 	at := max(0, slices.Index(order, voter))
 	return slices.Concat(order[at:], order[:at])
 }
 
-// race polls the first voter, and each next one beside those before it while none has
-// answered. It returns the first answer.
+// hedgedPoll polls the first voter, and after each delay without an answer one more in
+// addition. It returns the first valid answer.
 func (f *Feed) hedgedPoll(order []string) (pollResult, bool) {
 	ctx, cancel := context.WithTimeout(f.ctx, f.hedgedPollTimeout(len(order)))
 	defer cancel()
 	answers := make(chan pollResult, len(order))
 	pending, next := 0, 0
 	needLease := f.needsLease()
-	// ask polls one more voter and returns how long that one stands alone.
-	ask := func() time.Duration {
+	// pollNext polls one more voter and returns the delay before the next hedge.
+	pollNext := func() time.Duration {
 		voter, urgent := order[next], needLease || next > 0
 		go func() { answers <- f.poll(ctx, voter, urgent) }()
 		pending, next = pending+1, next+1
@@ -65,13 +66,13 @@
 	if len(order) == 0 {
 		return pollResult{}, false
 	}
-	wait := time.NewTimer(ask())
+	wait := time.NewTimer(pollNext())
 	defer wait.Stop()
 	for f.ctx.Err() == nil && (pending > 0 || next < len(order)) {
 		select {
 		case <-wait.C:
-			if next < len(order) { // else those asked have until the end of ctx
-				wait.Reset(ask())
+			if next < len(order) { // without further voters, the polls sent have until the end of ctx
+				wait.Reset(pollNext())
 			}
 		case a := <-answers:
 			pending--
@@ -89,7 +90,7 @@
 	return pollResult{}, false
 }
 
-// patience is how long a poll stands alone.
+// hedgeDelay is the time between a poll and the next hedge.
 func (f *Feed) hedgeDelay(urgent bool) time.Duration {
 	if urgent {
 		return hedgeInterval
@@ -97,13 +98,13 @@
 	return pollHold(f.o.Lease) + lateMargin
 }
 
-// raceTimeout bounds a round in which every voter is asked and none answers.
+// hedgedPollTimeout bounds a round in which every voter is polled and none answers.
 func (f *Feed) hedgedPollTimeout(voters int) time.Duration {
 	return f.hedgeDelay(false) + time.Duration(voters)*hedgeInterval
 }
 
-// needsLease reports whether half of the lease is gone: the rest is time for one more
-// poll and another voter.
+// needsLease reports whether half of the lease has passed. The remaining half allows for
+// one more poll and another voter.
 func (f *Feed) needsLease() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,7 +122,7 @@
 }
 
 func (f *Feed) recordFailure(voter string, err error) {
-	f.o.Log.Debug().Err(err).Str("voter", voter).Msg("watch failed")
+	f.o.Log.Debug().Err(err).Str("voter", voter).Msg("poll failed")
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failures++
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -18,7 +18,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal/waltest"
 )
 
-// history collects what operators asked and were told.
+// history collects the operators' requests and replies.
 type history struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -30,8 +30,8 @@
 	h.ops = append(h.ops, op)
 }
 
-// counting is the list seen from outside: an append is told its position, a read
-// how many there are.
+// listModel is the sequential specification of the list. An append returns its position, a
+// read returns the number of items.
 var listModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
@@ -43,7 +43,7 @@
 	},
 }
 
-// operate proposes and reads on one VM until told to stop.
+// runOperator proposes and reads on one VM until stop is closed.
 func (c *cluster) runOperator(client int, v *vm, h *history, stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -69,8 +69,8 @@
 	}
 }
 
-// fault breaks or mends something; at most one control VM is down or replaced at
-// a time, cuts come on top.
+// injectFault injects a random fault or repairs all faults. At most one control VM is down
+// or replaced at a time; links may be cut in addition.
 func (c *cluster) injectFault(rng *rand.Rand, down *string) {
 	id := c.voters[rng.IntN(len(c.voters))]
 	switch rng.IntN(9) {
@@ -107,14 +107,14 @@
 	}
 }
 
-// mend ends all faults and waits until every control VM has its vote.
+// repair ends all faults and waits until every control VM has its vote.
 func (c *cluster) repair(down *string) {
 	c.heal()
 	if *down != "" {
 		c.vms[*down] = startVM(c.t, c.fabric, *down, c.voters, c.fs[*down])
 		*down = ""
 	}
-	c.waitFor("every control VM has its vote and leads or follows", 30*time.Second, func() bool {
+	c.waitFor("every control VM has its vote and knows a leader", 30*time.Second, func() bool {
 		for _, id := range c.voters {
 			st, ok := c.vms[id].group.Status()
 			if !ok || st.Leader == "" || !st.Config.IsVoter(st.ID) || len(st.Config.Voters) != len(c.voters) {
@@ -125,9 +125,9 @@
 	})
 }
 
-// Four operators on four VMs change the list and read it while control VMs lose
-// power, lose their disks, are cut off and answers are lost. What they were told
-// is the history of one list: no change lost, none made twice, no stale read.
+// Four operators on four VMs change and read the list. Meanwhile control VMs lose power,
+// lose their disks and are cut off, and replies are lost. The history must be linearizable:
+// no change is lost, none is applied twice, and no read is stale.
 func TestOperatorsHistoryIsLinearizable(t *testing.T) {
 	seed := uint64(5)
 	if v, err := strconv.ParseUint(os.Getenv("AMARANTHSHELF_SEED"), 10, 64); err == nil {
@@ -162,7 +162,8 @@
 	}
 }
 
-// checkHistory leaves out changes without an answer that were never made.
+// checkHistory checks that a history is linearizable. It omits unanswered changes that were
+// never applied.
 func (c *cluster) checkHistory(ops []porcupine.Operation) {
 	c.t.Helper()
 	final := c.vms[c.leader()].items()
@@ -177,18 +178,17 @@
 		}
 	}
 	if answered < 100 {
-		c.t.Errorf("only %d operations were answered", answered)
+		c.t.Errorf("got %d answered operations, want at least 100", answered)
 	}
 	c.t.Logf("%d operations, %d answered", len(ops), answered)
 	if res := porcupine.CheckOperationsTimeout(listModel, checked, 20*time.Second); res != porcupine.Ok {
-		c.t.Errorf("%d operations: %v", len(checked), res)
+		c.t.Errorf("history of %d operations: got check result %v, want Ok", len(checked), res)
 	}
 }
 
 // A leader is cut off from the other voters, together with one VM. For some hundred
-// milliseconds it does not know that another leads already. An operator who reads
-// on that VM gets an error; an answer would miss what another operator was told is
-// accepted.
+// milliseconds it does not know that there is another leader. A read on that VM must fail,
+// because an answer would lack a change that another operator knows to be accepted.
 func TestDeposedLeaderAnswersNoRead(t *testing.T) {
 	overlaps := 0
 	for range 20 {
@@ -196,8 +196,8 @@
 			c := startCluster(t, 1)
 			defer c.stop()
 			old := c.leader()
-			c.propose("router1", "a") // router1 now asks this leader first
-			c.waitFor("router1 holds a", time.Second, func() bool { return len(c.vms["router1"].plans()) == 1 })
+			c.propose("router1", "a") // router1 now sends its requests to this leader first
+			c.waitFor("router1 applies change a", time.Second, func() bool { return len(c.vms["router1"].plans()) == 1 })
 			c.isolate(old, c.voters...)
 			for _, id := range c.voters {
 				if id != old {
@@ -205,7 +205,7 @@
 				}
 			}
 			next := ""
-			c.waitFor("another leader", 5*time.Second, func() bool {
+			c.waitFor("there is another leader", 5*time.Second, func() bool {
 				for _, id := range c.voters {
 					if id != old && c.vms[id].group.IsLeader() {
 						next = id
@@ -220,22 +220,21 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
 			if err := c.vms["router1"].client.Barrier(ctx); err == nil {
-				t.Errorf("a read after the answer to b sees %v", c.vms["router1"].plans())
+				t.Errorf("read after change b was accepted: got %v without b, want an error", c.vms["router1"].plans())
 			}
 		})
 	}
 	if overlaps == 0 {
-		t.Error("in no run did two believe to lead")
+		t.Error("no run had two VMs that believed to be the leader; the test did not cover the case")
 	}
 }
 
-// allVMs are the control VMs that a test with replacements may have had.
+// allVMs lists the control VMs that a test with replacements may use.
 var allVMs = []string{"vm1", "vm2", "vm3", "vm4", "vm5", "vm6", "vm7"}
 
-// Operators change the list and read it while control VMs are lost for good, one
-// after the other, and empty ones come at other addresses; links are cut meanwhile.
-// In the end none of the first three is left. What operators were told is the
-// history of one list.
+// Operators change and read the list while control VMs are lost permanently, one after the
+// other, and replaced by empty ones at other addresses; links are cut meanwhile. In the end
+// none of the first three is left. The history must be linearizable.
 func TestHistoryOverReplacedVoters(t *testing.T) {
 	for run := range uint64(6) {
 		t.Run(strconv.FormatUint(run, 10), func(t *testing.T) {
@@ -269,8 +268,8 @@
 	}
 }
 
-// replaceOldest loses the control VM that has been there longest, under cuts, and
-// waits until an empty one at another address has its vote.
+// replaceOldest stops the control VM that has run longest, cuts links, and waits until an
+// empty VM at another address has the vote instead.
 func (c *cluster) replaceOldest(rng *rand.Rand, id string) {
 	c.t.Helper()
 	time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
@@ -288,5 +287,5 @@
 	time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
 	c.heal()
 	want := slices.Sorted(slices.Values(c.voters))
-	c.waitFor("the new one votes and the lost one does not", 40*time.Second, func() bool { return slices.Equal(c.votersAt(id), want) })
+	c.waitFor("the new VM has a vote and the lost one has none", 40*time.Second, func() bool { return slices.Equal(c.votersAt(id), want) })
 }
--- a/internal/control/large_command_test.go
+++ b/internal/control/large_command_test.go
@@ -14,7 +14,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Links of VMs, in bytes a second.
+// Link rates of VMs, in bytes a second.
 const (
 	mbit10   = 10e6 / 8
 	mbit100  = 100e6 / 8
@@ -23,22 +23,22 @@
 
 var sixVoters = []string{"vm1", "vm2", "vm3", "vm4", "vm5", "vm6"}
 
-// startOnLinks starts six voters and routers whose links carry so much.
-func startWithLinkRates(t *testing.T, voters, routers float64, followers int) *cluster {
+// startWithLinkRates starts six voters and a number of routers with the given link rates.
+func startWithLinkRates(t *testing.T, voterRate, routerRate float64, followers int) *cluster {
 	c := startClusterOf(t, sixVoters, followers)
 	c.mu.Lock()
 	for _, id := range c.ids {
-		c.linkRate[id] = routers
+		c.linkRate[id] = routerRate
 	}
 	for _, id := range sixVoters {
-		c.linkRate[id] = voters
+		c.linkRate[id] = voterRate
 	}
 	c.mu.Unlock()
-	c.waitFor("all fresh", 5*time.Second, func() bool { return c.countFresh() == len(c.ids) })
+	c.waitFor("all VMs are fresh", 5*time.Second, func() bool { return c.countFresh() == len(c.ids) })
 	return c
 }
 
-// noise is text that no compression makes smaller by much.
+// incompressibleText returns pseudorandom text that compression barely shrinks.
 func incompressibleText(size int) string {
 	rng := rand.New(rand.NewPCG(1, uint64(size)))
 	text := make([]byte, size)
@@ -48,7 +48,8 @@
 	return string(text)
 }
 
-// Guards against heartbeats that wait behind a large command until followers elect.
+// Guards against heartbeats that queue behind a large command until followers start an
+// election.
 func TestLargeCommandKeepsItsLeader(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -63,15 +64,16 @@
 				c.propose("router1", incompressibleText(test.size))
 				<-time.After(time.Second)
 				if now := c.term(); now != term {
-					t.Errorf("term %d after the command, %d before", now, term)
+					t.Errorf("got term %d after the command, want the term %d from before", now, term)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a VM that fetches one change from many voters at once and gets none.
-// The change comes at different moments of the routers' polls.
+// Guards against VMs that fetch one large change from many voters at once over slow links
+// and receive none in time. The change is committed at different phases of the routers'
+// polls.
 func TestLargeChangeOverSlowLinksIsInForce(t *testing.T) {
 	const (
 		size    = 1500 << 10
@@ -86,26 +88,26 @@
 				before := c.linkBytes("router1")
 				c.propose("vm1", incompressibleText(size))
 				began := time.Now()
-				c.waitFor("in force", 20*time.Second, func() bool { return c.countHolders(routers) == routers })
+				c.waitFor("all routers apply the change", 20*time.Second, func() bool { return c.countHolders(routers) == routers })
 				if took := time.Since(began); took > inForceBound {
-					t.Errorf("in force after %v, at most %v", took, inForceBound)
+					t.Errorf("change in force after %v, want at most %v", took, inForceBound)
 				}
 				if got := c.linkBytes("router1") - before; got > size*3/2 {
-					t.Errorf("a router's link carried %d bytes for a change of %d", got, size)
+					t.Errorf("a router's link carried %d bytes for a change of %d bytes, want at most 1.5 times its size", got, size)
 				}
 			})
 		})
 	}
 }
 
-// carried is how many bytes a VM has sent and received.
+// linkBytes returns how many bytes a VM has sent and received.
 func (c *cluster) linkBytes(vm string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bytes[vm]
 }
 
-// holders is how many of the routers hold a change.
+// countHolders returns how many routers apply at least one change.
 func (c *cluster) countHolders(routers int) int {
 	n := 0
 	for i := range routers {
@@ -116,7 +118,7 @@
 	return n
 }
 
-// Guards against a retry that puts a command into the log beside its first copy.
+// Guards against a retry that appends a second copy of a slow command to the log.
 func TestSlowCommandIsInTheLogOnce(t *testing.T) {
 	const size = 1 << 20
 	synctest.Test(t, func(t *testing.T) {
@@ -126,12 +128,12 @@
 		c.propose("router1", incompressibleText(size))
 		<-time.After(5 * time.Second)
 		if got := c.logBytes("vm1") - before; got > size*3/2 {
-			t.Errorf("the log took %d bytes for a command of %d", got, size)
+			t.Errorf("log grew by %d bytes for a command of %d bytes, want at most 1.5 times its size", got, size)
 		}
 	})
 }
 
-// term is the highest term that a voter knows.
+// term returns the highest term that a voter knows.
 func (c *cluster) term() uint64 {
 	highest := uint64(0)
 	for _, id := range c.voters {
@@ -142,7 +144,7 @@
 	return highest
 }
 
-// logged is the size of a voter's folder, in bytes.
+// logBytes returns the size of a voter's data folder.
 func (c *cluster) logBytes(vm string) int {
 	names, err := c.fs[vm].List("/" + vm)
 	if err != nil {
@@ -159,7 +161,7 @@
 	return size
 }
 
-// Guards against a list that crosses five links as long as the operator wrote it.
+// Guards against a list that is sent uncompressed over the links to five followers.
 func TestLargeCommandIsPackedInTheLog(t *testing.T) {
 	text := strings.Repeat("a route like the one before. ", 30_000)
 	synctest.Test(t, func(t *testing.T) {
@@ -169,26 +171,27 @@
 		began := time.Now()
 		c.propose("router1", text)
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("committed after %v", took)
+			t.Errorf("command committed after %v, want at most 1s", took)
 		}
-		c.waitFor("in force", inForceBound, func() bool { return slices.Equal(c.vms["router1"].plans(), []string{text}) })
+		c.waitFor("router1 applies the change", inForceBound, func() bool { return slices.Equal(c.vms["router1"].plans(), []string{text}) })
 		if got := c.logBytes("vm1") - before; got > len(text)/5 {
-			t.Errorf("the log took %d bytes for a command of %d", got, len(text))
+			t.Errorf("log grew by %d bytes for a command of %d bytes, want at most a fifth of its size", got, len(text))
 		}
 	})
 }
 
-// Guards against a command that is refused only after it has crossed every link.
+// Guards against an oversized command that is refused only after it was sent over every link.
 func TestTooLargeCommandIsRefusedAtOnce(t *testing.T) {
 	r := NewRemoteClient(nil, "router1", FixedVMs(nil))
 	_, err := r.Propose(t.Context(), PlansStateMachine, make([]byte, maxCommandBytes+1))
 	var coded *result.Error
 	if !errors.As(err, &coded) || coded.Code != result.BodyTooLarge {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want the code BodyTooLarge", err)
 	}
 }
 
-// Guards against a packed command that unpacks to more than a control VM has room for.
+// Guards against a compressed command that decompresses to more data than a control VM has
+// memory for.
 func TestPackedCommandIsBounded(t *testing.T) {
 	bomb, err := codec.Pack(make([]byte, maxCommandBytes+1))
 	if err != nil {
@@ -201,9 +204,9 @@
 	m := NewReplicatedState()
 	m.Register(PlansStateMachine, &listMachine{})
 	if _, err := m.Apply(entry); !errors.Is(err, ErrNotApplied) {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want ErrNotApplied", err)
 	}
 	if v := m.Versions([]StateMachineID{PlansStateMachine})[PlansStateMachine]; v != 0 {
-		t.Errorf("version %d after a command that was not executed", v)
+		t.Errorf("got version %d after a command that was not executed, want 0", v)
 	}
 }
--- a/internal/control/local_client.go
+++ b/internal/control/local_client.go
@@ -8,14 +8,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// Solo is a Client over a Machine in the same process, without replication:
-// what tests of the parts need, and nothing that survives a restart.
+// LocalClient is a Client of a ReplicatedState in the same process, without replication
+// or persistence. It serves tests of the state machines.
 type LocalClient struct {
 	machine *ReplicatedState
 	now     func() time.Time
 }
 
-// NewSolo returns a Solo.
+// NewLocalClient returns a LocalClient of the given state.
 func NewLocalClient(m *ReplicatedState) *LocalClient { return &LocalClient{machine: m, now: time.Now} }
 
 // Propose implements Client.
--- a/internal/control/remote_client.go
+++ b/internal/control/remote_client.go
@@ -20,29 +20,29 @@
 
 // Timings of a client.
 const (
-	// attemptTimeout is far longer than a commit. A leader that was cut off
-	// silently costs a proposer this much once; then it asks the others.
+	// attemptTimeout is far longer than a commit takes. A leader that was cut off
+	// silently delays a proposer by this much once; then the other voters are tried.
 	attemptTimeout = 1 * time.Second
-	// watchAttempt is shorter: leases run out meanwhile.
+	// confirmAttemptTimeout is shorter because leases expire during the wait.
 	confirmAttemptTimeout = 400 * time.Millisecond
 	retryPause            = 30 * time.Millisecond
-	// passOverFor is how long a voter that did not answer is not asked on the word of
-	// another one, which may name it as the leader until a new one is elected.
+	// silentVoterTimeout is how long a voter that did not answer is skipped although
+	// another voter names it as the leader, which it does until a new one is elected.
 	silentVoterTimeout = 1 * time.Second
 )
 
-// op is what a request to a voter asks for.
+// op is the operation that a request to a voter asks for.
 type op uint8
 
 const (
 	opPropose      op = 1
-	opRead         op = 2 // the index and versions that a read must see
+	opRead         op = 2 // index and versions that a linearizable read must include
 	opInForce      op = 3
 	opRemove       op = 4
-	opConfirmPolls op = 5 // a voter's batch of polls, to the leader
+	opConfirmPolls op = 5 // a voter's batch of polls, for the leader to confirm
 	opMembers      op = 6
-	opOffer        op = 7 // is the proposal ID here? it is sent where it is not
-	opPiece        op = 8 // of a proposal that is too large for one message
+	opOffer        op = 7 // asks for the outcome of a proposal by ID; the body follows if it is unknown
+	opPiece        op = 8 // a piece of a proposal that is too large for one message
 )
 
 type request struct {
@@ -54,28 +54,28 @@
 	VM           string          `cbor:"6,keyasint,omitempty"`
 	Polls        []pollReport    `cbor:"7,keyasint,omitempty"`
 	Urgent       bool            `cbor:"8,keyasint,omitempty"`
-	Offset       int             `cbor:"9,keyasint,omitempty"` // of Piece in the command
+	Offset       int             `cbor:"9,keyasint,omitempty"` // offset of Piece in the command, bytes
 	Total        int             `cbor:"10,keyasint,omitempty"`
 	Piece        []byte          `cbor:"11,keyasint,omitempty"`
-	Packed       bool            `cbor:"12,keyasint,omitempty"` // Body, or what the pieces make up
-	Upload       uint64          `cbor:"13,keyasint,omitempty"` // to which Piece belongs
+	Packed       bool            `cbor:"12,keyasint,omitempty"` // Body, or the command sent in pieces, is compressed
+	Upload       uint64          `cbor:"13,keyasint,omitempty"` // number of the upload that Piece belongs to
 }
 
-// inPieces reports whether a proposal is sent piece by piece.
+// inPieces reports whether a proposal is sent in pieces.
 func (q *request) inPieces() bool {
 	return q.Op == opPropose && (q.Packed || len(q.Body) > uploadPieceBytes)
 }
 
-// status says how far a voter came with a request.
+// status is the result of a request to a voter.
 type status uint8
 
 const (
 	statusOK        status = 1
-	statusNotLeader status = 2 // not executed here
-	statusBusy      status = 3 // not executed, and will not be
+	statusNotLeader status = 2 // not executed by this voter
+	statusBusy      status = 3 // not executed, and will not be executed
 	statusUnknown   status = 4
-	statusRefused   status = 5 // the request itself is wrong
-	statusWanted    status = 6 // the proposal that was offered is not here
+	statusRefused   status = 5 // the request is invalid
+	statusWanted    status = 6 // the offered proposal is unknown; its body must be sent
 )
 
 type reply struct {
@@ -88,8 +88,8 @@
 	Error    string                    `cbor:"7,keyasint,omitempty"`
 }
 
-// Remote is the Client of a VM, voter or not. Its retries carry the same
-// envelope ID, so that a command runs once however often answers are lost.
+// RemoteClient is the Client of a VM, whether it is a voter or not. Its retries carry the
+// same envelope ID, and a command is therefore executed once even if replies are lost.
 type RemoteClient struct {
 	transport peer.Transport
 	self      string
@@ -97,35 +97,36 @@
 	lease     time.Duration
 
 	mu     sync.Mutex
-	leader string // where the last request succeeded
+	leader string // VM that answered the last successful request
 
 	view localView
 }
 
-// viewer is the view that Barrier brings up to date.
+// localView is the state that Barrier brings up to date.
 type localView interface {
 	catchUp(ctx context.Context, index uint64, versions map[StateMachineID]uint64) error
 }
 
-// Fixed is a list of control VMs that never changes.
+// FixedVMs returns a function that always returns the same control VMs.
 func FixedVMs(vms []string) func() []string { return func() []string { return vms } }
 
-// NewRemote returns a Remote. voters gives the VMs with the control role; the VM
-// itself, if it is among them, is asked first.
+// NewRemoteClient returns a RemoteClient. voters returns the VMs with the control role. If
+// self is among them it is tried first.
 func NewRemoteClient(t peer.Transport, self string, voters func() []string) *RemoteClient {
 	r := &RemoteClient{transport: t, self: self, voters: voters}
 	r.resetLeader()
 	return r
 }
 
-// Propose implements Client. An error with the code ControlUnavail is a promise
-// that the command was not executed; after any other the outcome is unknown.
+// Propose implements Client. An error with the code ControlUnavail guarantees that the
+// command was not executed; after any other error the outcome is unknown.
 func (r *RemoteClient) Propose(ctx context.Context, smID StateMachineID, cmd []byte) ([]byte, error) {
 	return r.proposeAs(ctx, rand.Text(), smID, cmd)
 }
 
-// ProposeSame is Propose for a command that the group executes once in all, whoever
-// proposes it and however often: its content is its ID. The reply is the first one's.
+// ProposeDeduplicated is Propose for a command that the group executes only once, even if
+// several VMs propose it. A hash of the content serves as the ID. All proposers receive
+// the reply of the first execution.
 func (r *RemoteClient) ProposeDeduplicated(ctx context.Context, smID StateMachineID, cmd []byte) ([]byte, error) {
 	digest := sha256.Sum256(cmd)
 	return r.proposeAs(ctx, base64.RawStdEncoding.EncodeToString(digest[:]), smID, cmd)
@@ -134,7 +135,7 @@
 func (r *RemoteClient) proposeAs(ctx context.Context, id string, smID StateMachineID, cmd []byte) ([]byte, error) {
 	q := request{Op: opPropose, StateMachine: smID, ID: id, Body: cmd}
 	if len(cmd) > maxCommandBytes {
-		return nil, result.Newf(result.BodyTooLarge, "a command of %d bytes, at most %d", len(cmd), maxCommandBytes)
+		return nil, result.Newf(result.BodyTooLarge, "command has %d bytes, at most %d are allowed", len(cmd), maxCommandBytes)
 	}
 	if len(cmd) > uploadPieceBytes {
 		packed, err := codec.Pack(cmd)
@@ -162,14 +163,14 @@
 	return r.view.catchUp(ctx, out.Index, out.Versions)
 }
 
-// Remove takes the vote from a control VM that will not come back. It succeeds
-// where the VM has none, so that a resend after a lost answer does too.
+// Remove removes the vote of a control VM that will not return. It succeeds if the VM has
+// no vote, which makes a retry after a lost reply succeed too.
 func (r *RemoteClient) Remove(ctx context.Context, vm string) error {
 	_, err := r.callLeader(ctx, request{Op: opRemove, VM: vm})
 	return err
 }
 
-// Members returns the group as its leader sees it.
+// Members returns the metrics of the leader, which include the members of the group.
 func (r *RemoteClient) Members(ctx context.Context) (MemberStats, error) {
 	var s MemberStats
 	out, err := r.callLeader(ctx, request{Op: opMembers})
@@ -179,8 +180,8 @@
 	return s, codec.Unmarshal(out.Body, &s)
 }
 
-// ask sends a request to the leader, looking for it where necessary, until it is
-// answered or ctx ends.
+// callLeader sends a request to the leader until it is answered or ctx ends. It searches
+// for the leader if necessary.
 func (r *RemoteClient) callLeader(ctx context.Context, q request) (reply, error) {
 	target := r.lastLeader()
 	maybeExecuted := false
@@ -196,7 +197,8 @@
 		}
 		message := q
 		if q.Op == opPropose && (q.inPieces() || maybeExecuted) && !bodyWanted {
-			// The leader may have a copy, and the target may not be the leader.
+			// The leader may have the proposal already, and the target may not be the
+			// leader. The ID suffices to find out.
 			message = q.offer()
 		}
 		out, ran, err := r.attempt(ctx, target, message)
@@ -230,11 +232,12 @@
 	}
 }
 
-// silentVoters are those that did not answer one request, and when. Asked again in turn,
-// one that was lost costs the proposer as much each time, while the others elect.
+// silentVoters holds when voters failed to answer a request. Without it the proposer would
+// try a failed voter again in turn and lose a full timeout each time, while the others
+// elect a leader.
 type silentVoters map[string]time.Time
 
-// passOver leaves silent voters out, unless all are silent.
+// exclude removes silent voters from the list, unless all are silent.
 func (s silentVoters) exclude(voters []string) []string {
 	out := slices.DeleteFunc(slices.Clone(voters), func(vm string) bool { _, ok := s[vm]; return ok })
 	if len(out) == 0 {
@@ -248,7 +251,7 @@
 	return ok && time.Since(at) < silentVoterTimeout
 }
 
-// offer asks for a proposal's outcome without its body.
+// offer returns the request for a proposal's outcome, without the body.
 func (q request) offer() request {
 	return request{Op: opOffer, StateMachine: q.StateMachine, ID: q.ID}
 }
@@ -260,7 +263,7 @@
 	return result.New(result.ControlUnavail)
 }
 
-// attempt reports also whether the request may have been executed.
+// attempt sends a request once. The boolean reports whether it may have been executed.
 func (r *RemoteClient) attempt(ctx context.Context, vm string, q request) (reply, bool, error) {
 	if q.inPieces() {
 		return r.upload(ctx, vm, q)
@@ -268,7 +271,7 @@
 	return r.exchange(ctx, vm, q)
 }
 
-// exchange sends one message and waits for its answer.
+// exchange sends one message and waits for the reply.
 func (r *RemoteClient) exchange(ctx context.Context, vm string, q request) (reply, bool, error) {
 	limit := attemptTimeout
 	if q.Op == opConfirmPolls {
@@ -279,8 +282,8 @@
 	var out reply
 	err := r.transport.Call(ctx, vm, peer.KindControl, q, &out)
 	if err != nil {
-		// A message that found no connection or no room was not sent. Of the rest
-		// nothing is known, a VM that does not answer in time included.
+		// A message without a connection or without space in the queue was not sent.
+		// After any other error, a timeout included, the outcome is unknown.
 		sent := !errors.Is(err, peer.ErrQueueFull) && !errors.Is(err, peer.ErrClosed)
 		return reply{}, sent && (q.Op == opPropose || q.Op == opPiece), err
 	}
@@ -299,11 +302,11 @@
 	r.leader = vm
 }
 
-// Leader is the VM that answered last as leader, or "".
+// Leader returns the VM that last answered as the leader, or "".
 func (r *RemoteClient) Leader() string { return r.lastLeader() }
 
-// forget is for when the leader did not answer: a VM that is a voter itself
-// knows best who leads now, any other tries the voters in turn.
+// resetLeader discards a leader that did not answer. A VM that is a voter asks its own
+// member next, which learns of a new leader first. Any other VM tries the voters in turn.
 func (r *RemoteClient) resetLeader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/replaced_voter_test.go
+++ b/internal/control/replaced_voter_test.go
@@ -9,15 +9,16 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal/waltest"
 )
 
-// learning are the options of control VMs that find one another by what they
-// learn, and keep three voters.
+// withKnownVMs returns options of control VMs that discover the given VMs and keep three
+// voters.
 func withKnownVMs(known ...string) func(*GroupOptions) {
 	return func(o *GroupOptions) {
 		o.KnownVMs, o.TargetVoters = FixedVMs(known), 3
 	}
 }
 
-// startLearning starts three voters that keep to three, and one follower.
+// startReplaceable starts three voters that keep the number of voters at three, and one
+// follower.
 func startReplaceable(t testing.TB) *cluster {
 	c := &cluster{fabric: newFabric(), t: t, voters: slices.Clone(testVoters), vms: map[string]*vm{}, fs: map[string]*waltest.FS{}}
 	for _, id := range testVoters {
@@ -29,7 +30,7 @@
 	return c
 }
 
-// add starts a control VM at an address that the others were not told.
+// add starts a control VM at an address that is not in the others' settings.
 func (c *cluster) add(id string) {
 	c.fs[id] = waltest.New()
 	c.vms[id] = startVMWith(c.t, c.fabric, id, []string{id}, c.fs[id], func(o *GroupOptions) {
@@ -51,10 +52,9 @@
 	return out
 }
 
-// Operators' changes go on. In order: a control VM is lost for good and an empty
-// one comes at another address; it gets a vote, and the silent one loses its own, so
-// that right after it a second one may be lost. With four votes the group would
-// stop there.
+// A control VM is lost permanently, and an empty one starts at another address. The new VM
+// must get a vote and the silent one must lose its vote. Right after that a second voter is
+// lost, and operators' changes must still succeed. With four votes the group would stop.
 func TestReplacedAtAnotherAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startReplaceable(t)
@@ -64,7 +64,7 @@
 		c.vms["vm2"].kill(c.fabric)
 		c.add("vm4")
 		want := []string{"vm1", "vm3", "vm4"}
-		c.waitFor("vm4 votes and vm2 does not", 15*time.Second, func() bool { return slices.Equal(c.votersAt("vm4"), want) })
+		c.waitFor("vm4 has a vote and vm2 has none", 15*time.Second, func() bool { return slices.Equal(c.votersAt("vm4"), want) })
 		c.voters = want
 		lost := c.leader()
 		if lost == "vm4" {
@@ -72,34 +72,34 @@
 		}
 		c.vms[lost].kill(c.fabric)
 		if got := c.propose("router1", "after"); got != 2 {
-			t.Errorf("%d changes, want 2", got)
+			t.Errorf("got %d changes, want 2", got)
 		}
 	})
 }
 
-// A paused control VM gets its vote back. In order: a fourth joins beside the
-// three; one of them is paused for longer than a silent voter is kept, loses its
-// vote, and wakes with a log that says it has one.
+// A fourth control VM joins three others. One of these is paused for longer than a silent
+// voter is kept and loses its vote. It resumes with a log in which it still is a voter, and
+// must get its vote back.
 func TestRemovedWhilePausedComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startReplaceable(t)
 		defer c.stop()
 		c.leader()
 		c.add("vm4")
-		c.waitFor("four vote", 15*time.Second, func() bool { return len(c.votersAt("vm4")) == 4 })
+		c.waitFor("four VMs have a vote", 15*time.Second, func() bool { return len(c.votersAt("vm4")) == 4 })
 		paused := "vm1"
 		if c.leader() == paused {
 			paused = "vm2"
 		}
 		c.isolate(paused, "vm1", "vm2", "vm3", "vm4", "router1")
-		c.waitFor("the silent one has no vote", 15*time.Second, func() bool { return !slices.Contains(c.votersAt("vm4"), paused) })
+		c.waitFor("the silent VM has no vote", 15*time.Second, func() bool { return !slices.Contains(c.votersAt("vm4"), paused) })
 		c.heal()
-		c.waitFor("it has its vote again", 15*time.Second, func() bool { return slices.Contains(c.votersAt(paused), paused) && len(c.votersAt("vm4")) == 4 })
+		c.waitFor("the resumed VM has its vote again", 15*time.Second, func() bool { return slices.Contains(c.votersAt(paused), paused) && len(c.votersAt("vm4")) == 4 })
 	})
 }
 
-// Three voters stay three while one is silent: the next loss is borne only if the
-// silent one comes back, and its vote must be there then.
+// Three voters remain three while one of them is silent. The group tolerates the next loss
+// only if the silent VM returns, and it must still have its vote then.
 func TestSilentVoterOfThreeKeepsItsVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startReplaceable(t)
@@ -112,13 +112,13 @@
 		time.Sleep(20 * time.Second)
 		c.voters = slices.DeleteFunc(c.voters, func(v string) bool { return v == silent })
 		if got := c.votersAt(c.leader()); len(got) != 3 {
-			t.Errorf("voters %v", got)
+			t.Errorf("got voters %v, want three", got)
 		}
 	})
 }
 
-// A control VM with an empty folder that is told that a group exists never begins
-// another, whatever it can reach: the operators' changes would have two histories.
+// A control VM with an empty folder and JoinOnly must never form a group, whichever VMs it
+// reaches. A second group would give the operators' changes two histories.
 func TestJoinOnlyNeverForms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{fabric: newFabric(), t: t, vms: map[string]*vm{}, fs: map[string]*waltest.FS{}}
@@ -130,15 +130,15 @@
 		time.Sleep(30 * time.Second)
 		for _, id := range testVoters {
 			if st, ok := c.vms[id].group.Status(); ok {
-				t.Errorf("%s formed a group: %+v", id, st)
+				t.Errorf("%s formed a group, want none: %+v", id, st)
 			}
 		}
 	})
 }
 
-// All control VMs lose power at once and are back together. Operators and routers
-// have a leader again within 0.4 s: waiting for a leader that nobody has
-// heard since the start would only make the outage longer.
+// All control VMs lose power at once and restart together. They must have a leader within
+// 0.4 s. To wait for a former leader that no member has heard since the start would only
+// prolong the outage.
 func TestRestartOfAllIsQuick(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
@@ -154,15 +154,15 @@
 		}
 		c.leader()
 		if took := time.Since(began); took > 400*time.Millisecond {
-			t.Errorf("a leader after %v", took)
+			t.Errorf("leader elected after %v, want at most 400ms", took)
 		}
 		if got := c.propose("router1", "after"); got != 2 {
-			t.Errorf("%d changes, want 2", got)
+			t.Errorf("got %d changes, want 2", got)
 		}
 	})
 }
 
-// A control VM that restarts alone deposes nobody.
+// Guards against a restarting control VM that deposes the leader.
 func TestRestartOfOneDeposesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 0)
@@ -176,7 +176,7 @@
 		c.restart(restarted)
 		time.Sleep(5 * time.Second)
 		if now, _ := c.vms[leader].group.Status(); now.Term != term.Term || !c.vms[leader].group.IsLeader() {
-			t.Errorf("term %d became %d", term.Term, now.Term)
+			t.Errorf("term changed from %d to %d or the leader was deposed, want the same term and leader", term.Term, now.Term)
 		}
 	})
 }
--- a/internal/control/rollout_history_test.go
+++ b/internal/control/rollout_history_test.go
@@ -14,8 +14,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/rollout"
 )
 
-// rolloutsSeen is what roll-outs are seen from outside: an order is accepted while none
-// is under way, a step ends it, and a read tells the number and the phase.
+// rolloutView is the state of the sequential specification of roll-outs. An order is
+// accepted while no roll-out is in progress, a step ends the roll-out, and a read returns its
+// number and whether it has ended.
 type rolloutView struct {
 	number uint64
 	over   bool
@@ -43,7 +44,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// operateRollouts orders roll-outs and ends them on one VM until told to stop.
+// runRolloutOperator orders and ends roll-outs on one VM until stop is closed.
 func (c *cluster) runRolloutOperator(client int, v *vm, h *history, stop <-chan struct{}) {
 	last := uint64(0)
 	for i := 0; ; i++ {
@@ -75,9 +76,8 @@
 	return rolloutView{r.Number, r.Number == 0 || r.Phase.Over()}
 }
 
-// Guards against an order that is acknowledged and lost, an outcome that is reached twice,
-// and a read that is older than what another operator was told, while control VMs are
-// lost, cut off and started again.
+// Guards against an acknowledged order that is lost, an outcome that is reached twice, and a
+// stale read, while control VMs are cut off and return.
 func TestRolloutsAreLinearizable(t *testing.T) {
 	for run := range uint64(4) {
 		t.Run(fmt.Sprint(run), func(t *testing.T) {
@@ -114,14 +114,14 @@
 				}
 				t.Logf("%d operations, %d answered", len(h.ops), answered)
 				if res := porcupine.CheckOperationsTimeout(rolloutModel, h.ops, 20*time.Second); res != porcupine.Ok || answered < 50 {
-					t.Errorf("%d operations, %d answered: %v", len(h.ops), answered, res)
+					t.Errorf("history of %d operations, %d of them answered: got check result %v, want Ok and at least 50 answered", len(h.ops), answered, res)
 				}
 			})
 		})
 	}
 }
 
-// readRollouts reads on a control VM until told to stop.
+// runRolloutReader reads on a control VM until stop is closed.
 func (c *cluster) runRolloutReader(client int, v *vm, h *history, stop <-chan struct{}) {
 	for {
 		select {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -8,9 +8,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// machineState is the content of a snapshot. The replies are part of it: a
-// member restored from it must answer a retry as the others do, or the state
-// machines would differ from there on.
+// snapshotData is the content of a snapshot. It includes the cached replies. A member
+// restored from it must answer a retry as the other members do, otherwise the replicated
+// states would diverge.
 type snapshotData struct {
 	NowMS         int64              `cbor:"1,keyasint"`
 	StateMachines []stateMachineData `cbor:"2,keyasint"`
@@ -27,7 +27,7 @@
 	Reply []byte `cbor:"2,keyasint"`
 }
 
-// Snapshot returns the whole state.
+// Snapshot encodes the complete state.
 func (rs *ReplicatedState) Snapshot() ([]byte, error) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -35,7 +35,7 @@
 	for _, id := range slices.Sorted(maps.Keys(rs.stateMachines)) {
 		data, err := rs.stateMachines[id].Snapshot()
 		if err != nil {
-			return nil, fmt.Errorf("control: snapshot of part %d: %w", id, err)
+			return nil, fmt.Errorf("control: snapshot of state machine %d: %w", id, err)
 		}
 		s.StateMachines = append(s.StateMachines, stateMachineData{ID: id, Data: data})
 	}
@@ -45,7 +45,7 @@
 	return cbor.Marshal(s)
 }
 
-// Restore replaces the whole state.
+// Restore replaces the complete state. An error may leave some state machines restored.
 func (rs *ReplicatedState) Restore(data []byte) error {
 	var s snapshotData
 	if err := cbor.Unmarshal(data, &s); err != nil {
@@ -56,10 +56,10 @@
 	for _, ps := range s.StateMachines {
 		sm := rs.stateMachines[ps.ID]
 		if sm == nil {
-			return fmt.Errorf("control: snapshot holds part %d, which is not registered", ps.ID)
+			return fmt.Errorf("control: snapshot contains state machine %d, which is not registered", ps.ID)
 		}
 		if err := sm.Restore(ps.Data); err != nil {
-			return fmt.Errorf("control: restore of part %d: %w", ps.ID, err)
+			return fmt.Errorf("control: restore of state machine %d: %w", ps.ID, err)
 		}
 	}
 	rs.nowMS, rs.replies, rs.replyOrder, rs.replyBytes = s.NowMS, map[string][]byte{}, nil, 0
@@ -70,14 +70,15 @@
 	return nil
 }
 
-// NowMS is the group's clock, in milliseconds of the Unix epoch.
+// NowMS returns the group's clock, in Unix milliseconds.
 func (rs *ReplicatedState) NowMS() int64 {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	return rs.nowMS
 }
 
-// Versions returns the version of each part asked for that is registered.
+// Versions returns the versions of the given state machines. It omits those that are not
+// registered.
 func (rs *ReplicatedState) Versions(ids []StateMachineID) map[StateMachineID]uint64 {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
--- a/internal/control/stale_leader_test.go
+++ b/internal/control/stale_leader_test.go
@@ -9,13 +9,13 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// namesSilent is a group of which a silent VM still counts as the leader, until another
-// is elected.
+// staleLeaderTransport simulates a group in which a silent VM still counts as the leader
+// until another one is elected.
 type staleLeaderTransport struct {
 	peer.Transport
 	silent, next string
 	electedAt    time.Time
-	answersAt    time.Time // from then on the silent one answers; zero: never
+	answersAt    time.Time // when the silent VM starts to answer; zero: never
 }
 
 // Call implements peer.Transport.
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Guards against a proposer that goes back to a VM which did not answer, for a second each
-// time, while the others elect and answer.
+// Guards against a proposer that returns to a VM that did not answer and loses a second each
+// time, although the other voters have elected a leader and answer.
 func TestSilentVMIsPassedOver(t *testing.T) {
 	for _, elected := range []time.Duration{500 * time.Millisecond, 1200 * time.Millisecond, 1900 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -48,13 +48,13 @@
 			}
 			most := max(elected, attemptTimeout) + 4*retryPause
 			if took := time.Since(began); took > most {
-				t.Errorf("elected after %v: %v until the answer, want %v", elected, took, most)
+				t.Errorf("new leader elected after %v: got the answer after %v, want at most %v", elected, took, most)
 			}
 		})
 	}
 }
 
-// Guards against a leader that is never asked again: it was slow once, and still leads.
+// Guards against a leader that is never tried again after it was slow once.
 func TestSlowLeaderIsAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -63,7 +63,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		if _, err := r.Propose(ctx, RoutesStateMachine, []byte{1}); err != nil {
-			t.Errorf("after %v: %v", time.Since(began), err)
+			t.Errorf("no reply from the slow leader after %v: got error %v, want none", time.Since(began), err)
 		}
 	})
 }
--- a/internal/control/tracker.go
+++ b/internal/control/tracker.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// driftMargin is what is added to a lease where its end is waited for, and taken
-// off it where it is used: monotonic clocks of VMs run apart by less than 0.1 %
-// while they are disciplined, 1 % is ten times that. See docs/operating/control.md for
-// what a suspended VM does.
+// driftDivisor defines the margin for clock drift: 1/100 of a lease. The holder of a lease
+// subtracts the margin, and a VM that waits for the end of the lease adds it. Monotonic
+// clocks of VMs drift apart by less than 0.1 % while they are disciplined; 1 % is ten
+// times that. docs/operating/control.md describes the case of a suspended VM.
 const driftDivisor = 100
 
-// shortened is how long a VM relies on a lease.
+// usableLease returns how long a VM relies on a lease.
 func usableLease(lease time.Duration) time.Duration { return lease - lease/driftDivisor }
 
-// outlived is when every VM has stopped relying on it.
+// expiredLease returns the time after which no VM relies on the lease any more.
 func expiredLease(lease time.Duration) time.Duration { return lease + lease/driftDivisor }
 
-// pollReport tells the leader what a VM applied when it asked for its lease.
+// pollReport informs the leader which versions a VM applied when it requested its lease.
 type pollReport struct {
 	VM       string                    `cbor:"1,keyasint"`
 	Versions map[StateMachineID]uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// tracker is the leader's view of which VM applies what. Each lease is confirmed
-// by the leader, with the VM's report, so that the view is complete once the
-// leases that an earlier leader confirmed have run out.
+// tracker is the leader's view of the versions that each VM applies. The leader confirms
+// each lease together with the VM's report. The view is therefore complete once the leases
+// that an earlier leader confirmed have expired.
 type tracker struct {
 	lease time.Duration
 	now   func() time.Time
 
 	mu      sync.Mutex
 	term    uint64
-	since   time.Time // when this term's reports began
+	since   time.Time // when the reports of this term began
 	vms     map[string]vmReport
 	changed chan struct{}
 }
@@ -47,7 +47,7 @@
 	return &tracker{lease: lease, now: time.Now, vms: map[string]vmReport{}, changed: make(chan struct{})}
 }
 
-// enter begins anew where the term differs.
+// startTerm discards all reports if the term has changed.
 func (t *tracker) startTerm(term uint64, now time.Time) {
 	if t.term != term {
 		t.term, t.since = term, now
@@ -55,7 +55,7 @@
 	}
 }
 
-// report records polls before their lease is confirmed.
+// report records polls. It must be called before their leases are confirmed.
 func (t *tracker) report(term uint64, polls []pollReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,8 +68,8 @@
 	t.changed = make(chan struct{})
 }
 
-// inForce reports whether every VM that may rely on a lease holds the version,
-// and otherwise a channel that is closed at the next report.
+// inForce reports whether every VM that may hold a valid lease applies the version. The
+// channel is closed at the next report.
 func (t *tracker) inForce(term uint64, smID StateMachineID, version uint64) (bool, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/upload.go
+++ b/internal/control/upload.go
@@ -10,23 +10,23 @@
 )
 
 // The load pattern. A proposer sends the leader a command of megabytes in one message.
-// The heartbeats' answers wait behind it on the leader's link, and the leader steps
-// down before it has the command.
+// The replies to heartbeats queue behind it on the leader's link, and the leader steps
+// down before it has received the command.
 //
-// So a large command is packed, once, and travels in pieces, one at a time: at most one
-// piece of it is on the links, and its time limit is one piece's. It stays packed in the
-// log, which goes to each follower.
+// For this reason a large command is compressed once and sent in pieces, one at a time.
+// At most one piece occupies the links, and the timeout applies to one piece. The command
+// stays compressed in the log, which is sent to each follower.
 
 const (
-	// uploadPieceBytes: a larger command goes in pieces of this size.
+	// uploadPieceBytes is the size of a piece. Larger commands are sent in pieces.
 	uploadPieceBytes = peer.PieceBytes
-	// uploadLife is how long a leader keeps a command whose next piece does not come.
+	// uploadTimeout is how long a leader keeps an incomplete command without a new piece.
 	uploadTimeout = 5 * time.Second
-	// maxUploadBytes bounds the commands that a leader holds in part.
+	// maxUploadBytes bounds the total size of the incomplete commands on a leader.
 	maxUploadBytes = 2 * maxCommandBytes
 )
 
-// upload sends a command piece by piece; the answer to the last one is the outcome.
+// upload sends a command in pieces. The reply to the last piece is the outcome.
 func (r *RemoteClient) upload(ctx context.Context, vm string, q request) (reply, bool, error) {
 	number := rand.Uint64()
 	for offset := 0; ; offset += uploadPieceBytes {
@@ -42,13 +42,14 @@
 	}
 }
 
-// uploads are the commands that a leader holds in part. Safe for concurrent use.
+// uploads holds the incomplete commands on a leader. It is safe for concurrent use.
 type uploads struct {
 	mu    sync.Mutex
 	byKey map[uploadKey]*upload
 }
 
-// uploadKey names an upload: a VM may propose one command twice at once.
+// uploadKey identifies an upload. A VM may propose the same command twice at the same
+// time.
 type uploadKey struct {
 	vm     string
 	number uint64
@@ -57,11 +58,11 @@
 type upload struct {
 	data  []byte
 	total int
-	at    time.Time // of the last piece
+	at    time.Time // arrival of the last piece
 }
 
-// add takes a piece. The status is statusOK, with the command if it is whole now;
-// statusWanted if the proposer must begin anew, statusBusy if there is no room.
+// add stores a piece. The status is statusOK, with the command once it is complete. It is
+// statusWanted if the proposer must restart the upload, and statusBusy if there is no space.
 func (u *uploads) add(vm string, q request, now time.Time) (command []byte, s status) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -83,7 +84,7 @@
 	return up.data, statusOK
 }
 
-// begin makes room for a command, in place of those whose proposers have gone.
+// reserve allocates space for a command. It discards uploads that have timed out.
 func (u *uploads) reserve(key uploadKey, total int, now time.Time) bool {
 	held := 0
 	for k, up := range u.byKey {
--- a/internal/control/upload_test.go
+++ b/internal/control/upload_test.go
@@ -9,8 +9,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// Guards against a command that is made of the wrong pieces, and against proposers that
-// vanish midway and leave no room.
+// Guards against a command that is assembled from the wrong pieces, and against uploads of
+// vanished proposers that occupy the space for others.
 func TestUploads(t *testing.T) {
 	now := time.Unix(1000, 0)
 	piece := func(number uint64, offset, total int, data string) request {
@@ -43,25 +43,25 @@
 			{"vm1", piece(1, 2, 4, "cd"), 0, "abcd", statusOK},
 			{"vm1", piece(2, 2, 4, "cd"), 0, "abcd", statusOK},
 		}},
-		{"a piece again", []step{
+		{"repeated piece", []step{
 			{"vm1", piece(1, 0, 4, "ab"), 0, "", statusOK},
 			{"vm1", piece(1, 2, 6, "cd"), 0, "abcd", statusOK},
 			{"vm1", piece(1, 2, 4, "cd"), 0, "", statusWanted},
 		}},
-		{"a gap", []step{
+		{"missing piece", []step{
 			{"vm1", piece(1, 0, 6, "ab"), 0, "", statusOK},
 			{"vm1", piece(1, 4, 6, "ef"), 0, "", statusWanted},
 		}},
-		{"more than it said", []step{
+		{"more data than announced", []step{
 			{"vm1", piece(1, 0, 3, "ab"), 0, "", statusOK},
 			{"vm1", piece(1, 2, 3, "cd"), 0, "", statusWanted},
 		}},
-		{"begun anew", []step{
+		{"restarted", []step{
 			{"vm1", piece(1, 0, 4, "xy"), 0, "", statusOK},
 			{"vm1", piece(1, 0, 4, "ab"), 0, "", statusOK},
 			{"vm1", piece(1, 2, 4, "cd"), 0, "abcd", statusOK},
 		}},
-		{"no room", []step{
+		{"no space", []step{
 			{"vm1", piece(1, 0, maxUploadBytes-1, "ab"), 0, "", statusOK},
 			{"vm2", piece(2, 0, 4, "ab"), 0, "", statusBusy},
 			{"vm2", piece(2, 0, 4, "ab"), uploadTimeout + time.Second, "", statusOK},
@@ -73,14 +73,14 @@
 			for i, s := range test.steps {
 				command, got := u.add(s.vm, s.q, now.Add(s.after))
 				if string(command) != s.command || got != s.want {
-					t.Errorf("step %d: %q, status %d; want %q, %d", i, command, got, s.command, s.want)
+					t.Errorf("step %d: got command %q and status %d, want %q and %d", i, command, got, s.command, s.want)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a proposal that runs once for each who asks for it.
+// Guards against a proposal that is executed once for each request instead of once.
 func TestProposalUnderWayIsJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var f inflightProposals
@@ -93,19 +93,19 @@
 		short, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if out := f.join(short, "a", propose); out.Status != statusUnknown {
-			t.Errorf("status %d before the outcome is known", out.Status)
+			t.Errorf("got status %d before the outcome is known, want statusUnknown", out.Status)
 		}
 		if out := f.join(t.Context(), "a", propose); out.Index != 7 || runs != 1 {
-			t.Errorf("outcome %+v after %d runs", out, runs)
+			t.Errorf("got outcome %+v after %d runs, want index 7 after one run", out, runs)
 		}
 		if _, ok := f.wait(t.Context(), "a"); ok {
-			t.Error("still under way")
+			t.Error("proposal is still in flight after its outcome, want it removed")
 		}
 	})
 }
 
-// Guards against a list that several VMs propose at once, one of them twice, and the log
-// takes as often.
+// Guards against a list that is appended to the log once for each VM that proposes it. Several
+// VMs propose the same list at once, one of them twice.
 func TestSameCommandOfManyVMsRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startWithLinkRates(t, mbit100, mbit100, 3)
@@ -128,12 +128,12 @@
 		}
 		for range 4 {
 			if got := <-replies; got != "\x01" {
-				t.Errorf("reply %q, want the first command's", got)
+				t.Errorf("got reply %q, want the reply of the first execution", got)
 			}
 		}
 		<-time.After(time.Second)
 		if got := c.logBytes("vm1") - before; got > size*3/2 {
-			t.Errorf("the log took %d bytes for a command of %d", got, size)
+			t.Errorf("log grew by %d bytes for a command of %d bytes, want at most 1.5 times its size", got, size)
 		}
 	})
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,33 +14,35 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// FollowedParts are the parts that every VM follows, in the order in which changes are
-// told: which versions may run a request is known before its route is.
+// FollowedStateMachines lists the state machines that every VM follows, in the order in
+// which changes are sent. A VM learns which versions may run a request before it learns
+// the request's route.
 var FollowedStateMachines = []StateMachineID{PlansStateMachine, FleetStateMachine, MembersStateMachine, RolloutsStateMachine, RoutesStateMachine}
 
 // Timings of a watch.
 const (
-	// batchWindow gathers polls for one confirmation: with 66 VMs at a voter a
-	// poll each would ask the leader a hundred times a second.
+	// batchWindow collects polls for one confirmation. With 66 VMs at a voter, a
+	// confirmation for each poll would send the leader a hundred requests a second.
 	batchWindow = 250 * time.Millisecond
-	// hurryWindow gathers polls that report a new version, for which an operator
-	// waits, or that need their lease, after another voter failed them.
+	// urgentBatchWindow collects polls that report a new version, which an operator may
+	// be waiting for, or that need a lease after another voter did not answer.
 	urgentBatchWindow = 5 * time.Millisecond
-	// confirmSoon is how long a poll that needs its lease waits for it before it is
-	// told what has changed: the usual round trips, with some load on them.
+	// unconfirmedReplyDelay is how long a poll that needs a lease waits for the
+	// confirmation before it is answered with unconfirmed changes. It covers the usual
+	// round trips under some load.
 	unconfirmedReplyDelay = 100 * time.Millisecond
-	// confirmTimeout outlasts a leader change of about half a second.
+	// confirmTimeout is longer than a leader change, which takes about half a second.
 	confirmTimeout = 1500 * time.Millisecond
 )
 
-// holdFor is how long a voter holds a poll that has nothing to tell. A quarter
-// of the lease: a VM whose voter falls silent has the time to ask another.
+// pollHold returns how long a voter holds a poll without changes. It is a quarter of the
+// lease, which leaves a VM time to poll another voter when its own falls silent.
 func pollHold(lease time.Duration) time.Duration { return lease / 4 }
 
 type pollRequest struct {
 	Versions map[StateMachineID]uint64 `cbor:"1,keyasint"`
-	// NeedLease: answer with a confirmation, as long as one can be had. Without it a
-	// stream of changes could keep a VM busy and let its lease run out.
+	// NeedLease requests an answer with a confirmation if one can be obtained. Without
+	// it, frequent changes could be answered unconfirmed until the VM's lease expires.
 	NeedLease bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -56,7 +58,7 @@
 	Value        bulk.Value     `cbor:"3,keyasint"`
 }
 
-// watchServer answers the polls of the VMs that chose this voter.
+// watchServer answers the polls of the VMs that follow this voter.
 type watchServer struct {
 	g      *Group
 	leader *RemoteClient
@@ -65,29 +67,29 @@
 	closed   bool
 	batch    *confirmation
 	cache    map[changeKey]stateChange
-	reported map[string]map[StateMachineID]uint64 // what the VMs reported last
+	reported map[string]map[StateMachineID]uint64 // the last versions that the VMs reported
 	pending  sync.WaitGroup
 }
 
-// confirmation is one round for many polls.
+// confirmation is one request to the leader for a batch of polls.
 type confirmation struct {
 	polls []pollReport
-	// urgent: a lease is near its end, the next heartbeat would be late.
+	// urgent is set if a lease is about to expire; the next heartbeat would be too late.
 	urgent bool
-	flush  chan struct{} // buffered
+	flush  chan struct{} // buffered; ends the batch window early
 	done   chan struct{}
 	index  uint64
 	err    error
 }
 
-// changeKey names a change by what a VM holds before it.
+// changeKey identifies a change by the version that a VM has before it.
 type changeKey struct {
 	stateMachine StateMachineID
 	since        uint64
 }
 
-// maxCachedChanges is how many different versions the VMs may be behind by before
-// changes are encoded again.
+// maxCachedChanges bounds the cached changes. If VMs lag by more different versions, changes
+// are encoded repeatedly.
 const maxCachedChanges = 16
 
 func newWatchServer(g *Group) *watchServer {
@@ -97,7 +99,7 @@
 	}
 }
 
-// close waits for the rounds under way; a poll that comes later starts none.
+// close waits for the confirmations in flight. Later polls start no new one.
 func (w *watchServer) close() {
 	w.mu.Lock()
 	w.closed = true
@@ -127,7 +129,7 @@
 			if conf.err != nil {
 				return a.unconfirmed()
 			}
-			// The state must hold what the confirmation covers before it counts.
+			// The confirmation counts once the local state includes its index.
 			if err := w.g.node.WaitApplied(ctx, conf.index); err != nil {
 				return nil, err
 			}
@@ -144,18 +146,18 @@
 	}
 }
 
-// watchAnswer is a poll that is being answered.
+// pendingPoll is a poll that has not been answered yet.
 type pendingPoll struct {
 	w    *watchServer
 	q    *pollRequest
-	done <-chan struct{} // the confirmation's; nil once it is there
+	done <-chan struct{} // closed at the confirmation; nil once it has been processed
 
 	confirmed   bool
-	confirmLate bool // the confirmation is late
-	holdElapsed bool // the hold is
+	confirmLate bool // unconfirmedReplyDelay has passed
+	holdElapsed bool // pollHold has passed
 }
 
-// reply returns the answer if there is one by now.
+// reply returns the answer if it can be given now.
 func (a *pendingPoll) reply() (pollReply, bool) {
 	changes := a.changes()
 	mayAnswer := a.confirmed || a.confirmLate || !a.q.NeedLease
@@ -165,11 +167,11 @@
 	return pollReply{}, false
 }
 
-// changes are those that may be told now. A VM without a lease that holds nothing is
-// told nothing before a majority confirms it: this voter may lack what was
-// acknowledged, and a VM that has just started would serve by that. One that holds an
-// older version is better off with a newer one, which is committed: it would else go
-// on by the old one for as long as there is no majority.
+// changes returns the changes that may be sent now. A VM that needs a lease and has no
+// version of a state machine receives none before a majority confirms it. This voter may
+// lack acknowledged changes, and a VM that has just started would serve by its state. A VM
+// with an older version receives the newer one unconfirmed, because it is committed.
+// Without it the VM would keep using the old version as long as there is no majority.
 func (a *pendingPoll) changes() []stateChange {
 	if a.confirmed || !a.q.NeedLease {
 		return a.w.changes(a.q.Versions)
@@ -179,7 +181,7 @@
 	return a.w.changes(held)
 }
 
-// unconfirmed answers a poll that no majority confirms.
+// unconfirmed answers a poll that no majority has confirmed.
 func (a *pendingPoll) unconfirmed() (any, error) {
 	if changes := a.changes(); len(changes) > 0 {
 		return a.w.reply(false, changes), nil
@@ -191,8 +193,8 @@
 	return pollReply{Confirmed: confirmed, Changes: changes, Group: w.g.node.Group()}
 }
 
-// changes returns what is newer here. A voter that is behind the VM sends
-// nothing: what a VM applies never goes back.
+// changes returns the changes since the versions that a VM holds. A voter that lags behind
+// the VM sends none, because the versions that a VM applies never go back.
 func (w *watchServer) changes(held map[StateMachineID]uint64) []stateChange {
 	var out []stateChange
 	versions := w.g.o.State.Versions(FollowedStateMachines)
@@ -203,7 +205,7 @@
 		}
 		c, err := w.change(smID, held[smID])
 		if err != nil {
-			w.g.o.Log.Error().Err(err).Uint8("part", uint8(smID)).Msg("change not encoded")
+			w.g.o.Log.Error().Err(err).Uint8("part", uint8(smID)).Msg("change could not be encoded; leaving it out of the answer")
 			continue
 		}
 		out = append(out, c)
@@ -211,7 +213,8 @@
 	return out
 }
 
-// change encodes a part's change once for all VMs that hold the same version.
+// change returns a state machine's change, encoded once for all VMs that hold the same
+// version.
 func (w *watchServer) change(smID StateMachineID, since uint64) (stateChange, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -238,7 +241,7 @@
 	return c, nil
 }
 
-// confirm adds a poll to the round that is gathering.
+// confirm adds a poll to the current batch and returns the confirmation of that batch.
 func (w *watchServer) confirm(p pollReport, needLease bool) *confirmation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -269,7 +272,8 @@
 	defer cancel()
 	defer close(c.done)
 	c.err = waitForBatch(ctx, c.flush)
-	// Only polls that arrived before the round begins may rely on it.
+	// The batch is closed before the request is sent. Only polls that arrived before it
+	// may rely on the confirmation.
 	w.mu.Lock()
 	w.batch = nil
 	w.mu.Unlock()
@@ -280,7 +284,7 @@
 	c.index, c.err = out.Index, err
 }
 
-// gather waits for the window's end.
+// waitForBatch waits until the batch window has passed.
 func waitForBatch(ctx context.Context, hurry <-chan struct{}) error {
 	select {
 	case <-time.After(batchWindow):
@@ -292,8 +296,8 @@
 	}
 }
 
-// watched confirms, on the leader, a voter's batch of polls. Unless it is urgent
-// the read rides on the next regular heartbeat and costs no message of its own.
+// confirmPolls confirms a voter's batch of polls on the leader. Unless the batch is urgent,
+// the read index is confirmed by the next regular heartbeat and needs no extra message.
 func (g *Group) confirmPolls(ctx context.Context, q request) reply {
 	st, ok := g.node.Status()
 	if !ok {
@@ -312,7 +316,7 @@
 	return st.Term == term && g.node.IsLeader()
 }
 
-// inForce waits on the leader for every VM's report, for a hold's time.
+// inForce waits on the leader for the reports of all VMs, for at most pollHold.
 func (g *Group) inForce(ctx context.Context, q request) reply {
 	hold := time.NewTimer(pollHold(g.o.Lease))
 	defer hold.Stop()
@@ -334,12 +338,12 @@
 	}
 }
 
-// ErrNoTracking reports a Client that cannot tell what is in force.
+// ErrNoTracking reports a Client that cannot determine which versions are in force.
 var ErrNoTracking = errors.New("control: this client does not track what is in force")
 
-// InForce returns once every VM applies the version of a part, or may no longer
-// admit work by an older one because its lease has run out. The version must be
-// committed already. The error is ctx's.
+// WaitInForce returns once every VM applies the version of a state machine or, after its
+// lease has expired, may not admit work under an older version. The version must be
+// committed already. The error is ErrNoTracking or that of ctx.
 func WaitInForce(ctx context.Context, c Client, smID StateMachineID, version uint64) error {
 	tracking, ok := c.(interface {
 		waitInForce(ctx context.Context, smID StateMachineID, version uint64) error
@@ -350,8 +354,9 @@
 	return tracking.waitInForce(ctx, smID, version)
 }
 
-// inForce needs no answer from the leader in the worst case: leases given before
-// the commit have run out by then on every VM, a VM that is cut off included.
+// waitInForce succeeds without an answer from the leader after the maximum lease. By then
+// the leases granted before the commit have expired on every VM, even on one that is cut
+// off.
 func (r *RemoteClient) waitInForce(ctx context.Context, smID StateMachineID, version uint64) error {
 	limit, cancel := context.WithTimeout(ctx, expiredLease(r.lease))
 	defer cancel()
