--- a/internal/client/operator.go
+++ b/internal/client/operator.go
@@ -116,7 +116,7 @@
 // PlanRow is a row of the first list, with what the workspace has in use.
 type PlanRow struct {
 	plan.CustomerRow
-	Use plan.Use `json:"use"`
+	Use plan.Usage `json:"use"`
 }
 
 // Plan returns a row of the first list.
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -91,7 +91,7 @@
 	t.Helper()
 	v := &vm{id: id, t: t, state: NewReplicatedState(), failed: make(chan error, 1)}
 	v.state.Register(PlansStateMachine, &listMachine{})
-	v.state.Register(RolloutsStateMachine, rollout.NewPart())
+	v.state.Register(RolloutsStateMachine, rollout.NewStateMachine())
 	v.feed = NewFeed(FeedOptions{Self: id, Voters: FixedVMs(voters), Transport: endpoint{f, id}, Lease: testLease, Log: zerolog.Nop()})
 	v.feed.OnChange(PlansStateMachine, func(data []byte) {
 		var items []string
--- a/internal/control/rollout_history_test.go
+++ b/internal/control/rollout_history_test.go
@@ -133,7 +133,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		if err := v.client.Barrier(ctx); err == nil {
 			v.state.Read(RolloutsStateMachine, func(sm StateMachine) {
-				r, _ := sm.(*rollout.Part).Record("desk")
+				r, _ := sm.(*rollout.StateMachine).Record("desk")
 				op.Output = viewOf(&r)
 			})
 			op.Return = time.Now().UnixNano()
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -222,7 +222,7 @@
 	c, cached := w.cache[key]
 	var data []byte
 	w.g.o.State.Read(smID, func(sm StateMachine) {
-		if cached && c.Version == sm.Version() && w.g.o.Values.Offers(c.Value) {
+		if cached && c.Version == sm.Version() && w.g.o.Values.StillOffers(c.Value) {
 			return
 		}
 		c, data = stateChange{StateMachine: smID, Version: sm.Version()}, sm.Changes(since)
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -19,7 +19,7 @@
 )
 
 // blameBoard is the blame that routers share.
-type blameBoard struct{ *recovery.Blame }
+type blameBoard struct{ *recovery.PoisonSuspicion }
 
 // system is a router with the modules of the project.
 type system struct {
@@ -83,9 +83,9 @@
 func (s *system) poll(i int) {
 	e := s.w.engines[i]
 	if load, ok := e.poll(); ok {
-		s.table.Report(i, &load, s.w.Now())
+		s.table.ApplyReport(i, &load, s.w.Now())
 		page := e.cacheEvents(s.table.CacheSeq(i))
-		s.table.CacheEvents(i, &page)
+		s.table.ApplyCacheEvents(i, &page)
 		s.detector.Polled(e.name, s.w.Now())
 		s.limiters[i].Report(load.StepMS, load.Queued, s.table.Inflight(i))
 		s.table.SetLimit(i, s.limiters[i].Limit())
@@ -179,7 +179,7 @@
 func (s *system) place(u *run, avoid []string, suspect bool) *lane {
 	r := u.r
 	q := routing.Query{
-		Pool: model, Prompt: r.prompt + r.journal, New: r.tokens - r.journal, Blocks: r.blocks, Avoid: avoid,
+		Pool: model, PromptTokens: r.prompt + r.journal, NewTokens: r.tokens - r.journal, BlockDigests: r.blocks, Avoid: avoid,
 		Resume: u.attempts > 0, Suspect: suspect, Affinity: s.policy.Affinity,
 	}
 	place, ok := s.table.Pick(&q, s.w.Now())
@@ -219,11 +219,11 @@
 	if l.closed {
 		return
 	}
-	s.detector.SetPatient(s.suspicion.Empty())
+	s.detector.SetCeilingOnly(s.suspicion.Empty())
 	suspect, again := s.detector.Check(l.stream, s.w.Now())
 	if suspect {
 		s.suspicion.Spend(l.run.r.prompt + l.run.r.journal)
-		s.lost(l, routing.Silent)
+		s.lost(l, routing.Suspected)
 		return
 	}
 	if s.policy.HedgeShare > 0 {
@@ -264,9 +264,9 @@
 	s.hedges.Earn(1)
 	s.table.Progress(&l.place, 1)
 	s.paced(u)
-	if l.solo && s.w.blamed.Passed(digest(u.r), l.a.made) {
+	if l.solo && s.w.blamed.NoteProgress(digest(u.r), l.a.made) {
 		l.solo = false
-		s.table.Cleared(&l.place)
+		s.table.EndIsolation(&l.place)
 	}
 	if l.a.extra {
 		s.w.out.redeem(routing.DecodeWeight) // a new token is useful
@@ -304,7 +304,7 @@
 	s.paced(u)
 	u.resume = &recovery.Resume{Deadline: u.item.Deadline, Prefill: u.r.prompt + u.r.journal}
 	s.resumes[u.resume] = u
-	s.pacer.Enter(u.resume, s.w.Now())
+	s.pacer.Enqueue(u.resume, s.w.Now())
 	s.grant()
 	s.w.After(3*time.Second, s.grant)
 }
@@ -324,7 +324,7 @@
 		return
 	}
 	delete(s.resumes, u.resume)
-	s.pacer.Leave(u.resume)
+	s.pacer.Release(u.resume)
 	u.resume = nil
 	s.grant()
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -82,7 +82,7 @@
 	if err := n.control.Barrier(ctx); err != nil {
 		return out, err
 	}
-	n.machine.Read(control.PlansStateMachine, func(book control.StateMachine) { out = book.(*plan.Book).Ask(q, n.plans.ledger) })
+	n.machine.Read(control.PlansStateMachine, func(book control.StateMachine) { out = book.(*plan.Registry).Ask(q, n.plans.ledger) })
 	return out, nil
 }
 
--- a/internal/node/plans.go
+++ b/internal/node/plans.go
@@ -68,7 +68,7 @@
 // startPlans registers the lists and the ledger with the control group's state,
 // and follows the lists.
 func (n *Node) startPlans() {
-	book := plan.NewBook()
+	book := plan.NewRegistry()
 	ledger := plan.NewLedger(book, n.ledgerBroken)
 	n.machine.Register(control.PlansStateMachine, book)
 	n.machine.Register(control.LedgerStateMachine, ledger)
@@ -92,7 +92,7 @@
 
 // take applies a change of the lists.
 func (p *plans) take(data []byte) {
-	if err := p.view.Take(data); err != nil {
+	if err := p.view.Apply(data); err != nil {
 		p.log.Error().Err(err).Uint64("version", p.view.Version()).Msg("change of the lists refused")
 		return
 	}
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -105,8 +105,8 @@
 func (r *router) Pick(_ context.Context, q relay.Query) (relay.Choice, error) {
 	req := q.Request
 	query := routing.Query{
-		Pool: req.Model, Prompt: req.PromptTokens() + q.Tokens, New: max(0, req.MaxTokens-q.Tokens),
-		Blocks: routing.Blocks(req), Avoid: q.Avoid, Resume: q.Resume, Suspect: q.Suspect, Affinity: q.Affinity,
+		Pool: req.Model, PromptTokens: req.PromptTokens() + q.Tokens, NewTokens: max(0, req.MaxTokens-q.Tokens),
+		BlockDigests: routing.BlockDigests(req), Avoid: q.Avoid, Resume: q.Resume, Suspect: q.Suspect, Affinity: q.Affinity,
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +117,7 @@
 	spec := r.table.Spec(placed.Engine)
 	return relay.Choice{
 		Backend:  relay.Backend{Name: spec.Name, Addr: spec.Addr, Zone: spec.Zone},
-		Cached:   placed.Cached(),
+		Cached:   placed.CachedTokens(),
 		Done:     func(o relay.Outcome) { r.done(&placed, o) },
 		Progress: func(tokens int) { r.progress(&placed, tokens) },
 		Cleared:  func() { r.cleared(&placed) },
@@ -140,13 +140,13 @@
 func (r *router) cleared(p *routing.Placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Cleared(p)
+	r.table.EndIsolation(p)
 }
 
 var outcomes = map[relay.Outcome]routing.Outcome{
 	relay.OutcomeOK:         routing.OK,
 	relay.OutcomeFailed:     routing.Failed,
-	relay.OutcomeSuspected:  routing.Silent,
+	relay.OutcomeSuspected:  routing.Suspected,
 	relay.OutcomeCancelled:  routing.Cancelled,
 	relay.OutcomeDied:       routing.Failed,
 	relay.OutcomeRefused:    routing.Refused,
@@ -175,7 +175,7 @@
 // report takes an engine's load report.
 func (r *router) report(i int, load *engine.Load) {
 	r.mu.Lock()
-	r.table.Report(i, load, r.now())
+	r.table.ApplyReport(i, load, r.now())
 	l := r.limiters[i]
 	l.Report(load.StepMS, load.Queued, r.table.Inflight(i))
 	r.table.SetLimit(i, l.Limit())
@@ -225,7 +225,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.table.CacheSeq(i) == since {
-		r.table.CacheEvents(i, page)
+		r.table.ApplyCacheEvents(i, page)
 	}
 }
 
--- a/internal/operator/lists.go
+++ b/internal/operator/lists.go
@@ -24,7 +24,7 @@
 // PlanAnswer is a row of the first list, with what the workspace has in use.
 type PlanAnswer struct {
 	plan.CustomerRow
-	Use plan.Use `json:"use"`
+	Use plan.Usage `json:"use"`
 }
 
 // PlansAnswer is the first list.
@@ -107,7 +107,7 @@
 		return err
 	case len(answer.Customers) == 1:
 		w.Header().Set("ETag", etag(answer.Customers[0].Version))
-		return writeJSON(w, http.StatusOK, PlanAnswer{answer.Customers[0], answer.Use})
+		return writeJSON(w, http.StatusOK, PlanAnswer{answer.Customers[0], answer.Usage})
 	case len(answer.Allowances) == 1:
 		w.Header().Set("ETag", etag(answer.Allowances[0].Version))
 		return writeJSON(w, http.StatusOK, answer.Allowances[0])
@@ -142,8 +142,8 @@
 }
 
 func (a *API) change(w http.ResponseWriter, r *http.Request, l list) error {
-	c := plan.Command{Name: mux.Vars(r)["name"], Action: l.set, Who: who(r), Key: r.Header.Get("Idempotency-Key")}
-	if c.Key != "" && !keyPattern.MatchString(c.Key) {
+	c := plan.Command{Name: mux.Vars(r)["name"], Action: l.set, Who: who(r), IdempotencyKey: r.Header.Get("Idempotency-Key")}
+	if c.IdempotencyKey != "" && !keyPattern.MatchString(c.IdempotencyKey) {
 		return result.New(result.InvalidKey)
 	}
 	if err := precondition(r, &c); err != nil {
@@ -194,8 +194,8 @@
 func (a *API) answerChange(w http.ResponseWriter, r *http.Request, c plan.Command, reply plan.Reply) error {
 	a.Log.Info().Str("who", c.Who).Str("what", c.Action.String()).Str("name", c.Name).
 		Uint64("version", reply.Version).Msg("lists changed")
-	out := Written{Name: c.Name, Version: reply.Version, Lists: reply.Lists}
-	if err := a.wait(r, reply.Lists); err != nil {
+	out := Written{Name: c.Name, Version: reply.Version, Lists: reply.ListsVersion}
+	if err := a.wait(r, reply.ListsVersion); err != nil {
 		return result.From(err).WithRan(result.RanYes)
 	}
 	out.InForce = waits(r)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -30,7 +30,7 @@
 }
 
 func (g *group) Ask(_ context.Context, q plan.Query) (out plan.Answer, err error) {
-	g.machine.Read(control.PlansStateMachine, func(p control.StateMachine) { out = p.(*plan.Book).Ask(q, g.ledger) })
+	g.machine.Read(control.PlansStateMachine, func(p control.StateMachine) { out = p.(*plan.Registry).Ask(q, g.ledger) })
 	return out, nil
 }
 
@@ -53,7 +53,7 @@
 func newSystem(t *testing.T) *system {
 	t.Helper()
 	s := &system{net: peertest.New(1), rings: map[string]*explain.Ring{}}
-	book := plan.NewBook()
+	book := plan.NewRegistry()
 	g := &group{machine: control.NewReplicatedState(), ledger: plan.NewLedger(book, func(err error) { t.Error(err) })}
 	g.machine.Register(control.PlansStateMachine, book)
 	vms := func() []string { return []string{"vm1", "vm2"} }
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -11,8 +11,8 @@
 
 const targetWorkspaces = 6600
 
-func targetBook(b *testing.B) *plan.Book {
-	book := plan.NewBook()
+func targetBook(b *testing.B) *plan.Registry {
+	book := plan.NewRegistry()
 	apply(b, book, setAllowance(allowance("gold", 1e12), 0))
 	for i := range targetWorkspaces {
 		apply(b, book, setCustomer(fmt.Sprint("w", i), "gold", 0, fmt.Sprint("k", i)))
@@ -24,7 +24,7 @@
 func BenchmarkIndex(b *testing.B) {
 	book := targetBook(b)
 	view := plan.NewView()
-	if err := view.Take(book.Changes(0)); err != nil {
+	if err := view.Apply(book.Changes(0)); err != nil {
 		b.Fatal(err)
 	}
 	delta := book.Changes(book.Version() - 1)
@@ -39,7 +39,7 @@
 
 func BenchmarkLookup(b *testing.B) {
 	view := plan.NewView()
-	if err := view.Take(targetBook(b).Changes(0)); err != nil {
+	if err := view.Apply(targetBook(b).Changes(0)); err != nil {
 		b.Fatal(err)
 	}
 	d := view.Directory()
--- a/internal/plan/book.go
+++ b/internal/plan/book.go
@@ -39,7 +39,7 @@
 // A row's version is the number of the change that wrote it, counted over both
 // lists: versions only grow, also when a row is removed and made again, so a
 // late change that names an old version can never win.
-type Book struct {
+type Registry struct {
 	version    uint64
 	customers  map[string]CustomerRow
 	allowances map[string]AllowanceRow
@@ -51,17 +51,17 @@
 }
 
 // NewBook returns empty lists.
-func NewBook() *Book {
-	return &Book{
+func NewRegistry() *Registry {
+	return &Registry{
 		customers: map[string]CustomerRow{}, allowances: map[string]AllowanceRow{},
 		keyOwner: map[string]string{}, planUsers: map[string]int{}, answers: map[string]answer{},
 	}
 }
 
 // Apply implements control.Part.
-func (b *Book) Apply(nowMS int64, data []byte) []byte {
+func (b *Registry) Apply(nowMS int64, data []byte) []byte {
 	var c Command
-	reply := Reply{Lists: b.version}
+	reply := Reply{ListsVersion: b.version}
 	if err := cbor.Unmarshal(data, &c); err != nil {
 		reply.fail(result.Newf(result.MalformedBody, "command: %v", err))
 		return encode(reply)
@@ -88,27 +88,27 @@
 // Do executes a command once per Idempotency-Key: an operator whose answer was
 // lost resends it, perhaps to another VM after a change of leader, and must get
 // the first answer rather than a conflict with his own change.
-func (b *Book) Do(nowMS int64, c Command) Reply {
+func (b *Registry) Do(nowMS int64, c Command) Reply {
 	digest, err := c.digest()
 	if err != nil {
-		reply := Reply{Lists: b.version}
+		reply := Reply{ListsVersion: b.version}
 		reply.fail(err)
 		return reply
 	}
-	if first, ok := b.answers[c.Key]; ok && c.Key != "" {
+	if first, ok := b.answers[c.IdempotencyKey]; ok && c.IdempotencyKey != "" {
 		if !slices.Equal(first.Digest, digest) {
-			reply := Reply{Lists: b.version}
+			reply := Reply{ListsVersion: b.version}
 			reply.fail(result.New(result.KeyReused))
 			return reply
 		}
 		return first.Reply
 	}
 	reply := b.decide(nowMS, c)
-	b.remember(answer{Key: c.Key, Digest: digest, Reply: reply})
+	b.remember(answer{Key: c.IdempotencyKey, Digest: digest, Reply: reply})
 	return reply
 }
 
-func (b *Book) remember(a answer) {
+func (b *Registry) remember(a answer) {
 	if a.Key == "" {
 		return
 	}
@@ -122,9 +122,9 @@
 	}
 }
 
-func (b *Book) decide(nowMS int64, c Command) Reply {
+func (b *Registry) decide(nowMS int64, c Command) Reply {
 	present := b.present(c)
-	reply := Reply{Version: present, Lists: b.version}
+	reply := Reply{Version: present, ListsVersion: b.version}
 	if err := b.allowed(c, present); err != nil {
 		reply.fail(err)
 		return reply
@@ -140,18 +140,18 @@
 	if over := len(b.history) - maxHistory; over > 0 {
 		b.history = slices.Delete(b.history, 0, over)
 	}
-	return Reply{Version: b.present(c), Lists: b.version, Created: present == 0}
+	return Reply{Version: b.present(c), ListsVersion: b.version, Created: present == 0}
 }
 
 // present is the version of the row that a command names, 0 without one.
-func (b *Book) present(c Command) uint64 {
+func (b *Registry) present(c Command) uint64 {
 	if c.Action == SetCustomer || c.Action == RemoveCustomer {
 		return b.customers[c.Name].Version
 	}
 	return b.allowances[c.Name].Version
 }
 
-func (b *Book) allowed(c Command, present uint64) error {
+func (b *Registry) allowed(c Command, present uint64) error {
 	if err := c.check(); err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 }
 
 // consistent checks a row against the other rows.
-func (b *Book) consistent(c Command) error {
+func (b *Registry) consistent(c Command) error {
 	switch c.Action {
 	case SetCustomer:
 		if _, ok := b.allowances[c.Customer.Plan]; !ok {
@@ -194,7 +194,7 @@
 
 // execute changes the row and reports how; a row equal to the present one is no
 // change and keeps its version.
-func (b *Book) execute(c Command, version uint64) ([]string, bool) {
+func (b *Registry) execute(c Command, version uint64) ([]string, bool) {
 	switch c.Action {
 	case SetCustomer:
 		before, ok := b.customers[c.Name]
@@ -222,7 +222,7 @@
 	return nil, false
 }
 
-func (b *Book) putCustomer(row CustomerRow) {
+func (b *Registry) putCustomer(row CustomerRow) {
 	b.dropCustomer(row.Workspace)
 	b.customers[row.Workspace] = row
 	b.planUsers[row.Plan]++
@@ -231,7 +231,7 @@
 	}
 }
 
-func (b *Book) dropCustomer(workspace string) {
+func (b *Registry) dropCustomer(workspace string) {
 	row, ok := b.customers[workspace]
 	if !ok {
 		return
@@ -246,7 +246,7 @@
 }
 
 // lookup finds what a workspace may use now.
-func (b *Book) lookup(workspace string) (Allowance, bool) {
+func (b *Registry) lookup(workspace string) (Allowance, bool) {
 	c, ok := b.customers[workspace]
 	if !ok {
 		return Allowance{}, false
--- a/internal/plan/book_state.go
+++ b/internal/plan/book_state.go
@@ -15,7 +15,7 @@
 type Delta struct {
 	From              uint64         `cbor:"1,keyasint"`
 	To                uint64         `cbor:"2,keyasint"`
-	Whole             bool           `cbor:"3,keyasint,omitempty"`
+	Full              bool           `cbor:"3,keyasint,omitempty"`
 	Customers         []CustomerRow  `cbor:"4,keyasint,omitempty"`
 	Allowances        []AllowanceRow `cbor:"5,keyasint,omitempty"`
 	RemovedCustomers  []string       `cbor:"6,keyasint,omitempty"`
@@ -23,11 +23,11 @@
 }
 
 // Version implements control.Part.
-func (b *Book) Version() uint64 { return b.version }
+func (b *Registry) Version() uint64 { return b.version }
 
 // Changes implements control.Part. The history says which rows changed; where
 // it does not reach back far enough the whole lists go out.
-func (b *Book) Changes(since uint64) []byte {
+func (b *Registry) Changes(since uint64) []byte {
 	if since > b.version || b.version-since > uint64(len(b.history)) {
 		return encode(b.whole(since))
 	}
@@ -53,7 +53,7 @@
 	return encode(d)
 }
 
-func (d *Delta) addCustomer(b *Book, name string) {
+func (d *Delta) addCustomer(b *Registry, name string) {
 	if row, ok := b.customers[name]; ok {
 		d.Customers = append(d.Customers, row)
 		return
@@ -61,7 +61,7 @@
 	d.RemovedCustomers = append(d.RemovedCustomers, name)
 }
 
-func (d *Delta) addAllowance(b *Book, name string) {
+func (d *Delta) addAllowance(b *Registry, name string) {
 	if row, ok := b.allowances[name]; ok {
 		d.Allowances = append(d.Allowances, row)
 		return
@@ -69,34 +69,34 @@
 	d.RemovedAllowances = append(d.RemovedAllowances, name)
 }
 
-func (b *Book) whole(since uint64) Delta {
-	return Delta{From: since, To: b.version, Whole: true, Customers: b.Customers(), Allowances: b.Allowances()}
+func (b *Registry) whole(since uint64) Delta {
+	return Delta{From: since, To: b.version, Full: true, Customers: b.Customers(), Allowances: b.Allowances()}
 }
 
 // Customers is the first list in order of workspace.
-func (b *Book) Customers() []CustomerRow {
+func (b *Registry) Customers() []CustomerRow {
 	return slices.SortedFunc(maps.Values(b.customers), func(x, y CustomerRow) int { return cmp.Compare(x.Workspace, y.Workspace) })
 }
 
 // Allowances is the second list in order of plan.
-func (b *Book) Allowances() []AllowanceRow {
+func (b *Registry) Allowances() []AllowanceRow {
 	return slices.SortedFunc(maps.Values(b.allowances), func(x, y AllowanceRow) int { return cmp.Compare(x.Plan, y.Plan) })
 }
 
 // Customer returns a row of the first list.
-func (b *Book) Customer(workspace string) (CustomerRow, bool) {
+func (b *Registry) Customer(workspace string) (CustomerRow, bool) {
 	row, ok := b.customers[workspace]
 	return row, ok
 }
 
 // Allowance returns a row of the second list.
-func (b *Book) Allowance(plan string) (AllowanceRow, bool) {
+func (b *Registry) Allowance(plan string) (AllowanceRow, bool) {
 	row, ok := b.allowances[plan]
 	return row, ok
 }
 
 // History returns the kept changes of one row, newest first.
-func (b *Book) History(customers bool, name string) []Change {
+func (b *Registry) History(customers bool, name string) []Change {
 	out := []Change{}
 	for _, c := range slices.Backward(b.history) {
 		ofCustomers := c.Action == SetCustomer || c.Action == RemoveCustomer
@@ -116,7 +116,7 @@
 }
 
 // Snapshot implements control.Part.
-func (b *Book) Snapshot() ([]byte, error) {
+func (b *Registry) Snapshot() ([]byte, error) {
 	s := bookSnapshot{Version: b.version, Customers: b.Customers(), Allowances: b.Allowances(), History: b.history}
 	for _, k := range b.answerKeys {
 		s.Answers = append(s.Answers, b.answers[k])
@@ -125,12 +125,12 @@
 }
 
 // Restore implements control.Part.
-func (b *Book) Restore(data []byte) error {
+func (b *Registry) Restore(data []byte) error {
 	var s bookSnapshot
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return err
 	}
-	next := NewBook()
+	next := NewRegistry()
 	next.version, next.history = s.Version, s.History
 	for _, row := range s.Customers {
 		next.putCustomer(row)
@@ -165,7 +165,7 @@
 
 // Take applies an encoded Delta. One that ends at or before the copy's version
 // is ignored: it came late, from a VM that lags, and would bring old rows back.
-func (v *View) Take(data []byte) error {
+func (v *View) Apply(data []byte) error {
 	var d Delta
 	if err := cbor.Unmarshal(data, &d); err != nil {
 		return err
@@ -173,7 +173,7 @@
 	switch {
 	case d.To <= v.version:
 		return nil
-	case d.Whole:
+	case d.Full:
 		clear(v.customers)
 		clear(v.allowances)
 	case d.From > v.version:
--- a/internal/plan/book_test.go
+++ b/internal/plan/book_test.go
@@ -46,7 +46,7 @@
 }
 
 // apply goes through the codec, as a committed entry does.
-func apply(t interface{ Fatal(...any) }, b *plan.Book, c plan.Command) plan.Reply {
+func apply(t interface{ Fatal(...any) }, b *plan.Registry, c plan.Command) plan.Reply {
 	data, err := cbor.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -58,12 +58,12 @@
 	return r
 }
 
-func restored(t interface{ Fatal(...any) }, b *plan.Book) *plan.Book {
+func restored(t interface{ Fatal(...any) }, b *plan.Registry) *plan.Registry {
 	data, err := b.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := plan.NewBook()
+	out := plan.NewRegistry()
 	if err := out.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 }
 
 func TestRefusedCommands(t *testing.T) {
-	b := plan.NewBook()
+	b := plan.NewRegistry()
 	apply(t, b, setAllowance(allowance("gold", 100), 0))
 	apply(t, b, setCustomer("coop", "gold", 0, "k1"))
 	with := func(change func(a *plan.Allowance)) plan.Command {
@@ -117,10 +117,10 @@
 // he resends to its successor, which has the state from a snapshot: he must get
 // his first answer, not a conflict with his own change.
 func TestRacingOperatorsAndResendAfterLeaderChange(t *testing.T) {
-	b := plan.NewBook()
+	b := plan.NewRegistry()
 	apply(t, b, setAllowance(allowance("gold", 100), 0))
 	first, second := setAllowance(allowance("gold", 200), 1), setAllowance(allowance("gold", 300), 1)
-	first.Key, first.Who, second.Key = "edit-1", "ann", "edit-2"
+	first.IdempotencyKey, first.Who, second.IdempotencyKey = "edit-1", "ann", "edit-2"
 	won := apply(t, b, first)
 	lost := apply(t, b, second)
 	if won.Code != 0 || won.Version != 2 || lost.Code != result.VersionConflict || lost.Version != 2 {
@@ -136,7 +136,7 @@
 		t.Errorf("resend of the loser got %+v, first answer was %+v", again, lost)
 	}
 	other := setAllowance(allowance("gold", 500), 3)
-	other.Key = "edit-1"
+	other.IdempotencyKey = "edit-1"
 	if r := apply(t, b, other); r.Code != result.KeyReused {
 		t.Errorf("key reused for another command: %+v", r)
 	}
@@ -154,7 +154,7 @@
 // also over remove and create; every VM that has caught up holds the lists.
 func TestBookRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := plan.NewBook()
+		b := plan.NewRegistry()
 		views := []*plan.View{plan.NewView(), plan.NewView(), plan.NewView()}
 		var late [][]byte
 		highest := map[string]uint64{}
@@ -172,7 +172,7 @@
 			v := views[rapid.IntRange(0, len(views)-1).Draw(t, "vm")]
 			late = append(late, b.Changes(v.Version()))
 			applied := v.Version()
-			if err := v.Take(late[rapid.IntRange(0, len(late)-1).Draw(t, "delivered")]); err != nil && !errors.Is(err, plan.ErrGap) {
+			if err := v.Apply(late[rapid.IntRange(0, len(late)-1).Draw(t, "delivered")]); err != nil && !errors.Is(err, plan.ErrGap) {
 				t.Fatal(err)
 			}
 			if v.Version() < applied {
@@ -183,7 +183,7 @@
 			}
 		}
 		for _, v := range views {
-			if err := v.Take(b.Changes(v.Version())); err != nil {
+			if err := v.Apply(b.Changes(v.Version())); err != nil {
 				t.Fatal(err)
 			}
 			sameLists(t, b, v)
@@ -191,7 +191,7 @@
 	})
 }
 
-func drawCommand(t *rapid.T, b *plan.Book) plan.Command {
+func drawCommand(t *rapid.T, b *plan.Registry) plan.Command {
 	name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 	row, _ := b.Allowance(name)
 	customer, _ := b.Customer(name)
@@ -211,7 +211,7 @@
 	return setCustomer(name, planName, version(customer.Version), key)
 }
 
-func sameLists(t *rapid.T, b *plan.Book, v *plan.View) {
+func sameLists(t *rapid.T, b *plan.Registry, v *plan.View) {
 	var customers []plan.Customer
 	var allowances []plan.Allowance
 	for _, row := range b.Customers() {
--- a/internal/plan/command.go
+++ b/internal/plan/command.go
@@ -39,20 +39,20 @@
 
 // Command is one change of a row, decided by compare-and-swap.
 type Command struct {
-	Action    Action     `cbor:"1,keyasint"`
-	Name      string     `cbor:"2,keyasint"` // workspace or plan
-	Customer  *Customer  `cbor:"3,keyasint,omitempty"`
-	Allowance *Allowance `cbor:"4,keyasint,omitempty"`
-	IfMatch   uint64     `cbor:"5,keyasint,omitempty"` // version that the operator read
-	Create    bool       `cbor:"6,keyasint,omitempty"` // only if the row does not exist
-	Key       string     `cbor:"7,keyasint,omitempty"` // Idempotency-Key
-	Who       string     `cbor:"8,keyasint,omitempty"`
+	Action         Action     `cbor:"1,keyasint"`
+	Name           string     `cbor:"2,keyasint"` // workspace or plan
+	Customer       *Customer  `cbor:"3,keyasint,omitempty"`
+	Allowance      *Allowance `cbor:"4,keyasint,omitempty"`
+	IfMatch        uint64     `cbor:"5,keyasint,omitempty"` // version that the operator read
+	Create         bool       `cbor:"6,keyasint,omitempty"` // only if the row does not exist
+	IdempotencyKey string     `cbor:"7,keyasint,omitempty"` // Idempotency-Key
+	Who            string     `cbor:"8,keyasint,omitempty"`
 }
 
 // digest covers what the command does, not who sent it: a resend may come from
 // another terminal.
 func (c Command) digest() ([]byte, error) {
-	c.Key, c.Who = "", ""
+	c.IdempotencyKey, c.Who = "", ""
 	data, err := cbor.Marshal(c)
 	sum := sha256.Sum256(data)
 	return sum[:16], err
@@ -73,11 +73,11 @@
 // Reply answers a Command. Version is the row's version after it; after a
 // conflict, the present one (0: no such row).
 type Reply struct {
-	Code    result.Code `cbor:"1,keyasint,omitempty"`
-	Message string      `cbor:"2,keyasint,omitempty"`
-	Version uint64      `cbor:"3,keyasint"`
-	Lists   uint64      `cbor:"4,keyasint"` // version of the lists once this was done
-	Created bool        `cbor:"5,keyasint,omitempty"`
+	Code         result.Code `cbor:"1,keyasint,omitempty"`
+	Message      string      `cbor:"2,keyasint,omitempty"`
+	Version      uint64      `cbor:"3,keyasint"`
+	ListsVersion uint64      `cbor:"4,keyasint"` // version of the lists once this was done
+	Created      bool        `cbor:"5,keyasint,omitempty"`
 }
 
 // Err is the reply's error, or nil.
--- a/internal/plan/fuzz_test.go
+++ b/internal/plan/fuzz_test.go
@@ -24,7 +24,7 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := plan.NewBook()
+		b := plan.NewRegistry()
 		apply(t, b, setAllowance(allowance("gold", 1000), 0))
 		apply(t, b, setCustomer("hot", "gold", 0, "k"))
 		l := plan.NewLedger(b, func(error) {})
@@ -32,7 +32,7 @@
 		for now := range int64(3) {
 			l.Apply(1000+now, data)
 		}
-		u := l.Use("hot")
+		u := l.Usage("hot")
 		if u.Spent.Plus(u.Outstanding).Tokens > 1000 || u.Spent.Plus(u.Outstanding).Requests > 1000 || u.Slots > 10 {
 			t.Errorf("granted %+v", u)
 		}
--- a/internal/plan/ledger.go
+++ b/internal/plan/ledger.go
@@ -13,10 +13,10 @@
 // connections (seconds) and a paused VM come back. Tokens need no delay: a dead
 // incarnation's grants count as spent until the window's end.
 const (
-	DeadAfterMS = 30_000
-	SafeDelayMS = 30_000
-	activeMS    = 10_000 // a VM that named an account within this time counts as asking
-	sweepMS     = 1_000
+	DeadAfterMS        = 30_000
+	SlotReleaseDelayMS = 30_000
+	activeMS           = 10_000 // a VM that named an account within this time counts as asking
+	sweepMS            = 1_000
 )
 
 // holding is what one incarnation holds of an account.
@@ -59,7 +59,7 @@
 // window, and slots held <= concurrency. After an allowance was lowered the sum
 // may stand above it, and then only falls.
 type Ledger struct {
-	book         *Book
+	book         *Registry
 	onBroken     func(error)
 	accounts     map[string]*account
 	incarnations map[string]*incarnation
@@ -75,7 +75,7 @@
 
 // NewLedger returns an empty ledger over the lists. onBroken is told of broken
 // invariants; the account concerned gets no more grants.
-func NewLedger(book *Book, onBroken func(error)) *Ledger {
+func NewLedger(book *Registry, onBroken func(error)) *Ledger {
 	return &Ledger{book: book, onBroken: onBroken, accounts: map[string]*account{}, incarnations: map[string]*incarnation{}}
 }
 
@@ -223,7 +223,7 @@
 func (a *account) grant(nowMS int64, h *holding, s AccountSync, limit Allowance) {
 	heads := a.heads(nowMS)
 	left := limit.Limit().Minus(a.Committed)
-	if s.Least > max(left.Tokens, 0) {
+	if s.MinTokens > max(left.Tokens, 0) {
 		// Part of a request's cost would lie idle with this VM, while a smaller
 		// request elsewhere could use it.
 		return
@@ -309,7 +309,7 @@
 		if inc.DeadMS == 0 && nowMS-inc.SeenMS > DeadAfterMS {
 			inc.DeadMS = nowMS
 		}
-		if inc.DeadMS != 0 && nowMS-inc.DeadMS > SafeDelayMS {
+		if inc.DeadMS != 0 && nowMS-inc.DeadMS > SlotReleaseDelayMS {
 			l.bury(name)
 		}
 	}
--- a/internal/plan/ledger_state.go
+++ b/internal/plan/ledger_state.go
@@ -46,7 +46,7 @@
 }
 
 // Use is how much of a workspace's allowance is in use, for operators.
-type Use struct {
+type Usage struct {
 	Workspace   string `cbor:"1,keyasint" json:"workspace"`
 	WindowEndMS int64  `cbor:"2,keyasint" json:"window_end_ms"` // by the group's clock
 	Limit       Amount `cbor:"3,keyasint" json:"limit"`
@@ -58,9 +58,9 @@
 }
 
 // Use returns a workspace's use in the window last opened.
-func (l *Ledger) Use(workspace string) Use {
+func (l *Ledger) Usage(workspace string) Usage {
 	limit, _ := l.book.lookup(workspace)
-	u := Use{Workspace: workspace, Limit: limit.Limit(), SlotLimit: limit.Concurrent}
+	u := Usage{Workspace: workspace, Limit: limit.Limit(), SlotLimit: limit.Concurrent}
 	a := l.accounts[workspace]
 	if a == nil {
 		return u
--- a/internal/plan/ledger_test.go
+++ b/internal/plan/ledger_test.go
@@ -11,13 +11,13 @@
 
 type ledgerTest struct {
 	*testing.T
-	book   *plan.Book
+	book   *plan.Registry
 	ledger *plan.Ledger
 	broken int
 }
 
 func newLedgerTest(t *testing.T, a *plan.Allowance) *ledgerTest {
-	l := &ledgerTest{T: t, book: plan.NewBook()}
+	l := &ledgerTest{T: t, book: plan.NewRegistry()}
 	l.ledger = plan.NewLedger(l.book, func(error) { l.broken++ })
 	apply(t, l.book, setAllowance(a, 0))
 	apply(t, l.book, setCustomer("hot", a.Plan, 0))
@@ -66,7 +66,7 @@
 	if !bytes.Equal(again, raw) || first.Slots != 8 || first.Granted.Tokens < 100 {
 		t.Errorf("first %+v, repeated %x, want %x", first, again, raw)
 	}
-	if u := l.ledger.Use("hot"); u.Slots != 8 || u.Outstanding != first.Granted {
+	if u := l.ledger.Usage("hot"); u.Slots != 8 || u.Outstanding != first.Granted {
 		t.Errorf("the ledger has %+v after the repetition", u)
 	}
 	if _, r, _ := l.sync(1003, "vm1", 1, plan.AccountSync{}); r.Status != plan.SyncStale {
@@ -118,7 +118,7 @@
 func TestContradictingReportIsRefused(t *testing.T) {
 	l := newLedgerTest(t, allowance("gold", 1000))
 	g, _, _ := l.sync(1000, "vm1", 1, plan.AccountSync{Need: plan.Amount{Tokens: 100, Requests: 1}})
-	before := l.ledger.Use("hot")
+	before := l.ledger.Usage("hot")
 	for i, bad := range []plan.AccountSync{
 		{Window: g.Window, Spent: plan.Amount{Tokens: 60}, Returned: plan.Amount{Tokens: 60}},
 		{Window: g.Window, Returned: plan.Amount{Tokens: -1}},
@@ -128,7 +128,7 @@
 			t.Errorf("%+v: %+v, %d counted", bad, r, l.broken)
 		}
 	}
-	if after := l.ledger.Use("hot"); after != before {
+	if after := l.ledger.Usage("hot"); after != before {
 		t.Errorf("refused reports changed %+v to %+v", before, after)
 	}
 	if g, _, _ := l.sync(1002, "vm2", 1, plan.AccountSync{Need: plan.Amount{Tokens: 100, Requests: 1}}); g.Granted.Tokens < 100 {
--- a/internal/plan/query.go
+++ b/internal/plan/query.go
@@ -13,12 +13,12 @@
 	Version    uint64         `cbor:"1,keyasint"`
 	Customers  []CustomerRow  `cbor:"2,keyasint,omitempty"`
 	Allowances []AllowanceRow `cbor:"3,keyasint,omitempty"`
-	Use        Use            `cbor:"4,keyasint"` // of the workspace asked for
+	Usage      Usage          `cbor:"4,keyasint"` // of the workspace asked for
 	History    []Change       `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask answers a query.
-func (b *Book) Ask(q Query, l *Ledger) Answer {
+func (b *Registry) Ask(q Query, l *Ledger) Answer {
 	out := Answer{Version: b.version}
 	switch {
 	case q.History:
@@ -34,7 +34,7 @@
 	default:
 		if row, ok := b.Customer(q.Name); ok {
 			out.Customers = []CustomerRow{row}
-			out.Use = l.Use(q.Name)
+			out.Usage = l.Usage(q.Name)
 		}
 	}
 	return out
--- a/internal/plan/sync.go
+++ b/internal/plan/sync.go
@@ -41,7 +41,7 @@
 	Returned  Amount `cbor:"4,keyasint"`           // given back; the router must not use it again
 	Reserved  Amount `cbor:"10,keyasint"`          // for running requests, of what it holds
 	Need      Amount `cbor:"5,keyasint"`           // for requests that wait now
-	Least     int64  `cbor:"11,keyasint"`          // tokens without which no waiting request can go
+	MinTokens int64  `cbor:"11,keyasint"`          // tokens without which no waiting request can go
 	Want      Amount `cbor:"6,keyasint"`           // Need and what is expected until the next message
 	SlotsKeep int    `cbor:"7,keyasint,omitempty"` // concurrency it goes on holding; the rest is given back
 	SlotsNeed int    `cbor:"8,keyasint,omitempty"` // in use and waiting
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -185,7 +185,7 @@
 	a.slots = min(a.slots, a.wantSlots())
 	out := plan.AccountSync{
 		Workspace: a.workspace, Window: a.window, Spent: a.spent, Returned: a.returned, Reserved: a.reserved,
-		Need: need, Least: least,
+		Need: need, MinTokens: least,
 		Want: plan.Amount{
 			Tokens:   need.Tokens + max(ahead.Tokens-have.Tokens, 0),
 			Requests: need.Requests + max(ahead.Requests-have.Requests, 0),
--- a/internal/quota/core.go
+++ b/internal/quota/core.go
@@ -82,7 +82,7 @@
 
 // Counts are what happened so far.
 type Counts struct {
-	Reserved, Refused, Messages, Dead, Overrun int64
+	Reserved, Refused, Messages, LostIncarnations, Overruns int64
 }
 
 // NewCore returns the state of a VM's incarnation that holds nothing.
@@ -204,7 +204,7 @@
 		return
 	}
 	if tokens > t.cost.Tokens {
-		c.Counts.Overrun++
+		c.Counts.Overruns++
 	}
 	a.spent = a.spent.Plus(plan.Amount{Tokens: min(max(tokens, 0), t.cost.Tokens), Requests: 1})
 }
@@ -277,14 +277,14 @@
 }
 
 // Take applies the reply to the message in flight and decides who waited.
-func (c *Core) Take(now time.Time, r plan.SyncReply) {
+func (c *Core) ApplyReply(now time.Time, r plan.SyncReply) {
 	if c.inflight == nil || r.Seq != c.inflight.Seq {
 		return
 	}
 	sent := c.sentAt
 	c.inflight = nil
 	if r.Status != plan.SyncOK {
-		c.Counts.Dead++
+		c.Counts.LostIncarnations++
 		c.renew()
 		return
 	}
--- a/internal/quota/pump_test.go
+++ b/internal/quota/pump_test.go
@@ -45,10 +45,10 @@
 	l.unreachable, l.loseAnswers = unreachable, loseAnswers
 }
 
-func newPump(t *testing.T) (*Quota, *lossy, func() plan.Use, plan.Allowance) {
+func newPump(t *testing.T) (*Quota, *lossy, func() plan.Usage, plan.Allowance) {
 	t.Helper()
 	a := allowance(1000, 4, time.Hour)
-	book, machine := plan.NewBook(), control.NewReplicatedState()
+	book, machine := plan.NewRegistry(), control.NewReplicatedState()
 	book.Do(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
 	book.Do(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
 	ledger := plan.NewLedger(book, func(err error) { t.Error(err) })
@@ -58,8 +58,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go q.Run(ctx)
-	use := func() (u plan.Use) {
-		machine.Read(control.LedgerStateMachine, func(control.StateMachine) { u = ledger.Use("hot") })
+	use := func() (u plan.Usage) {
+		machine.Read(control.LedgerStateMachine, func(control.StateMachine) { u = ledger.Usage("hot") })
 		return u
 	}
 	return q, group, use, a
@@ -120,7 +120,7 @@
 			time.Sleep(5 * time.Minute)
 		}
 		q.mu.Lock()
-		dead := q.core.Counts.Dead
+		dead := q.core.Counts.LostIncarnations
 		q.mu.Unlock()
 		if u := use(); u.Spent.Tokens != 300 || u.Outstanding.Tokens != 0 || u.Slots != 0 || dead != 0 {
 			t.Errorf("after quiet minutes: %+v, %d incarnations lost", u, dead)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -170,6 +170,6 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.core.Take(time.Now(), reply)
+	q.core.ApplyReply(time.Now(), reply)
 	return q.core.Urgent()
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -136,7 +136,7 @@
 		w.allow(allowance(100_000, 40, time.Minute))
 		w.load(40, epoch.Add(50*time.Second), func() (int64, int64, time.Duration) { return 100, 50, time.Second })
 		w.run(10 * time.Second)
-		before := w.ledger.Use("hot")
+		before := w.ledger.Usage("hot")
 		if before.Spent.Tokens < 10_000 || before.Outstanding.Tokens == 0 || before.Slots <= 4 {
 			t.Fatalf("fault not brought about: %+v", before)
 		}
@@ -144,7 +144,7 @@
 		w.run(50 * time.Millisecond)
 		accepted := w.accepted
 		w.run(10 * time.Second)
-		after := w.ledger.Use("hot")
+		after := w.ledger.Usage("hot")
 		if tc.tokens == 10_000 && (w.accepted != accepted || after.Outstanding.Tokens != 0) {
 			t.Errorf("%s: %d requests admitted beyond the new allowance, outstanding %+v", tc.name, w.accepted-accepted, after.Outstanding)
 		}
@@ -172,7 +172,7 @@
 	}
 	w.run(100 * time.Millisecond)
 	w.vms[0].dead = true
-	safe := (plan.DeadAfterMS + plan.SafeDelayMS) * time.Millisecond
+	safe := (plan.DeadAfterMS + plan.SlotReleaseDelayMS) * time.Millisecond
 	try := func() bool {
 		before := w.accepted
 		w.request(w.vms[1], "r"+time.Duration(w.rng.Int64()).String(), 100, 100, time.Second)
@@ -204,7 +204,7 @@
 	if w.accepted != 2 {
 		t.Fatalf("%d accepted: the running answer counts against the next window", w.accepted)
 	}
-	u := w.ledger.Use("hot")
+	u := w.ledger.Usage("hot")
 	if u.Spent.Tokens+u.Outstanding.Tokens != 1000 {
 		t.Errorf("next window: %+v; want the second request alone", u)
 	}
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -18,7 +18,7 @@
 	*virtualtime.Queue
 
 	rng    *rand.Rand
-	book   *plan.Book
+	book   *plan.Registry
 	ledger *plan.Ledger
 	vms    []*vm
 
@@ -54,7 +54,7 @@
 
 func newWorld(seed uint64, vms int, fail func(format string, args ...any)) *world {
 	w := &world{
-		Queue: virtualtime.New(epoch), rng: rand.New(rand.NewPCG(seed, 1)), fail: fail, book: plan.NewBook(),
+		Queue: virtualtime.New(epoch), rng: rand.New(rand.NewPCG(seed, 1)), fail: fail, book: plan.NewRegistry(),
 		charged: map[string]int64{}, used: map[string]int64{}, limits: map[string]int64{},
 	}
 	w.ledger = plan.NewLedger(w.book, w.broken)
@@ -164,7 +164,7 @@
 		return
 	}
 	v.exchange = 0
-	v.core.Take(w.Now(), r)
+	v.core.ApplyReply(w.Now(), r)
 	if v.core.Urgent() {
 		w.pump(v)
 	}
--- a/internal/relay/recover_test.go
+++ b/internal/relay/recover_test.go
@@ -142,7 +142,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.table.Pick(&routing.Query{
-		Pool: "m", Prompt: q.Prefill(), New: q.Request.MaxTokens, Avoid: q.Avoid, Resume: q.Resume, Suspect: q.Suspect,
+		Pool: "m", PromptTokens: q.Prefill(), NewTokens: q.Request.MaxTokens, Avoid: q.Avoid, Resume: q.Resume, Suspect: q.Suspect,
 	}, time.Now())
 	if !ok {
 		return relay.Choice{}, result.New(result.NoBackendServer)
@@ -155,7 +155,7 @@
 	s := r.table.Spec(p.Engine)
 	return relay.Choice{
 		Backend: relay.Backend{Name: s.Name, Addr: s.Addr, Zone: s.Zone},
-		Cleared: func() { locked(func() { r.table.Cleared(&p) }) },
+		Cleared: func() { locked(func() { r.table.EndIsolation(&p) }) },
 		Slowness: func() float64 {
 			if r.slow == nil {
 				return 1
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -25,11 +25,11 @@
 // membership is one opening of the group's log with the state read from it.
 type membership struct {
 	machine *control.ReplicatedState
-	part    *routes.Part
+	part    *routes.StateMachine
 	group   *control.Group
 	client  *control.RemoteClient
 
-	rollouts *rollout.Part
+	rollouts *rollout.StateMachine
 }
 
 // members opens the group's member, and again after a failed disk. What a member
@@ -55,7 +55,7 @@
 
 // openMember returns how c opens its member.
 func (c *Control) openMember(failed func(error)) (*membership, error) {
-	s := &membership{machine: control.NewReplicatedState(), part: routes.NewPart(), rollouts: rollout.NewPart()}
+	s := &membership{machine: control.NewReplicatedState(), part: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
 	s.machine.Register(control.RoutesStateMachine, s.part)
 	s.machine.Register(control.RolloutsStateMachine, s.rollouts)
 	s.group = control.NewGroup(control.GroupOptions{
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -151,7 +151,7 @@
 	for i := range records {
 		numbers[records[i].Service] = records[i].Number
 	}
-	w.c.hub.KeepEvidence(numbers)
+	w.c.hub.RetainEvidence(numbers)
 	w.mu.Lock()
 	for service := range w.watched {
 		if _, ok := numbers[service]; !ok {
@@ -163,7 +163,7 @@
 		r := &records[i]
 		v := w.note(s, r, now)
 		e := w.c.hub.Evidence(r.Service, r.Number)
-		step, ok := w.judgeOf(r).Look(r, &e, v)
+		step, ok := w.judgeOf(r).Evaluate(r, &e, v)
 		if ok && w.c.Leads() {
 			w.take(s, &step, &e, &v)
 		}
@@ -194,7 +194,7 @@
 		go w.askInForce(s, k, k.stepMS)
 	}
 	v := rollout.View{Elapsed: now.Sub(k.ordered), Step: now.Sub(k.step), InForce: k.inForce}
-	v.Target, v.Former = w.c.countVersions(r)
+	v.TargetServers, v.FormerServers = w.c.countVersions(r)
 	return v
 }
 
@@ -223,7 +223,7 @@
 // countVersions counts the servers of a roll-out's service that are listed, of the new
 // version and of others.
 func (c *Control) countVersions(r *rollout.Record) (target, former int) {
-	rows, _, _, _ := c.held.Now()
+	rows, _, _, _ := c.held.Current()
 	for i := range rows {
 		b := &rows[i]
 		switch {
@@ -248,6 +248,6 @@
 	}
 	w.c.o.Log.Info().Str("service", step.Service).Uint64("rollout", step.Number).Stringer("phase", step.Phase).
 		Str("reason", step.Reason).Float64("share", step.DefaultShare).Interface("shares", step.Shares).
-		Int("requests", requests).Int("sent", e.Sent).Int("servers_new", v.Target).Int("servers_former", v.Former).
+		Int("requests", requests).Int("sent", e.Sent).Int("servers_new", v.TargetServers).Int("servers_former", v.FormerServers).
 		Dur("elapsed", v.Elapsed).Dur("step", v.Step).Int("outcome", int(reply.Outcome)).AnErr("error", err).Msg("roll-out step")
 }
--- a/internal/routing/hints.go
+++ b/internal/routing/hints.go
@@ -24,7 +24,7 @@
 )
 
 // Blocks returns the digests of a prompt's prefixes, BlockTokens apart.
-func Blocks(r *generation.Request) []uint64 {
+func BlockDigests(r *generation.Request) []uint64 {
 	n := min(r.PromptTokens()/BlockTokens, MaxBlocks)
 	out := make([]uint64, 0, n)
 	var d uint64
@@ -182,7 +182,7 @@
 // CacheEvents takes a page of an engine's cache events, asked for after the
 // last one known. A gap in the numbers may hide evictions: all hints of the
 // engine are void then, and grow again from the events after it.
-func (t *Table) CacheEvents(i int, page *engine.CacheEvents) {
+func (t *Table) ApplyCacheEvents(i int, page *engine.CacheEvents) {
 	s := t.engines[i]
 	if page.Next < s.cacheSeq {
 		t.voidHints(s) // the engine started anew
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -30,7 +30,7 @@
 	if i, hit := t.affine(p, q, now, cost); i >= 0 {
 		return t.place(i, q, hit, now), true
 	}
-	cached := t.hints.cached(best, t.engines[best].cacheGen, q.Blocks)
+	cached := t.hints.cached(best, t.engines[best].cacheGen, q.BlockDigests)
 	return t.place(best, q, cached, now), true
 }
 
@@ -118,14 +118,14 @@
 // affine returns the engine with the longest cached prefix of the query where
 // that saves more than the engine's extra load costs.
 func (t *Table) affine(p *pool, q *Query, now time.Time, cost float64) (int, int) {
-	holders, tokens := t.hints.longest(q.Blocks, t.engines)
+	holders, tokens := t.hints.longest(q.BlockDigests, t.engines)
 	best, bestTokens := -1, 0
 	_, mean := p.means()
 	weight := q.Affinity
 	if weight == 0 {
 		weight = 1
 	}
-	bound := affinityBound * max(mean, Work(q.Prompt, q.New))
+	bound := affinityBound * max(mean, Work(q.PromptTokens, q.NewTokens))
 	for _, h := range holders.list[:holders.n] {
 		i := int(h.engine)
 		s := t.engines[i]
@@ -176,7 +176,7 @@
 // how slow the engine is.
 func (t *Table) cost(p *pool, i int, q *Query, now time.Time) float64 {
 	s := t.engines[i]
-	return (s.work + t.othersNow(p, s, now) + Work(q.Prompt, q.New)) * t.slowness(p, s)
+	return (s.work + t.othersNow(p, s, now) + Work(q.PromptTokens, q.NewTokens)) * t.slowness(p, s)
 }
 
 // othersNow is the work of other routers. With age a report fades towards the
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -64,13 +64,13 @@
 
 // Query describes a piece of work.
 type Query struct {
-	Pool    string
-	Prompt  int      // tokens to prefill if nothing is cached
-	New     int      // tokens still to generate
-	Blocks  []uint64 // digests of the prompt's prefixes, see Blocks
-	Avoid   []string // backend servers to avoid while there are others
-	Resume  bool     // accepted work after a loss: may exceed the limits a little
-	Suspect bool     // may have crashed an engine: place it alone
+	Pool         string
+	PromptTokens int      // tokens to prefill if nothing is cached
+	NewTokens    int      // tokens still to generate
+	BlockDigests []uint64 // digests of the prompt's prefixes, see Blocks
+	Avoid        []string // backend servers to avoid while there are others
+	Resume       bool     // accepted work after a loss: may exceed the limits a little
+	Suspect      bool     // may have crashed an engine: place it alone
 
 	// Affinity weighs the prefill that a cached prefix saves against load; 0
 	// counts as 1.
@@ -87,7 +87,7 @@
 }
 
 // Cached is the number of prompt tokens expected in the engine's cache.
-func (p *Placement) Cached() int { return p.cached }
+func (p *Placement) CachedTokens() int { return p.cached }
 
 // Outcome is how placed work ended.
 type Outcome int
@@ -97,6 +97,6 @@
 	OK        Outcome = iota
 	Failed            // an error answer, or a stream that broke
 	Refused           // no connection: nothing there serves
-	Silent            // suspected; it may live
+	Suspected         // suspected; it may live
 	Cancelled         // by us: says nothing about the backend server
 )
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,7 +23,9 @@
 	return t
 }
 
-func ask(prompt, tokens int) *Query { return &Query{Pool: "m", Prompt: prompt, New: tokens} }
+func ask(prompt, tokens int) *Query {
+	return &Query{Pool: "m", PromptTokens: prompt, NewTokens: tokens}
+}
 
 // The caller sees its request wait behind a hundred others though engines idle.
 // Eleven routers hold the same 2 s old report in which one engine is idle and
@@ -40,7 +42,7 @@
 			if i == 5 {
 				load.Running = 0
 			}
-			tab.Report(i, load, start)
+			tab.ApplyReport(i, load, start)
 		}
 		for range requests {
 			p, ok := tab.Pick(ask(100, 200), start)
@@ -73,10 +75,10 @@
 	for n := range 600 {
 		q := ask(1100, 100)
 		if n%2 == 0 {
-			q.Blocks = hot
+			q.BlockDigests = hot
 		}
 		p, _ := tab.Pick(q, start)
-		if p.Cached() > 0 {
+		if p.CachedTokens() > 0 {
 			hits++
 		}
 	}
@@ -101,21 +103,21 @@
 		}
 		return page
 	}
-	tab.CacheEvents(2, events(1, 8))
+	tab.ApplyCacheEvents(2, events(1, 8))
 	chain := []uint64{1, 2, 3, 4}
 	if got := tab.hints.cached(2, tab.engines[2].cacheGen, chain); got != 4*BlockTokens {
 		t.Fatalf("%d tokens known, want %d", got, 4*BlockTokens)
 	}
 	page := events(9, 12)
 	page.Events = append(page.Events[:1], page.Events[2:]...) // 10 is lost
-	tab.CacheEvents(2, page)
+	tab.ApplyCacheEvents(2, page)
 	if got := tab.hints.cached(2, tab.engines[2].cacheGen, chain); got != 0 {
 		t.Errorf("%d tokens believed after a gap that may hide their eviction", got)
 	}
 	if got := tab.hints.cached(2, tab.engines[2].cacheGen, []uint64{11, 12}); got == 0 {
 		t.Error("the events after the gap were not learned")
 	}
-	tab.CacheEvents(2, &engine.CacheEvents{Next: 3})
+	tab.ApplyCacheEvents(2, &engine.CacheEvents{Next: 3})
 	if got := tab.hints.cached(2, tab.engines[2].cacheGen, []uint64{11}); got != 0 || tab.CacheSeq(2) != 3 {
 		t.Error("a restarted engine kept its old hints")
 	}
@@ -145,7 +147,7 @@
 // this router's: all are used.
 func TestSlowEnginesAreLeftOutWithinACap(t *testing.T) {
 	tab := table("z0", 10, 1, 1)
-	report := func(i int, step float64) { tab.Report(i, &engine.Load{StepMS: step, Running: 4}, start) }
+	report := func(i int, step float64) { tab.ApplyReport(i, &engine.Load{StepMS: step, Running: 4}, start) }
 	for i := range 10 {
 		report(i, 10)
 	}
@@ -200,10 +202,10 @@
 
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	tab := table("z0", 3, 1, 1)
-	tab.Report(1, &engine.Load{Leaving: true}, start)
+	tab.ApplyReport(1, &engine.Load{Leaving: true}, start)
 	tab.SetLeaving(1, false) // the platform's list lags
 	tab.SetLeaving(2, true)
-	tab.Report(2, &engine.Load{}, start) // so does this report
+	tab.ApplyReport(2, &engine.Load{}, start) // so does this report
 	for range 100 {
 		if p, _ := tab.Pick(ask(10, 10), start); p.Engine != 0 {
 			t.Fatal("new work for a leaving engine")
@@ -245,7 +247,7 @@
 		for {
 			p, _ := tab.Pick(ask(10, 10), start)
 			if tab.Spec(p.Engine).Zone == "z1" {
-				tab.Done(&p, Silent, start)
+				tab.Done(&p, Suspected, start)
 				break
 			}
 		}
@@ -306,17 +308,17 @@
 		b.Run(bench.name, func(b *testing.B) {
 			tab := table("z0", 710, 5, 1)
 			for i := range 710 {
-				tab.Report(i, &engine.Load{Running: i % 20, StepMS: 10, AgeMS: 500}, start)
+				tab.ApplyReport(i, &engine.Load{Running: i % 20, StepMS: 10, AgeMS: 500}, start)
 			}
-			q := Query{Pool: "m", Prompt: 1200, New: 300, Blocks: make([]uint64, bench.chain)}
+			q := Query{Pool: "m", PromptTokens: 1200, NewTokens: 300, BlockDigests: make([]uint64, bench.chain)}
 			b.ReportAllocs()
 			n := uint64(0)
 			for b.Loop() {
 				n++
-				for j := range q.Blocks {
-					q.Blocks[j] = uint64(j)
+				for j := range q.BlockDigests {
+					q.BlockDigests[j] = uint64(j)
 					if !bench.same {
-						q.Blocks[j] += n * 64
+						q.BlockDigests[j] += n * 64
 					}
 				}
 				p, _ := tab.Pick(&q, start)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -144,7 +144,7 @@
 }
 
 // Has reports whether any backend server is listed for a pool.
-func (t *Table) Has(poolName string) bool { return t.pools[poolName] != nil }
+func (t *Table) HasPool(poolName string) bool { return t.pools[poolName] != nil }
 
 // Spec returns the description of a backend server.
 func (t *Table) Spec(i int) *Spec { return &t.engines[i].Spec }
@@ -221,7 +221,7 @@
 // Place records work on the backend server that Pick chose.
 func (t *Table) place(i int, q *Query, cached int, now time.Time) Placement {
 	s := t.engines[i]
-	p := Placement{Engine: i, cached: cached, work: Work(q.Prompt-cached, q.New), suspect: q.Suspect}
+	p := Placement{Engine: i, cached: cached, work: Work(q.PromptTokens-cached, q.NewTokens), suspect: q.Suspect}
 	if s.health.state(now) == stateProbing {
 		p.probe = true
 		s.health.probing = true
@@ -232,7 +232,7 @@
 	s.inflight++
 	s.addWork(p.work)
 	s.history.add(now, s.work)
-	t.hints.learn(i, s.cacheGen, q.Blocks, cached/BlockTokens)
+	t.hints.learn(i, s.cacheGen, q.BlockDigests, cached/BlockTokens)
 	return p
 }
 
@@ -252,7 +252,7 @@
 }
 
 // Cleared ends the isolation of a suspect that has proved innocent.
-func (t *Table) Cleared(p *Placement) {
+func (t *Table) EndIsolation(p *Placement) {
 	if p.suspect {
 		p.suspect = false
 		t.engines[p.Engine].suspects--
@@ -267,7 +267,7 @@
 	if s.inflight == 0 {
 		s.addWork(-s.work) // floating point leaves crumbs
 	}
-	t.Cleared(p)
+	t.EndIsolation(p)
 	if p.probe {
 		s.health.probing = false
 	}
@@ -279,7 +279,7 @@
 		s.health.success()
 	case Failed:
 		s.health.failure(now)
-	case Silent:
+	case Suspected:
 		s.health.eject(now)
 	case Refused:
 		s.health.eject(now)
@@ -292,7 +292,7 @@
 const stepGain = 0.2
 
 // Report takes a backend server's report, which is age old.
-func (t *Table) Report(i int, load *engine.Load, now time.Time) {
+func (t *Table) ApplyReport(i int, load *engine.Load, now time.Time) {
 	s := t.engines[i]
 	at := now.Add(-time.Duration(load.AgeMS) * time.Millisecond)
 	if at.Before(s.reported) {
