--- a/internal/control/measure_test.go
+++ b/internal/control/benchmark_test.go
@@ -18,20 +18,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// loopback is a deployment in one process over real sockets and real disks.
+// loopback is a deployment in one process that uses real sockets and disks.
 type loopback struct {
 	b        *testing.B
 	vms      []*vm
 	networks []*peer.Network
 	servers  []*http.Server
 
-	mu   sync.Mutex
-	seen map[string]int // item to VMs that applied it
-	at   map[string]time.Time
+	mu             sync.Mutex
+	appliedVMs     map[string]int // item to the number of VMs that have applied it
+	appliedByAllAt map[string]time.Time
 }
 
 func startLoopback(b *testing.B, voters, all int) *loopback {
-	l := &loopback{b: b, seen: map[string]int{}, at: map[string]time.Time{}}
+	l := &loopback{b: b, appliedVMs: map[string]int{}, appliedByAllAt: map[string]time.Time{}}
 	var ids, voterIDs []string
 	addrs := map[string]string{}
 	var listeners []net.Listener
@@ -69,14 +69,14 @@
 }
 
 func (l *loopback) add(n *peer.Network, id string, voters []string) {
-	v := &vm{id: id, machine: NewMachine(), failed: make(chan error, 1)}
-	v.machine.Register(PartPlans, &list{})
-	v.feed = NewFeed(FeedOptions{Self: id, Voters: Fixed(voters), Transport: n, Lease: testLease, Log: zerolog.Nop()})
-	v.feed.OnChange(PartPlans, l.apply)
+	v := &vm{id: id, state: NewReplicatedState(), failed: make(chan error, 1)}
+	v.state.Register(PlansStateMachine, &listMachine{})
+	v.feed = NewFeed(FeedOptions{Self: id, Voters: FixedVMs(voters), Transport: n, Lease: testLease, Log: zerolog.Nop()})
+	v.feed.OnChange(PlansStateMachine, l.apply)
 	if slices.Contains(voters, id) {
 		v.group = NewGroup(GroupOptions{
-			VM: id, Voters: voters, Dir: l.b.TempDir(), Transport: n, Machine: v.machine,
-			Lease: testLease, Log: zerolog.Nop(), Failed: func(err error) { l.b.Error(err) },
+			VM: id, Voters: voters, Dir: l.b.TempDir(), Transport: n, State: v.state,
+			Lease: testLease, Log: zerolog.Nop(), OnFailure: func(err error) { l.b.Error(err) },
 		})
 	}
 	v.client = v.feed.Client(v.group)
@@ -91,17 +91,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, item := range items {
-		l.seen[item]++
-		if l.seen[item] == len(l.vms) {
-			l.at[item] = time.Now()
+		l.appliedVMs[item]++
+		if l.appliedVMs[item] == len(l.vms) {
+			l.appliedByAllAt[item] = time.Now()
 		}
 	}
 }
 
-func (l *loopback) last(item string) (time.Time, bool) {
+func (l *loopback) appliedByAll(item string) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, ok := l.at[item]
+	at, ok := l.appliedByAllAt[item]
 	return at, ok
 }
 
@@ -120,17 +120,17 @@
 	}
 }
 
-func (l *loopback) settle() {
+func (l *loopback) waitFresh() {
 	for range 1000 {
-		if l.fresh() == len(l.vms) {
+		if l.countFresh() == len(l.vms) {
 			return
 		}
 		<-time.After(10 * time.Millisecond)
 	}
-	l.b.Fatalf("%d of %d VMs are fresh", l.fresh(), len(l.vms))
+	l.b.Fatalf("got %d of %d VMs fresh, want all", l.countFresh(), len(l.vms))
 }
 
-func (l *loopback) fresh() int {
+func (l *loopback) countFresh() int {
 	n := 0
 	for _, v := range l.vms {
 		if v.feed.Fresh() {
@@ -147,16 +147,16 @@
 	return float64(d[int(p*float64(len(d)-1))]) / float64(time.Millisecond)
 }
 
-// BenchmarkInForce measures, for an operator's change: commit, from the request
-// to its answer; last, from the answer to the last VM that applies it; waited,
-// from the answer to the report that it is in force everywhere.
+// BenchmarkInForce measures three times of an operator's change: commit, from the request
+// to the reply; last, from the reply until the last VM applies the change; waited, from the
+// reply to the report that the change is in force everywhere.
 func BenchmarkInForce(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("vms=%d", size.all), func(b *testing.B) {
 			l := startLoopback(b, size.voters, size.all)
 			defer l.stop()
-			l.settle()
-			<-time.After(outlived(testLease))
+			l.waitFresh()
+			<-time.After(expiredLease(testLease))
 			var commit, last, waited []time.Duration
 			i := 0
 			for b.Loop() {
@@ -164,17 +164,17 @@
 				item := fmt.Sprint("change-", i)
 				from := l.vms[i%len(l.vms)].client
 				began := time.Now()
-				version, err := Propose[int](context.Background(), from, PartPlans, item)
+				version, err := Propose[int](context.Background(), from, PlansStateMachine, item)
 				accepted := time.Now()
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err := InForce(context.Background(), from, PartPlans, uint64(version)); err != nil {
+				if err := WaitInForce(context.Background(), from, PlansStateMachine, uint64(version)); err != nil {
 					b.Fatal(err)
 				}
-				at, ok := l.last(item)
+				at, ok := l.appliedByAll(item)
 				if !ok {
-					b.Fatal("in force, but not on every VM")
+					b.Fatal("change reported in force before every VM applied it")
 				}
 				commit = append(commit, accepted.Sub(began))
 				last = append(last, max(0, at.Sub(accepted)))
@@ -188,16 +188,16 @@
 	}
 }
 
-// BenchmarkIdle measures what the control traffic of a deployment costs while
-// nothing changes: processor share and memory of a VM on average. Run it with
-// -benchtime 1x: an iteration takes ten seconds.
+// BenchmarkIdle measures the cost of the control traffic without changes, as the average
+// CPU share and heap of a VM. Run it with -benchtime 1x, since an iteration takes ten
+// seconds.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("vms=%d", size.all), func(b *testing.B) {
 			before := heap()
 			l := startLoopback(b, size.voters, size.all)
 			defer l.stop()
-			l.settle()
+			l.waitFresh()
 			for b.Loop() {
 				cpu, began := cpuTime(), time.Now()
 				<-time.After(10 * time.Second)
@@ -223,14 +223,14 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkGroupCommit measures commits of three voters over loopback with real
-// disks, by so many proposers at once.
+// BenchmarkGroupCommit measures commits of three voters over loopback with real disks, for
+// several numbers of concurrent proposers.
 func BenchmarkGroupCommit(b *testing.B) {
 	for _, proposers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("proposers=%d", proposers), func(b *testing.B) {
 			l := startLoopback(b, 3, 3)
 			defer l.stop()
-			l.settle()
+			l.waitFresh()
 			b.SetParallelism(max(1, proposers/runtime.GOMAXPROCS(0)))
 			if proposers == 1 {
 				for b.Loop() {
@@ -248,7 +248,7 @@
 }
 
 func (l *loopback) propose() {
-	if _, err := Propose[int](context.Background(), l.vms[0].client, PartPlans, "x"); err != nil {
+	if _, err := Propose[int](context.Background(), l.vms[0].client, PlansStateMachine, "x"); err != nil {
 		l.b.Error(err)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control hosts the control group's replicated state: one state machine
-// made of parts, each an aggregate with its own commands.
+// Package control hosts the control group's replicated state. The state consists
+// of several state machines, each an aggregate with its own commands. The package
+// also has the clients that propose commands and the feed that VMs follow.
 package control
 
 import (
@@ -13,85 +14,88 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// PartID names a part in commands and snapshots. The numbers are on disk.
-type PartID uint8
+// StateMachineID identifies a state machine in commands and snapshots. The numbers
+// are stored on disk.
+type StateMachineID uint8
 
-// The parts.
+// The state machines.
 const (
-	PartPlans   PartID = 1 // the operators' two lists and their history
-	PartLedger  PartID = 2 // grants and what is spent of each allowance
-	PartCalls   PartID = 3 // claims and results of non-idempotent calls
-	PartFleet   PartID = 4 // backend servers, orders, fencing numbers
-	PartMembers PartID = 5 // VMs and their incarnations
-	PartRoutes  PartID = 6 // the route list
-	// PartRollouts are the roll-outs of services' versions.
-	PartRollouts PartID = 7
+	PlansStateMachine   StateMachineID = 1 // the operators' two lists and their history
+	LedgerStateMachine  StateMachineID = 2 // grants and consumption of each allowance
+	CallsStateMachine   StateMachineID = 3 // claims and results of non-idempotent calls
+	FleetStateMachine   StateMachineID = 4 // backend servers, orders, fencing numbers
+	MembersStateMachine StateMachineID = 5 // VMs and their incarnations
+	RoutesStateMachine  StateMachineID = 6 // the route list
+	// RolloutsStateMachine holds the roll-outs of services' versions.
+	RolloutsStateMachine StateMachineID = 7
 )
 
-// Part is one aggregate within the group's state. Apply must be deterministic:
-// it depends on its arguments and the part's state alone. nowMS is the group's
-// clock: stamped by the leader, never going back.
-type Part interface {
+// StateMachine is one aggregate within the group's state. Apply must be
+// deterministic: it may depend only on its arguments and the current state. nowMS is
+// the group's clock in Unix milliseconds, which the leader stamps and which never
+// goes back.
+type StateMachine interface {
 	// Apply executes a command and returns the encoded reply.
 	Apply(nowMS int64, cmd []byte) []byte
-	// Version grows with each change that watchers must see.
+	// Version increases with each change that following VMs must receive.
 	Version() uint64
-	// Changes returns an encoded change from version since to Version, or the
-	// whole state where since is too old.
+	// Changes returns the encoded difference between version since and the current
+	// version, or the complete state if since is too old.
 	Changes(since uint64) []byte
-	// Snapshot and Restore carry the whole state.
+	// Snapshot encodes the complete state; Restore replaces it with an encoded one.
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
 }
 
-// Client reaches the control group from any VM.
+// Client sends commands and reads to the control group from any VM.
 type Client interface {
-	// Propose commits a command of a part and returns the part's reply. It
-	// retries over leader changes; the group executes the command once. After an
-	// error the outcome is unknown.
-	Propose(ctx context.Context, part PartID, cmd []byte) ([]byte, error)
-	// Barrier returns once this VM's view holds all that was committed before
-	// the call.
+	// Propose commits a command of a state machine and returns the reply. It
+	// retries across leader changes, and the group executes the command once.
+	// After an error the outcome is unknown.
+	Propose(ctx context.Context, smID StateMachineID, cmd []byte) ([]byte, error)
+	// Barrier returns once this VM's local view contains everything that was
+	// committed before the call.
 	Barrier(ctx context.Context) error
 }
 
-// Propose encodes cmd, commits it and decodes the reply.
-func Propose[R any](ctx context.Context, c Client, part PartID, cmd any) (R, error) {
-	return proposeBy[R](ctx, c.Propose, part, cmd)
+// Propose encodes cmd, commits it through c and decodes the reply.
+func Propose[R any](ctx context.Context, c Client, smID StateMachineID, cmd any) (R, error) {
+	return proposeWith[R](ctx, c.Propose, smID, cmd)
 }
 
-// ProposeSame is Propose for a command that runs once, however many VMs propose it.
-func ProposeSame[R any](ctx context.Context, r *Remote, part PartID, cmd any) (R, error) {
-	return proposeBy[R](ctx, r.ProposeSame, part, cmd)
+// ProposeDeduplicated is Propose for a command that the group executes once, however
+// many VMs propose it.
+func ProposeDeduplicated[R any](ctx context.Context, r *RemoteClient, smID StateMachineID, cmd any) (R, error) {
+	return proposeWith[R](ctx, r.ProposeDeduplicated, smID, cmd)
 }
 
-type proposer func(ctx context.Context, part PartID, cmd []byte) ([]byte, error)
+type proposeFunc func(ctx context.Context, smID StateMachineID, cmd []byte) ([]byte, error)
 
-func proposeBy[R any](ctx context.Context, propose proposer, part PartID, cmd any) (R, error) {
+func proposeWith[R any](ctx context.Context, propose proposeFunc, smID StateMachineID, cmd any) (R, error) {
 	var out R
 	data, err := codec.Marshal(cmd)
 	if err != nil {
 		return out, err
 	}
-	reply, err := propose(ctx, part, data)
+	reply, err := propose(ctx, smID, data)
 	if err != nil {
 		return out, err
 	}
 	return out, codec.Unmarshal(reply, &out)
 }
 
-// Envelope is one committed entry. ID is unique to the proposal: a retry after
-// a lost answer carries it again and gets the first reply.
+// Envelope is one committed log entry. ID is unique to the proposal: a retry after
+// a lost reply carries the same ID and receives the first reply.
 type Envelope struct {
-	Part PartID          `cbor:"1,keyasint"`
-	ID   string          `cbor:"2,keyasint"`
-	AtMS int64           `cbor:"3,keyasint"`
-	Body cbor.RawMessage `cbor:"4,keyasint,omitempty"`
-	// Packed is the body of a large command, compressed; Body is empty then.
+	StateMachine StateMachineID  `cbor:"1,keyasint"`
+	ID           string          `cbor:"2,keyasint"`
+	AtMS         int64           `cbor:"3,keyasint"`
+	Body         cbor.RawMessage `cbor:"4,keyasint,omitempty"`
+	// Packed is the compressed body of a large command, in which case Body is empty.
 	Packed []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// command returns the part's command.
+// command returns the uncompressed command.
 func (e *Envelope) command() ([]byte, error) {
 	if e.Packed == nil {
 		return e.Body, nil
@@ -99,106 +103,110 @@
 	return codec.Unpack(e.Packed, maxCommandBytes)
 }
 
-// maxReplies bounds how many first replies are kept for retries. A proposer
-// retries for seconds; at 5,000 commands a second this holds more than ten.
-const maxReplies = 1 << 16
+// maxCachedReplies bounds the replies kept for retries. A proposer retries for some
+// seconds; at 5,000 commands a second the cache covers more than ten seconds.
+const maxCachedReplies = 1 << 16
 
-// replyBytes bounds their memory: 65,536 replies of some 100 bytes fit.
-const replyBytes = 16 << 20
+// maxCachedReplyBytes bounds the memory of these replies. 65,536 replies of about
+// 100 bytes fit.
+const maxCachedReplyBytes = 16 << 20
 
-// Machine is the whole replicated state. Safe for concurrent use.
-type Machine struct {
-	mu      sync.Mutex
-	parts   map[PartID]Part
-	nowMS   int64
-	replies map[string][]byte
-	order   []string
-	held    int // bytes of replies and their ids
-	changed chan struct{}
+// ReplicatedState is the complete replicated state: the state machines and the replies
+// kept for retries. It is safe for concurrent use.
+type ReplicatedState struct {
+	mu            sync.Mutex
+	stateMachines map[StateMachineID]StateMachine
+	nowMS         int64
+	replies       map[string][]byte
+	replyOrder    []string
+	replyBytes    int // size of the cached replies and their IDs
+	changed       chan struct{}
 }
 
-// ErrNotApplied reports a committed command that no part could execute.
+// ErrNotApplied reports a committed command that no state machine could execute.
 var ErrNotApplied = errors.New("control: command not executed")
 
-// NewMachine returns an empty Machine.
-func NewMachine() *Machine {
-	return &Machine{parts: map[PartID]Part{}, replies: map[string][]byte{}, changed: make(chan struct{})}
+// NewReplicatedState returns a ReplicatedState without state machines.
+func NewReplicatedState() *ReplicatedState {
+	return &ReplicatedState{stateMachines: map[StateMachineID]StateMachine{}, replies: map[string][]byte{}, changed: make(chan struct{})}
 }
 
-// Register adds a part before the first command.
-func (m *Machine) Register(id PartID, p Part) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.parts[id] = p
+// Register adds a state machine. It must be called before the first command is applied.
+func (rs *ReplicatedState) Register(id StateMachineID, sm StateMachine) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.stateMachines[id] = sm
 }
 
-// Apply executes a committed entry.
-func (m *Machine) Apply(entry []byte) ([]byte, error) {
+// Apply executes a committed entry and returns the encoded reply. An entry whose ID is
+// in the reply cache is not executed again.
+func (rs *ReplicatedState) Apply(entry []byte) ([]byte, error) {
 	var e Envelope
 	if err := codec.Unmarshal(entry, &e); err != nil {
 		return nil, fmt.Errorf("%w: committed entry: %w", ErrNotApplied, err)
 	}
 	cmd, err := e.command()
 	if err != nil {
-		return nil, fmt.Errorf("%w: packed command: %w", ErrNotApplied, err)
+		return nil, fmt.Errorf("%w: compressed command: %w", ErrNotApplied, err)
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if reply, ok := m.replies[e.ID]; ok && e.ID != "" {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	if reply, ok := rs.replies[e.ID]; ok && e.ID != "" {
 		return reply, nil
 	}
-	p := m.parts[e.Part]
-	if p == nil {
-		return nil, fmt.Errorf("%w: no part %d", ErrNotApplied, e.Part)
+	sm := rs.stateMachines[e.StateMachine]
+	if sm == nil {
+		return nil, fmt.Errorf("%w: no state machine %d", ErrNotApplied, e.StateMachine)
 	}
-	m.nowMS = max(m.nowMS, e.AtMS)
-	before := p.Version()
-	reply := p.Apply(m.nowMS, cmd)
-	m.remember(e.ID, reply)
-	if p.Version() != before {
-		m.announce()
+	rs.nowMS = max(rs.nowMS, e.AtMS)
+	before := sm.Version()
+	reply := sm.Apply(rs.nowMS, cmd)
+	rs.cacheReply(e.ID, reply)
+	if sm.Version() != before {
+		rs.notifyChanged()
 	}
 	return reply, nil
 }
 
-// Reply returns the reply to a command that was executed, as long as it is kept.
-func (m *Machine) Reply(id string) ([]byte, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	reply, ok := m.replies[id]
+// CachedReply returns the reply to an executed proposal while it is in the cache.
+func (rs *ReplicatedState) CachedReply(id string) ([]byte, bool) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	reply, ok := rs.replies[id]
 	return reply, ok
 }
 
-func (m *Machine) announce() {
-	close(m.changed)
-	m.changed = make(chan struct{})
+func (rs *ReplicatedState) notifyChanged() {
+	close(rs.changed)
+	rs.changed = make(chan struct{})
 }
 
-func (m *Machine) remember(id string, reply []byte) {
+func (rs *ReplicatedState) cacheReply(id string, reply []byte) {
 	if id == "" {
 		return
 	}
-	m.replies[id] = reply
-	m.order = append(m.order, id)
-	m.held += len(id) + len(reply)
-	for len(m.order) > maxReplies || m.held > replyBytes {
-		oldest := m.order[0]
-		m.held -= len(oldest) + len(m.replies[oldest])
-		delete(m.replies, oldest)
-		m.order = m.order[1:]
+	rs.replies[id] = reply
+	rs.replyOrder = append(rs.replyOrder, id)
+	rs.replyBytes += len(id) + len(reply)
+	for len(rs.replyOrder) > maxCachedReplies || rs.replyBytes > maxCachedReplyBytes {
+		oldest := rs.replyOrder[0]
+		rs.replyBytes -= len(oldest) + len(rs.replies[oldest])
+		delete(rs.replies, oldest)
+		rs.replyOrder = rs.replyOrder[1:]
 	}
 }
 
-// Read runs f on a part's state, which must not be kept.
-func (m *Machine) Read(id PartID, f func(Part)) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	f(m.parts[id])
+// Read runs f on a state machine under the lock. f must not retain it.
+func (rs *ReplicatedState) Read(id StateMachineID, f func(StateMachine)) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	f(rs.stateMachines[id])
 }
 
-// Changed returns a channel that is closed at the next change of a version.
-func (m *Machine) Changed() <-chan struct{} {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.changed
+// Changed returns a channel that is closed when the version of a state machine next
+// changes.
+func (rs *ReplicatedState) Changed() <-chan struct{} {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.changed
 }
--- a/internal/control/feed.go
+++ b/internal/control/feed.go
@@ -17,62 +17,62 @@
 
 // Timings of a Feed.
 const (
-	movePause   = 50 * time.Millisecond // after a round in which no voter answered
-	pollGap     = 20 * time.Millisecond // between polls: changes in quick succession travel together
-	returnAfter = 30 * time.Second      // back to the preferred voter, so that load spreads again
+	failedRoundPause       = 50 * time.Millisecond // after a round in which no voter answered
+	pollPause              = 20 * time.Millisecond // between polls; combines changes that follow each other closely
+	returnToPreferredAfter = 30 * time.Second      // returns to the preferred voter, which spreads the load again
 )
 
-// FeedOptions are the options of a Feed.
+// FeedOptions configures a Feed.
 type FeedOptions struct {
 	Self      string
-	Voters    func() []string // VMs with the control role, as known now
+	Voters    func() []string // VMs that are currently known to have the control role
 	Transport peer.Transport
 	Lease     time.Duration
 	Log       zerolog.Logger
 }
 
-// Feed keeps a VM's copy of the followed parts up to date by long polls at one
-// voter, at others beside it while that one is late, and holds the VM's freshness
-// lease.
+// Feed keeps a VM's copy of the followed state machines up to date and holds the VM's
+// freshness lease. It sends long polls to one voter, and hedged polls to further
+// voters while that one is late.
 //
-// Safeguards. A lease counts from when the poll was sent: the leader confirmed
-// its office after that, so that everything committed before is in the answer.
-// A VM that cannot reach the group stops being fresh when its lease ends, and
-// must then admit nothing; an operator's change is thus in force everywhere after
-// one lease at the latest.
+// Safeguards. A lease starts when the poll was sent. The leader confirmed its
+// leadership after that moment, which means that the answer contains everything
+// committed before it. A VM that cannot reach the group stops being fresh when its
+// lease ends, and must not admit anything from then on. An operator's change is
+// therefore in force everywhere after at most one lease.
 type Feed struct {
 	o      FeedOptions
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	group     string // whose versions these are; of the loop alone
+	groupID   string // control group that versions refer to; used only by the poll loop
 	mu        sync.Mutex
-	versions  map[PartID]uint64
-	callbacks map[PartID][]func([]byte)
-	moved     chan struct{}
-	until     time.Time // end of the lease, on both clocks
+	versions  map[StateMachineID]uint64
+	callbacks map[StateMachineID][]func([]byte)
+	changed   chan struct{}
+	leaseEnd  time.Time // carries the wall clock and the monotonic clock
 	polls     uint64
 	failures  uint64
-	bytes     uint64 // of changes taken
+	bytes     uint64 // of applied changes
 }
 
-// NewFeed returns a Feed; callbacks are registered before Start.
+// NewFeed returns a Feed. Callbacks must be registered before Start.
 func NewFeed(o FeedOptions) *Feed {
 	f := &Feed{
-		o: o, versions: map[PartID]uint64{},
-		callbacks: map[PartID][]func([]byte){}, moved: make(chan struct{}),
+		o: o, versions: map[StateMachineID]uint64{},
+		callbacks: map[StateMachineID][]func([]byte){}, changed: make(chan struct{}),
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	for _, p := range FollowedParts {
-		f.versions[p] = 0
+	for _, id := range FollowedStateMachines {
+		f.versions[id] = 0
 	}
 	return f
 }
 
-// preference spreads VMs over the voters by rendezvous hashing; a voter prefers
-// itself.
-func preference(self string, voters []string) []string {
+// rendezvousOrder returns the order in which a VM turns to the voters. Rendezvous
+// hashing spreads the VMs over the voters; a voter prefers itself.
+func rendezvousOrder(self string, voters []string) []string {
 	rank := func(v string) uint64 {
 		if v == self {
 			return 0
@@ -87,134 +87,134 @@
 	})
 }
 
-// OnChange registers a function that gets each encoded change of a part, in
-// order, before the VM reports that it applies it. It must not block.
-func (f *Feed) OnChange(part PartID, apply func(data []byte)) {
+// OnChange registers a function that receives each encoded change of a state machine,
+// in order, before the VM reports the new version as applied. It must not block.
+func (f *Feed) OnChange(smID StateMachineID, apply func(data []byte)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.callbacks[part] = append(f.callbacks[part], apply)
+	f.callbacks[smID] = append(f.callbacks[smID], apply)
 }
 
-// Start begins to follow.
+// Start begins to poll the voters.
 func (f *Feed) Start() { f.wg.Go(f.run) }
 
-// Close ends the Feed.
+// Close stops the polls and waits until the poll loop has ended.
 func (f *Feed) Close() {
 	f.cancel()
 	f.wg.Wait()
 }
 
-// Fresh reports whether the VM may rely on what it holds. Ask at the moment of
-// the decision. The wall clock can only shorten a lease: the monotonic clock may
-// stand still while a VM is suspended.
+// Fresh reports whether the freshness lease is valid, which allows the VM to rely on
+// its copy. Callers check it at the moment of each decision. The lease must be valid on
+// the wall clock too, because the monotonic clock may stop while a VM is suspended.
 func (f *Feed) Fresh() bool {
 	f.mu.Lock()
-	until := f.until
+	leaseEnd := f.leaseEnd
 	f.mu.Unlock()
 	now := time.Now()
-	return now.Before(until) && now.Round(0).Before(until.Round(0))
+	return now.Before(leaseEnd) && now.Round(0).Before(leaseEnd.Round(0))
 }
 
-// Version is the version of a part that this VM applies.
-func (f *Feed) Version(part PartID) uint64 {
+// Version returns the version of a state machine that this VM applies.
+func (f *Feed) Version(smID StateMachineID) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.versions[part]
+	return f.versions[smID]
 }
 
-// FeedStats are a Feed's metrics.
+// FeedStats holds the metrics of a Feed.
 type FeedStats struct {
-	Polls    uint64            `json:"polls"`
-	Failures uint64            `json:"failures"`
-	Bytes    uint64            `json:"bytes"`    // of changes taken
-	LeaseMS  int64             `json:"lease_ms"` // left of the freshness lease; negative: lapsed
-	Versions map[PartID]uint64 `json:"versions"`
+	Polls    uint64                    `json:"polls"`
+	Failures uint64                    `json:"failures"`
+	Bytes    uint64                    `json:"bytes"`    // of applied changes
+	LeaseMS  int64                     `json:"lease_ms"` // remaining freshness lease; negative after it has expired
+	Versions map[StateMachineID]uint64 `json:"versions"`
 }
 
-// Stats returns the Feed's metrics.
+// Stats returns the current metrics.
 func (f *Feed) Stats() FeedStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return FeedStats{
-		Polls: f.polls, Failures: f.failures, Bytes: f.bytes, LeaseMS: time.Until(f.until).Milliseconds(), Versions: maps.Clone(f.versions),
+		Polls: f.polls, Failures: f.failures, Bytes: f.bytes, LeaseMS: time.Until(f.leaseEnd).Milliseconds(), Versions: maps.Clone(f.versions),
 	}
 }
 
 func (f *Feed) run() {
-	voter, movedAt := "", time.Now()
+	voter, switchedAt := "", time.Now()
 	for f.ctx.Err() == nil {
-		if time.Since(movedAt) > returnAfter {
-			voter, movedAt = "", time.Now()
+		if time.Since(switchedAt) > returnToPreferredAfter {
+			voter, switchedAt = "", time.Now()
 		}
-		order := startingWith(voter, preference(f.o.Self, f.o.Voters()))
-		won, ok := f.follow(order)
-		gap := pollGap
+		order := rotateTo(voter, rendezvousOrder(f.o.Self, f.o.Voters()))
+		answeredBy, ok := f.pollOnce(order)
+		pause := pollPause
 		if !ok {
-			gap = movePause
+			pause = failedRoundPause
 		}
-		if won != voter {
-			voter, movedAt = won, time.Now()
+		if answeredBy != voter {
+			voter, switchedAt = answeredBy, time.Now()
 		}
-		if timer.Sleep(f.ctx, gap) != nil {
+		if timer.Sleep(f.ctx, pause) != nil {
 			return
 		}
 	}
 }
 
-// follow polls once and applies what the answer tells of. It returns the voter to ask
-// first next time.
-func (f *Feed) follow(order []string) (voter string, ok bool) {
-	a, ok := f.race(order)
+// pollOnce polls the voters and applies the first answer. It returns the voter to poll
+// first the next time.
+func (f *Feed) pollOnce(order []string) (voter string, ok bool) {
+	a, ok := f.hedgedPoll(order)
 	if !ok {
 		return "", false
 	}
-	if err := f.take(a, startingWith(a.voter, order)); err != nil {
-		f.o.Log.Warn().Err(err).Str("voter", a.voter).Msg("change not taken")
-		f.fail(a.voter, err)
+	if err := f.applyReply(a, rotateTo(a.voter, order)); err != nil {
+		f.o.Log.Warn().Err(err).Str("voter", a.voter).Msg("change could not be fetched; polling again")
+		f.recordFailure(a.voter, err)
 		return "", false
 	}
 	return a.voter, true
 }
 
-// checkGroup refuses an answer of another control group: the operators formed it anew,
-// with empty folders. Its versions say nothing about those held here, and what was
-// withdrawn could stay for ever.
-func (f *Feed) checkGroup(a answered) error {
-	if f.group != "" && a.reply.Group != f.group {
-		f.o.Log.Error().Str("voter", a.voter).Msg("another control group answers: this VM must be restarted")
+// checkGroup rejects an answer from a different control group, which operators created
+// with empty folders after the loss of the former one. Its versions cannot be compared
+// with those applied here, and withdrawn entries could stay in force for ever.
+func (f *Feed) checkGroup(a pollResult) error {
+	if f.groupID != "" && a.reply.Group != f.groupID {
+		f.o.Log.Error().Str("voter", a.voter).Msg("another control group answers; this VM must be restarted")
 		return errOtherGroup
 	}
-	f.group = a.reply.Group
+	f.groupID = a.reply.Group
 	return nil
 }
 
-// take applies a voter's answer. Large changes are fetched from the sources in turn.
-// The lease is renewed last: it promises that all which was committed when the poll was
-// sent is applied here.
-func (f *Feed) take(a answered, sources []string) error {
+// applyReply applies a voter's answer. Large changes are fetched from the sources in
+// turn. The lease is renewed last because it promises that everything committed before
+// the poll was sent is applied here.
+func (f *Feed) applyReply(a pollResult, sources []string) error {
 	for _, c := range a.reply.Changes {
 		began := time.Now()
 		data, err := c.Value.Get(f.ctx, f.o.Transport, sources)
 		if err != nil {
 			return err
 		}
-		f.o.Log.Info().Uint8("part", uint8(c.Part)).Uint64("version", c.Version).Str("voter", a.voter).
+		f.o.Log.Info().Uint8("part", uint8(c.StateMachine)).Uint64("version", c.Version).Str("voter", a.voter).
 			Int("bytes", c.Value.Bytes()).Dur("took", time.Since(a.sent)).Dur("fetched", time.Since(began)).
-			Int("asked", a.asked).Bool("confirmed", a.reply.Confirmed).Msg("change received")
-		f.apply(c.Part, c.Version, data)
+			Int("asked", a.polls).Bool("confirmed", a.reply.Confirmed).Msg("change received")
+		f.applyChange(c.StateMachine, c.Version, data)
 	}
 	if a.reply.Confirmed {
-		f.renew(a.sent)
+		f.renewLease(a.sent)
 	}
 	return nil
 }
 
 var errOtherGroup = errors.New("control: another control group answers")
 
-func (f *Feed) apply(part PartID, version uint64, data []byte) {
+func (f *Feed) applyChange(smID StateMachineID, version uint64, data []byte) {
 	f.mu.Lock()
-	callbacks := f.callbacks[part]
-	newer := version > f.versions[part]
+	callbacks := f.callbacks[smID]
+	newer := version > f.versions[smID]
 	f.mu.Unlock()
 	if !newer {
 		return
@@ -224,65 +224,66 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.versions[part] = version
+	f.versions[smID] = version
 	f.bytes += uint64(len(data))
-	close(f.moved)
-	f.moved = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-func (f *Feed) renew(sent time.Time) {
+func (f *Feed) renewLease(sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if end := sent.Add(shortened(f.o.Lease)); end.After(f.until) {
-		f.until = end
+	if end := sent.Add(usableLease(f.o.Lease)); end.After(f.leaseEnd) {
+		f.leaseEnd = end
 	}
 }
 
-// catchUp implements viewer: a VM that is no voter reads what the Feed applied.
-func (f *Feed) catchUp(ctx context.Context, _ uint64, versions map[PartID]uint64) error {
+// catchUp implements localView. A VM that is not a voter reads what the Feed has applied.
+func (f *Feed) catchUp(ctx context.Context, _ uint64, versions map[StateMachineID]uint64) error {
 	for {
 		f.mu.Lock()
-		moved, behind := f.moved, false
-		for part, v := range versions {
-			behind = behind || f.versions[part] < v
+		changed, behind := f.changed, false
+		for smID, v := range versions {
+			behind = behind || f.versions[smID] < v
 		}
 		f.mu.Unlock()
 		if !behind {
 			return nil
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// both waits for the Machine and for what the Feed's callbacks built from it.
-type both struct{ first, second viewer }
+// combinedView waits for the replicated state and then for what the Feed's callbacks
+// have built from it.
+type combinedView struct{ first, second localView }
 
-func (b both) catchUp(ctx context.Context, index uint64, versions map[PartID]uint64) error {
+func (b combinedView) catchUp(ctx context.Context, index uint64, versions map[StateMachineID]uint64) error {
 	if err := b.first.catchUp(ctx, index, versions); err != nil {
 		return err
 	}
 	return b.second.catchUp(ctx, index, versions)
 }
 
-// NewGroupClient returns the Client of a control VM that follows no Feed: it
-// reads the group's own state.
-func NewGroupClient(g *Group) *Remote {
-	r := NewRemote(g.o.Transport, g.o.VM, g.o.controlVMs)
+// NewGroupClient returns the Client of a control VM without a Feed. It reads the
+// replicated state of the group member.
+func NewGroupClient(g *Group) *RemoteClient {
+	r := NewRemoteClient(g.o.Transport, g.o.VM, g.o.controlVMs)
 	r.lease, r.view = g.o.Lease, g
 	return r
 }
 
-// Client returns the Client of a VM with this Feed; g is nil on a VM without the
+// Client returns the Client of a VM that uses this Feed. g is nil on a VM without the
 // control role.
-func (f *Feed) Client(g *Group) *Remote {
-	r := NewRemote(f.o.Transport, f.o.Self, f.o.Voters)
+func (f *Feed) Client(g *Group) *RemoteClient {
+	r := NewRemoteClient(f.o.Transport, f.o.Self, f.o.Voters)
 	r.lease, r.view = f.o.Lease, f
 	if g != nil {
-		r.view = both{g, f}
+		r.view = combinedView{g, f}
 	}
 	return r
 }
--- a/internal/control/rollout_history_test.go
+++ b/internal/control/rollout_history_test.go
@@ -14,22 +14,23 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/rollout"
 )
 
-// rolloutsSeen is what roll-outs are seen from outside: an order is accepted while none
-// is under way, a step ends it, and a read tells the number and the phase.
-type rolloutsSeen struct {
+// rolloutView is the state of the sequential specification of roll-outs. An order is
+// accepted while no roll-out is in progress, a step ends the roll-out, and a read returns its
+// number and whether it has ended.
+type rolloutView struct {
 	number uint64
 	over   bool
 }
 
-var orders = porcupine.Model{
-	Init: func() any { return rolloutsSeen{over: true} },
+var rolloutModel = porcupine.Model{
+	Init: func() any { return rolloutView{over: true} },
 	Step: func(state, input, output any) (bool, any) {
-		s := state.(rolloutsSeen)
+		s := state.(rolloutView)
 		switch in := input.(type) {
 		case rollout.Order:
 			next := s
 			if s.over {
-				next = rolloutsSeen{number: s.number + 1}
+				next = rolloutView{number: s.number + 1}
 			}
 			return output == nil || output == next, next
 		case rollout.Step:
@@ -43,8 +44,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// operateRollouts orders roll-outs and ends them on one VM until told to stop.
-func (c *cluster) operateRollouts(client int, v *vm, h *history, stop <-chan struct{}) {
+// runRolloutOperator orders and ends roll-outs on one VM until stop is closed.
+func (c *cluster) runRolloutOperator(client int, v *vm, h *history, stop <-chan struct{}) {
 	last := uint64(0)
 	for i := 0; ; i++ {
 		select {
@@ -62,8 +63,8 @@
 			command, op.Input = rollout.Command{Step: &s}, s
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		if r, err := Propose[rollout.Reply](ctx, v.client, PartRollouts, command); err == nil {
-			op.Output, op.Return = seenOf(&r.Record), time.Now().UnixNano()
+		if r, err := Propose[rollout.Reply](ctx, v.client, RolloutsStateMachine, command); err == nil {
+			op.Output, op.Return = viewOf(&r.Record), time.Now().UnixNano()
 			last = r.Record.Number
 		}
 		cancel()
@@ -71,13 +72,12 @@
 	}
 }
 
-func seenOf(r *rollout.Record) rolloutsSeen {
-	return rolloutsSeen{r.Number, r.Number == 0 || r.Phase.Over()}
+func viewOf(r *rollout.Record) rolloutView {
+	return rolloutView{r.Number, r.Number == 0 || r.Phase.Over()}
 }
 
-// Guards against an order that is acknowledged and lost, an outcome that is reached twice,
-// and a read that is older than what another operator was told, while control VMs are
-// lost, cut off and started again.
+// Guards against an acknowledged order that is lost, an outcome that is reached twice, and a
+// stale read, while control VMs are cut off and return.
 func TestRolloutsAreLinearizable(t *testing.T) {
 	for run := range uint64(4) {
 		t.Run(fmt.Sprint(run), func(t *testing.T) {
@@ -90,10 +90,10 @@
 				var operators sync.WaitGroup
 				stop := make(chan struct{})
 				for i, id := range []string{"router1", "router2"} {
-					operators.Go(func() { c.operateRollouts(i, c.vms[id], &h, stop) })
+					operators.Go(func() { c.runRolloutOperator(i, c.vms[id], &h, stop) })
 				}
 				reader := c.voters[0]
-				operators.Go(func() { c.readRollouts(2, c.vms[reader], &h, stop) })
+				operators.Go(func() { c.runRolloutReader(2, c.vms[reader], &h, stop) })
 				for range 12 {
 					<-time.After(time.Duration(rng.IntN(1200)) * time.Millisecond)
 					if lost := c.voters[1+rng.IntN(2)]; rng.IntN(2) == 0 {
@@ -113,16 +113,16 @@
 					}
 				}
 				t.Logf("%d operations, %d answered", len(h.ops), answered)
-				if res := porcupine.CheckOperationsTimeout(orders, h.ops, 20*time.Second); res != porcupine.Ok || answered < 50 {
-					t.Errorf("%d operations, %d answered: %v", len(h.ops), answered, res)
+				if res := porcupine.CheckOperationsTimeout(rolloutModel, h.ops, 20*time.Second); res != porcupine.Ok || answered < 50 {
+					t.Errorf("history of %d operations, %d of them answered: got check result %v, want Ok and at least 50 answered", len(h.ops), answered, res)
 				}
 			})
 		})
 	}
 }
 
-// readRollouts reads on a control VM until told to stop.
-func (c *cluster) readRollouts(client int, v *vm, h *history, stop <-chan struct{}) {
+// runRolloutReader reads on a control VM until stop is closed.
+func (c *cluster) runRolloutReader(client int, v *vm, h *history, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -132,9 +132,9 @@
 		op := porcupine.Operation{ClientId: client, Call: time.Now().UnixNano()}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		if err := v.client.Barrier(ctx); err == nil {
-			v.machine.Read(PartRollouts, func(p Part) {
-				r, _ := p.(*rollout.StateMachine).Record("desk")
-				op.Output = seenOf(&r)
+			v.state.Read(RolloutsStateMachine, func(sm StateMachine) {
+				r, _ := sm.(*rollout.StateMachine).Record("desk")
+				op.Output = viewOf(&r)
 			})
 			op.Return = time.Now().UnixNano()
 			h.add(op)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,90 +14,92 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// FollowedParts are the parts that every VM follows, in the order in which changes are
-// told: which versions may run a request is known before its route is.
-var FollowedParts = []PartID{PartPlans, PartFleet, PartMembers, PartRollouts, PartRoutes}
+// FollowedStateMachines lists the state machines that every VM follows, in the order in
+// which changes are sent. A VM learns which versions may run a request before it learns
+// the request's route.
+var FollowedStateMachines = []StateMachineID{PlansStateMachine, FleetStateMachine, MembersStateMachine, RolloutsStateMachine, RoutesStateMachine}
 
 // Timings of a watch.
 const (
-	// batchWindow gathers polls for one confirmation: with 66 VMs at a voter a
-	// poll each would ask the leader a hundred times a second.
+	// batchWindow collects polls for one confirmation. With 66 VMs at a voter, a
+	// confirmation for each poll would send the leader a hundred requests a second.
 	batchWindow = 250 * time.Millisecond
-	// hurryWindow gathers polls that report a new version, for which an operator
-	// waits, or that need their lease, after another voter failed them.
-	hurryWindow = 5 * time.Millisecond
-	// confirmSoon is how long a poll that needs its lease waits for it before it is
-	// told what has changed: the usual round trips, with some load on them.
-	confirmSoon = 100 * time.Millisecond
-	// confirmTimeout outlasts a leader change of about half a second.
+	// urgentBatchWindow collects polls that report a new version, which an operator may
+	// be waiting for, or that need a lease after another voter did not answer.
+	urgentBatchWindow = 5 * time.Millisecond
+	// unconfirmedReplyDelay is how long a poll that needs a lease waits for the
+	// confirmation before it is answered with unconfirmed changes. It covers the usual
+	// round trips under some load.
+	unconfirmedReplyDelay = 100 * time.Millisecond
+	// confirmTimeout is longer than a leader change, which takes about half a second.
 	confirmTimeout = 1500 * time.Millisecond
 )
 
-// holdFor is how long a voter holds a poll that has nothing to tell. A quarter
-// of the lease: a VM whose voter falls silent has the time to ask another.
-func holdFor(lease time.Duration) time.Duration { return lease / 4 }
+// pollHold returns how long a voter holds a poll without changes. It is a quarter of the
+// lease, which leaves a VM time to poll another voter when its own falls silent.
+func pollHold(lease time.Duration) time.Duration { return lease / 4 }
 
 type pollRequest struct {
-	Versions map[PartID]uint64 `cbor:"1,keyasint"`
-	// NeedLease: answer with a confirmation, as long as one can be had. Without it a
-	// stream of changes could keep a VM busy and let its lease run out.
+	Versions map[StateMachineID]uint64 `cbor:"1,keyasint"`
+	// NeedLease requests an answer with a confirmation if one can be obtained. Without
+	// it, frequent changes could be answered unconfirmed until the VM's lease expires.
 	NeedLease bool `cbor:"2,keyasint,omitempty"`
 }
 
 type pollReply struct {
-	Confirmed bool         `cbor:"1,keyasint,omitempty"`
-	Changes   []partChange `cbor:"2,keyasint,omitempty"`
-	Group     string       `cbor:"3,keyasint"`
+	Confirmed bool          `cbor:"1,keyasint,omitempty"`
+	Changes   []stateChange `cbor:"2,keyasint,omitempty"`
+	Group     string        `cbor:"3,keyasint"`
 }
 
-type partChange struct {
-	Part    PartID     `cbor:"1,keyasint"`
-	Version uint64     `cbor:"2,keyasint"`
-	Value   bulk.Value `cbor:"3,keyasint"`
+type stateChange struct {
+	StateMachine StateMachineID `cbor:"1,keyasint"`
+	Version      uint64         `cbor:"2,keyasint"`
+	Value        bulk.Value     `cbor:"3,keyasint"`
 }
 
-// watchServer answers the polls of the VMs that chose this voter.
+// watchServer answers the polls of the VMs that follow this voter.
 type watchServer struct {
 	g      *Group
-	leader *Remote
-
-	mu      sync.Mutex
-	closed  bool
-	batch   *confirmation
-	cache   map[changeKey]partChange
-	known   map[string]map[PartID]uint64 // what the VMs reported last
-	pending sync.WaitGroup
+	leader *RemoteClient
+
+	mu       sync.Mutex
+	closed   bool
+	batch    *confirmation
+	cache    map[changeKey]stateChange
+	reported map[string]map[StateMachineID]uint64 // the last versions that the VMs reported
+	pending  sync.WaitGroup
 }
 
-// confirmation is one round for many polls.
+// confirmation is one request to the leader for a batch of polls.
 type confirmation struct {
 	polls []pollReport
-	// urgent: a lease is near its end, the next heartbeat would be late.
+	// urgent is set if a lease is about to expire; the next heartbeat would be too late.
 	urgent bool
-	hurry  chan struct{} // buffered
+	flush  chan struct{} // buffered; ends the batch window early
 	done   chan struct{}
 	index  uint64
 	err    error
 }
 
-// changeKey names a change by what a VM holds before it.
+// changeKey identifies a change by the version that a VM has before it.
 type changeKey struct {
-	part  PartID
-	since uint64
+	stateMachine StateMachineID
+	since        uint64
 }
 
-// maxCachedChanges is how many different versions the VMs may be behind by before
-// changes are encoded again.
+// maxCachedChanges bounds the cached changes. If VMs lag by more different versions, changes
+// are encoded repeatedly.
 const maxCachedChanges = 16
 
 func newWatchServer(g *Group) *watchServer {
 	return &watchServer{
-		g: g, leader: NewRemote(g.o.Transport, g.o.VM, g.o.controlVMs),
-		cache: map[changeKey]partChange{}, known: map[string]map[PartID]uint64{},
+		g: g, leader: NewRemoteClient(g.o.Transport, g.o.VM, g.o.controlVMs),
+		cache: map[changeKey]stateChange{}, reported: map[string]map[StateMachineID]uint64{},
 	}
 }
 
-// close waits for the rounds under way; a poll that comes later starts none.
+// close waits for the confirmations in flight. Later polls start no new one.
 func (w *watchServer) close() {
 	w.mu.Lock()
 	w.closed = true
@@ -111,13 +113,13 @@
 		return nil, err
 	}
 	conf := w.confirm(pollReport{VM: from, Versions: q.Versions}, q.NeedLease)
-	a := &watchAnswer{w: w, q: &q, done: conf.done}
-	hold := time.NewTimer(holdFor(w.g.o.Lease))
+	a := &pendingPoll{w: w, q: &q, done: conf.done}
+	hold := time.NewTimer(pollHold(w.g.o.Lease))
 	defer hold.Stop()
-	overdue := time.NewTimer(confirmSoon)
-	defer overdue.Stop()
+	confirmTimer := time.NewTimer(unconfirmedReplyDelay)
+	defer confirmTimer.Stop()
 	for {
-		changed := w.g.o.Machine.Changed()
+		changed := w.g.o.State.Changed()
 		if r, ok := a.reply(); ok {
 			return r, nil
 		}
@@ -127,15 +129,15 @@
 			if conf.err != nil {
 				return a.unconfirmed()
 			}
-			// The state must hold what the confirmation covers before it counts.
+			// The confirmation counts once the local state includes its index.
 			if err := w.g.node.WaitApplied(ctx, conf.index); err != nil {
 				return nil, err
 			}
 			a.done, a.confirmed = nil, true
-		case <-overdue.C:
-			a.overdue = true
+		case <-confirmTimer.C:
+			a.confirmLate = true
 		case <-hold.C:
-			a.over = true
+			a.holdElapsed = true
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-w.g.ctx.Done():
@@ -144,66 +146,66 @@
 	}
 }
 
-// watchAnswer is a poll that is being answered.
-type watchAnswer struct {
+// pendingPoll is a poll that has not been answered yet.
+type pendingPoll struct {
 	w    *watchServer
 	q    *pollRequest
-	done <-chan struct{} // the confirmation's; nil once it is there
+	done <-chan struct{} // closed at the confirmation; nil once it has been processed
 
-	confirmed bool
-	overdue   bool // the confirmation is late
-	over      bool // the hold is
+	confirmed   bool
+	confirmLate bool // unconfirmedReplyDelay has passed
+	holdElapsed bool // pollHold has passed
 }
 
-// reply returns the answer if there is one by now.
-func (a *watchAnswer) reply() (pollReply, bool) {
+// reply returns the answer if it can be given now.
+func (a *pendingPoll) reply() (pollReply, bool) {
 	changes := a.changes()
-	wanted := a.confirmed || a.overdue || !a.q.NeedLease
-	if wanted && len(changes) > 0 || a.confirmed && (a.over || a.q.NeedLease) {
+	mayAnswer := a.confirmed || a.confirmLate || !a.q.NeedLease
+	if mayAnswer && len(changes) > 0 || a.confirmed && (a.holdElapsed || a.q.NeedLease) {
 		return a.w.reply(a.confirmed, changes), true
 	}
 	return pollReply{}, false
 }
 
-// changes are those that may be told now. A VM without a lease that holds nothing is
-// told nothing before a majority confirms it: this voter may lack what was
-// acknowledged, and a VM that has just started would serve by that. One that holds an
-// older version is better off with a newer one, which is committed: it would else go
-// on by the old one for as long as there is no majority.
-func (a *watchAnswer) changes() []partChange {
+// changes returns the changes that may be sent now. A VM that needs a lease and has no
+// version of a state machine receives none before a majority confirms it. This voter may
+// lack acknowledged changes, and a VM that has just started would serve by its state. A VM
+// with an older version receives the newer one unconfirmed, because it is committed.
+// Without it the VM would keep using the old version as long as there is no majority.
+func (a *pendingPoll) changes() []stateChange {
 	if a.confirmed || !a.q.NeedLease {
 		return a.w.changes(a.q.Versions)
 	}
 	held := maps.Clone(a.q.Versions)
-	maps.DeleteFunc(held, func(_ PartID, version uint64) bool { return version == 0 })
+	maps.DeleteFunc(held, func(_ StateMachineID, version uint64) bool { return version == 0 })
 	return a.w.changes(held)
 }
 
-// unconfirmed answers a poll that no majority confirms.
-func (a *watchAnswer) unconfirmed() (any, error) {
+// unconfirmed answers a poll that no majority has confirmed.
+func (a *pendingPoll) unconfirmed() (any, error) {
 	if changes := a.changes(); len(changes) > 0 {
 		return a.w.reply(false, changes), nil
 	}
 	return nil, result.New(result.ControlUnavail)
 }
 
-func (w *watchServer) reply(confirmed bool, changes []partChange) pollReply {
+func (w *watchServer) reply(confirmed bool, changes []stateChange) pollReply {
 	return pollReply{Confirmed: confirmed, Changes: changes, Group: w.g.node.Group()}
 }
 
-// changes returns what is newer here. A voter that is behind the VM sends
-// nothing: what a VM applies never goes back.
-func (w *watchServer) changes(held map[PartID]uint64) []partChange {
-	var out []partChange
-	versions := w.g.o.Machine.Versions(FollowedParts)
-	for _, part := range FollowedParts {
-		version := versions[part]
-		if _, follows := held[part]; !follows || version <= held[part] {
+// changes returns the changes since the versions that a VM holds. A voter that lags behind
+// the VM sends none, because the versions that a VM applies never go back.
+func (w *watchServer) changes(held map[StateMachineID]uint64) []stateChange {
+	var out []stateChange
+	versions := w.g.o.State.Versions(FollowedStateMachines)
+	for _, smID := range FollowedStateMachines {
+		version := versions[smID]
+		if _, follows := held[smID]; !follows || version <= held[smID] {
 			continue
 		}
-		c, err := w.change(part, held[part])
+		c, err := w.change(smID, held[smID])
 		if err != nil {
-			w.g.o.Log.Error().Err(err).Uint8("part", uint8(part)).Msg("change not encoded")
+			w.g.o.Log.Error().Err(err).Uint8("part", uint8(smID)).Msg("change could not be encoded; leaving it out of the answer")
 			continue
 		}
 		out = append(out, c)
@@ -211,25 +213,26 @@
 	return out
 }
 
-// change encodes a part's change once for all VMs that hold the same version.
-func (w *watchServer) change(part PartID, since uint64) (partChange, error) {
+// change returns a state machine's change, encoded once for all VMs that hold the same
+// version.
+func (w *watchServer) change(smID StateMachineID, since uint64) (stateChange, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	key := changeKey{part, since}
+	key := changeKey{smID, since}
 	c, cached := w.cache[key]
 	var data []byte
-	w.g.o.Machine.Read(part, func(p Part) {
-		if cached && c.Version == p.Version() && w.g.o.Values.StillOffers(c.Value) {
+	w.g.o.State.Read(smID, func(sm StateMachine) {
+		if cached && c.Version == sm.Version() && w.g.o.Values.StillOffers(c.Value) {
 			return
 		}
-		c, data = partChange{Part: part, Version: p.Version()}, p.Changes(since)
+		c, data = stateChange{StateMachine: smID, Version: sm.Version()}, sm.Changes(since)
 	})
 	if data == nil {
 		return c, nil
 	}
 	var err error
 	if c.Value, err = w.g.o.Values.Offer(data); err != nil {
-		return partChange{}, err
+		return stateChange{}, err
 	}
 	if !cached && len(w.cache) >= maxCachedChanges {
 		clear(w.cache)
@@ -238,7 +241,7 @@
 	return c, nil
 }
 
-// confirm adds a poll to the round that is gathering.
+// confirm adds a poll to the current batch and returns the confirmation of that batch.
 func (w *watchServer) confirm(p pollReport, needLease bool) *confirmation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -248,53 +251,54 @@
 		return c
 	}
 	if w.batch == nil {
-		c := &confirmation{done: make(chan struct{}), hurry: make(chan struct{}, 1)}
+		c := &confirmation{done: make(chan struct{}), flush: make(chan struct{}, 1)}
 		w.batch = c
-		w.pending.Go(func() { w.run(c) })
+		w.pending.Go(func() { w.runConfirmation(c) })
 	}
 	w.batch.polls = append(w.batch.polls, p)
 	w.batch.urgent = w.batch.urgent || needLease
-	if needLease || !maps.Equal(w.known[p.VM], p.Versions) {
-		w.known[p.VM] = p.Versions
+	if needLease || !maps.Equal(w.reported[p.VM], p.Versions) {
+		w.reported[p.VM] = p.Versions
 		select {
-		case w.batch.hurry <- struct{}{}:
+		case w.batch.flush <- struct{}{}:
 		default:
 		}
 	}
 	return w.batch
 }
 
-func (w *watchServer) run(c *confirmation) {
+func (w *watchServer) runConfirmation(c *confirmation) {
 	ctx, cancel := context.WithTimeout(w.g.ctx, batchWindow+confirmTimeout)
 	defer cancel()
 	defer close(c.done)
-	c.err = gather(ctx, c.hurry)
-	// Only polls that arrived before the round begins may rely on it.
+	c.err = waitForBatch(ctx, c.flush)
+	// The batch is closed before the request is sent. Only polls that arrived before it
+	// may rely on the confirmation.
 	w.mu.Lock()
 	w.batch = nil
 	w.mu.Unlock()
 	if c.err != nil {
 		return
 	}
-	out, err := w.leader.ask(ctx, request{Op: opWatched, Polls: c.polls, Urgent: c.urgent})
+	out, err := w.leader.callLeader(ctx, request{Op: opConfirmPolls, Polls: c.polls, Urgent: c.urgent})
 	c.index, c.err = out.Index, err
 }
 
-// gather waits for the window's end.
-func gather(ctx context.Context, hurry <-chan struct{}) error {
+// waitForBatch waits until the batch window has passed.
+func waitForBatch(ctx context.Context, hurry <-chan struct{}) error {
 	select {
 	case <-time.After(batchWindow):
 		return nil
 	case <-hurry:
-		return timer.Sleep(ctx, hurryWindow)
+		return timer.Sleep(ctx, urgentBatchWindow)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// watched confirms, on the leader, a voter's batch of polls. Unless it is urgent
-// the read rides on the next regular heartbeat and costs no message of its own.
-func (g *Group) watched(ctx context.Context, q request) reply {
+// confirmPolls confirms a voter's batch of polls on the leader. Unless the batch is urgent,
+// the read index is confirmed by the next regular heartbeat and needs no extra message.
+func (g *Group) confirmPolls(ctx context.Context, q request) reply {
 	st, ok := g.node.Status()
 	if !ok {
 		return reply{Status: statusNotLeader}
@@ -312,13 +316,13 @@
 	return st.Term == term && g.node.IsLeader()
 }
 
-// inForce waits on the leader for every VM's report, for a hold's time.
+// inForce waits on the leader for the reports of all VMs, for at most pollHold.
 func (g *Group) inForce(ctx context.Context, q request) reply {
-	hold := time.NewTimer(holdFor(g.o.Lease))
+	hold := time.NewTimer(pollHold(g.o.Lease))
 	defer hold.Stop()
 	for {
 		st, _ := g.node.Status()
-		done, changed := g.tracker.inForce(st.Term, q.Part, q.Version)
+		done, changed := g.tracker.inForce(st.Term, q.StateMachine, q.Version)
 		if done && g.sameTerm(st.Term) {
 			return reply{Status: statusOK, InForce: true}
 		}
@@ -334,29 +338,30 @@
 	}
 }
 
-// ErrNoTracking reports a Client that cannot tell what is in force.
+// ErrNoTracking reports a Client that cannot determine which versions are in force.
 var ErrNoTracking = errors.New("control: this client does not track what is in force")
 
-// InForce returns once every VM applies the version of a part, or may no longer
-// admit work by an older one because its lease has run out. The version must be
-// committed already. The error is ctx's.
-func InForce(ctx context.Context, c Client, part PartID, version uint64) error {
-	t, ok := c.(interface {
-		inForce(ctx context.Context, part PartID, version uint64) error
+// WaitInForce returns once every VM applies the version of a state machine or, after its
+// lease has expired, may not admit work under an older version. The version must be
+// committed already. The error is ErrNoTracking or that of ctx.
+func WaitInForce(ctx context.Context, c Client, smID StateMachineID, version uint64) error {
+	tracking, ok := c.(interface {
+		waitInForce(ctx context.Context, smID StateMachineID, version uint64) error
 	})
 	if !ok {
 		return ErrNoTracking
 	}
-	return t.inForce(ctx, part, version)
+	return tracking.waitInForce(ctx, smID, version)
 }
 
-// inForce needs no answer from the leader in the worst case: leases given before
-// the commit have run out by then on every VM, a VM that is cut off included.
-func (r *Remote) inForce(ctx context.Context, part PartID, version uint64) error {
-	limit, cancel := context.WithTimeout(ctx, outlived(r.lease))
+// waitInForce succeeds without an answer from the leader after the maximum lease. By then
+// the leases granted before the commit have expired on every VM, even on one that is cut
+// off.
+func (r *RemoteClient) waitInForce(ctx context.Context, smID StateMachineID, version uint64) error {
+	limit, cancel := context.WithTimeout(ctx, expiredLease(r.lease))
 	defer cancel()
 	for limit.Err() == nil {
-		out, err := r.ask(limit, request{Op: opInForce, Part: part, Version: version})
+		out, err := r.callLeader(limit, request{Op: opInForce, StateMachine: smID, Version: version})
 		if err == nil && out.InForce {
 			return nil
 		}
@@ -364,4 +369,4 @@
 	return ctx.Err()
 }
 
-func (s *Solo) inForce(context.Context, PartID, uint64) error { return nil }
+func (s *LocalClient) waitInForce(context.Context, StateMachineID, uint64) error { return nil }
