--- a/internal/consensus/applier.go
+++ b/internal/consensus/applier.go
@@ -6,67 +6,69 @@
 	"sync/atomic"
 )
 
-// StateMachine executes committed commands. Apply is called from one goroutine;
-// the others may be called at the same time as reads of the state.
+// StateMachine executes committed commands. All methods are called from one goroutine
+// at a time, but concurrently with reads of the state.
 type StateMachine interface {
 	Apply(entry []byte) ([]byte, error)
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
 }
 
-// When a snapshot is taken: so that a restart replays some thousand entries at
-// most, a fraction of a second, and the log stays within a few segments.
+// A snapshot is taken after this many entries or bytes. A restart then replays at most
+// some thousand entries, which takes a fraction of a second, and the log stays within
+// a few segments.
 const (
 	snapshotEntries = 8192
 	snapshotBytes   = 8 << 20
-	// trailingEntries stay in the log behind a snapshot, for members that are a
-	// little behind.
+	// trailingEntries and trailingBytes bound the entries before a snapshot that stay
+	// in the log. Members that lag slightly get these entries instead of a snapshot.
 	trailingEntries = 1024
 	trailingBytes   = 4 << 20
-	// maxBacklog bounds the committed entries that wait to be applied on a leader.
-	maxBacklog = 16384
+	// maxBacklogEntries bounds the committed entries that wait to be applied. Beyond it
+	// a leader refuses proposals.
+	maxBacklogEntries = 16384
 )
 
-// outcome is what a proposer gets.
+// outcome is the result of a proposal: the state machine's reply or an error.
 type outcome struct {
 	reply []byte
 	err   error
 }
 
-type work struct {
+type applyItem struct {
 	entry   Entry
 	waiter  chan<- outcome
 	install *SnapshotMeta
 }
 
-// applier applies committed entries beside the protocol loop, so that a slow
-// command or a large snapshot does not delay heartbeats.
+// applier applies committed entries in its own goroutine. A slow command or a large
+// snapshot therefore does not delay heartbeats.
 type applier struct {
 	sm      StateMachine
 	store   *storage
-	compact func(meta SnapshotMeta, data []byte) // the loop fills in the term
+	compact func(meta SnapshotMeta, data []byte) // the protocol loop sets the term
 	fail    func(error)
 
-	mu      sync.Mutex
-	queue   []work
-	wake    chan struct{}
-	moved   chan struct{} // closed when applied moves
-	applied atomic.Uint64
-	backlog atomic.Int64
-
-	pieces    pieces
-	config    Config
-	sinceSnap int
-	sinceByte int
+	mu             sync.Mutex
+	queue          []applyItem
+	wake           chan struct{}
+	appliedChanged chan struct{} // closed and replaced when applied changes
+	applied        atomic.Uint64
+	backlog        atomic.Int64
+
+	reassembler          reassembler
+	config               Config
+	entriesSinceSnapshot int
+	bytesSinceSnapshot   int
 }
 
 func newApplier(sm StateMachine, store *storage, applied uint64, config Config) *applier {
-	a := &applier{sm: sm, store: store, config: config, wake: make(chan struct{}, 1), moved: make(chan struct{})}
+	a := &applier{sm: sm, store: store, config: config, wake: make(chan struct{}, 1), appliedChanged: make(chan struct{})}
 	a.applied.Store(applied)
 	return a
 }
 
-func (a *applier) add(items []work) {
+func (a *applier) enqueue(items []applyItem) {
 	if len(items) == 0 {
 		return
 	}
@@ -95,29 +97,29 @@
 			if ctx.Err() != nil {
 				return
 			}
-			a.do(w)
+			a.applyOne(w)
 		}
 		a.backlog.Add(-int64(len(items)))
-		a.announce()
+		a.notifyWaiters()
 		a.maybeSnapshot()
 	}
 }
 
-func (a *applier) do(w work) {
+func (a *applier) applyOne(w applyItem) {
 	if w.install != nil {
 		a.install(*w.install)
 		return
 	}
 	var out outcome
-	if command, ok := a.pieces.add(w.entry); ok {
+	if command, ok := a.reassembler.add(w.entry); ok {
 		out.reply, out.err = a.sm.Apply(command)
 	}
 	if w.entry.Kind == EntryConfig {
 		a.config = decodeConfig(w.entry.Data)
 	}
 	a.applied.Store(w.entry.Index)
-	a.sinceSnap++
-	a.sinceByte += len(w.entry.Data)
+	a.entriesSinceSnapshot++
+	a.bytesSinceSnapshot += len(w.entry.Data)
 	if w.waiter != nil {
 		w.waiter <- out // buffered
 	}
@@ -132,22 +134,22 @@
 		a.fail(err)
 		return
 	}
-	a.pieces, a.config, a.sinceSnap, a.sinceByte = pieces{}, meta.Config, 0, 0
+	a.reassembler, a.config, a.entriesSinceSnapshot, a.bytesSinceSnapshot = reassembler{}, meta.Config, 0, 0
 	a.applied.Store(meta.Index)
 }
 
-func (a *applier) announce() {
+func (a *applier) notifyWaiters() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	close(a.moved)
-	a.moved = make(chan struct{})
+	close(a.appliedChanged)
+	a.appliedChanged = make(chan struct{})
 }
 
-// wait returns once the entry index is applied.
+// wait returns once the entry index is applied, ctx ends, or closed ends (ErrClosed).
 func (a *applier) wait(ctx, closed context.Context, index uint64) error {
 	for {
 		a.mu.Lock()
-		moved := a.moved
+		moved := a.appliedChanged
 		a.mu.Unlock()
 		if a.applied.Load() >= index {
 			return nil
@@ -163,7 +165,7 @@
 }
 
 func (a *applier) maybeSnapshot() {
-	if a.sinceSnap < snapshotEntries && a.sinceByte < snapshotBytes || a.pieces.pending() {
+	if a.entriesSinceSnapshot < snapshotEntries && a.bytesSinceSnapshot < snapshotBytes || a.reassembler.pending() {
 		return
 	}
 	data, err := a.sm.Snapshot()
@@ -171,6 +173,6 @@
 		a.fail(err)
 		return
 	}
-	a.sinceSnap, a.sinceByte = 0, 0
+	a.entriesSinceSnapshot, a.bytesSinceSnapshot = 0, 0
 	a.compact(SnapshotMeta{Index: a.applied.Load(), Config: a.config}, data)
 }
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -7,40 +7,40 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxVoters is the largest group: more voters make each commit wait for more
-// disks and protect against losses that the VMs' zones do not allow anyway.
+// MaxVoters bounds the number of voters. With more voters each commit waits for
+// more disks, and the VMs' zones do not allow for the additional losses anyway.
 const MaxVoters = 7
 
-// Config is the group's membership. Learners get the log but have no vote.
+// Config is the group's membership. Learners receive the log but have no vote.
 type Config struct {
 	Voters   []MemberID `cbor:"1,keyasint"`
 	Learners []MemberID `cbor:"2,keyasint,omitempty"`
 }
 
-// Quorum is how many voters make a majority.
+// Quorum returns the number of voters that form a majority.
 func (c Config) Quorum() int { return len(c.Voters)/2 + 1 }
 
-// IsVoter reports whether id has a vote.
+// IsVoter reports whether id is a voter.
 func (c Config) IsVoter(id MemberID) bool { return slices.Contains(c.Voters, id) }
 
 // IsLearner reports whether id is a learner.
 func (c Config) IsLearner(id MemberID) bool { return slices.Contains(c.Learners, id) }
 
-// Members are all voters and learners.
+// Members returns all voters and learners.
 func (c Config) Members() []MemberID { return slices.Concat(c.Voters, c.Learners) }
 
 // ChangeKind is a kind of membership change.
 type ChangeKind uint8
 
-// The changes. Each adds or removes at most one vote, so that every majority
-// before and every majority after share a member.
+// The kinds of changes. Each adds or removes at most one vote. Therefore every
+// majority before the change and every majority after it share a member.
 const (
 	AddLearner ChangeKind = iota + 1
 	Promote
 	Remove
 )
 
-// Change is one membership change.
+// Change is a membership change of one member.
 type Change struct {
 	Kind ChangeKind `cbor:"1,keyasint"`
 	ID   MemberID   `cbor:"2,keyasint"`
@@ -77,7 +77,7 @@
 func decodeConfig(data []byte) Config {
 	var c Config
 	if err := cbor.Unmarshal(data, &c); err != nil {
-		panic(fmt.Sprintf("consensus: committed config: %v", err))
+		panic(fmt.Sprintf("consensus: decode config: %v", err))
 	}
 	return c
 }
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -1,10 +1,11 @@
-// Package consensus is the replicated log of the control group, after the Raft
-// paper (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum, reads by
-// leader confirmation, snapshots and membership changes of one voter at a time.
+// Package consensus implements the replicated log of the control group. It follows
+// the Raft paper (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum, reads
+// confirmed by a heartbeat round (ReadIndex), snapshots, and membership changes of
+// one voter at a time.
 //
-// Core is the protocol alone: no sockets, no disk, no clock; messages, ticks and
-// randomness come in, a Ready goes out. Node joins it to the log on disk, to the
-// other VMs and to a state machine.
+// Core implements the protocol without sockets, disk or clock: its inputs are
+// messages, ticks and random numbers, and its output is a Ready. Node connects a
+// Core to the log on disk, to the other VMs and to a state machine.
 package consensus
 
 import (
@@ -13,121 +14,124 @@
 	"slices"
 )
 
-// Options of a Core.
+// Options configure a Core.
 type Options struct {
 	ID MemberID
-	// ElectionTicks without a leader begin an election; the real timeout is drawn
-	// from ElectionTicks to twice that, so that voters seldom collide.
+	// ElectionTicks is the minimum election timeout. Each timeout is drawn at random
+	// from ElectionTicks to twice that, which makes split votes rare.
 	ElectionTicks int
-	// FirstTicks is the same for the first election after a start; 0: ElectionTicks.
-	// Nobody is deposed by it: a pre-vote comes first, which a member that hears a
-	// leader refuses. After a loss of power on all VMs there is none to wait for.
+	// FirstElectionTicks is the minimum timeout of the first election after a start;
+	// the timeout is drawn from it to three times that. 0 means ElectionTicks. After a
+	// power loss on all VMs there is no leader to wait for, so it can be shorter. It
+	// deposes no leader: members that hear a leader refuse the pre-vote.
 	FirstTicks     int
 	HeartbeatTicks int
-	// MaxEntryBytes bounds the data of one entry; 0: maxEntryBytes.
+	// MaxEntryBytes bounds the data of one entry; 0 means maxEntryBytes.
 	MaxEntryBytes int
-	// Rand returns a number from 0 to n-1.
+	// Rand returns a random number from 0 to n-1.
 	Rand func(n int) int
 }
 
-// Bounds of one Core.
+// Bounds of a leader's unacknowledged work.
 const (
-	// maxUncommitted bounds what waits for a majority, so that a leader without
-	// followers refuses proposals instead of filling its memory.
+	// maxUncommittedBytes and maxUncommittedEntries bound the entries that wait for a
+	// majority. A leader without followers refuses proposals at these bounds instead
+	// of exhausting its memory.
 	maxUncommittedBytes   = 8 << 20
 	maxUncommittedEntries = 8192
-	// resendBeats is after how many heartbeats an append without an answer counts
-	// as lost.
-	resendBeats = 3
+	// resendAfterHeartbeats is the number of heartbeats after which an append without
+	// a reply counts as lost.
+	resendAfterHeartbeats = 3
 )
 
-// State is what a Core starts from: what its disk held.
+// State is the persisted state from which a Core starts.
 type State struct {
 	Hard     HardState
-	Snapshot SnapshotMeta // what stands before Entries
+	Snapshot SnapshotMeta // the state before Entries
 	Entries  []Entry
-	Applied  uint64 // what the state machine holds; at least Snapshot.Index
+	Applied  uint64 // last entry that the state machine contains; at least Snapshot.Index
 }
 
-// progress is what a leader knows of a member.
+// progress is a leader's view of one other member.
 type progress struct {
-	match   uint64 // last entry known to be on the member's disk
-	next    uint64 // next entry to send
-	waiting bool   // an append is under way; one at a time
-	waited  int    // heartbeats since
-	sent    int    // bytes of its entries
-	sending bool   // a snapshot is under way
-	active  bool   // heard from since the last quorum check
-	silent  int    // quorum checks in a row without a word
-	round   uint64 // last heartbeat round answered
-	told    uint64 // commit that the member was told last
+	match              uint64 // last entry known to be on the member's disk
+	next               uint64 // next entry to send
+	appendInFlight     bool   // at most one append is in flight per member
+	heartbeatsInFlight int    // heartbeats since the append was sent
+	bytesInFlight      int    // size of the append's entries
+	snapshotInFlight   bool   // a snapshot transfer is in progress
+	recentlyActive     bool   // the member has replied since the last quorum check
+	missedChecks       int    // consecutive quorum checks without a reply
+	ackedRound         uint64 // last heartbeat round that the member answered
+	commitSent         uint64 // commit index last sent to the member
 }
 
 // Core is one member's protocol state. It is not safe for concurrent use.
 type Core struct {
-	o    Options
-	log  *raftLog
-	term uint64
-	vote MemberID
+	options Options
+	log     *raftLog
+	term    uint64
+	vote    MemberID
 
-	role     Role
-	leader   MemberID
-	commit   uint64
-	handed   uint64 // last entry given out in Ready.Committed
-	elapsed  int    // ticks since the leader was heard, or since the last quorum check
-	beat     int    // ticks since the last heartbeat round
-	timeout  int    // ticks, drawn anew for each election
-	votes    map[MemberID]bool
-	progress map[MemberID]*progress
+	role             Role
+	leader           MemberID
+	commit           uint64
+	delivered        uint64 // last entry returned in Ready.Committed
+	electionElapsed  int    // ticks since the last message from the leader; on a leader, since the last quorum check
+	heartbeatElapsed int    // ticks since the last heartbeat round
+	electionTimeout  int    // in ticks; drawn at random for each election
+	votes            map[MemberID]bool
+	progress         map[MemberID]*progress
 
 	uncommittedBytes   int
 	uncommittedEntries int
 
-	round       uint64 // heartbeat rounds sent in this term
-	reads       []pendingRead
-	wantBeat    bool
-	out         []Message
-	released    []Read
-	snapshots   []MemberID
-	installed   *SnapshotMeta
-	saved       HardState // as last handed to the disk
-	steppedDown *StepDown
+	round             uint64 // number of heartbeat rounds sent in this term
+	pendingReads      []pendingRead
+	heartbeatDue      bool
+	outbox            []Message
+	confirmedReads    []Read
+	snapshotTargets   []MemberID
+	installedSnapshot *SnapshotMeta
+	savedHardState    HardState // as last written to the disk
+	steppedDown       *StepDown
 }
 
-// StepDown describes a leader that stepped down because no majority had answered
-// for an election timeout.
+// StepDown describes why a leader stepped down: no majority had replied within an
+// election timeout.
 type StepDown struct {
 	Term             uint64
-	Answered, Quorum int // voters, this member included
-	UncommittedBytes int // of proposals that waited for a majority
-	SentBytes        int // of the appends that were not answered yet
+	Answered, Quorum int // number of voters, including this member
+	UncommittedBytes int // size of the proposals that waited for a majority
+	SentBytes        int // size of the appends without a reply
 }
 
-// NewCore returns a follower with the state of its disk.
+// NewCore returns a follower that starts from the state s. It panics where the
+// commit index of s lies beyond its last entry.
 func NewCore(o Options, s State) *Core {
 	c := &Core{
-		o: o, log: newRaftLog(s.Snapshot, s.Entries), term: s.Hard.Term, vote: s.Hard.Vote,
-		commit: max(s.Hard.Commit, s.Snapshot.Index, s.Applied), handed: max(s.Snapshot.Index, s.Applied), saved: s.Hard,
+		options: o, log: newRaftLog(s.Snapshot, s.Entries), term: s.Hard.Term, vote: s.Hard.Vote,
+		commit: max(s.Hard.Commit, s.Snapshot.Index, s.Applied), delivered: max(s.Snapshot.Index, s.Applied), savedHardState: s.Hard,
 	}
 	if c.commit > c.log.last() {
-		panic(fmt.Sprintf("consensus: commit %d beyond the last entry %d", c.commit, c.log.last()))
+		panic(fmt.Sprintf("consensus: commit index %d is beyond the last entry %d", c.commit, c.log.last()))
 	}
-	c.resetTimeout()
-	if c.o.MaxEntryBytes == 0 {
-		c.o.MaxEntryBytes = maxEntryBytes
+	c.resetElectionTimeout()
+	if c.options.MaxEntryBytes == 0 {
+		c.options.MaxEntryBytes = maxEntryBytes
 	}
 	if o.FirstTicks > 0 {
-		c.timeout = o.FirstTicks + o.Rand(2*o.FirstTicks)
+		c.electionTimeout = o.FirstTicks + o.Rand(2*o.FirstTicks)
 	}
 	return c
 }
 
-func (c *Core) resetTimeout() {
-	c.elapsed = 0
-	c.timeout = c.o.ElectionTicks + c.o.Rand(c.o.ElectionTicks)
+func (c *Core) resetElectionTimeout() {
+	c.electionElapsed = 0
+	c.electionTimeout = c.options.ElectionTicks + c.options.Rand(c.options.ElectionTicks)
 }
 
-// Status describes a Core.
+// Status is a snapshot of a Core's protocol state.
 type Status struct {
 	ID       MemberID
 	Role     Role
@@ -137,13 +141,13 @@
 	Last     uint64
 	Snapshot uint64
 	Config   Config
-	Match    map[MemberID]uint64 // on a leader
+	Match    map[MemberID]uint64 // last entry known to be stored per member; set on a leader only
 }
 
-// Status returns the present state.
+// Status returns the current protocol state.
 func (c *Core) Status() Status {
 	s := Status{
-		ID: c.o.ID, Role: c.role, Term: c.term, Leader: c.leader, Commit: c.commit,
+		ID: c.options.ID, Role: c.role, Term: c.term, Leader: c.leader, Commit: c.commit,
 		Last: c.log.last(), Snapshot: c.log.snap.Index, Config: c.Config(),
 	}
 	if c.role == Leader {
@@ -155,39 +159,40 @@
 	return s
 }
 
-// IsLeader reports whether this member leads, as far as it knows.
+// IsLeader reports whether this member believes it is the leader. A deposed leader
+// may not know it yet.
 func (c *Core) IsLeader() bool { return c.role == Leader }
 
-// Leader is the leader that this member knows, or "".
+// Leader returns the leader that this member knows, or "".
 func (c *Core) Leader() MemberID { return c.leader }
 
 // Tick advances the time by one tick.
 func (c *Core) Tick() {
-	c.elapsed++
+	c.electionElapsed++
 	if c.role != Leader {
-		if c.elapsed >= c.timeout {
+		if c.electionElapsed >= c.electionTimeout {
 			c.Campaign()
 		}
 		return
 	}
-	if c.elapsed >= c.o.ElectionTicks {
-		c.elapsed = 0
+	if c.electionElapsed >= c.options.ElectionTicks {
+		c.electionElapsed = 0
 		c.checkQuorum()
 	}
-	c.beat++
-	if c.role == Leader && c.beat >= c.o.HeartbeatTicks {
-		c.heartbeat()
+	c.heartbeatElapsed++
+	if c.role == Leader && c.heartbeatElapsed >= c.options.HeartbeatTicks {
+		c.scheduleHeartbeat()
 	}
 }
 
-// checkQuorum ends the leadership of a leader that no majority answered during
-// an election timeout. Without it a leader cut off one way goes on sending
-// heartbeats, and so keeps the others from electing one that can commit.
+// checkQuorum makes a leader step down if no majority replied during an election
+// timeout. Without this check a leader that can send but not receive continues to
+// send heartbeats, which keeps the others from electing a leader that can commit.
 func (c *Core) checkQuorum() {
 	config := c.log.config().config
 	active := 0
 	for _, id := range config.Voters {
-		if id == c.o.ID || c.progress[id].active {
+		if id == c.options.ID || c.progress[id].recentlyActive {
 			active++
 		}
 	}
@@ -195,11 +200,11 @@
 		c.steppedDown = c.newStepDown(active, config.Quorum())
 	}
 	for _, p := range c.progress {
-		p.silent++
-		if p.active {
-			p.silent = 0
+		p.missedChecks++
+		if p.recentlyActive {
+			p.missedChecks = 0
 		}
-		p.active = false
+		p.recentlyActive = false
 	}
 	if active < config.Quorum() {
 		c.becomeFollower(c.term, "")
@@ -209,33 +214,34 @@
 func (c *Core) newStepDown(answered, quorum int) *StepDown {
 	r := &StepDown{Term: c.term, Answered: answered, Quorum: quorum, UncommittedBytes: c.uncommittedBytes}
 	for _, p := range c.progress {
-		if p.waiting {
-			r.SentBytes += p.sent
+		if p.appendInFlight {
+			r.SentBytes += p.bytesInFlight
 		}
 	}
 	return r
 }
 
-// TakeStepDown returns the last one, once; nil: there was none.
+// TakeStepDown returns the last step-down and clears it. It returns nil if there was
+// none since the last call.
 func (c *Core) TakeStepDown() *StepDown {
 	r := c.steppedDown
 	c.steppedDown = nil
 	return r
 }
 
-func (c *Core) heartbeat() {
-	c.beat = 0
-	c.wantBeat = true
+func (c *Core) scheduleHeartbeat() {
+	c.heartbeatElapsed = 0
+	c.heartbeatDue = true
 	for _, p := range c.progress {
-		if p.waiting {
-			p.waited++
+		if p.appendInFlight {
+			p.heartbeatsInFlight++
 		}
 	}
 }
 
-// Step takes a message from another member.
+// Step processes a message from another member.
 func (c *Core) Step(m Message) {
-	if m.To != c.o.ID {
+	if m.To != c.options.ID {
 		return
 	}
 	switch {
@@ -253,35 +259,37 @@
 	case PreVoteReply, VoteReply:
 		c.stepVoteReply(m)
 	case AppendRequest:
-		c.follow(m.From)
+		c.acceptLeader(m.From)
 		c.stepAppend(m)
 	case HeartbeatRequest:
-		c.follow(m.From)
+		c.acceptLeader(m.From)
 		c.stepHeartbeat(m)
 	case SnapshotInstalled:
-		c.follow(m.From)
+		c.acceptLeader(m.From)
 		c.stepSnapshot(m)
 	case TimeoutNow:
 		c.stepTimeoutNow(m)
 	case AppendReply, HeartbeatReply:
 		if p := c.progress[m.From]; c.role == Leader && p != nil {
-			p.active = true
+			p.recentlyActive = true
 			c.stepReply(p, m)
 		}
 	}
 }
 
-// stepNewerTerm reports whether the message is to be handled further.
+// stepNewerTerm handles the term of a message from a newer term. It reports whether
+// the message is to be processed further.
 func (c *Core) stepNewerTerm(m Message) bool {
-	asks := m.Kind == VoteRequest || m.Kind == PreVoteRequest
-	if asks && !m.Handed && c.leader != "" && c.elapsed < c.o.ElectionTicks {
-		// The leader was heard just now. A member that cannot hear it must not
-		// depose it: it would do so again and again.
+	voteRequest := m.Kind == VoteRequest || m.Kind == PreVoteRequest
+	if voteRequest && !m.Handed && c.leader != "" && c.electionElapsed < c.options.ElectionTicks {
+		// The leader was heard within the election timeout. A member that cannot
+		// reach it must not depose it: it would do so repeatedly.
 		return false
 	}
 	switch {
 	case m.Kind == PreVoteRequest, m.Kind == PreVoteReply && !m.Reject:
-		// A pre-vote's term is one that the candidate would use, not one in use.
+		// A pre-vote carries the term that the candidate would use, which is not in
+		// use yet.
 	case m.Kind == AppendRequest, m.Kind == HeartbeatRequest, m.Kind == SnapshotInstalled:
 		c.becomeFollower(m.Term, m.From)
 	default:
@@ -290,8 +298,8 @@
 	return true
 }
 
-// stepOlderTerm tells a sender that it is behind, else a leader or candidate of
-// an old term goes on for ever.
+// stepOlderTerm rejects a message of an older term. Without the reply a leader or
+// candidate of that term would never learn that it is outdated.
 func (c *Core) stepOlderTerm(m Message) {
 	switch m.Kind {
 	case AppendRequest, HeartbeatRequest, SnapshotInstalled:
@@ -301,15 +309,15 @@
 	}
 }
 
-// follow accepts the sender as the leader of this term.
-func (c *Core) follow(leader MemberID) {
+// acceptLeader records the sender as the leader of the current term.
+func (c *Core) acceptLeader(leader MemberID) {
 	if c.role == Leader {
-		panic(fmt.Sprintf("consensus: two leaders in term %d: %s and %s", c.term, c.o.ID, leader))
+		panic(fmt.Sprintf("consensus: two leaders in term %d: %s and %s", c.term, c.options.ID, leader))
 	}
 	if c.role != Follower || c.leader != leader {
 		c.becomeFollower(c.term, leader)
 	}
-	c.elapsed = 0
+	c.electionElapsed = 0
 }
 
 func (c *Core) becomeFollower(term uint64, leader MemberID) {
@@ -317,18 +325,18 @@
 		c.term, c.vote = term, ""
 	}
 	c.role, c.leader = Follower, leader
-	c.votes, c.progress, c.reads = nil, nil, nil
-	c.wantBeat, c.snapshots = false, nil
+	c.votes, c.progress, c.pendingReads = nil, nil, nil
+	c.heartbeatDue, c.snapshotTargets = false, nil
 	c.uncommittedBytes, c.uncommittedEntries = 0, 0
-	c.resetTimeout()
+	c.resetElectionTimeout()
 }
 
 func (c *Core) send(m Message) {
-	m.From = c.o.ID
+	m.From = c.options.ID
 	if m.Term == 0 {
 		m.Term = c.term
 	}
-	c.out = append(c.out, m)
+	c.outbox = append(c.outbox, m)
 }
 
 // quorumValue returns the highest value that a majority of voters has reached.
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -12,8 +12,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// faults brings about one random fault, or ends one.
-func (s *sim) faults() {
+// injectFault injects or ends one random fault.
+func (s *sim) injectFault() {
 	ids := s.ids()
 	m := s.members[ids[s.rng.IntN(len(ids))]]
 	other := s.members[ids[s.rng.IntN(len(ids))]]
@@ -42,14 +42,14 @@
 	case 11:
 		s.powerLoss = []float64{0, 0, 0.02}[s.rng.IntN(3)]
 	case 12:
-		for _, id := range ids { // a zone's power flickers
+		for _, id := range ids { // a short power failure of a zone
 			if m := s.members[id]; m.up && s.rng.IntN(2) == 0 {
 				s.crash(m)
 				s.start(m)
 			}
 		}
 	case 14:
-		for _, leader := range s.believers() {
+		for _, leader := range s.claimedLeaders() {
 			leader.core.HandOver()
 			s.pump(leader)
 		}
@@ -76,33 +76,33 @@
 	}
 }
 
-// converge heals everything; the group must then finish a join, commit a new
-// entry and bring every member to the same state.
+// converge ends all faults. The group must then finish a pending join, commit new
+// entries and bring every voter to the same state.
 func (s *sim) converge() {
 	s.t.Helper()
 	s.heal()
-	s.leader()
-	s.traffic(60 * stepsPerTick)
+	s.waitForLeader()
+	s.runTraffic(60 * stepsPerTick)
 	s.run(20 * stepsPerTick)
-	leader := s.leader()
+	leader := s.waitForLeader()
 	if s.joining != "" {
-		s.fail("%s never took its place: %+v", s.joining, leader.core.Status())
+		s.fail("member %s did not finish its join: %+v", s.joining, leader.core.Status())
 	}
 	for _, id := range leader.core.Config().Voters {
 		m := s.members[id]
 		if m == nil || m.applied != leader.applied || fmt.Sprint(m.state) != fmt.Sprint(leader.state) {
-			s.fail("%s did not converge with %s", id, leader.id)
+			s.fail("member %s has not the same state as leader %s", id, leader.id)
 		}
 	}
 }
 
 func randomRun(t *testing.T, seed uint64, voters, rounds int) *sim {
 	s := newSim(t, seed, voters)
-	s.leader()
+	s.waitForLeader()
 	replaced := 0
 	for round := range rounds {
-		s.traffic(s.rng.IntN(15 * stepsPerTick))
-		s.faults()
+		s.runTraffic(s.rng.IntN(15 * stepsPerTick))
+		s.injectFault()
 		if round%12 == 11 && s.joining == "" && voters > 1 {
 			ids := s.ids()
 			replaced++
@@ -113,7 +113,7 @@
 	return s
 }
 
-// pinnedSeed gives the same runs every time; AMARANTHSHELF_SEED gives others.
+// pinnedSeed returns the seed in AMARANTHSHELF_SEED, or a fixed one if it is not set.
 func pinnedSeed(t *testing.T) uint64 {
 	if v, err := strconv.ParseUint(os.Getenv("AMARANTHSHELF_SEED"), 10, 64); err == nil {
 		t.Logf("seed %d", v)
@@ -122,11 +122,12 @@
 	return 20261202
 }
 
-// Operators read and write while VMs crash, pause, come back, lose their disks
-// one at a time, and links drop, delay, repeat and cut one way. At each step:
-// one leader a term, logs that match, leaders that hold every committed entry,
-// the same entry applied everywhere, no confirmed read behind an acknowledged
-// write. At the end the history is linearizable and the group has converged.
+// Guards the safety properties of Raft under random faults. Members crash, pause,
+// restart and lose their disks one at a time, while links drop, delay, duplicate and
+// block messages in one direction. At each step there is at most one leader per term,
+// logs match, a leader has every committed entry, all members apply the same entries,
+// and a confirmed read includes every write acknowledged before it. At the end the
+// history is linearizable and the group has converged.
 func TestRandomRuns(t *testing.T) {
 	base := pinnedSeed(t)
 	acked, reads := 0, 0
@@ -139,11 +140,12 @@
 	}
 	t.Logf("%d writes acknowledged, %d reads answered", acked, reads)
 	if acked < 5000 || reads < 5000 {
-		t.Errorf("the runs hardly made progress: %d writes, %d reads", acked, reads)
+		t.Errorf("got %d writes and %d reads, want at least 5000 each", acked, reads)
 	}
 }
 
-// The same with schedules drawn by rapid, which shrinks a failing one.
+// Checks the same properties with fault schedules drawn by rapid, which shrinks a failing
+// schedule.
 func TestRandomSchedules(t *testing.T) {
 	if err := flag.Set("rapid.seed", strconv.FormatUint(pinnedSeed(t), 10)); err != nil {
 		t.Fatal(err)
@@ -169,7 +171,7 @@
 			case 4:
 				m.paused = s.now + 100
 			case 5:
-				s.traffic(rapid.IntRange(1, 100).Draw(rt, "steps"))
+				s.runTraffic(rapid.IntRange(1, 100).Draw(rt, "steps"))
 			}
 		}
 		s.converge()
@@ -177,114 +179,115 @@
 	})
 }
 
-// An operator's change goes to a leader that is cut off and does not know. Its
-// old messages say it leads; it confirms no read, commits nothing, steps down
-// after an election timeout, and once back takes the others' log: the change
-// there is dropped, never acknowledged, and what the others accepted stays.
-func TestSilentlyCutLeader(t *testing.T) {
+// Guards against a partitioned leader that still serves requests. It does not know of
+// the partition, confirms no read, commits nothing and steps down after an election
+// timeout. When the partition heals it adopts the log of the others: its own
+// uncommitted entries are dropped, and the entries that the others accepted stay.
+func TestPartitionedLeaderStepsDown(t *testing.T) {
 	s := newSim(t, 1, 3)
-	old := s.leader()
-	s.traffic(50)
-	s.isolate(old.id)
+	oldLeader := s.waitForLeader()
+	s.runTraffic(50)
+	s.isolate(oldLeader.id)
 	before := s.acked
-	s.write(old)
-	s.read(old, true)
-	waiting, reads := len(old.waiting), len(old.reads)
-	s.run(3 * simElection * stepsPerTick)
-	if old.core.IsLeader() {
-		s.fail("still leads without a majority")
-	}
-	if s.acked != before || len(old.waiting) != waiting || len(old.reads) != reads {
-		s.fail("a cut-off leader answered")
-	}
-	fresh := s.leader()
-	s.traffic(200 * stepsPerTick) // a long time: snapshots and compaction pass
-	if fresh.core.log.snap.Index == 0 {
-		s.fail("no compaction happened")
-	}
-	term := s.leader().core.term
+	s.write(oldLeader)
+	s.read(oldLeader, true)
+	waiting, reads := len(oldLeader.waiting), len(oldLeader.reads)
+	s.run(3 * simElectionTicks * stepsPerTick)
+	if oldLeader.core.IsLeader() {
+		s.fail("the partitioned leader has not stepped down")
+	}
+	if s.acked != before || len(oldLeader.waiting) != waiting || len(oldLeader.reads) != reads {
+		s.fail("the partitioned leader answered a write or a read")
+	}
+	newLeader := s.waitForLeader()
+	s.runTraffic(200 * stepsPerTick) // long enough for snapshots and compaction
+	if newLeader.core.log.snap.Index == 0 {
+		s.fail("the new leader has not compacted its log")
+	}
+	term := s.waitForLeader().core.term
 	s.heal()
 	s.run(20 * stepsPerTick)
-	if now := s.leader(); now.core.term != term {
-		s.fail("the returning member deposed the leader: term %d to %d", term, now.core.term)
+	if now := s.waitForLeader(); now.core.term != term {
+		s.fail("the returning member deposed the leader: want term %d, got %d", term, now.core.term)
 	}
 	s.converge()
 	s.checkHistory()
 }
 
-// A leader is paused while the followers' answers to its heartbeat are on their
-// way. The others elect a new one and accept a change. It comes back, is asked
-// for a read and finds the old answers: they confirm nothing, since they were
-// given before the read came.
+// Guards against a stale read on a leader that was paused. The followers' replies to its
+// heartbeat are in flight while it is paused, and the others elect a new leader and
+// commit entries. After the pause the old leader gets a read and then the old replies.
+// They must not confirm the read, because they were sent before it was requested.
 func TestPausedLeaderConfirmsNoStaleRead(t *testing.T) {
 	s := newSim(t, 8, 3)
-	old := s.leader()
-	s.traffic(50)
+	oldLeader := s.waitForLeader()
+	s.runTraffic(50)
 	s.run(20)
-	s.read(old, true)
-	s.now++ // the heartbeat has left
-	old.paused = s.now + 30*simElection
-	for range 30*simElection - 2 {
-		for _, m := range s.believers() {
+	s.read(oldLeader, true)
+	s.now++ // the heartbeat has been sent
+	oldLeader.paused = s.now + 30*simElectionTicks
+	for range 30*simElectionTicks - 2 {
+		for _, m := range s.claimedLeaders() {
 			s.write(m)
 		}
 		s.step()
 	}
 	acked := s.acked
-	old.paused = 0
-	s.read(old, true)
+	oldLeader.paused = 0
+	s.read(oldLeader, true)
 	answers := 0
-	for _, d := range s.queue { // the sockets hold the old answers before anything newer
-		if d.msg.To == old.id && d.msg.Kind == HeartbeatReply {
+	for _, d := range s.queue { // the sockets deliver the old replies before newer messages
+		if d.msg.To == oldLeader.id && d.msg.Kind == HeartbeatReply {
 			answers++
-			old.core.Step(d.msg)
-			s.pump(old)
+			oldLeader.core.Step(d.msg)
+			s.pump(oldLeader)
 		}
 	}
 	if answers == 0 {
-		s.fail("no old answer was waiting")
+		s.fail("got no old heartbeat reply, want at least one in flight")
 	}
 	s.run(10 * stepsPerTick)
-	if acked == 0 || s.leader().id == old.id {
-		s.fail("no other leader took over")
+	if acked == 0 || s.waitForLeader().id == oldLeader.id {
+		s.fail("no other leader was elected and committed entries")
 	}
 	s.converge()
 	s.checkHistory()
 }
 
-// A link carries one way only. A follower that hears nothing but is heard must
-// not depose the leader; a leader that is heard but hears nothing must give way.
+// Guards against links that fail in one direction. A follower that can send but not
+// receive must not depose the leader. A leader that can send but not receive must step
+// down.
 func TestOneWayCuts(t *testing.T) {
 	s := newSim(t, 2, 3)
-	leader := s.leader()
+	leader := s.waitForLeader()
 	term := leader.core.term
-	var deaf MemberID
+	var unreachable MemberID
 	for _, id := range s.ids() {
 		if id != leader.id {
-			deaf = id
+			unreachable = id
 		}
 	}
-	s.cut[[2]MemberID{leader.id, deaf}] = true
-	s.run(10 * simElection * stepsPerTick) // the deaf one's log is as new as any
-	s.traffic(20 * simElection * stepsPerTick)
-	if now := s.leader(); now.id != leader.id || now.core.term != term {
-		s.fail("a deaf follower deposed the leader: term %d to %d", term, now.core.term)
+	s.cut[[2]MemberID{leader.id, unreachable}] = true
+	s.run(10 * simElectionTicks * stepsPerTick) // the unreachable follower's log is up to date
+	s.runTraffic(20 * simElectionTicks * stepsPerTick)
+	if now := s.waitForLeader(); now.id != leader.id || now.core.term != term {
+		s.fail("a follower that cannot receive deposed the leader: want term %d, got %d", term, now.core.term)
 	}
 	s.heal()
 	for _, id := range s.ids() {
 		s.cut[[2]MemberID{id, leader.id}] = true
 	}
-	s.run(6 * simElection * stepsPerTick)
-	if now := s.leader(); now.id == leader.id {
-		s.fail("a deaf leader stays in office")
+	s.run(6 * simElectionTicks * stepsPerTick)
+	if now := s.waitForLeader(); now.id == leader.id {
+		s.fail("a leader that cannot receive has not stepped down")
 	}
 	s.converge()
 	s.checkHistory()
 }
 
-// Every voter's timeout is the same for one draw after another: candidates split
-// the votes. Pre-votes cost no term, and one of them wins in the end.
-func TestDuellingCandidates(t *testing.T) {
+// Guards against terms that grow with split votes. All voters campaign at the same time
+// ten times in a row. Pre-votes do not raise the term, and one candidate wins in the end.
+func TestSplitVotes(t *testing.T) {
 	s := newSim(t, 3, 5)
 	for range 10 {
 		for _, id := range s.ids() {
@@ -295,20 +298,20 @@
 		}
 		s.run(2)
 	}
-	leader := s.leader()
+	leader := s.waitForLeader()
 	if leader.core.term > 15 {
-		s.fail("term %d", leader.core.term)
+		s.fail("got term %d, want at most 15", leader.core.term)
 	}
 	s.converge()
 }
 
-// All VMs restart after hundreds of changes, again and again, some of them in
-// the middle of an election. Every acknowledged change is in the state.
+// Guards against losing acknowledged entries when all members restart repeatedly, some of
+// them during an election, with hundreds of entries in the log.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
 	s := newSim(t, 4, 3)
 	for range 5 {
-		s.leader()
-		s.traffic(100 * stepsPerTick)
+		s.waitForLeader()
+		s.runTraffic(100 * stepsPerTick)
 		for _, id := range s.ids() {
 			s.crash(s.members[id])
 		}
@@ -316,49 +319,51 @@
 	}
 	s.converge()
 	if s.acked < 300 {
-		s.fail("only %d changes", s.acked)
+		s.fail("got %d acknowledged writes, want at least 300", s.acked)
 	}
 	s.checkHistory()
 }
 
-// A control VM loses its disk under traffic. It comes back under a new identity,
-// learns the log by a snapshot, gets the vote, and the lost one loses it; right
-// after the repair a second VM is lost for good and the group goes on.
-func TestVoterReplacedThenSecondLost(t *testing.T) {
+// Guards against a group that cannot survive a second loss after a replacement. A VM
+// loses its disk under traffic and returns with a new identity. The new member gets the
+// log by a snapshot and then a vote, and the old member is removed. Right afterwards
+// another member is lost for good, and the group must continue to commit entries.
+func TestVoterReplacedBeforeSecondFailure(t *testing.T) {
 	s := newSim(t, 5, 3)
-	leader := s.leader()
-	s.traffic(100 * stepsPerTick)
+	leader := s.waitForLeader()
+	s.runTraffic(100 * stepsPerTick)
 	ids := s.ids()
 	victim := ids[0]
 	if victim == leader.id {
 		victim = ids[1]
 	}
-	fresh := s.replace(victim, "b")
+	replacement := s.replace(victim, "b")
 	for range 200 * stepsPerTick {
-		if s.traffic(1); s.joining == "" {
+		if s.runTraffic(1); s.joining == "" {
 			break
 		}
 	}
-	leader = s.leader()
+	leader = s.waitForLeader()
 	config := leader.core.Config()
-	if s.joining != "" || len(config.Voters) != 3 || !config.IsVoter(fresh) || config.IsVoter(victim) {
-		s.fail("not replaced: %+v", config)
+	if s.joining != "" || len(config.Voters) != 3 || !config.IsVoter(replacement) || config.IsVoter(victim) {
+		s.fail("member was not replaced: %+v", config)
 	}
 	s.crash(leader)
 	before := s.acked
-	s.leader()
-	s.traffic(40 * stepsPerTick)
+	s.waitForLeader()
+	s.runTraffic(40 * stepsPerTick)
 	if s.acked-before < 10 {
-		s.fail("the group did not go on after the second loss")
+		s.fail("the group committed fewer than 10 writes after the second loss")
 	}
 	s.converge()
 	s.checkHistory()
 }
 
-// Proposals to a leader without followers are refused once the bound is reached.
-func TestUncommittedIsBounded(t *testing.T) {
+// Guards against a leader without followers that exhausts its memory: it must refuse
+// proposals once the bound on uncommitted entries is reached.
+func TestUncommittedEntriesAreBounded(t *testing.T) {
 	s := newSim(t, 6, 3)
-	leader := s.leader()
+	leader := s.waitForLeader()
 	s.isolate(leader.id)
 	var err error
 	for range maxUncommittedEntries + 1 {
@@ -371,9 +376,9 @@
 	}
 }
 
-// A new leader finds an entry of an older term on a majority. It must not count
-// it as committed: a voter with a newer last term could still be elected and
-// overwrite it. Its own first entry carries the old one along.
+// Guards against committing an entry of an older term because a majority has stored it: a
+// voter with a newer last term could still be elected and overwrite that entry. The
+// leader's own first entry commits the older one.
 func TestOlderTermIsNotCountedIntoCommit(t *testing.T) {
 	config := Config{Voters: []MemberID{"a/1", "b/1", "c/1"}}
 	c := NewCore(Options{ID: "a/1", ElectionTicks: 8, HeartbeatTicks: 2, Rand: func(int) int { return 0 }}, State{
@@ -395,16 +400,16 @@
 	step(Message{Kind: VoteReply})
 	step(Message{Kind: AppendReply, Index: 2})
 	if !c.IsLeader() || c.Status().Commit != 1 {
-		t.Fatalf("%s commits %d after an old entry reached a majority", c.role, c.commit)
+		t.Fatalf("got a %s with commit index %d after a majority stored an older entry, want a leader with 1", c.role, c.commit)
 	}
 	step(Message{Kind: AppendReply, Index: 3})
 	if c.Status().Commit != 3 {
-		t.Errorf("commit %d, want 3", c.commit)
+		t.Errorf("got commit index %d, want 3", c.commit)
 	}
 }
 
-// BenchmarkPacket encodes and decodes a batch of 16 entries of 256 bytes as it
-// goes to a follower.
+// BenchmarkPacket encodes and decodes a message to a follower with 16 entries of 256
+// bytes.
 func BenchmarkPacket(b *testing.B) {
 	m := Message{Kind: AppendRequest, From: "vm1/aaaaaaaaaa", To: "vm2/bbbbbbbbbb", Term: 9, Index: 1 << 20, LogTerm: 9, Commit: 1 << 20}
 	for i := range uint64(16) {
@@ -412,11 +417,11 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		data, err := codec.Marshal(packet{Group: "gggggggg", Messages: []Message{m}})
+		data, err := codec.Marshal(messageBatch{Group: "gggggggg", Messages: []Message{m}})
 		if err != nil {
 			b.Fatal(err)
 		}
-		var p packet
+		var p messageBatch
 		if err := codec.Unmarshal(data, &p); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -1,41 +1,42 @@
 package consensus
 
-// Campaign begins an election with a pre-vote: would a majority vote for this
-// member? Only then is the term raised, so that a member which was cut off, and
-// comes back, does not depose a leader that serves everybody else.
+// Campaign starts an election with a pre-vote, which asks whether a majority would
+// vote for this member. The term is raised only after a successful pre-vote.
+// Otherwise a member that returns after a network partition would depose a leader
+// that the other members can reach.
 func (c *Core) Campaign() {
-	c.resetTimeout()
-	if c.role == Leader || !c.log.config().config.IsVoter(c.o.ID) {
+	c.resetElectionTimeout()
+	if c.role == Leader || !c.log.config().config.IsVoter(c.options.ID) {
 		c.leader = ""
 		return
 	}
 	c.role, c.leader = PreCandidate, ""
-	c.ask(PreVoteRequest, c.term+1, false)
+	c.requestVotes(PreVoteRequest, c.term+1, false)
 }
 
-// elect is the election itself.
-func (c *Core) elect(handed bool) {
+// startElection raises the term and requests votes from all voters.
+func (c *Core) startElection(transfer bool) {
 	c.term++
-	c.vote = c.o.ID
+	c.vote = c.options.ID
 	c.role, c.leader = Candidate, ""
-	c.resetTimeout()
-	c.ask(VoteRequest, c.term, handed)
+	c.resetElectionTimeout()
+	c.requestVotes(VoteRequest, c.term, transfer)
 }
 
-func (c *Core) ask(kind MessageKind, term uint64, handed bool) {
-	c.votes = map[MemberID]bool{c.o.ID: true}
+func (c *Core) requestVotes(kind MessageKind, term uint64, transfer bool) {
+	c.votes = map[MemberID]bool{c.options.ID: true}
 	for _, id := range c.log.config().config.Voters {
-		if id != c.o.ID {
-			c.send(Message{Kind: kind, To: id, Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm(), Handed: handed})
+		if id != c.options.ID {
+			c.send(Message{Kind: kind, To: id, Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm(), Handed: transfer})
 		}
 	}
 	c.countVotes()
 }
 
-// HandOver asks the voter with the newest log to campaign at once, so that a
-// leader that leaves costs a few round trips instead of an election timeout. It
-// reports whether there was one to ask; an election by timeout follows if the
-// message is lost.
+// TransferLeadership asks a voter that has the complete log to campaign at once. The
+// change of leader then takes a few round trips instead of an election timeout. It
+// reports whether there was such a voter. If the message is lost, an election by
+// timeout follows.
 func (c *Core) HandOver() bool {
 	if c.role != Leader {
 		return false
@@ -54,27 +55,27 @@
 }
 
 func (c *Core) stepTimeoutNow(m Message) {
-	if c.role == Follower && c.leader == m.From && c.log.config().config.IsVoter(c.o.ID) {
-		c.elect(true)
+	if c.role == Follower && c.leader == m.From && c.log.config().config.IsVoter(c.options.ID) {
+		c.startElection(true)
 	}
 }
 
 func (c *Core) stepVoteRequest(m Message) {
-	free := c.vote == m.From || c.vote == "" && c.leader == ""
+	canVote := c.vote == m.From || c.vote == "" && c.leader == ""
 	if m.Kind == PreVoteRequest {
-		free = free || m.Term > c.term
+		canVote = canVote || m.Term > c.term
 	}
-	// A voter whose log is newer refuses: it may hold committed entries that the
-	// candidate lacks.
-	newer := m.LogTerm > c.log.lastTerm() || m.LogTerm == c.log.lastTerm() && m.Index >= c.log.last()
-	grant := free && newer
+	// A voter whose log is newer refuses, because it may hold committed entries that
+	// the candidate lacks.
+	upToDate := m.LogTerm > c.log.lastTerm() || m.LogTerm == c.log.lastTerm() && m.Index >= c.log.last()
+	grant := canVote && upToDate
 	reply := Message{Kind: m.Kind + 1, To: m.From, Term: m.Term, Reject: !grant}
 	if !grant {
 		reply.Term = c.term
 	}
 	if grant && m.Kind == VoteRequest {
 		c.vote = m.From
-		c.elapsed = 0
+		c.electionElapsed = 0
 	}
 	c.send(reply)
 }
@@ -101,7 +102,7 @@
 	}
 	switch {
 	case granted >= config.Quorum() && c.role == PreCandidate:
-		c.elect(false)
+		c.startElection(false)
 	case granted >= config.Quorum():
 		c.becomeLeader()
 	case refused >= config.Quorum():
@@ -110,22 +111,23 @@
 }
 
 func (c *Core) becomeLeader() {
-	c.role, c.leader = Leader, c.o.ID
-	c.elapsed, c.beat, c.round = 0, 0, 0
-	c.votes, c.reads = nil, nil
+	c.role, c.leader = Leader, c.options.ID
+	c.electionElapsed, c.heartbeatElapsed, c.round = 0, 0, 0
+	c.votes, c.pendingReads = nil, nil
 	c.progress = map[MemberID]*progress{}
 	c.syncProgress(c.log.last() + 1)
-	// Only an entry of the own term may be counted into a commit; it carries the
-	// earlier ones along.
-	c.appendOwn(EntryNoop, nil)
+	// A leader may commit only entries of its own term by counting replicas. This
+	// entry commits the earlier ones indirectly.
+	c.appendEntry(EntryNoop, nil)
 }
 
-// syncProgress follows the membership; new members are probed at next.
+// syncProgress updates the set of tracked members to the membership. Replication to
+// a new member starts at the entry next.
 func (c *Core) syncProgress(next uint64) {
 	config := c.log.config().config
 	for _, id := range config.Members() {
-		if c.progress[id] == nil && id != c.o.ID {
-			c.progress[id] = &progress{next: next, active: true}
+		if c.progress[id] == nil && id != c.options.ID {
+			c.progress[id] = &progress{next: next, recentlyActive: true}
 		}
 	}
 	for id := range c.progress {
--- a/internal/consensus/form.go
+++ b/internal/consensus/form.go
@@ -10,40 +10,41 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// form brings a member with an empty folder into a group. If any control VM is
-// in a group, this one joins it as a new member, also if its VM was a member
-// before: the folder, and with it the votes given, is lost. Only when every
-// control VM has answered that it is in no group does the one with the first id
-// form it, with the identities that the others just told. It returns the state
-// to start from; false when the Node was closed.
-func (n *Node) form() (State, bool) {
-	n.formingAs.Store(n.store.who.ID)
+// joinOrForm brings a member with an empty directory into a group. If any control VM
+// is in a group, this VM joins that group as a new member. This also applies to a VM
+// that was a member before: its votes are lost with its directory. The group is formed
+// only when every control VM has answered that it is in no group. The VM with the
+// smallest id among those that can vote forms it, from the identities in the answers.
+// joinOrForm returns the state to start from; false if the Node was closed.
+func (n *Node) joinOrForm() (State, bool) {
+	n.idBeforeGroup.Store(n.store.identity.ID)
 	for n.ctx.Err() == nil {
-		answers := n.probeAll(n.others())
+		answers := n.probeAll(n.otherVMs())
 		for _, a := range answers {
 			if a.Group != "" {
-				return n.enter(a.Group, record{})
+				return n.enterGroup(a.Group, record{})
 			}
 		}
-		if n.mayFound(answers) {
-			return n.found(answers)
+		if n.mayFormGroup(answers) {
+			return n.formGroup(answers)
 		}
-		n.pause(probeEvery)
+		n.sleep(probeInterval)
 	}
 	return State{}, false
 }
 
-// ServeObserver answers, for a control VM without a disk, those that would form the
-// group: a group that waited for its vote would never be formed.
+// ServeObserver answers probes on a control VM without a disk, which has no vote. The
+// VM that forms the group waits for an answer from every control VM. Without this one
+// the group would never be formed.
 func ServeObserver(t peer.Transport, vm string) {
 	t.Handle(kindProbe, func(context.Context, string, []byte) (any, error) {
 		return probeReply{ID: NewMemberID(vm, "observer"), Observer: true}, nil
 	})
 }
 
-// mayFound: every VM that the group is formed of has answered, and this one is
-// the first of those that can vote.
-func (n *Node) mayFound(answers []probeReply) bool {
+// mayFormGroup reports whether this VM may form the group: every control VM in
+// NodeOptions.VMs has answered, and this VM has the smallest id of those that can vote.
+func (n *Node) mayFormGroup(answers []probeReply) bool {
 	if n.o.JoinOnly || !slices.Contains(n.o.VMs, n.o.VM) {
 		return false
 	}
@@ -61,13 +62,13 @@
 	return true
 }
 
-// mayVote reports whether the VM that answered is one of those that form the group.
+// mayVote reports whether the VM that answered is one of vms and not an observer.
 func (a probeReply) mayVote(vms []string) bool {
 	return !a.Observer && slices.Contains(vms, a.ID.VM())
 }
 
-func (n *Node) found(answers []probeReply) (State, bool) {
-	config := Config{Voters: []MemberID{n.store.who.ID}}
+func (n *Node) formGroup(answers []probeReply) (State, bool) {
+	config := Config{Voters: []MemberID{n.store.identity.ID}}
 	for _, a := range answers {
 		if a.mayVote(n.o.VMs) {
 			config.Voters = append(config.Voters, a.ID)
@@ -75,12 +76,12 @@
 	}
 	slices.Sort(config.Voters)
 	first := Entry{Index: 1, Term: 1, Kind: EntryConfig, Data: config.encode()}
-	n.eager = true
-	return n.enter(rand.Text()[:8], record{Hard: HardState{Term: 1}, Entries: []Entry{first}})
+	n.eagerElection = true
+	return n.enterGroup(rand.Text()[:8], record{Hard: HardState{Term: 1}, Entries: []Entry{first}})
 }
 
-func (n *Node) enter(group string, first record) (State, bool) {
-	if err := n.store.enter(group, first); err != nil {
+func (n *Node) enterGroup(group string, first record) (State, bool) {
+	if err := n.store.saveGroup(group, first); err != nil {
 		n.fail(err)
 		return State{}, false
 	}
@@ -88,8 +89,8 @@
 	return State{Hard: first.Hard, Entries: first.Entries}, true
 }
 
-// others are the control VMs known now without this one.
-func (n *Node) others() []string {
+// otherVMs returns the control VMs that are known now, without this one.
+func (n *Node) otherVMs() []string {
 	all := slices.Clone(n.o.VMs)
 	if n.o.Known != nil {
 		all = append(all, n.o.Known()...)
@@ -99,7 +100,8 @@
 	return slices.DeleteFunc(all, func(vm string) bool { return vm == n.o.VM })
 }
 
-// probeAll asks control VMs at once and returns the answers.
+// probeAll probes the VMs concurrently and returns the answers that arrive within
+// probeTimeout.
 func (n *Node) probeAll(vms []string) []probeReply {
 	var (
 		mu  sync.Mutex
@@ -123,51 +125,52 @@
 	return out
 }
 
-// keepJoined asks the leader for this member's vote until it has it. A member
-// that hears no leader asks too: its vote may have been removed as a silent one
-// while it was paused, and its own log cannot tell.
-func (n *Node) keepJoined() {
+// maintainMembership requests a vote from the leader whenever this member has none. A
+// member that hears no leader requests one too: its vote may have been removed as
+// surplus while the member was paused, which its own log cannot show.
+func (n *Node) maintainMembership() {
 	target := ""
 	for i := 0; n.ctx.Err() == nil; i++ {
-		if n.joined() {
+		if n.hasVote() {
 			target = ""
-			n.pause(rejoinCheck)
+			n.sleep(membershipCheckInterval)
 			continue
 		}
 		if target == "" {
-			others := n.others()
+			others := n.otherVMs()
 			if len(others) == 0 {
 				return
 			}
 			target = others[i%len(others)]
 		}
-		_, target = n.askToJoin(target)
-		n.pause(joinEvery)
+		_, target = n.requestJoin(target)
+		n.sleep(joinInterval)
 	}
 }
 
-// joined reports whether this member has its vote, for all that it knows.
-func (n *Node) joined() bool {
+// hasVote reports whether this member knows a leader and, by its own log, is a voter
+// whose VM has no other voter.
+func (n *Node) hasVote() bool {
 	s, _ := n.Status()
-	return s.Config.IsVoter(s.ID) && !s.hasFormer() && s.Leader != ""
+	return s.Config.IsVoter(s.ID) && !s.hasPredecessor() && s.Leader != ""
 }
 
-func (s Status) hasFormer() bool {
-	_, ok := formerOf(s.Config.Voters, s.ID)
+func (s Status) hasPredecessor() bool {
+	_, ok := predecessorOf(s.Config.Voters, s.ID)
 	return ok
 }
 
-func (n *Node) askToJoin(vm string) (bool, string) {
-	ctx, cancel := context.WithTimeout(n.ctx, rejoinTimeout)
+func (n *Node) requestJoin(vm string) (bool, string) {
+	ctx, cancel := context.WithTimeout(n.ctx, joinTimeout)
 	defer cancel()
 	var r joinReply
-	if err := n.o.Transport.Call(ctx, vm, kindJoin, joinRequest{Group: n.groupID(), ID: n.store.who.ID}, &r); err != nil {
+	if err := n.o.Transport.Call(ctx, vm, kindJoin, joinRequest{Group: n.groupID(), ID: n.store.identity.ID}, &r); err != nil {
 		return false, ""
 	}
 	return r.Done, r.Leader
 }
 
-func (n *Node) pause(d time.Duration) {
+func (n *Node) sleep(d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-n.ctx.Done():
--- a/internal/consensus/join.go
+++ b/internal/consensus/join.go
@@ -1,35 +1,36 @@
 package consensus
 
-// JoinState says how far a new member has come.
+// JoinState is the progress of a member's join.
 type JoinState uint8
 
-// The states of a join, in order.
+// The states of a join.
 const (
-	JoinWaiting JoinState = iota // for a change or for the log to be copied
-	JoinChange                   // a change is to be proposed
-	JoinDone                     // the member has its vote, its predecessor none
+	JoinWaiting JoinState = iota // a change is not committed yet, or the log is still being copied
+	JoinChange                   // the returned change is to be proposed
+	JoinDone                     // the member has a vote and its predecessor none
 )
 
-// catchUpSlack is how many entries a learner may lack when it is promoted: what
-// is on its way while proposals go on. Promoted earlier, it would be a vote that
-// cannot help to commit.
+// catchUpSlack is the number of entries that a learner may lack when it is promoted. It
+// allows for entries in flight while proposals continue. A learner that is promoted
+// earlier would raise the majority without being able to acknowledge new entries.
 const catchUpSlack = 64
 
-// PlanJoin returns the next step by which a new member takes the place of its
-// VM's former one: it learns the log, gets a vote, and then the former loses its
-// vote. In that order: the lost voter's vote is missing at each moment anyway,
-// and the copy is on one more disk before the group counts on it.
+// PlanJoin returns the next step by which a new member replaces its predecessor, which
+// is the former member on the same VM. The new member becomes a learner and then a
+// voter, and only then does the predecessor lose its vote. With this order the log is
+// on one more disk before the group relies on the new member. The vote of the lost
+// predecessor is missing during the whole replacement anyway.
 func (c *Core) PlanJoin(id MemberID) (Change, JoinState) {
 	config := c.log.config().config
 	if !c.ConfigSettled() || !c.committedInTerm() {
 		return Change{}, JoinWaiting
 	}
-	if former, ok := formerOf(config.Learners, id); ok {
+	if former, ok := predecessorOf(config.Learners, id); ok {
 		return Change{Remove, former}, JoinChange
 	}
 	switch {
 	case config.IsVoter(id):
-		if former, ok := formerOf(config.Voters, id); ok {
+		if former, ok := predecessorOf(config.Voters, id); ok {
 			return Change{Remove, former}, JoinChange
 		}
 		return Change{}, JoinDone
@@ -41,7 +42,7 @@
 	return Change{}, JoinWaiting
 }
 
-func formerOf(members []MemberID, id MemberID) (MemberID, bool) {
+func predecessorOf(members []MemberID, id MemberID) (MemberID, bool) {
 	for _, m := range members {
 		if m != id && m.VM() == id.VM() {
 			return m, true
--- a/internal/consensus/links.go
+++ b/internal/consensus/links.go
@@ -13,26 +13,26 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// Message kinds beside peer.KindRaft.
+// Message kinds in addition to peer.KindRaft.
 const (
-	kindProbe peer.Kind = peer.KindRaft + 1 // who are you, and in which group?
+	kindProbe peer.Kind = peer.KindRaft + 1 // asks for a member's identity and group
 	kindJoin  peer.Kind = peer.KindRaft + 2
 	kindChunk peer.Kind = peer.KindRaft + 3
 )
 
 const (
-	// chunkBytes keeps a snapshot's chunk from delaying the heartbeats behind it.
-	chunkBytes    = peer.PieceBytes
-	chunkTimeout  = 5 * time.Second
-	maxSnapshot   = 64 << 20
-	probeTimeout  = 1 * time.Second
-	probeEvery    = 50 * time.Millisecond
-	joinEvery     = 250 * time.Millisecond
-	rejoinCheck   = 1 * time.Second // of a member that has its vote
-	rejoinTimeout = 2 * time.Second
+	// chunkBytes is small enough that heartbeats queued behind a chunk are not late.
+	chunkBytes              = peer.PieceBytes
+	chunkTimeout            = 5 * time.Second
+	maxSnapshotBytes        = 64 << 20
+	probeTimeout            = 1 * time.Second
+	probeInterval           = 50 * time.Millisecond
+	joinInterval            = 250 * time.Millisecond
+	membershipCheckInterval = 1 * time.Second // of a member that has a vote
+	joinTimeout             = 2 * time.Second
 )
 
-type packet struct {
+type messageBatch struct {
 	Group    string    `cbor:"1,keyasint"`
 	Messages []Message `cbor:"2,keyasint"`
 }
@@ -40,8 +40,8 @@
 type probeReply struct {
 	ID     MemberID `cbor:"1,keyasint"`
 	Group  string   `cbor:"2,keyasint,omitempty"`
-	Leader string   `cbor:"3,keyasint,omitempty"` // a VM
-	// Observer: the VM has the control role and no disk, and so no vote.
+	Leader string   `cbor:"3,keyasint,omitempty"` // id of the leader's VM
+	// Observer is set if the VM has the control role but no disk, and so no vote.
 	Observer bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -55,7 +55,7 @@
 	Leader string `cbor:"2,keyasint,omitempty"`
 }
 
-type chunk struct {
+type snapshotChunk struct {
 	Group  string       `cbor:"1,keyasint"`
 	From   MemberID     `cbor:"2,keyasint"`
 	To     MemberID     `cbor:"3,keyasint"`
@@ -66,7 +66,7 @@
 	Data   []byte       `cbor:"8,keyasint"`
 }
 
-// chunkBuffer assembles one snapshot at a time.
+// chunkBuffer assembles the chunks of one snapshot at a time.
 type chunkBuffer struct {
 	mu   sync.Mutex
 	from MemberID
@@ -74,11 +74,11 @@
 	data []byte
 }
 
-var errNotHere = errors.New("consensus: not a member of that group")
+var errNotMember = errors.New("consensus: not a member of the group")
 
-func (n *Node) handle() {
+func (n *Node) registerHandlers() {
 	t := n.o.Transport
-	t.Handle(peer.KindRaft, n.servePacket)
+	t.Handle(peer.KindRaft, n.serveMessages)
 	t.Handle(kindProbe, n.serveProbe)
 	t.Handle(kindJoin, n.serveJoin)
 	t.Handle(kindChunk, n.serveChunk)
@@ -86,7 +86,8 @@
 
 func (n *Node) groupID() string { return n.group.Load().(string) }
 
-// send groups messages by VM. A lost one is sent again by the protocol.
+// send sends messages grouped by VM. It ignores errors, because the protocol resends
+// lost messages.
 func (n *Node) send(messages []Message) {
 	if len(messages) == 0 {
 		return
@@ -96,28 +97,28 @@
 		byVM[m.To.VM()] = append(byVM[m.To.VM()], m)
 	}
 	for vm, list := range byVM {
-		_ = n.o.Transport.Send(vm, peer.KindRaft, packet{Group: n.groupID(), Messages: list})
+		_ = n.o.Transport.Send(vm, peer.KindRaft, messageBatch{Group: n.groupID(), Messages: list})
 	}
 }
 
-func (n *Node) servePacket(_ context.Context, from string, body []byte) (any, error) {
-	var p packet
+func (n *Node) serveMessages(_ context.Context, from string, body []byte) (any, error) {
+	var p messageBatch
 	if err := codec.Unmarshal(body, &p); err != nil {
 		return nil, err
 	}
 	if p.Group == "" || p.Group != n.groupID() {
-		return nil, errNotHere
+		return nil, errNotMember
 	}
 	for _, m := range p.Messages {
 		if m.From.VM() != from {
-			return nil, fmt.Errorf("consensus: message of %s from VM %s", m.From, from)
+			return nil, fmt.Errorf("consensus: message of member %s received from VM %s", m.From, from)
 		}
 		if err := m.validate(); err != nil {
 			return nil, err
 		}
 		select {
 		case n.inbox <- m:
-		default: // the protocol sends it again
+		default: // dropped; the protocol resends it
 		}
 	}
 	return nil, nil
@@ -130,31 +131,31 @@
 		return probeReply{ID: s.ID, Group: n.groupID(), Leader: s.Leader.VM()}, nil
 	default:
 	}
-	if id, ok := n.formingAs.Load().(MemberID); ok {
+	if id, ok := n.idBeforeGroup.Load().(MemberID); ok {
 		return probeReply{ID: id}, nil
 	}
-	return nil, errNotHere
+	return nil, errNotMember
 }
 
-// serveJoin takes a new member one step further. The member asks again until
-// it is done, so that a change of leader needs no memory of the join.
+// serveJoin proposes the next step of a member's join. The member repeats its request
+// until the join is complete, so a new leader needs no state about the join.
 func (n *Node) serveJoin(ctx context.Context, from string, body []byte) (any, error) {
 	var q joinRequest
 	if err := codec.Unmarshal(body, &q); err != nil {
 		return nil, err
 	}
 	if q.Group != n.groupID() || q.ID.VM() != from {
-		return nil, errNotHere
+		return nil, errNotMember
 	}
 	if !n.IsLeader() {
 		return joinReply{Leader: n.Leader()}, nil
 	}
 	done := make(chan bool, 1)
-	err := n.do(ctx, func() {
+	err := n.runInLoop(ctx, func() {
 		change, state := n.core.PlanJoin(q.ID)
 		if state == JoinChange {
 			if _, _, err := n.core.ProposeChange(change); err == nil {
-				n.o.Log.Info().Str("member", string(change.ID)).Uint8("change", uint8(change.Kind)).Msg("membership changes")
+				n.o.Log.Info().Str("member", string(change.ID)).Uint8("change", uint8(change.Kind)).Msg("membership change proposed")
 			}
 		}
 		done <- state == JoinDone && n.core.IsLeader()
@@ -169,22 +170,22 @@
 	return joinReply{Done: ok, Leader: n.o.VM}, nil
 }
 
-// sendSnapshot carries the latest snapshot to a member, beside the loop.
+// sendSnapshot sends the latest snapshot to a member outside the protocol loop.
 func (n *Node) sendSnapshot(to MemberID) {
 	meta, term := n.store.snap, n.core.term
-	c := chunk{Group: n.groupID(), From: n.store.who.ID, To: to, Term: term, Meta: meta}
+	c := snapshotChunk{Group: n.groupID(), From: n.store.identity.ID, To: to, Term: term, Meta: meta}
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		err := n.transfer(c)
+		err := n.sendChunks(c)
 		if err != nil {
-			n.o.Log.Warn().Err(err).Str("member", string(to)).Msg("snapshot not sent")
+			n.o.Log.Warn().Err(err).Str("member", string(to)).Msg("snapshot transfer failed; retrying after some heartbeats")
 		}
-		_ = n.do(n.ctx, func() { n.core.SnapshotSent(to, meta.Index, err == nil) })
+		_ = n.runInLoop(n.ctx, func() { n.core.SnapshotSent(to, meta.Index, err == nil) })
 	}()
 }
 
-func (n *Node) transfer(c chunk) error {
+func (n *Node) sendChunks(c snapshotChunk) error {
 	f, err := n.store.readSnapshot(c.Meta)
 	if err != nil {
 		return err
@@ -206,37 +207,37 @@
 }
 
 func (n *Node) serveChunk(ctx context.Context, from string, body []byte) (any, error) {
-	var c chunk
+	var c snapshotChunk
 	if err := codec.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
 	s, ok := n.Status()
 	if !ok || c.Group != n.groupID() || c.To != s.ID || c.From.VM() != from {
-		return nil, errNotHere
+		return nil, errNotMember
 	}
-	whole, data, err := n.chunks.add(c)
-	if err != nil || !whole {
+	complete, data, err := n.chunks.add(c)
+	if err != nil || !complete {
 		return nil, err
 	}
-	// The file is synced before the Core hears of it: its reply says that this
-	// member holds the state.
+	// The file is synced before the Core receives the message, because the Core's
+	// reply acknowledges the state.
 	if err := n.store.writeSnapshot(snapshotFile{Meta: c.Meta, Data: data}); err != nil {
 		return nil, err
 	}
-	return nil, n.do(ctx, func() {
+	return nil, n.runInLoop(ctx, func() {
 		n.core.Step(Message{Kind: SnapshotInstalled, From: c.From, To: c.To, Term: c.Term, Meta: &c.Meta})
 	})
 }
 
-func (b *chunkBuffer) add(c chunk) (bool, []byte, error) {
+func (b *chunkBuffer) add(c snapshotChunk) (bool, []byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c.Offset == 0 {
 		b.from, b.meta, b.data = c.From, c.Meta, nil
 	}
 	if c.From != b.from || c.Meta.Index != b.meta.Index || c.Offset != len(b.data) ||
-		c.Total > maxSnapshot || c.Offset+len(c.Data) > c.Total {
-		return false, nil, errors.New("consensus: chunk out of order")
+		c.Total > maxSnapshotBytes || c.Offset+len(c.Data) > c.Total {
+		return false, nil, errors.New("consensus: snapshot chunk is out of order or exceeds the size limit")
 	}
 	b.data = append(b.data, c.Data...)
 	if len(b.data) < c.Total {
@@ -247,11 +248,11 @@
 	return true, data, nil
 }
 
-// handOverSnapshot writes a state taken by the applier and has the loop compact
-// the log behind it.
-func (n *Node) handOverSnapshot(meta SnapshotMeta, data []byte) {
+// saveSnapshot writes a state taken by the applier to disk and then compacts the log
+// in the protocol loop.
+func (n *Node) saveSnapshot(meta SnapshotMeta, data []byte) {
 	term := make(chan uint64, 1)
-	if n.do(n.ctx, func() {
+	if n.runInLoop(n.ctx, func() {
 		t, _ := n.core.log.term(meta.Index)
 		term <- t
 	}) != nil {
@@ -265,24 +266,24 @@
 		n.fail(err)
 		return
 	}
-	_ = n.do(n.ctx, func() { n.compact(meta) })
+	_ = n.runInLoop(n.ctx, func() { n.compact(meta) })
 }
 
 func (n *Node) compact(meta SnapshotMeta) {
 	if meta.Index <= n.store.snap.Index || meta.Term == 0 {
-		return // a newer one was installed meanwhile
+		return // a newer snapshot was installed in the meantime
 	}
 	l := n.core.log
-	n.core.Compact(l.trailing(meta.Index))
+	n.core.Compact(l.compactionIndex(meta.Index))
 	base := l.snap
 	r := record{
-		Hard: n.core.saved, Base: &base, Snap: &meta,
-		Entries: l.slice(base.Index+1, l.persisted, math.MaxInt),
+		Hard: n.core.savedHardState, Base: &base, Snap: &meta,
+		Entries: l.entriesBetween(base.Index+1, l.persisted, math.MaxInt),
 	}
 	r.Hard.Commit = max(r.Hard.Commit, meta.Index)
 	err := n.store.checkpoint(r)
-	if errors.Is(err, errTooLarge) {
-		n.o.Log.Warn().Err(err).Msg("log not compacted; it will be behind the next snapshot")
+	if errors.Is(err, errCheckpointTooLarge) {
+		n.o.Log.Warn().Err(err).Msg("log could not be compacted; trying again with the next snapshot")
 		return
 	}
 	if err != nil {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -16,84 +16,85 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal"
 )
 
-// Timings. Between zones a message takes one to several milliseconds and a sync
-// of a small VM's disk up to some tens. Three heartbeats are lost in a row before
-// an election starts at the earliest; a new leader stands about half a second
-// after the old died. With a heartbeat each 100 ms the leader of five voters spent
-// 11.4 KB/s while idle, more than the 11 KB/s that a VM has for control.
+// Timings. A message between zones takes one to several milliseconds, and a disk sync
+// on a small VM takes up to some tens of milliseconds. An election starts only after
+// three consecutive heartbeats are lost. A new leader is elected about half a second
+// after the old one failed. With a heartbeat every 100 ms an idle leader of five voters
+// sent 11.4 KB/s, which exceeds a VM's budget of 11 KB/s for control traffic.
 const (
-	// A tick is about a round trip between zones: two candidates whose timeouts
-	// differ by one seldom split the vote. With ticks of 50 ms one change of leader
-	// in eight took a second election.
-	tickEvery      = 10 * time.Millisecond
-	heartbeatTicks = 15 // 150 ms
-	electionTicks  = 45 // 450 to 900 ms
-	eagerTicks     = 5  // between candidacies at the first start: nobody leads yet
-	// firstTicks: 100 to 300 ms after a start. A voter that restarts alone hears its
-	// leader's heartbeat before.
-	firstTicks = 10
+	// tickInterval is about one round trip between zones. Two candidates whose timeouts
+	// differ by one tick then rarely split the vote. With ticks of 50 ms one leader
+	// change in eight needed a second election.
+	tickInterval       = 10 * time.Millisecond
+	heartbeatTicks     = 15 // 150 ms
+	electionTicks      = 45 // 450 to 900 ms
+	eagerCampaignTicks = 5  // 50 ms between campaigns until a leader is known
+	// firstElectionTicks gives a first election timeout of 100 to 300 ms after a start.
+	// A voter that restarts alone receives a heartbeat from its leader before that.
+	firstElectionTicks = 10
 )
 
-// Queue bounds of a Node.
+// Bounds of a Node's queues and batches.
 const (
-	inboxMessages  = 4096
-	proposalsQueue = 4096
-	// batchLimit is how many proposals and messages one pass takes before it
-	// syncs: the group commit.
+	inboxCapacity         = 4096
+	proposalQueueCapacity = 4096
+	// batchLimit bounds the proposals and messages that one pass of the loop processes
+	// before one sync (group commit).
 	batchLimit = 2048
 )
 
-// NodeOptions are the options of a Node.
+// NodeOptions configure a Node.
 type NodeOptions struct {
 	VM  string
-	VMs []string // every VM with the control role, this one included
-	// Known, if set, names further control VMs that are known now. The group is
-	// formed by VMs alone, and joined through either.
+	VMs []string // every VM with the control role, including this one
+	// KnownVMs, if set, returns further control VMs that are known now. Only the VMs in
+	// VMs form the group; a member can join through any VM of both lists.
 	Known func() []string
-	// JoinOnly: a group exists, or has existed. This member never forms one: with
-	// an empty folder it would begin a second history beside the first.
+	// JoinOnly is set if a group exists or has existed. This member then never forms a
+	// group: with an empty directory it would start a second history beside the first.
 	JoinOnly bool
-	// Target is how many voters the group keeps when one of them has fallen
-	// silent; 0: none is ever removed.
+	// TargetVoters is the number of voters at which unreachable voters are no longer
+	// removed. 0 means that none is ever removed.
 	Target int
-	Dir    string // folder of the log; created
-	FS     wal.FS // nil: the operating system's
-	// Transport reaches the other VMs by id.
+	Dir    string // directory of the log; created if it is missing
+	FS     wal.FS // nil means the operating system's
+	// Transport sends messages to the other VMs by id.
 	Transport peer.Transport
 	Machine   StateMachine
 	Log       zerolog.Logger
-	// Failed is called once, when the member cannot go on: a failed sync, a
-	// damaged log. The process must end.
+	// OnFailure is called once, when the member cannot continue because of a failed
+	// sync or a damaged log. The process must then exit.
 	Failed func(error)
 }
 
-// Node is one member of the group: Core, disk, links and state machine.
+// Node is one member of the group. It runs a Core with its disk, its connections to
+// the other members and its state machine.
 type Node struct {
-	o      NodeOptions
-	store  *storage
-	core   *Core
-	apply  *applier
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	failed sync.Once
+	o        NodeOptions
+	store    *storage
+	core     *Core
+	applier  *applier
+	ctx      context.Context
+	cancel   context.CancelFunc
+	wg       sync.WaitGroup
+	failOnce sync.Once
 
 	inbox     chan Message
 	proposals chan proposal
 	ops       chan func()
-	running   chan struct{} // closed when the member is in a group
+	running   chan struct{} // closed once the member is in a group
 
-	group     atomic.Value // string
-	formingAs atomic.Value // MemberID, while no group is known
-	status    atomic.Pointer[Status]
+	group         atomic.Value // string
+	idBeforeGroup atomic.Value // MemberID; set before the member is in a group
+	status        atomic.Pointer[Status]
 
-	// Of the loop alone.
-	waiting  map[uint64]proposal
-	reads    map[uint64]chan<- readOutcome
-	nextRead uint64
-	ledTerm  uint64 // term in which waiting and reads were taken
-	eager    bool   // campaign at once until a leader stands
-	ticks    int
+	// Used only by the protocol loop.
+	pendingProposals map[uint64]proposal
+	pendingReads     map[uint64]chan<- readOutcome
+	lastReadID       uint64
+	pendingTerm      uint64 // term in which pendingProposals and pendingReads were accepted
+	eagerElection    bool   // campaign every eagerCampaignTicks until a leader is known
+	ticks            int
 
 	chunks chunkBuffer
 }
@@ -109,24 +110,24 @@
 	err   error
 }
 
-// NewNode registers the member's message handlers; Start opens its disk.
+// NewNode returns a Node and registers its message handlers. Start opens its disk.
 func NewNode(o NodeOptions) *Node {
 	if o.FS == nil {
 		o.FS = wal.OS{}
 	}
 	n := &Node{
-		o: o, inbox: make(chan Message, inboxMessages), proposals: make(chan proposal, proposalsQueue),
+		o: o, inbox: make(chan Message, inboxCapacity), proposals: make(chan proposal, proposalQueueCapacity),
 		ops: make(chan func(), batchLimit), running: make(chan struct{}),
-		waiting: map[uint64]proposal{}, reads: map[uint64]chan<- readOutcome{},
+		pendingProposals: map[uint64]proposal{}, pendingReads: map[uint64]chan<- readOutcome{},
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.group.Store("")
-	n.handle()
+	n.registerHandlers()
 	return n
 }
 
-// Start opens the log, restores the state machine and joins or forms the group
-// in the background. It returns an error where the folder is not usable.
+// Start opens the log, restores the state machine and joins or forms the group in the
+// background. It returns an error if the directory is not usable.
 func (n *Node) Start() error {
 	store, state, err := openStorage(n.o.FS, n.o.Dir, n.o.VM, strings.ToLower(rand.Text()[:10]))
 	if err != nil {
@@ -142,7 +143,7 @@
 			return errors.Join(err, store.log.Close())
 		}
 	}
-	n.group.Store(store.who.Group)
+	n.group.Store(store.identity.Group)
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
@@ -152,39 +153,39 @@
 }
 
 func (n *Node) run(state State) {
-	if n.store.who.Group == "" {
-		formed, ok := n.form()
+	if n.store.identity.Group == "" {
+		formed, ok := n.joinOrForm()
 		if !ok {
 			return
 		}
 		state = formed
 	}
 	n.core = NewCore(Options{
-		ID: n.store.who.ID, ElectionTicks: electionTicks, FirstTicks: firstTicks, HeartbeatTicks: heartbeatTicks, Rand: mathrand.IntN,
+		ID: n.store.identity.ID, ElectionTicks: electionTicks, FirstTicks: firstElectionTicks, HeartbeatTicks: heartbeatTicks, Rand: mathrand.IntN,
 	}, state)
-	n.apply = newApplier(n.o.Machine, n.store, state.Applied, n.core.log.configUpTo(state.Applied))
-	n.apply.compact, n.apply.fail = n.handOverSnapshot, n.fail
-	// Alone there is nobody to wait for.
+	n.applier = newApplier(n.o.Machine, n.store, state.Applied, n.core.log.configUpTo(state.Applied))
+	n.applier.compact, n.applier.fail = n.saveSnapshot, n.fail
+	// A single voter has no leader to wait for.
 	config := n.core.Config()
-	n.eager = n.eager || len(config.Voters) == 1 && config.IsVoter(n.store.who.ID)
+	n.eagerElection = n.eagerElection || len(config.Voters) == 1 && config.IsVoter(n.store.identity.ID)
 	n.publish()
 	close(n.running)
 	n.wg.Add(2)
 	go func() {
 		defer n.wg.Done()
-		n.apply.run(n.ctx)
+		n.applier.run(n.ctx)
 	}()
 	go func() {
 		defer n.wg.Done()
-		n.keepJoined()
+		n.maintainMembership()
 	}()
 	n.loop()
 }
 
 func (n *Node) loop() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	defer n.failWaiting(ErrClosed)
+	defer n.failPending(ErrClosed)
 	for {
 		select {
 		case <-n.ctx.Done():
@@ -211,8 +212,8 @@
 	n.ticks++
 	switch {
 	case n.core.Leader() != "":
-		n.eager = false
-	case n.eager && n.ticks%eagerTicks == 0:
+		n.eagerElection = false
+	case n.eagerElection && n.ticks%eagerCampaignTicks == 0:
 		n.core.Campaign()
 	}
 	if n.o.Target > 0 && n.ticks%electionTicks == 0 {
@@ -226,11 +227,12 @@
 		return
 	}
 	if _, _, err := n.core.ProposeChange(Change{Remove, id}); err == nil {
-		n.o.Log.Warn().Str("member", string(id)).Msg("silent voter beyond the group's size loses its vote")
+		n.o.Log.Warn().Str("member", string(id)).Msg("removing the vote of an unreachable voter; the group has more voters than its target")
 	}
 }
 
-// drain takes what else has come, so that one sync serves all of it.
+// drain processes the queued messages, proposals and functions, so that a single sync
+// covers all of them.
 func (n *Node) drain() {
 	for range batchLimit {
 		select {
@@ -246,7 +248,7 @@
 	}
 }
 
-// process does what the Core asks for until it asks for nothing more.
+// process performs the work of each Ready until the Core has none left.
 func (n *Node) process() error {
 	for n.core.HasReady() {
 		rd := n.core.Ready()
@@ -256,7 +258,7 @@
 		}
 		n.core.Saved(rd)
 		n.send(rd.After)
-		n.handCommitted(rd)
+		n.applyCommitted(rd)
 		for _, r := range rd.Reads {
 			n.finishRead(r.ID, readOutcome{index: r.Index})
 		}
@@ -264,8 +266,8 @@
 			n.sendSnapshot(to)
 		}
 	}
-	if len(n.waiting)+len(n.reads) > 0 && (!n.core.IsLeader() || n.core.term != n.ledTerm) {
-		n.failWaiting(ErrOutcomeUnknown)
+	if len(n.pendingProposals)+len(n.pendingReads) > 0 && (!n.core.IsLeader() || n.core.term != n.pendingTerm) {
+		n.failPending(ErrOutcomeUnknown)
 	}
 	n.logStepDown()
 	n.publish()
@@ -295,15 +297,15 @@
 	return nil
 }
 
-func (n *Node) handCommitted(rd Ready) {
-	var items []work
+func (n *Node) applyCommitted(rd Ready) {
+	var items []applyItem
 	if rd.Snapshot != nil {
-		items = append(items, work{install: rd.Snapshot})
+		items = append(items, applyItem{install: rd.Snapshot})
 	}
 	for _, e := range rd.Committed {
-		w := work{entry: e}
-		if p, ok := n.waiting[e.Index]; ok {
-			delete(n.waiting, e.Index)
+		w := applyItem{entry: e}
+		if p, ok := n.pendingProposals[e.Index]; ok {
+			delete(n.pendingProposals, e.Index)
 			if p.term == e.Term {
 				w.waiter = p.done
 			} else {
@@ -312,11 +314,11 @@
 		}
 		items = append(items, w)
 	}
-	n.apply.add(items)
+	n.applier.enqueue(items)
 }
 
 func (n *Node) propose(p proposal) {
-	if n.apply.backlog.Load() > maxBacklog {
+	if n.applier.backlog.Load() > maxBacklogEntries {
 		p.done <- outcome{err: ErrBusy}
 		return
 	}
@@ -325,25 +327,25 @@
 		p.done <- outcome{err: err}
 		return
 	}
-	p.term, n.ledTerm = term, term
-	n.waiting[index] = p
+	p.term, n.pendingTerm = term, term
+	n.pendingProposals[index] = p
 }
 
 func (n *Node) finishRead(id uint64, out readOutcome) {
-	if ch := n.reads[id]; ch != nil {
-		delete(n.reads, id)
+	if ch := n.pendingReads[id]; ch != nil {
+		delete(n.pendingReads, id)
 		ch <- out
 	}
 }
 
-// failWaiting ends what waits: entries of a deposed leader may be committed by
-// the next one or not.
-func (n *Node) failWaiting(err error) {
-	for index, p := range n.waiting {
-		delete(n.waiting, index)
+// failPending fails all pending proposals with err and all pending reads with
+// ErrNotLeader. The next leader may or may not commit the entries of a deposed one.
+func (n *Node) failPending(err error) {
+	for index, p := range n.pendingProposals {
+		delete(n.pendingProposals, index)
 		p.done <- outcome{err: err}
 	}
-	for id := range n.reads {
+	for id := range n.pendingReads {
 		n.finishRead(id, readOutcome{err: ErrNotLeader})
 	}
 }
@@ -356,8 +358,8 @@
 }
 
 func (n *Node) fail(err error) {
-	n.failed.Do(func() {
-		n.o.Log.Error().Err(err).Msg("control member stops")
+	n.failOnce.Do(func() {
+		n.o.Log.Error().Err(err).Msg("member of the control group failed and stops")
 		n.cancel()
 		if n.o.Failed != nil {
 			go n.o.Failed(err)
@@ -365,7 +367,7 @@
 	})
 }
 
-// Close ends the member. What it acknowledged is on its disk.
+// Close stops the member. Everything that it acknowledged is on its disk.
 func (n *Node) Close() {
 	n.cancel()
 	n.wg.Wait()
--- a/internal/consensus/raftlog.go
+++ b/internal/consensus/raftlog.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// raftLog is the log after the last snapshot, in memory.
+// raftLog holds the entries after the last snapshot in memory.
 type raftLog struct {
 	snap      SnapshotMeta
 	entries   []Entry // from snap.Index+1 on
-	persisted uint64  // last index that is synced on this VM's disk
+	persisted uint64  // last entry that is synced to this VM's disk
 	configs   []configAt
 }
 
-// configAt is the membership from an entry on.
+// configAt is the membership that takes effect with the entry index.
 type configAt struct {
 	index  uint64
 	config Config
@@ -18,13 +18,13 @@
 
 func newRaftLog(snap SnapshotMeta, entries []Entry) *raftLog {
 	l := &raftLog{}
-	l.reset(snap)
+	l.resetToSnapshot(snap)
 	l.append(entries)
 	l.persisted = l.last()
 	return l
 }
 
-func (l *raftLog) reset(snap SnapshotMeta) {
+func (l *raftLog) resetToSnapshot(snap SnapshotMeta) {
 	l.snap, l.entries, l.persisted = snap, nil, snap.Index
 	l.configs = []configAt{{snap.Index, snap.Config}}
 }
@@ -36,7 +36,7 @@
 	return t
 }
 
-// term returns the term of an entry; false where it is compacted or not there.
+// term returns the term of an entry; false if the entry is compacted or does not exist.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.snap.Index:
@@ -52,11 +52,11 @@
 	return ok && t == term
 }
 
-// append adds entries that follow the last one.
+// append adds entries. The first one must follow the last entry of the log.
 func (l *raftLog) append(entries []Entry) {
 	for _, e := range entries {
 		if e.Index != l.last()+1 {
-			panic(fmt.Sprintf("consensus: entry %d appended after %d", e.Index, l.last()))
+			panic(fmt.Sprintf("consensus: entry %d appended after entry %d", e.Index, l.last()))
 		}
 		l.entries = append(l.entries, e)
 		if e.Kind == EntryConfig {
@@ -65,8 +65,8 @@
 	}
 }
 
-// truncate drops the entries from index on. The slice is copied on the next
-// append: messages on their way share the old one.
+// truncate drops the entries from index on. The capacity is cut too: the next append
+// copies the slice, because messages in flight share the old one.
 func (l *raftLog) truncate(index uint64) {
 	keep := index - l.snap.Index - 1
 	l.entries = l.entries[:keep:keep]
@@ -76,10 +76,10 @@
 	}
 }
 
-// config is the latest membership in the log, committed or not.
+// config returns the latest membership in the log, committed or not.
 func (l *raftLog) config() configAt { return l.configs[len(l.configs)-1] }
 
-// configUpTo is the membership after the entry index.
+// configUpTo returns the membership after the entry index.
 func (l *raftLog) configUpTo(index uint64) Config {
 	out := l.configs[0].config
 	for _, c := range l.configs {
@@ -90,9 +90,9 @@
 	return out
 }
 
-// slice returns entries from index from on, at least one if there is one and
-// then up to maxBytes.
-func (l *raftLog) slice(from, to uint64, maxBytes int) []Entry {
+// entriesBetween returns the entries with the indices from to to, cut off at about
+// maxBytes. It returns at least one entry if the range is not empty.
+func (l *raftLog) entriesBetween(from, to uint64, maxBytes int) []Entry {
 	if from > to {
 		return nil
 	}
@@ -107,10 +107,10 @@
 	return all[:len(all):len(all)]
 }
 
-// entryOverhead is what an entry takes beside its data, in bytes, about.
+// entryOverhead is the approximate encoded size of an entry without its data, in bytes.
 const entryOverhead = 24
 
-// size is about what an entry takes, in bytes.
+// size returns the approximate encoded size of an entry, in bytes.
 func (e *Entry) size() int { return len(e.Data) + entryOverhead }
 
 func entryBytes(entries []Entry) int {
@@ -121,8 +121,8 @@
 	return size
 }
 
-// compact drops the entries up to index, which a snapshot holds. The rest is
-// copied, so that the dropped ones are freed.
+// compact drops the entries up to index, which a snapshot covers. The other entries
+// are copied to a new slice, which frees the memory of the dropped ones.
 func (l *raftLog) compact(index uint64) {
 	if index <= l.snap.Index {
 		return
@@ -140,9 +140,10 @@
 	l.configs = kept
 }
 
-// trailing returns the index up to which the log may be dropped so that the last
-// entries before index stay, bounded in count and bytes.
-func (l *raftLog) trailing(index uint64) uint64 {
+// compactionIndex returns the index up to which the log may be dropped when a snapshot
+// exists at index. The last entries before the snapshot stay, at most about
+// trailingEntries and trailingBytes of them.
+func (l *raftLog) compactionIndex(index uint64) uint64 {
 	kept := 0
 	for i := index; i > l.snap.Index; i-- {
 		kept += l.entries[i-l.snap.Index-1].size()
@@ -153,9 +154,9 @@
 	return l.snap.Index
 }
 
-// agreeing returns the largest index up to from whose term is at most term: the
-// logs cannot agree on an entry between it and from.
-func (l *raftLog) agreeing(from, term uint64) (uint64, uint64) {
+// findConflictByTerm returns index and term of the last entry up to from whose term is
+// at most term. The logs cannot agree on an entry between it and from.
+func (l *raftLog) findConflictByTerm(from, term uint64) (uint64, uint64) {
 	for index := min(from, l.last()); ; index-- {
 		t, ok := l.term(index)
 		if !ok {
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -2,130 +2,136 @@
 
 import "math"
 
-// pendingRead waits for a heartbeat round begun after it came.
+// pendingRead is a read that waits for a heartbeat round that started after the read
+// was requested.
 type pendingRead struct {
 	id    uint64
 	round uint64
 }
 
-// Read is a confirmed read: state that holds the entry Index holds all that was
-// committed when the read was asked for.
+// Read is a confirmed read. A state that includes the entry Index includes everything
+// that was committed when the read was requested.
 type Read struct {
 	ID    uint64
 	Index uint64
 }
 
-// ReadIndex asks for a confirmation that this member still leads. A read that is
-// not urgent waits for the next regular heartbeat and costs no message. A leader
-// that was deposed without knowing cannot confirm, whatever its clock says.
+// ReadIndex requests a confirmed read with the given id, which a later Ready returns.
+// A majority confirms by a heartbeat round that this member still leads, so a leader
+// that was deposed without knowing it confirms no read, whatever its clock shows. A
+// read that is not urgent waits for the next regular heartbeat and costs no message.
 func (c *Core) ReadIndex(id uint64, urgent bool) error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	c.reads = append(c.reads, pendingRead{id: id, round: c.round + 1})
-	c.wantBeat = c.wantBeat || urgent
+	c.pendingReads = append(c.pendingReads, pendingRead{id: id, round: c.round + 1})
+	c.heartbeatDue = c.heartbeatDue || urgent
 	return nil
 }
 
-func (c *Core) releaseReads() {
-	if c.role != Leader || len(c.reads) == 0 || !c.committedInTerm() {
+func (c *Core) confirmReads() {
+	if c.role != Leader || len(c.pendingReads) == 0 || !c.committedInTerm() {
 		return
 	}
 	confirmed := c.quorumValue(c.log.config().config, func(id MemberID) uint64 {
-		if id == c.o.ID {
+		if id == c.options.ID {
 			return c.round
 		}
-		return c.progress[id].round
+		return c.progress[id].ackedRound
 	})
 	n := 0
-	for n < len(c.reads) && c.reads[n].round <= confirmed {
-		c.released = append(c.released, Read{ID: c.reads[n].id, Index: c.commit})
+	for n < len(c.pendingReads) && c.pendingReads[n].round <= confirmed {
+		c.confirmedReads = append(c.confirmedReads, Read{ID: c.pendingReads[n].id, Index: c.commit})
 		n++
 	}
-	c.reads = c.reads[n:]
+	c.pendingReads = c.pendingReads[n:]
 }
 
-func (c *Core) sendBeats() {
-	c.wantBeat = false
+func (c *Core) sendHeartbeats() {
+	c.heartbeatDue = false
 	c.round++
 	for _, id := range c.log.config().config.Members() {
 		if p := c.progress[id]; p != nil {
-			c.sendBeat(id, p)
+			c.sendHeartbeat(id, p)
 		}
 	}
-	c.releaseReads()
+	c.confirmReads()
 }
 
-func (c *Core) sendBeat(id MemberID, p *progress) {
-	p.told = min(p.match, c.commit)
-	c.send(Message{Kind: HeartbeatRequest, To: id, Commit: p.told, Round: c.round})
+func (c *Core) sendHeartbeat(id MemberID, p *progress) {
+	p.commitSent = min(p.match, c.commit)
+	c.send(Message{Kind: HeartbeatRequest, To: id, Commit: p.commitSent, Round: c.round})
 }
 
-// Ready is what is to be done now: send Before, save, send After, apply.
+// Ready lists pending work. The caller sends SendBeforeSync, saves, sends
+// SendAfterSync and applies Committed, in this order.
 type Ready struct {
-	// Snapshot replaces log and state; its content is on this VM's disk already.
+	// Snapshot, if set, replaces log and state. Its content is already on this VM's
+	// disk.
 	Snapshot *SnapshotMeta
 	Hard     HardState
 	Entries  []Entry
-	// Save is set where Hard, Entries or Snapshot must be synced before After is
-	// sent and Committed is applied.
+	// MustSync is set if Hard, Entries or Snapshot must be synced before
+	// SendAfterSync is sent and Committed is applied.
 	Save      bool
 	Before    []Message
 	After     []Message
 	Committed []Entry
 	Reads     []Read
-	// Snapshots are members that need a snapshot; SnapshotSent ends each transfer.
+	// SnapshotTargets are the members that need a snapshot. The caller ends each
+	// transfer with SnapshotSent.
 	Snapshots []MemberID
 }
 
-// Ready returns what is to be done. Saved must follow before the next Ready.
+// Ready returns the pending work. The caller must call Saved before the next Ready.
 func (c *Core) Ready() Ready {
 	if c.role == Leader {
 		c.sendAppends()
-		if c.wantBeat {
-			c.sendBeats()
+		if c.heartbeatDue {
+			c.sendHeartbeats()
 		}
 	}
 	hard := HardState{Term: c.term, Vote: c.vote, Commit: c.commit}
 	rd := Ready{
-		Snapshot: c.installed, Hard: hard,
-		Entries:   c.log.slice(c.log.persisted+1, c.log.last(), math.MaxInt),
-		Committed: c.log.slice(c.handed+1, c.commit, math.MaxInt),
-		Reads:     c.released, Snapshots: c.snapshots,
+		Snapshot: c.installedSnapshot, Hard: hard,
+		Entries:   c.log.entriesBetween(c.log.persisted+1, c.log.last(), math.MaxInt),
+		Committed: c.log.entriesBetween(c.delivered+1, c.commit, math.MaxInt),
+		Reads:     c.confirmedReads, Snapshots: c.snapshotTargets,
 	}
-	newTerm := hard.Term != c.saved.Term || hard.Vote != c.saved.Vote
+	newTerm := hard.Term != c.savedHardState.Term || hard.Vote != c.savedHardState.Vote
 	rd.Save = newTerm || len(rd.Entries) > 0 || rd.Snapshot != nil
-	// A leader's appends may overtake its own disk: its copy counts once synced.
-	// Everything else promises what must be on the disk first.
+	// A leader may send appends before its own disk is synced: its own copy counts
+	// only after the sync. All other messages rely on state that must be on the disk
+	// first.
 	if c.role == Leader && !newTerm {
-		rd.Before = c.out
+		rd.Before = c.outbox
 	} else {
-		rd.After = c.out
+		rd.After = c.outbox
 	}
-	c.out, c.released, c.snapshots, c.installed = nil, nil, nil, nil
-	c.handed = c.commit
+	c.outbox, c.confirmedReads, c.snapshotTargets, c.installedSnapshot = nil, nil, nil, nil
+	c.delivered = c.commit
 	return rd
 }
 
-// Saved reports that a Ready was synced.
+// Saved records that rd was saved.
 func (c *Core) Saved(rd Ready) {
-	c.saved = rd.Hard
+	c.savedHardState = rd.Hard
 	if n := len(rd.Entries); n > 0 {
 		c.log.persisted = rd.Entries[n-1].Index
 	}
 	c.maybeCommit()
 }
 
-// HasReady reports whether Ready would have anything to do.
+// HasReady reports whether Ready would return any work.
 func (c *Core) HasReady() bool {
-	return len(c.out) > 0 || c.wantBeat || len(c.released) > 0 || len(c.snapshots) > 0 || c.installed != nil ||
-		c.commit > c.handed || c.log.persisted < c.log.last() ||
-		c.term != c.saved.Term || c.vote != c.saved.Vote || c.role == Leader && c.lacking()
+	return len(c.outbox) > 0 || c.heartbeatDue || len(c.confirmedReads) > 0 || len(c.snapshotTargets) > 0 || c.installedSnapshot != nil ||
+		c.commit > c.delivered || c.log.persisted < c.log.last() ||
+		c.term != c.savedHardState.Term || c.vote != c.savedHardState.Vote || c.role == Leader && c.hasUnsentEntries()
 }
 
-func (c *Core) lacking() bool {
+func (c *Core) hasUnsentEntries() bool {
 	for _, p := range c.progress {
-		if !p.waiting && !p.sending && p.next <= c.log.last() {
+		if !p.appendInFlight && !p.snapshotInFlight && p.next <= c.log.last() {
 			return true
 		}
 	}
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Propose appends a command on the leader and returns where its last piece stands. It
-// is committed if the entry at that index has that term once it is applied.
+// Propose appends a command on the leader and returns index and term of its last
+// piece. The command is committed if the entry that is applied at that index has that
+// term. Propose returns ErrNotLeader or ErrBusy if nothing was appended.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -15,17 +16,18 @@
 	if c.uncommittedBytes+len(data) > maxUncommittedBytes || c.uncommittedEntries >= maxUncommittedEntries {
 		return 0, 0, ErrBusy
 	}
-	parts := split(data, c.o.MaxEntryBytes)
+	parts := splitCommand(data, c.options.MaxEntryBytes)
 	last := len(parts) - 1
 	for _, part := range parts[:last] {
-		c.appendOwn(EntryPiece, part)
+		c.appendEntry(EntryPiece, part)
 	}
-	return c.appendOwn(EntryCommand, parts[last]), c.term, nil
+	return c.appendEntry(EntryCommand, parts[last]), c.term, nil
 }
 
-// ProposeChange appends a membership change. One at a time, and none before an
-// entry of the own term is committed: two leaders could otherwise count
-// majorities of memberships that differ by two voters and share none.
+// ProposeChange appends a membership change on the leader. It returns ErrConfigBusy
+// while another change is uncommitted or the leader has not committed an entry of its
+// own term. Otherwise two leaders could count majorities of memberships that differ by
+// two voters and share none.
 func (c *Core) ProposeChange(ch Change) (index, term uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -37,7 +39,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	return c.appendOwn(EntryConfig, next.encode()), c.term, nil
+	return c.appendEntry(EntryConfig, next.encode()), c.term, nil
 }
 
 func (c *Core) committedInTerm() bool {
@@ -45,7 +47,7 @@
 	return t == c.term
 }
 
-func (c *Core) appendOwn(kind EntryKind, data []byte) uint64 {
+func (c *Core) appendEntry(kind EntryKind, data []byte) uint64 {
 	e := Entry{Index: c.log.last() + 1, Term: c.term, Kind: kind, Data: data}
 	c.log.append([]Entry{e})
 	c.uncommittedBytes += len(data)
@@ -56,12 +58,13 @@
 	return e.Index
 }
 
-// sendAppends sends what members lack. One append is under way per member: the
-// next carries all that came meanwhile, which is the group commit.
+// sendAppends sends missing entries to the members. At most one append is in flight
+// per member. The next append carries the entries that arrived in the meantime, which
+// gives group commit.
 func (c *Core) sendAppends() {
 	for _, id := range c.log.config().config.Members() {
 		p := c.progress[id]
-		if p != nil && !p.waiting && !p.sending && p.next <= c.log.last() {
+		if p != nil && !p.appendInFlight && !p.snapshotInFlight && p.next <= c.log.last() {
 			c.sendAppend(id, p)
 		}
 	}
@@ -71,46 +74,48 @@
 	before := p.next - 1
 	term, ok := c.log.term(before)
 	if !ok {
-		p.sending = true
-		c.snapshots = append(c.snapshots, id)
+		p.snapshotInFlight = true
+		c.snapshotTargets = append(c.snapshotTargets, id)
 		return
 	}
-	p.waiting, p.waited = true, 0
-	entries := c.log.slice(p.next, c.log.last(), maxBatchBytes)
-	p.sent = entryBytes(entries)
-	p.told = min(c.commit, before+uint64(len(entries)))
+	p.appendInFlight, p.heartbeatsInFlight = true, 0
+	entries := c.log.entriesBetween(p.next, c.log.last(), maxBatchBytes)
+	p.bytesInFlight = entryBytes(entries)
+	p.commitSent = min(c.commit, before+uint64(len(entries)))
 	c.send(Message{Kind: AppendRequest, To: id, Index: before, LogTerm: term, Commit: c.commit, Entries: entries})
 }
 
 func (c *Core) stepAppend(m Message) {
 	reply := Message{Kind: AppendReply, To: m.From}
 	if m.Index < c.commit {
-		// An old message: all up to the commit agrees with any leader.
+		// The message is outdated: entries up to the commit index agree with every
+		// leader's log.
 		reply.Index = c.commit
 		c.send(reply)
 		return
 	}
 	if !c.log.matches(m.Index, m.LogTerm) {
 		reply.Reject, reply.Index = true, m.Index
-		reply.Hint, reply.LogTerm = c.log.agreeing(m.Index, m.LogTerm)
+		reply.Hint, reply.LogTerm = c.log.findConflictByTerm(m.Index, m.LogTerm)
 		c.send(reply)
 		return
 	}
-	c.merge(m.Entries)
+	c.mergeEntries(m.Entries)
 	reply.Index = m.Index + uint64(len(m.Entries))
-	c.advance(min(m.Commit, reply.Index))
+	c.advanceCommit(min(m.Commit, reply.Index))
 	c.send(reply)
 }
 
-// merge appends the entries that are not there, after cutting those that differ.
-func (c *Core) merge(entries []Entry) {
+// mergeEntries truncates the log at the first conflicting entry and appends the
+// entries that it lacks.
+func (c *Core) mergeEntries(entries []Entry) {
 	for i, e := range entries {
 		if c.log.matches(e.Index, e.Term) {
 			continue
 		}
 		if e.Index <= c.log.last() {
 			if e.Index <= c.commit {
-				panic(fmt.Sprintf("consensus: committed entry %d of %d would be replaced", e.Index, c.commit))
+				panic(fmt.Sprintf("consensus: entry %d would be overwritten, but entries up to %d are committed", e.Index, c.commit))
 			}
 			c.log.truncate(e.Index)
 		}
@@ -119,72 +124,73 @@
 	}
 }
 
-// advance moves the commit forward.
-func (c *Core) advance(commit uint64) { c.commit = max(c.commit, commit) }
+// advanceCommit raises the commit index to commit; it never lowers it.
+func (c *Core) advanceCommit(commit uint64) { c.commit = max(c.commit, commit) }
 
 func (c *Core) stepHeartbeat(m Message) {
 	if m.Commit > c.log.last() {
-		// The leader caps Commit by what this member acknowledged. A disk that
-		// forgot it must not go on as if nothing had happened.
-		panic(fmt.Sprintf("consensus: acknowledged entry %d is gone, last is %d", m.Commit, c.log.last()))
+		// The leader caps Commit at the last entry that this member acknowledged. A
+		// member whose disk lost acknowledged entries must not continue.
+		panic(fmt.Sprintf("consensus: acknowledged entry %d is missing from the log, whose last entry is %d", m.Commit, c.log.last()))
 	}
-	c.advance(m.Commit)
+	c.advanceCommit(m.Commit)
 	c.send(Message{Kind: HeartbeatReply, To: m.From, Round: m.Round})
 }
 
 func (c *Core) stepReply(p *progress, m Message) {
 	switch {
 	case m.Kind == HeartbeatReply:
-		p.round = max(p.round, m.Round)
-		if p.waited >= resendBeats {
-			p.waiting, p.waited = false, 0
+		p.ackedRound = max(p.ackedRound, m.Round)
+		if p.heartbeatsInFlight >= resendAfterHeartbeats {
+			p.appendInFlight, p.heartbeatsInFlight = false, 0
 		}
-		c.releaseReads()
+		c.confirmReads()
 	case m.Reject:
 		c.stepReject(p, m)
 	case m.Index > c.log.last():
-		// A member that holds more than its leader sent: entries of an old term
-		// beyond the leader's log say nothing about this one.
+		// The member's log is longer than the leader's. Its entries beyond the leader's
+		// log are of an older term and match nothing here.
 	default:
-		p.waiting = p.waiting && m.Index < p.next
+		p.appendInFlight = p.appendInFlight && m.Index < p.next
 		p.match = max(p.match, m.Index)
 		p.next = max(p.next, p.match+1)
 		c.maybeCommit()
-		c.tellCommit(m.From, p)
+		c.propagateCommit(m.From, p)
 	}
 }
 
-// tellCommit lets a member that answered after the majority learn the commit at
-// once: those who watch there would else wait for the next heartbeat.
-func (c *Core) tellCommit(id MemberID, p *progress) {
-	if c.role == Leader && !c.wantBeat && p.next > c.log.last() && p.told < min(p.match, c.commit) {
-		c.sendBeat(id, p)
+// propagateCommit sends the commit index at once to a member that replied after the
+// majority. Otherwise watchers on that member would wait for the next heartbeat.
+func (c *Core) propagateCommit(id MemberID, p *progress) {
+	if c.role == Leader && !c.heartbeatDue && p.next > c.log.last() && p.commitSent < min(p.match, c.commit) {
+		c.sendHeartbeat(id, p)
 	}
 }
 
-// stepReject moves back to where the logs may agree; an answer to an earlier
-// append is stale.
+// stepReject moves the next entry to send back to where the logs may agree. It ignores
+// a stale reply to an earlier append.
 func (c *Core) stepReject(p *progress, m Message) {
-	if !p.waiting || m.Index != p.next-1 || m.Index <= p.match {
+	if !p.appendInFlight || m.Index != p.next-1 || m.Index <= p.match {
 		return
 	}
-	agreed, _ := c.log.agreeing(m.Hint, m.LogTerm)
+	agreed, _ := c.log.findConflictByTerm(m.Hint, m.LogTerm)
 	if m.Hint < c.log.snap.Index {
 		agreed = m.Hint
 	}
 	p.next = max(min(m.Index, agreed+1), p.match+1)
-	p.waiting = false
+	p.appendInFlight = false
 }
 
-// maybeCommit counts an entry of the own term only: an older one on a majority
-// can still be overwritten.
+// maybeCommit advances the commit index to the last entry that a majority has stored,
+// if that entry is of the leader's own term. An entry of an older term can still be
+// overwritten although a majority has stored it.
 func (c *Core) maybeCommit() {
 	if c.role != Leader {
 		return
 	}
 	at := c.log.config()
 	index := c.quorumValue(at.config, func(id MemberID) uint64 {
-		if id == c.o.ID {
+		if id == c.options.ID {
 			return c.log.persisted
 		}
 		return c.progress[id].match
@@ -192,59 +198,61 @@
 	if term, _ := c.log.term(index); index <= c.commit || term != c.term {
 		return
 	}
-	for _, e := range c.log.slice(c.commit+1, index, math.MaxInt) {
+	for _, e := range c.log.entriesBetween(c.commit+1, index, math.MaxInt) {
 		c.uncommittedBytes -= len(e.Data)
 		c.uncommittedEntries--
 	}
 	c.uncommittedBytes, c.uncommittedEntries = max(0, c.uncommittedBytes), max(0, c.uncommittedEntries)
 	c.commit = index
-	c.wantBeat = true
-	c.releaseReads()
-	if at.index <= c.commit && !at.config.IsVoter(c.o.ID) {
+	c.heartbeatDue = true
+	c.confirmReads()
+	if at.index <= c.commit && !at.config.IsVoter(c.options.ID) {
 		c.becomeFollower(c.term, "") // this member was removed
 	}
 }
 
-// stepSnapshot takes over a snapshot that this VM has received and synced.
+// stepSnapshot installs a snapshot that this VM has received and synced.
 func (c *Core) stepSnapshot(m Message) {
 	meta := *m.Meta
 	if meta.Index > c.commit {
 		if c.log.matches(meta.Index, meta.Term) {
-			c.advance(meta.Index)
+			c.advanceCommit(meta.Index)
 		} else {
-			c.log.reset(meta)
-			c.commit, c.handed = meta.Index, meta.Index
-			c.installed = &meta
+			c.log.resetToSnapshot(meta)
+			c.commit, c.delivered = meta.Index, meta.Index
+			c.installedSnapshot = &meta
 		}
 	}
 	c.send(Message{Kind: AppendReply, To: m.From, Index: c.commit})
 }
 
-// SnapshotSent reports the end of a snapshot's transfer.
+// SnapshotSent ends the transfer of the snapshot at index to a member; ok is false if
+// the transfer failed.
 func (c *Core) SnapshotSent(to MemberID, index uint64, ok bool) {
 	p := c.progress[to]
 	if p == nil {
 		return
 	}
-	p.sending, p.waiting = false, false
+	p.snapshotInFlight, p.appendInFlight = false, false
 	if ok {
 		p.next = max(p.next, index+1)
 		return
 	}
-	p.waiting, p.waited = true, 0 // try again some heartbeats later
+	p.appendInFlight, p.heartbeatsInFlight = true, 0 // retried after resendAfterHeartbeats
 }
 
-// Compact drops the entries up to index from memory.
-func (c *Core) Compact(index uint64) { c.log.compact(min(index, c.handed, c.log.persisted)) }
+// Compact drops the entries up to index from memory. It keeps entries that are not
+// delivered or not synced.
+func (c *Core) Compact(index uint64) { c.log.compact(min(index, c.delivered, c.log.persisted)) }
 
-// CaughtUp reports, on the leader, whether a member's log is as far as the
-// commit, give or take entries that are on their way.
+// CaughtUp reports, on the leader, whether a member's log reaches the commit index
+// but for at most slack entries.
 func (c *Core) CaughtUp(id MemberID, slack uint64) bool {
 	p := c.progress[id]
 	return c.role == Leader && p != nil && p.match > 0 && p.match+slack >= c.commit
 }
 
-// Config is the latest membership in the log.
+// Config returns the latest membership in the log, committed or not.
 func (c *Core) Config() Config {
 	config := c.log.config().config
 	return Config{Voters: slices.Clone(config.Voters), Learners: slices.Clone(config.Learners)}
--- a/internal/consensus/requests.go
+++ b/internal/consensus/requests.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Status returns the member's present state; false before it is in a group.
+// Status returns the member's current state; false before it is in a group.
 func (n *Node) Status() (Status, bool) {
 	s := n.status.Load()
 	if s == nil {
@@ -15,34 +15,35 @@
 	return *s, true
 }
 
-// Group is the id of the group that the member is in, or "".
+// Group returns the id of the member's group, or "" if it is in none.
 func (n *Node) Group() string { return n.groupID() }
 
-// Leader is the VM of the leader that this member knows, or "".
+// Leader returns the id of the VM of the leader that this member knows, or "".
 func (n *Node) Leader() string {
 	s, _ := n.Status()
 	return s.Leader.VM()
 }
 
-// IsLeader reports whether this member leads, as far as it knows.
+// IsLeader reports whether this member believes it is the leader. A deposed leader may
+// not know it yet.
 func (n *Node) IsLeader() bool {
 	s, _ := n.Status()
 	return s.Role == Leader
 }
 
-// Applied is the last entry that the state machine holds.
+// Applied returns the index of the last entry that the state machine has applied.
 func (n *Node) Applied() uint64 {
 	select {
 	case <-n.running:
-		return n.apply.applied.Load()
+		return n.applier.applied.Load()
 	default:
 		return 0
 	}
 }
 
-// Propose commits a command on the leader and returns the state machine's reply.
-// ErrNotLeader and ErrBusy: it was not and will not be executed. After any other
-// error the outcome is unknown.
+// Propose commits a command on the leader and returns the state machine's reply. After
+// ErrNotLeader and ErrBusy the command was not and will not be executed. After any
+// other error the outcome is unknown.
 func (n *Node) Propose(ctx context.Context, data []byte) ([]byte, error) {
 	if !n.IsLeader() {
 		return nil, ErrNotLeader
@@ -63,23 +64,23 @@
 	}
 }
 
-// ReadIndex returns, on the leader, an index that holds all that was committed
-// before the call. A read that is not urgent may take a heartbeat's time.
+// ReadIndex returns, on the leader, an index that covers everything that was committed
+// before the call. A read that is not urgent may take up to a heartbeat interval.
 func (n *Node) ReadIndex(ctx context.Context, urgent bool) (uint64, error) {
 	if !n.IsLeader() {
 		return 0, ErrNotLeader
 	}
 	ch := make(chan readOutcome, 1)
 	f := func() {
-		n.nextRead++
-		if err := n.core.ReadIndex(n.nextRead, urgent); err != nil {
+		n.lastReadID++
+		if err := n.core.ReadIndex(n.lastReadID, urgent); err != nil {
 			ch <- readOutcome{err: err}
 			return
 		}
-		n.ledTerm = n.core.term
-		n.reads[n.nextRead] = ch
+		n.pendingTerm = n.core.term
+		n.pendingReads[n.lastReadID] = ch
 	}
-	if err := n.do(ctx, f); err != nil {
+	if err := n.runInLoop(ctx, f); err != nil {
 		return 0, err
 	}
 	out, err := await(ctx, n, ch)
@@ -89,9 +90,10 @@
 	return out.index, out.err
 }
 
-// await waits for the answer of what was handed to the loop. A loop that has ended
-// answers nothing that it had taken: whoever asked without a time limit would wait
-// for ever, and the VM's end with it.
+// await waits for the answer of a function that was passed to the protocol loop. A loop
+// that has ended does not answer functions that it had accepted. A caller without a
+// deadline would then wait forever and block the shutdown of the VM, so await also
+// returns ErrClosed when the Node is closed.
 func await[T any](ctx context.Context, n *Node, answer <-chan T) (T, error) {
 	var none T
 	select {
@@ -104,8 +106,8 @@
 	}
 }
 
-// do hands f to the loop.
-func (n *Node) do(ctx context.Context, f func()) error {
+// runInLoop queues f to run in the protocol loop. It does not wait for f to finish.
+func (n *Node) runInLoop(ctx context.Context, f func()) error {
 	select {
 	case n.ops <- f:
 		return nil
@@ -116,11 +118,11 @@
 	}
 }
 
-// WaitApplied returns once the state machine holds the entry index.
+// WaitApplied returns once the state machine has applied the entry index.
 func (n *Node) WaitApplied(ctx context.Context, index uint64) error {
 	select {
 	case <-n.running:
-		return n.apply.wait(ctx, n.ctx, index)
+		return n.applier.wait(ctx, n.ctx, index)
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-n.ctx.Done():
@@ -128,30 +130,30 @@
 	}
 }
 
-// HandOver gives the leadership up, where this member holds it, and returns once
-// it has or ctx ends.
+// TransferLeadership transfers the leadership to another voter if this member holds it.
+// It returns once this member no longer leads or ctx ends.
 func (n *Node) HandOver(ctx context.Context) {
 	for n.IsLeader() {
-		asked := make(chan bool, 1)
-		if n.do(ctx, func() { asked <- n.core.HandOver() }) != nil {
+		sent := make(chan bool, 1)
+		if n.runInLoop(ctx, func() { sent <- n.core.HandOver() }) != nil {
 			return
 		}
-		if _, err := await(ctx, n, asked); err != nil {
+		if _, err := await(ctx, n, sent); err != nil {
 			return
 		}
-		n.pause(handOverPause)
+		n.sleep(transferPollInterval)
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// handOverPause is some round trips and syncs.
-const handOverPause = 30 * time.Millisecond
+// transferPollInterval is the duration of some round trips and syncs.
+const transferPollInterval = 30 * time.Millisecond
 
-// Remove takes, on the leader, the vote from the member on a VM that will not
-// come back, and returns once the change is committed. ErrNoMember: there is
-// none. ErrConfigBusy: try again, another change is under way.
+// Remove removes, on the leader, the member on a VM that will not come back, and
+// returns once the change is applied. It returns ErrNoMember if the VM has no member,
+// and ErrConfigBusy if another change is in progress and the call is to be retried.
 func (n *Node) Remove(ctx context.Context, vm string) error {
 	type answer struct {
 		index uint64
@@ -168,7 +170,7 @@
 		}
 		done <- answer{err: fmt.Errorf("%w: %s", ErrNoMember, vm)}
 	}
-	if err := n.do(ctx, f); err != nil {
+	if err := n.runInLoop(ctx, f); err != nil {
 		return err
 	}
 	a, err := await(ctx, n, done)
--- a/internal/consensus/requests_test.go
+++ b/internal/consensus/requests_test.go
@@ -7,25 +7,25 @@
 	"testing/synctest"
 )
 
-// A member stops, as with a full disk, between taking a question and answering it.
-// Whoever asked, here with no time limit, is told at once and does not wait for ever:
-// the VM's end waits for it.
-func TestAskersOfAStoppedMemberAreTold(t *testing.T) {
+// Guards against requests that never return. The protocol loop stops, for example on a
+// full disk, after it accepted a request and before it answers. A caller without a
+// deadline must get an error at once, because the shutdown of the VM waits for it.
+func TestRequestsOfStoppedMemberFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &Node{ops: make(chan func(), 1)} // taken, and nobody runs it
+		n := &Node{ops: make(chan func(), 1)} // accepts a function that no loop runs
 		n.ctx, n.cancel = context.WithCancel(t.Context())
-		told := make(chan error, 1)
-		go func() { told <- n.Remove(context.Background(), "vm2") }()
+		result := make(chan error, 1)
+		go func() { result <- n.Remove(context.Background(), "vm2") }()
 		synctest.Wait()
 		n.cancel()
 		synctest.Wait()
 		select {
-		case err := <-told:
+		case err := <-result:
 			if !errors.Is(err, ErrClosed) {
-				t.Errorf("told %v", err)
+				t.Errorf("got %v, want ErrClosed", err)
 			}
 		default:
-			t.Error("still waiting")
+			t.Error("Remove has not returned after the member was closed")
 		}
 	})
 }
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -10,14 +10,15 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The simulation: members over a network that drops, delays, duplicates and
-// cuts, on disks that keep what was saved. One step is a fifth of a tick.
+// The simulation runs members on a network that drops, delays, duplicates and blocks
+// messages, and on disks that keep what was saved. One step is a fifth of a tick.
 const (
-	stepsPerTick = 5
-	simElection  = 8
-	snapEvery    = 12
-	snapTrailing = 3
-	// simEntryBytes has values of three and four digits stand in two entries.
+	stepsPerTick            = 5
+	simElectionTicks        = 8
+	snapshotInterval        = 12
+	trailingSnapshotEntries = 3
+	// simEntryBytes is small enough that values of three and four digits take two
+	// entries.
 	simEntryBytes = 2
 )
 
@@ -30,25 +31,25 @@
 }
 
 type member struct {
-	id       MemberID
-	core     *Core
-	disk     *disk
-	up       bool
-	paused   int // until this step
-	applied  uint64
-	state    []string
-	pieces   pieces
-	received []string // state of a snapshot that no checkpoint names yet
-	waiting  map[uint64]*simOp
-	reads    map[uint64]*simOp
+	id          MemberID
+	core        *Core
+	disk        *disk
+	up          bool
+	paused      int // the member is paused until this step
+	applied     uint64
+	state       []string
+	reassembler reassembler
+	received    []string // state of a received snapshot that is not installed yet
+	waiting     map[uint64]*simOp
+	reads       map[uint64]*simOp
 }
 
 type simOp struct {
-	op    int // index in the history
-	term  uint64
-	value string
-	index uint64
-	floor uint64 // a read must reach at least this
+	historyIndex int // index in sim.history
+	term         uint64
+	value        string
+	index        uint64
+	minIndex     uint64 // a read must be confirmed at this index or later
 }
 
 type delivery struct {
@@ -68,23 +69,23 @@
 	powerLoss float64 // probability at each save
 	maxDelay  int
 
-	leaders   map[uint64]MemberID
-	committed map[uint64]Entry
-	inTerm    map[uint64]uint64 // by index: the term of the member that first applied it, then
-	maxCommit uint64
-	ackFloor  uint64
-	history   []porcupine.Operation
-	nextValue int
-	joining   MemberID
-	acked     int
-	readsDone int
-	appliedAt map[string]int // when a value was first applied anywhere
+	leaders       map[uint64]MemberID
+	committed     map[uint64]Entry
+	appliedInTerm map[uint64]uint64 // by index: the term of the first member that applied the entry, at that time
+	maxCommit     uint64
+	ackFloor      uint64
+	history       []porcupine.Operation
+	nextValue     int
+	joining       MemberID
+	acked         int
+	readsDone     int
+	appliedAt     map[string]int // step at which any member first applied a value
 }
 
 func newSim(t *testing.T, seed uint64, voters int) *sim {
 	s := &sim{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), members: map[MemberID]*member{}, cut: map[[2]MemberID]bool{},
-		leaders: map[uint64]MemberID{}, committed: map[uint64]Entry{}, inTerm: map[uint64]uint64{}, maxDelay: 2, appliedAt: map[string]int{},
+		leaders: map[uint64]MemberID{}, committed: map[uint64]Entry{}, appliedInTerm: map[uint64]uint64{}, maxDelay: 2, appliedAt: map[string]int{},
 	}
 	var config Config
 	for i := range voters {
@@ -107,9 +108,9 @@
 
 func (s *sim) start(m *member) {
 	d := m.disk
-	m.core = NewCore(Options{ID: m.id, ElectionTicks: simElection, HeartbeatTicks: 2, MaxEntryBytes: simEntryBytes, Rand: s.rng.IntN},
+	m.core = NewCore(Options{ID: m.id, ElectionTicks: simElectionTicks, HeartbeatTicks: 2, MaxEntryBytes: simEntryBytes, Rand: s.rng.IntN},
 		State{Hard: d.hard, Snapshot: d.base, Entries: slices.Clone(d.entries), Applied: d.snap.Index})
-	m.up, m.applied, m.state, m.pieces = true, d.snap.Index, slices.Clone(d.state), pieces{}
+	m.up, m.applied, m.state, m.reassembler = true, d.snap.Index, slices.Clone(d.state), reassembler{}
 	m.waiting, m.reads = map[uint64]*simOp{}, map[uint64]*simOp{}
 }
 
@@ -144,7 +145,7 @@
 	for _, d := range due {
 		s.deliver(d)
 	}
-	s.check()
+	s.checkInvariants()
 }
 
 func (s *sim) run(steps int) {
@@ -162,7 +163,7 @@
 	if to == nil || !to.up || s.cut[[2]MemberID{d.msg.From, d.msg.To}] {
 		return
 	}
-	if !s.active(to) { // a paused process reads its sockets once it is back
+	if !s.active(to) { // a paused process reads its sockets after the pause
 		s.queue = append(s.queue, delivery{at: to.paused + 1, msg: d.msg})
 		return
 	}
@@ -184,19 +185,19 @@
 	}
 }
 
-// pump does what a Node does with a Ready.
+// pump processes each Ready as a Node does.
 func (s *sim) pump(m *member) {
 	for m.up && m.core.HasReady() {
 		rd := m.core.Ready()
 		s.send(rd.Before)
 		if s.powerLoss > 0 && s.rng.Float64() < s.powerLoss {
-			s.crash(m) // nothing of rd reached the disk
+			s.crash(m) // nothing of rd is on the disk
 			return
 		}
 		if rd.Snapshot != nil {
 			m.disk.base, m.disk.entries = *rd.Snapshot, nil
 			m.disk.snap, m.disk.state = *rd.Snapshot, m.received
-			m.applied, m.state, m.pieces = m.disk.snap.Index, slices.Clone(m.disk.state), pieces{}
+			m.applied, m.state, m.reassembler = m.disk.snap.Index, slices.Clone(m.disk.state), reassembler{}
 		}
 		if rd.Save {
 			m.disk.save(rd)
@@ -212,7 +213,7 @@
 		for _, to := range rd.Snapshots {
 			s.transfer(m, to)
 		}
-		if m.applied-m.disk.snap.Index > snapEvery && !m.pieces.pending() {
+		if m.applied-m.disk.snap.Index > snapshotInterval && !m.reassembler.pending() {
 			s.snapshot(m)
 		}
 	}
@@ -231,13 +232,13 @@
 	term, _ := m.core.log.term(m.applied)
 	m.disk.snap = SnapshotMeta{Index: m.applied, Term: term, Config: config}
 	m.disk.state = slices.Clone(m.state)
-	m.core.Compact(m.applied - snapTrailing)
+	m.core.Compact(m.applied - trailingSnapshotEntries)
 	m.disk.base = m.core.log.snap
 	m.disk.entries = slices.Clone(m.core.log.entries[:m.core.log.persisted-m.core.log.snap.Index])
 	m.disk.hard.Commit = max(m.disk.hard.Commit, m.applied)
 }
 
-// transfer carries a snapshot, or loses it.
+// transfer sends a snapshot, which may be lost.
 func (s *sim) transfer(from *member, id MemberID) {
 	meta, state := from.disk.snap, slices.Clone(from.disk.state)
 	term, core := from.core.term, from.core
@@ -250,17 +251,17 @@
 			to.core.Step(Message{Kind: SnapshotInstalled, From: from.id, To: id, Term: term, Meta: &meta})
 			s.pump(to)
 		}
-		s.report(from, core, id, meta.Index, ok)
+		s.reportTransfer(from, core, id, meta.Index, ok)
 	}})
 }
 
-// report tells a sender how its transfer ended, once it runs again.
-func (s *sim) report(from *member, core *Core, to MemberID, index uint64, ok bool) {
+// reportTransfer reports the result of a transfer to the sender once it is not paused.
+func (s *sim) reportTransfer(from *member, core *Core, to MemberID, index uint64, ok bool) {
 	if from.core != core {
 		return
 	}
 	if !s.active(from) {
-		s.queue = append(s.queue, delivery{at: from.paused + 1, do: func() { s.report(from, core, to, index, ok) }})
+		s.queue = append(s.queue, delivery{at: from.paused + 1, do: func() { s.reportTransfer(from, core, to, index, ok) }})
 		return
 	}
 	core.SnapshotSent(to, index, ok)
@@ -269,18 +270,18 @@
 
 func (s *sim) apply(m *member, e Entry) {
 	if e.Index != m.applied+1 {
-		s.fail("%s applies %d after %d", m.id, e.Index, m.applied)
+		s.fail("member %s applies entry %d after entry %d", m.id, e.Index, m.applied)
 	}
 	m.applied = e.Index
 	if known, ok := s.committed[e.Index]; ok && (known.Term != e.Term || string(known.Data) != string(e.Data)) {
-		s.fail("%s applies another entry %d than was applied elsewhere", m.id, e.Index)
+		s.fail("member %s applies another entry %d than another member did", m.id, e.Index)
 	}
 	if _, ok := s.committed[e.Index]; !ok {
-		s.inTerm[e.Index] = m.core.term
+		s.appliedInTerm[e.Index] = m.core.term
 	}
 	s.committed[e.Index] = e
 	s.maxCommit = max(s.maxCommit, e.Index)
-	if command, ok := m.pieces.add(e); ok {
+	if command, ok := m.reassembler.add(e); ok {
 		m.state = append(m.state, string(command))
 		if _, ok := s.appliedAt[string(command)]; !ok {
 			s.appliedAt[string(command)] = s.now
@@ -289,7 +290,7 @@
 	if op := m.waiting[e.Index]; op != nil {
 		delete(m.waiting, e.Index)
 		if op.term == e.Term {
-			s.history[op.op].Return = int64(s.now)
+			s.history[op.historyIndex].Return = int64(s.now)
 			s.ackFloor = max(s.ackFloor, e.Index)
 			s.acked++
 		}
@@ -301,7 +302,7 @@
 	}
 }
 
-// write proposes the next value on a member that believes it leads.
+// write proposes the next value on a member that believes it is the leader.
 func (s *sim) write(m *member) {
 	s.nextValue++
 	value := fmt.Sprint(s.nextValue)
@@ -312,20 +313,21 @@
 	s.history = append(s.history, porcupine.Operation{
 		ClientId: len(s.history), Input: value, Output: "", Call: int64(s.now), Return: endOfTime,
 	})
-	m.waiting[index] = &simOp{op: len(s.history) - 1, term: term, value: value}
+	m.waiting[index] = &simOp{historyIndex: len(s.history) - 1, term: term, value: value}
 	s.pump(m)
 }
 
 const endOfTime = int64(1) << 40
 
-// The history's clients: so many wait at a time, and each gives up some time
-// after a fault; more only makes the check of the history longer.
+// Bounds of the history's clients: the number of outstanding operations, and the number
+// of steps after which an unanswered one no longer counts. Larger bounds only make the
+// check of the history slower.
 const (
 	maxOutstanding = 4
 	giveUpAfter    = 250
 )
 
-func (s *sim) busy() bool {
+func (s *sim) tooManyOutstanding() bool {
 	outstanding := 0
 	for _, op := range s.history[max(0, len(s.history)-giveUpAfter):] {
 		if op.Return == endOfTime && int64(s.now)-op.Call < giveUpAfter {
@@ -344,14 +346,14 @@
 	s.history = append(s.history, porcupine.Operation{
 		ClientId: len(s.history), Input: "", Output: nil, Call: int64(s.now), Return: endOfTime,
 	})
-	m.reads[id] = &simOp{op: len(s.history) - 1, floor: s.ackFloor}
+	m.reads[id] = &simOp{historyIndex: len(s.history) - 1, minIndex: s.ackFloor}
 	s.pump(m)
 }
 
 func (s *sim) finishRead(m *member, r Read) {
 	op := m.reads[r.ID]
-	if r.Index < op.floor {
-		s.fail("%s confirms a read at %d, but %d was acknowledged before it", m.id, r.Index, op.floor)
+	if r.Index < op.minIndex {
+		s.fail("member %s confirms a read at entry %d, want at least the acknowledged entry %d", m.id, r.Index, op.minIndex)
 	}
 	op.index = r.Index
 	if m.applied >= r.Index {
@@ -361,11 +363,11 @@
 
 func (s *sim) answerRead(m *member, id uint64, op *simOp) {
 	delete(m.reads, id)
-	s.history[op.op].Return = int64(s.now)
+	s.history[op.historyIndex].Return = int64(s.now)
 	value := ""
 	if len(m.state) > 0 {
 		value = m.state[len(m.state)-1]
 	}
-	s.history[op.op].Output = value
+	s.history[op.historyIndex].Output = value
 	s.readsDone++
 }
--- a/internal/consensus/simcheck_test.go
+++ b/internal/consensus/simcheck_test.go
@@ -6,8 +6,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// check asserts what must hold at each step.
-func (s *sim) check() {
+// checkInvariants checks the properties that must hold at each step.
+func (s *sim) checkInvariants() {
 	for _, id := range s.ids() {
 		m := s.members[id]
 		if !m.up {
@@ -20,30 +20,30 @@
 			}
 			if _, ok := s.leaders[c.term]; !ok {
 				s.leaders[c.term] = id
-				s.checkComplete(c)
+				s.checkLeaderCompleteness(c)
 			}
 		}
 		if c.commit > c.log.last() {
-			s.fail("%s commits %d of %d", id, c.commit, c.log.last())
+			s.fail("member %s has commit index %d beyond its last entry %d", id, c.commit, c.log.last())
 		}
 	}
 	if s.now%25 == 0 {
-		s.checkMatching()
+		s.checkLogMatching()
 	}
 }
 
-// checkComplete: a leader holds what was committed in the terms before its own. It
-// may be elected after a later term's leader has committed more: votes for it were
-// on their way.
-func (s *sim) checkComplete(c *Core) {
+// checkLeaderCompleteness checks that a leader has all entries that were committed in
+// earlier terms. A leader may be elected after the leader of a later term has committed
+// further entries, because votes for it were in flight.
+func (s *sim) checkLeaderCompleteness(c *Core) {
 	for index := c.log.snap.Index + 1; index <= s.maxCommit; index++ {
-		if s.inTerm[index] < c.term && !c.log.matches(index, s.committed[index].Term) {
-			s.fail("leader completeness: %s leads term %d without entry %d", c.o.ID, c.term, index)
+		if s.appliedInTerm[index] < c.term && !c.log.matches(index, s.committed[index].Term) {
+			s.fail("leader completeness: %s leads term %d without entry %d", c.options.ID, c.term, index)
 		}
 	}
 }
 
-func (s *sim) checkMatching() {
+func (s *sim) checkLogMatching() {
 	seen := map[[2]uint64]string{}
 	for _, id := range s.ids() {
 		m := s.members[id]
@@ -53,15 +53,15 @@
 		for _, e := range m.core.log.entries {
 			key := [2]uint64{e.Index, e.Term}
 			if data, ok := seen[key]; ok && data != string(e.Data) {
-				s.fail("log matching: two entries %d of term %d", e.Index, e.Term)
+				s.fail("log matching: two different entries %d of term %d", e.Index, e.Term)
 			}
 			seen[key] = string(e.Data)
 		}
 	}
 }
 
-// believers are members that think they lead.
-func (s *sim) believers() []*member {
+// claimedLeaders returns the running members that believe they are the leader.
+func (s *sim) claimedLeaders() []*member {
 	var out []*member
 	for _, id := range s.ids() {
 		if m := s.members[id]; s.active(m) && m.core.IsLeader() {
@@ -71,22 +71,23 @@
 	return out
 }
 
-// leader runs until one member leads and has committed in its term.
-func (s *sim) leader() *member {
+// waitForLeader runs until exactly one member leads and has committed an entry in its
+// term.
+func (s *sim) waitForLeader() *member {
 	s.t.Helper()
 	for range 400 * stepsPerTick {
-		if b := s.believers(); len(b) == 1 && b[0].core.committedInTerm() {
+		if b := s.claimedLeaders(); len(b) == 1 && b[0].core.committedInTerm() {
 			return b[0]
 		}
 		s.step()
 	}
-	s.fail("no leader")
+	s.fail("no single leader within 400 ticks")
 	return nil
 }
 
-// join drives the replacement of a voter as a Node's leader does.
-func (s *sim) join() {
-	for _, m := range s.believers() {
+// driveJoin performs the steps of a voter's replacement as the leader's Node does.
+func (s *sim) driveJoin() {
+	for _, m := range s.claimedLeaders() {
 		change, state := m.core.PlanJoin(s.joining)
 		if state == JoinChange {
 			_, _, _ = m.core.ProposeChange(change)
@@ -99,20 +100,20 @@
 	}
 }
 
-// replace takes a VM's disk away and starts it under a new identity.
+// replace removes a member and its disk and starts a new member on the same VM.
 func (s *sim) replace(id MemberID, identity string) MemberID {
 	delete(s.members, id)
-	fresh := NewMemberID(id.VM(), identity)
-	s.add(fresh, &disk{})
-	s.joining = fresh
-	return fresh
+	replacement := NewMemberID(id.VM(), identity)
+	s.add(replacement, &disk{})
+	s.joining = replacement
+	return replacement
 }
 
-// traffic writes and reads on every believer, and drives a join.
-func (s *sim) traffic(steps int) {
+// runTraffic writes and reads on every claimed leader and drives a pending join.
+func (s *sim) runTraffic(steps int) {
 	for range steps {
-		for _, m := range s.believers() {
-			if s.busy() {
+		for _, m := range s.claimedLeaders() {
+			if s.tooManyOutstanding() {
 				continue
 			}
 			switch s.rng.IntN(6) {
@@ -125,7 +126,7 @@
 			}
 		}
 		if s.joining != "" && s.now%3 == 0 {
-			s.join()
+			s.driveJoin()
 		}
 		s.step()
 	}
@@ -141,8 +142,9 @@
 	},
 }
 
-// checkHistory checks the register's history. Reads without an answer say
-// nothing. A write without one took effect when it was first applied, or never.
+// checkHistory checks that the register's history is linearizable. Reads without an
+// answer are ignored. A write without an answer took effect when it was first applied,
+// or never.
 func (s *sim) checkHistory() {
 	s.t.Helper()
 	var ops []porcupine.Operation
@@ -156,6 +158,6 @@
 		}
 	}
 	if res := porcupine.CheckOperationsTimeout(register, ops, 10*time.Second); res != porcupine.Ok {
-		s.fail("history of %d operations: %v", len(ops), res)
+		s.fail("linearizability check of %d operations: got %v, want Ok", len(ops), res)
 	}
 }
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -16,44 +16,46 @@
 	snapshotPrefix = "snapshot-"
 )
 
-// identity says who this VM is within which group. It lies beside the log: both
+// identity is this VM's member id and its group. It is stored beside the log, so both
 // are lost together.
 type identity struct {
 	ID    MemberID `cbor:"1,keyasint"`
-	Group string   `cbor:"2,keyasint,omitempty"` // empty until the VM is in a group
+	Group string   `cbor:"2,keyasint,omitempty"` // empty until the VM is a member of a group
 }
 
-// record is one entry of the write-ahead log.
+// record is one record of the write-ahead log.
 type record struct {
 	Hard    HardState     `cbor:"1,keyasint"`
 	Entries []Entry       `cbor:"2,keyasint,omitempty"`
-	Base    *SnapshotMeta `cbor:"3,keyasint,omitempty"` // checkpoint: Entries follow it
-	Snap    *SnapshotMeta `cbor:"4,keyasint,omitempty"` // checkpoint: the file with the state
+	Base    *SnapshotMeta `cbor:"3,keyasint,omitempty"` // checkpoint: the state before Entries
+	Snap    *SnapshotMeta `cbor:"4,keyasint,omitempty"` // checkpoint: identifies the snapshot file
 }
 
-// snapshotFile is the content of a snapshot's file.
+// snapshotFile is the content of a snapshot file.
 type snapshotFile struct {
 	Meta SnapshotMeta `cbor:"1,keyasint"`
 	Data []byte       `cbor:"2,keyasint"`
 }
 
-// storage is one member's folder.
+// storage is the directory of one member.
 type storage struct {
-	fs   wal.FS
-	dir  string
-	log  *wal.Log
-	who  identity
-	snap SnapshotMeta // the state that the log builds on; Index 0: none
+	fs       wal.FS
+	dir      string
+	log      *wal.Log
+	identity identity
+	snap     SnapshotMeta // the latest snapshot; Index 0 means none
 }
 
-// openStorage reads the folder. A folder without identity is a new member's.
-func openStorage(fsys wal.FS, dir, vm, fresh string) (*storage, State, error) {
+// openStorage opens the directory and returns the persisted state. A directory without
+// an identity file and with an empty log becomes that of a new member with the
+// identity newIdentity.
+func openStorage(fsys wal.FS, dir, vm, newIdentity string) (*storage, State, error) {
 	log, frames, err := wal.Open(fsys, dir)
 	if err != nil {
 		return nil, State{}, err
 	}
 	s := &storage{fs: fsys, dir: dir, log: log}
-	if err := s.loadIdentity(vm, fresh, len(frames)); err != nil {
+	if err := s.loadIdentity(vm, newIdentity, len(frames)); err != nil {
 		return nil, State{}, errors.Join(err, log.Close())
 	}
 	state, err := s.replay(frames)
@@ -63,49 +65,50 @@
 	return s, state, nil
 }
 
-func (s *storage) loadIdentity(vm, fresh string, frames int) error {
+func (s *storage) loadIdentity(vm, newIdentity string, frames int) error {
 	name := filepath.Join(s.dir, identityFile)
 	data, err := wal.ReadFile(s.fs, name)
 	if errors.Is(err, fs.ErrNotExist) {
 		if frames > 0 {
-			return &wal.DamageError{File: name, Reason: "missing beside a log that is not empty"}
+			return &wal.DamageError{File: name, Reason: "file is missing, but the log beside it is not empty"}
 		}
-		s.who = identity{ID: NewMemberID(vm, fresh)}
+		s.identity = identity{ID: NewMemberID(vm, newIdentity)}
 		return s.saveIdentity()
 	}
 	if err != nil {
 		return err
 	}
-	if err := cbor.Unmarshal(data, &s.who); err != nil {
+	if err := cbor.Unmarshal(data, &s.identity); err != nil {
 		return &wal.DamageError{File: name, Reason: err.Error()}
 	}
-	if s.who.ID.VM() != vm {
-		return fmt.Errorf("consensus: %s belongs to VM %s, this is %s", s.dir, s.who.ID.VM(), vm)
+	if s.identity.ID.VM() != vm {
+		return fmt.Errorf("consensus: folder %s belongs to VM %s, but this is VM %s", s.dir, s.identity.ID.VM(), vm)
 	}
-	if s.who.Group != "" && frames == 0 {
-		// The member may have voted; without its log it must not go on.
-		return &wal.DamageError{File: name, Reason: "the log beside it is gone; remove the folder to join as a new member"}
+	if s.identity.Group != "" && frames == 0 {
+		// The member may have voted. It must not continue without its log.
+		return &wal.DamageError{File: name, Reason: "the log beside the file is missing; remove the folder to join as a new member"}
 	}
 	return nil
 }
 
 func (s *storage) saveIdentity() error {
-	data, err := cbor.Marshal(s.who)
+	data, err := cbor.Marshal(s.identity)
 	if err != nil {
 		return err
 	}
 	return wal.WriteFile(s.fs, filepath.Join(s.dir, identityFile), data)
 }
 
-// enter records the group. The log gets its first record before, so that a
-// member without one is known to have lost it; the record voids what an entry
-// into a group that a crash cut short may have left.
-func (s *storage) enter(group string, first record) error {
+// saveGroup records that this member belongs to the group. It appends the first log
+// record before it saves the identity. A member of a group whose log is empty has
+// therefore lost its log. The Base of that record discards the records of an earlier
+// saveGroup that was interrupted by a crash.
+func (s *storage) saveGroup(group string, first record) error {
 	first.Base = &SnapshotMeta{}
 	if err := s.append(first); err != nil {
 		return err
 	}
-	s.who.Group = group
+	s.identity.Group = group
 	return s.saveIdentity()
 }
 
@@ -140,17 +143,18 @@
 	return s.log.Append(data)
 }
 
-// errTooLarge: what follows a snapshot does not fit in one record.
-var errTooLarge = errors.New("consensus: checkpoint too large")
+// errCheckpointTooLarge reports that the entries after a snapshot exceed the size of
+// one record.
+var errCheckpointTooLarge = errors.New("consensus: checkpoint too large")
 
-// checkpoint replaces the log and removes what it makes useless.
+// checkpoint replaces the log by one record and removes older snapshot files.
 func (s *storage) checkpoint(r record) error {
 	data, err := cbor.Marshal(r)
 	if err != nil {
 		return err
 	}
 	if len(data) > wal.MaxFrameBytes {
-		return fmt.Errorf("%w: %d bytes", errTooLarge, len(data))
+		return fmt.Errorf("%w: %d bytes", errCheckpointTooLarge, len(data))
 	}
 	if err := s.log.Checkpoint(data); err != nil {
 		return err
@@ -169,7 +173,7 @@
 		return err
 	}
 	if len(data) > wal.MaxFrameBytes {
-		return fmt.Errorf("consensus: state of %d bytes exceeds %d", len(data), wal.MaxFrameBytes)
+		return fmt.Errorf("consensus: snapshot of %d bytes exceeds the limit of %d bytes", len(data), wal.MaxFrameBytes)
 	}
 	return wal.WriteFile(s.fs, filepath.Join(s.dir, snapshotName(f.Meta)), data)
 }
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -10,19 +10,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal/waltest"
 )
 
-// life is what a member wrote before the power went.
-type life struct {
+// diskProgress is the state that a member saved before the crash.
+type diskProgress struct {
 	entered bool
-	hard    HardState // last saved
-	last    uint64    // last entry saved
-	snap    uint64    // last checkpoint that returned
+	hard    HardState // last saved hard state
+	last    uint64    // index of the last saved entry
+	snap    uint64    // snapshot index of the last checkpoint that succeeded
 }
 
-// live runs a member's disk: it enters a group, appends with a growing term and
-// vote, and checkpoints behind a snapshot every eighth entry.
-func live(fs wal.FS) (l life) {
+// runDisk writes a member's disk until an error occurs. It saves the group, appends
+// entries with growing terms and votes, and writes a snapshot and a checkpoint after
+// every eighth entry.
+func runDisk(fs wal.FS) (l diskProgress) {
 	s, _, err := openStorage(fs, "/c", "vm1", "one")
-	if err != nil || s.enter("g", record{Hard: HardState{Term: 1}}) != nil {
+	if err != nil || s.saveGroup("g", record{Hard: HardState{Term: 1}}) != nil {
 		return l
 	}
 	l.entered = true
@@ -50,16 +51,16 @@
 	return l
 }
 
-// The power goes at each write, sync, rename and removal of a member's disk in
-// turn, also while a snapshot is written and the log compacted. It comes back
-// with its identity, its term and vote, every entry that it acknowledged, and a
-// whole snapshot for what is compacted; or, before it entered a group, as new.
+// Guards against losing acknowledged state when a member loses power. The crash occurs at
+// every write, sync, rename and removal in turn, also during snapshots and compaction.
+// The member must find its identity, term, vote, every acknowledged entry and a complete
+// snapshot of the compacted ones. A member that was in no group may start as a new one.
 func TestMemberDiskCrashAtEveryBoundary(t *testing.T) {
 	crashes := 0
 	for op := 1; ; op++ {
 		fs := waltest.New()
 		fs.CrashAt(op)
-		l := live(fs)
+		l := runDisk(fs)
 		if !fs.Crashed() {
 			break
 		}
@@ -67,38 +68,38 @@
 		fs.Crash(func(n int) int { return n * (op % 3) / 2 })
 		s, state, err := openStorage(fs, "/c", "vm1", "two")
 		if err != nil {
-			t.Fatalf("crash at %d: %v", op, err)
+			t.Fatalf("crash at operation %d: reopening failed: %v", op, err)
 		}
-		if l.entered && (s.who != identity{ID: "vm1/one", Group: "g"}) {
-			t.Fatalf("crash at %d: came back as %+v", op, s.who)
+		if l.entered && (s.identity != identity{ID: "vm1/one", Group: "g"}) {
+			t.Fatalf("crash at operation %d: got identity %+v, want vm1/one in group g", op, s.identity)
 		}
 		last := state.Snapshot.Index + uint64(len(state.Entries))
 		if last < l.last || state.Hard.Term < l.hard.Term || state.Hard.Term == l.hard.Term && state.Hard.Vote != l.hard.Vote {
-			t.Fatalf("crash at %d: acknowledged %+v, found %+v and entries to %d", op, l, state.Hard, last)
+			t.Fatalf("crash at operation %d: want at least %+v, got %+v and entries up to %d", op, l, state.Hard, last)
 		}
 		if s.snap.Index < l.snap || state.Snapshot.Index > s.snap.Index {
-			t.Fatalf("crash at %d: snapshot %d of %d, log from %d", op, s.snap.Index, l.snap, state.Snapshot.Index)
+			t.Fatalf("crash at operation %d: got snapshot %d, want at least %d and at least the log base %d", op, s.snap.Index, l.snap, state.Snapshot.Index)
 		}
 		if s.snap.Index > 0 {
 			if f, err := s.readSnapshot(s.snap); err != nil || string(f.Data) != fmt.Sprint("state ", s.snap.Index) {
-				t.Fatalf("crash at %d: snapshot: %q, %v", op, f.Data, err)
+				t.Fatalf("crash at operation %d: got snapshot content %q, %v; want the state at its index", op, f.Data, err)
 			}
 		}
-		NewCore(Options{ID: s.who.ID, ElectionTicks: 8, HeartbeatTicks: 2, Rand: func(int) int { return 0 }}, state)
+		NewCore(Options{ID: s.identity.ID, ElectionTicks: 8, HeartbeatTicks: 2, Rand: func(int) int { return 0 }}, state)
 	}
 	if crashes < 80 {
-		t.Fatalf("only %d boundaries met", crashes)
+		t.Fatalf("got %d crashes, want at least 80", crashes)
 	}
 }
 
-// The log's files are gone but the identity is there, or the other way round: the
-// member may have voted and must not go on. It says which file, and stops.
-func TestHalfLostFolderIsRefused(t *testing.T) {
+// Guards against a second vote in one term. Either the log or the identity file is lost.
+// The member may have voted, so opening its directory must fail and name the file.
+func TestIncompleteMemberDirectoryIsRefused(t *testing.T) {
 	for _, gone := range []string{"identity", "segment-0000000000000001.log"} {
 		fs := waltest.New()
 		s, _, err := openStorage(fs, "/c", "vm1", "one")
-		if err != nil || s.enter("g", record{Hard: HardState{Term: 1}}) != nil {
-			t.Fatal("setup", err)
+		if err != nil || s.saveGroup("g", record{Hard: HardState{Term: 1}}) != nil {
+			t.Fatal("writing the directory failed:", err)
 		}
 		if err := fs.Remove("/c/" + gone); err != nil {
 			t.Fatal(err)
@@ -106,13 +107,14 @@
 		_, _, err = openStorage(fs, "/c", "vm1", "two")
 		var damage *wal.DamageError
 		if !errors.As(err, &damage) {
-			t.Errorf("without %s: %v", gone, err)
+			t.Errorf("without %s: got %v, want a DamageError", gone, err)
 		}
 	}
 }
 
-// A voter gives its vote, loses power and is asked by another candidate of the
-// same term. It refuses: the vote was synced before the answer left.
+// Guards against a second vote in one term after a restart. A voter grants its vote, loses
+// power and gets the request of another candidate of the same term. It must reject it,
+// because the vote was synced before the reply was sent.
 func TestVoteSurvivesRestart(t *testing.T) {
 	s := newSim(t, 9, 3)
 	voter := s.members["vm1/a"]
@@ -127,15 +129,15 @@
 	voter.core.Step(ask("vm3/a"))
 	s.pump(voter)
 	if len(s.queue) != 1 || !s.queue[0].msg.Reject {
-		t.Errorf("second vote in one term: %+v", s.queue)
+		t.Errorf("got %+v, want one rejection of the second vote in a term", s.queue)
 	}
 }
 
-// FuzzPacket: whatever another VM sends is refused or can be stepped by a follower
-// and read back from its log.
+// FuzzPacket checks that arbitrary input from another VM is either rejected or can be
+// processed by a follower without a panic.
 func FuzzPacket(f *testing.F) {
 	config := Config{Voters: []MemberID{"a/1", "b/1"}}.encode()
-	good := packet{Group: "g", Messages: []Message{{
+	good := messageBatch{Group: "g", Messages: []Message{{
 		Kind: AppendRequest, From: "b/1", To: "a/1", Term: 2,
 		Entries: []Entry{{Index: 1, Term: 1, Kind: EntryConfig, Data: config}, {Index: 2, Term: 2, Kind: EntryNoop}},
 	}}}
@@ -145,7 +147,7 @@
 	}
 	f.Add(seed)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var p packet
+		var p messageBatch
 		if codec.Unmarshal(data, &p) != nil {
 			return
 		}
@@ -155,7 +157,7 @@
 			}
 			c := NewCore(Options{ID: m.To, ElectionTicks: 8, HeartbeatTicks: 2, Rand: func(int) int { return 0 }}, State{})
 			if m.Commit > uint64(len(m.Entries)) {
-				continue // a follower that lost acknowledged entries stops, by intent
+				continue // a follower that lost acknowledged entries panics intentionally
 			}
 			c.Step(m)
 			c.Ready()
--- a/internal/consensus/surplus.go
+++ b/internal/consensus/surplus.go
@@ -1,24 +1,25 @@
 package consensus
 
-// silentChecks is how many quorum checks in a row (450 ms each) a surplus voter
-// has to miss: beyond a change of connection or a stalled disk, and short enough
-// that a second loss seldom comes first.
-const silentChecks = 5
+// surplusMissedChecks is the number of consecutive quorum checks (450 ms each) that a
+// surplus voter misses before it is removed. A reconnect or a stalled disk takes less
+// time, and a second loss within this time is rare.
+const surplusMissedChecks = 5
 
-// Surplus returns, on a leader, a voter that has fallen silent where the group
-// has more voters than target, or "".
+// SurplusVoter returns, on a leader, an unreachable voter if the group has more voters
+// than target, and "" otherwise.
 //
-// A VM that is replaced under another address leaves its vote behind: the new
-// one's id differs, so that nothing names the old one as its former. The silent
-// vote raises the majority, and the next loss would stop the group. Nothing is
-// removed down to target or below: there a silent voter may come back.
+// The vote of a VM that is replaced under another address remains: the new VM has
+// another id, so it does not count as a successor of the old one. The vote of the
+// unreachable member raises the majority, and the next loss would stop the group. A
+// group with target voters or fewer keeps all of them, because an unreachable voter may
+// come back.
 func (c *Core) Surplus(target int) MemberID {
 	config := c.log.config().config
 	if c.role != Leader || len(config.Voters) <= target || !c.ConfigSettled() {
 		return ""
 	}
 	for _, id := range config.Voters {
-		if p := c.progress[id]; p != nil && p.silent >= silentChecks {
+		if p := c.progress[id]; p != nil && p.missedChecks >= surplusMissedChecks {
 			return id
 		}
 	}
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// MemberID names one member for its whole life: the VM's id, a slash and an
-// identity that is stored beside the log. A VM that lost its disk comes back
-// under a new MemberID: the old one may have voted, and nobody remembers how.
+// MemberID identifies one member for its lifetime. It consists of the VM's id, a
+// slash and an identity that is stored beside the log. A VM that lost its disk
+// gets a new MemberID, because the votes of the old one are lost with the disk.
 type MemberID string
 
-// NewMemberID joins a VM's id and an identity.
+// NewMemberID returns the MemberID of a VM with the given identity.
 func NewMemberID(vm, identity string) MemberID { return MemberID(vm + "/" + identity) }
 
-// VM is the id of the member's VM.
+// VM returns the id of the member's VM.
 func (id MemberID) VM() string {
 	vm, _, _ := strings.Cut(string(id), "/")
 	return vm
 }
 
-// EntryKind says what an entry holds.
+// EntryKind is the type of a log entry's data.
 type EntryKind uint8
 
-// The kinds of entries. The numbers are on disk.
+// The kinds of entries. The numbers are stored on disk.
 const (
 	EntryCommand EntryKind = 1
-	EntryConfig  EntryKind = 2 // an encoded Config, in force from its append on
-	EntryNoop    EntryKind = 3 // a new leader's first
-	EntryPiece   EntryKind = 4 // the begin of a command that goes on in the next entry
+	EntryConfig  EntryKind = 2 // an encoded Config, which takes effect when it is appended
+	EntryNoop    EntryKind = 3 // the first entry of a new leader
+	EntryPiece   EntryKind = 4 // a part of a command that continues in the next entry
 )
 
 // Entry is one entry of the replicated log.
@@ -38,25 +38,25 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is what a member must not forget. Commit alone needs no sync: the
-// leader tells it again.
+// HardState is the state that a member must persist. A change of Commit alone
+// needs no sync, because the leader sends it again.
 type HardState struct {
 	Term   uint64   `cbor:"1,keyasint"`
 	Vote   MemberID `cbor:"2,keyasint,omitempty"`
 	Commit uint64   `cbor:"3,keyasint,omitempty"`
 }
 
-// SnapshotMeta names the state after the entry Index.
+// SnapshotMeta identifies the state after the entry Index was applied.
 type SnapshotMeta struct {
 	Index  uint64 `cbor:"1,keyasint"`
 	Term   uint64 `cbor:"2,keyasint"`
 	Config Config `cbor:"3,keyasint"`
 }
 
-// MessageKind names a message between members.
+// MessageKind is the type of a message between members.
 type MessageKind uint8
 
-// The messages. The numbers are part of the protocol.
+// The kinds of messages. The numbers are part of the protocol.
 const (
 	PreVoteRequest MessageKind = iota + 1
 	PreVoteReply
@@ -66,39 +66,39 @@
 	AppendReply
 	HeartbeatRequest
 	HeartbeatReply
-	TimeoutNow        // from a leader that leaves: campaign at once
-	SnapshotInstalled // from the Node that received the last chunk to its own Core
+	TimeoutNow        // a leader transfers its leadership: the receiver campaigns at once
+	SnapshotInstalled // from a Node that received the last chunk to its own Core
 )
 
-// Message is sent between members. Which fields count depends on Kind.
+// Message is a message between members. Kind determines which fields are used.
 type Message struct {
 	Kind    MessageKind   `cbor:"1,keyasint"`
 	From    MemberID      `cbor:"2,keyasint"`
 	To      MemberID      `cbor:"3,keyasint"`
 	Term    uint64        `cbor:"4,keyasint"`
-	Index   uint64        `cbor:"5,keyasint,omitempty"` // of the entry before Entries; a voter's last; a reply's match
+	Index   uint64        `cbor:"5,keyasint,omitempty"` // append: the entry before Entries; vote: the last entry; reply: the last matching entry
 	LogTerm uint64        `cbor:"6,keyasint,omitempty"` // term of the entry at Index
 	Commit  uint64        `cbor:"7,keyasint,omitempty"`
 	Entries []Entry       `cbor:"8,keyasint,omitempty"`
 	Reject  bool          `cbor:"9,keyasint,omitempty"`
-	Hint    uint64        `cbor:"10,keyasint,omitempty"` // of a rejecting reply: where the logs may still agree
-	Round   uint64        `cbor:"11,keyasint,omitempty"` // heartbeat round, for reads
+	Hint    uint64        `cbor:"10,keyasint,omitempty"` // rejecting reply: the last index at which the logs may agree
+	Round   uint64        `cbor:"11,keyasint,omitempty"` // heartbeat round, which confirms reads
 	Meta    *SnapshotMeta `cbor:"12,keyasint,omitempty"`
-	Handed  bool          `cbor:"13,keyasint,omitempty"` // of a vote request: the leader itself asked for it
+	Handed  bool          `cbor:"13,keyasint,omitempty"` // vote request: the leader itself transfers its leadership
 }
 
-// Errors of proposals and reads.
+// Errors of proposals, membership changes and reads.
 var (
 	ErrNotLeader      = errors.New("consensus: not the leader")
-	ErrBusy           = errors.New("consensus: too many proposals wait")
-	ErrConfigBusy     = errors.New("consensus: another membership change is under way")
-	ErrBadChange      = errors.New("consensus: membership change does not apply")
+	ErrBusy           = errors.New("consensus: too many pending proposals")
+	ErrConfigBusy     = errors.New("consensus: another membership change is in progress")
+	ErrBadChange      = errors.New("consensus: membership change is not valid for the current configuration")
 	ErrOutcomeUnknown = errors.New("consensus: leadership lost before the outcome was known")
-	ErrNoMember       = errors.New("consensus: no member on this VM")
+	ErrNoMember       = errors.New("consensus: VM has no member in the group")
 	ErrClosed         = errors.New("consensus: closed")
 )
 
-// Role is what a member does at the moment.
+// Role is a member's current Raft role.
 type Role uint8
 
 // The roles.
