--- a/internal/wal/file.go
+++ b/internal/wal/file.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// WriteFile replaces a file in one step: temporary file, sync, rename, sync of
-// the folder. A crash leaves the old file or the new one, never a mixture.
+// WriteFile replaces a file atomically: it writes and syncs a temporary file, renames
+// it and syncs the directory. After a crash the file has either its old or its new
+// content.
 func WriteFile(fs FS, name string, payload []byte) error {
 	temp := name + tempSuffix
 	file, err := fs.Create(temp)
@@ -32,8 +33,9 @@
 	return nil
 }
 
-// ReadFile returns what WriteFile wrote; an error that wraps fs.ErrNotExist
-// where there is none, a DamageError where it is not whole.
+// ReadFile returns the payload of a file that WriteFile wrote. The error wraps
+// fs.ErrNotExist if the file does not exist, and is a DamageError if the file is
+// incomplete or damaged.
 func ReadFile(fs FS, name string) ([]byte, error) {
 	data, err := fs.ReadFile(name)
 	if err != nil {
@@ -46,8 +48,8 @@
 	return f.payload, nil
 }
 
-// RemoveBefore removes the files of dir whose names begin with prefix and sort
-// before keep.
+// RemoveBefore removes the files in dir whose names start with prefix and sort before
+// the name keep.
 func RemoveBefore(fs FS, dir, prefix, keep string) error {
 	names, err := fs.List(dir)
 	if err != nil {
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -7,13 +7,13 @@
 	"hash/crc32"
 )
 
-// A frame is header and payload. The header, little endian: magic (4 bytes),
-// payload length (4), sequence number (8), CRC32C of length, sequence number,
-// kind and payload (4), kind (1).
+// A frame consists of a header and a payload. The header is little endian and contains
+// the magic (4 bytes), the payload length (4), the sequence number (8), the CRC32C of
+// length, sequence number, kind and payload (4), and the kind (1).
 const (
 	headerBytes = 21
-	// MaxFrameBytes bounds a payload, so that a damaged length cannot make the
-	// reader allocate the rest of the address space.
+	// MaxFrameBytes bounds the payload of a frame. A damaged length field therefore
+	// cannot make the reader allocate an arbitrary amount of memory.
 	MaxFrameBytes = 64 << 20
 )
 
@@ -25,7 +25,7 @@
 
 const (
 	kindEntry      kind = 1
-	kindCheckpoint kind = 2 // replaces everything before it
+	kindCheckpoint kind = 2 // replaces all frames before it
 )
 
 type frame struct {
@@ -46,14 +46,15 @@
 	return dst
 }
 
-// checksum covers a frame but for its magic and the checksum itself.
+// checksum computes the checksum of an encoded frame, which covers everything except
+// the magic and the checksum itself.
 func checksum(b []byte) uint32 {
 	sum := crc32.Update(0, castagnoli, b[4:16])
 	return crc32.Update(sum, castagnoli, b[20:])
 }
 
-// parseFrame reads the frame at the start of data and returns its length in
-// bytes; ok is false where no whole frame stands there.
+// parseFrame decodes the frame at the start of data and returns its length in bytes.
+// ok is false if data does not start with a complete, undamaged frame.
 func parseFrame(data []byte) (f frame, size int, ok bool) {
 	if len(data) < headerBytes || !bytes.Equal(data[:4], magic) {
 		return frame{}, 0, false
@@ -71,8 +72,8 @@
 	}, size, true
 }
 
-// wholeFrameAfter reports whether a whole frame stands anywhere in data.
-func wholeFrameAfter(data []byte) bool {
+// containsFrame reports whether data contains a complete frame at any offset.
+func containsFrame(data []byte) bool {
 	for {
 		i := bytes.Index(data, magic)
 		if i < 0 {
@@ -86,8 +87,8 @@
 	}
 }
 
-// DamageError reports a file whose middle is damaged: the entries after the
-// damage were acknowledged, so that cutting them would break a promise.
+// DamageError reports a damaged or missing file whose data may have been acknowledged.
+// Such a file is not truncated, because that would lose acknowledged entries.
 type DamageError struct {
 	File   string
 	Offset int64 // bytes from the file's start
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -11,17 +11,18 @@
 	"syscall"
 )
 
-// FS is what the log needs of a file system. Names are full paths.
+// FS is the interface of the file system that the log uses. Names are full paths.
 type FS interface {
 	MkdirAll(dir string) error
-	// Lock keeps a folder for this process until it is closed or ends.
+	// Lock locks a directory for this process until the returned Closer is closed or
+	// the process exits.
 	Lock(dir string) (io.Closer, error)
 	// List returns the names of the files in dir, sorted, without the path.
 	List(dir string) ([]string, error)
 	ReadFile(name string) ([]byte, error)
-	// Create opens a file for writing and empties it.
+	// Create creates a file, or truncates an existing one, and opens it for writing.
 	Create(name string) (File, error)
-	// Append opens an existing file for writing at its end.
+	// Append opens an existing file for appending.
 	Append(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
@@ -29,7 +30,7 @@
 	SyncDir(dir string) error
 }
 
-// File is a file open for writing at its end.
+// File is a file that is open for appending.
 type File interface {
 	Write(p []byte) (int, error)
 	Truncate(size int64) error
@@ -37,7 +38,7 @@
 	Close() error
 }
 
-// OS is the FS of the operating system.
+// OS implements FS on the operating system's file system.
 type OS struct{}
 
 const (
@@ -45,8 +46,8 @@
 	fileMode fs.FileMode = 0o600
 )
 
-// MkdirAll implements FS. The parent of each new folder is synced: a folder that
-// vanishes with a crash takes every synced file in it along.
+// MkdirAll implements FS. It syncs the parent of each new directory. Otherwise a crash
+// could remove a new directory together with the synced files in it.
 func (OS) MkdirAll(dir string) error {
 	var parents []string
 	for d := filepath.Clean(dir); ; d = filepath.Dir(d) {
@@ -66,10 +67,10 @@
 	return nil
 }
 
-// ErrInUse reports a folder that another process has locked.
+// ErrInUse reports a directory that another process has locked.
 var ErrInUse = errors.New("folder in use by another process")
 
-// Lock implements FS. Two processes on one log would both answer for one voter.
+// Lock implements FS. Without the lock two processes could act as the same voter.
 func (OS) Lock(dir string) (io.Closer, error) {
 	f, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_WRONLY|os.O_CREATE, fileMode)
 	if err != nil {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,12 +1,13 @@
-// Package wal keeps the consensus group's log and snapshots on a VM's disk.
+// Package wal stores the consensus group's log and snapshots on a VM's disk.
 //
-// Safeguards. Append returns only after the file is synced, and a new file's
-// folder too: otherwise a crash forgets a vote or an acknowledged entry. Every
-// append is one frame under one checksum, so that a crash in mid-write leaves
-// exactly one broken frame, at the end: it was never acknowledged and is cut. A
-// broken frame with a whole one after it cannot come from a crash: it is an
-// error. After a failed write or sync the log takes nothing more: the kernel may
-// have dropped the dirty pages and report success at the next sync.
+// Append returns only after the file is synced and, for a new file, its directory too.
+// Otherwise a crash could lose a vote or an acknowledged entry. Every append is one
+// frame with one checksum. A crash during a write therefore leaves exactly one
+// incomplete frame at the end of the log, which was never acknowledged and is
+// truncated. A damaged frame that is followed by a complete one cannot result from a
+// crash and is reported as an error. After a failed write or sync the log refuses all
+// further writes: the kernel may have dropped the dirty pages and may report success
+// for the next sync.
 package wal
 
 import (
@@ -22,16 +23,17 @@
 	segmentPrefix = "segment-"
 	segmentSuffix = ".log"
 	tempSuffix    = ".tmp"
-	// segmentBytes is when a new file is begun: small enough that a checkpoint
-	// frees space soon, large enough that folder syncs are rare.
+	// segmentBytes is the size from which on a new segment file is started. It is small
+	// enough that a checkpoint frees space soon, and large enough that directory syncs
+	// are rare.
 	segmentBytes = 8 << 20
 )
 
-// ErrUnusable is wrapped by each error after a failed write or sync. The process
-// must end and open the log again.
+// ErrUnusable is wrapped by every error after a failed write or sync. The process must
+// exit and open the log again.
 var ErrUnusable = errors.New("wal: log unusable")
 
-// Log is an append-only log of opaque entries. Safe for concurrent use.
+// Log is an append-only log of opaque entries. It is safe for concurrent use.
 type Log struct {
 	fs   FS
 	dir  string
@@ -40,14 +42,15 @@
 	mu       sync.Mutex
 	file     File
 	size     int64
-	next     uint64   // sequence number of the next frame
-	segments []string // oldest first; the last is open
+	nextSeq  uint64   // sequence number of the next frame
+	segments []string // file names, oldest first; the last one is open for writing
 	buf      []byte
-	broken   error
+	failure  error
 }
 
-// Open reads the log in dir, which is created where it is missing, and returns
-// the payloads from the last checkpoint on. A torn tail is cut.
+// Open opens the log in dir and returns the payloads from the last checkpoint on. It
+// creates dir if it is missing, locks it, and truncates an incomplete last frame. The
+// caller must close the log.
 func Open(fs FS, dir string) (*Log, [][]byte, error) {
 	if err := fs.MkdirAll(dir); err != nil {
 		return nil, nil, fmt.Errorf("wal: %w", err)
@@ -56,10 +59,10 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("wal: %w", err)
 	}
-	l := &Log{fs: fs, dir: dir, lock: lock, next: 1}
-	frames, err := l.read()
+	l := &Log{fs: fs, dir: dir, lock: lock, nextSeq: 1}
+	frames, err := l.readSegments()
 	if err == nil && l.file == nil {
-		err = l.begin()
+		err = l.createSegment()
 	}
 	if err != nil {
 		return nil, nil, errors.Join(err, lock.Close())
@@ -78,7 +81,7 @@
 	return out
 }
 
-func (l *Log) read() ([]frame, error) {
+func (l *Log) readSegments() ([]frame, error) {
 	names, err := l.fs.List(l.dir)
 	if err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
@@ -107,70 +110,71 @@
 	}
 	var start uint64
 	if _, err := fmt.Sscanf(name, segmentPrefix+"%x"+segmentSuffix, &start); err != nil {
-		return nil, &DamageError{File: path, Reason: "the name is no segment's"}
+		return nil, &DamageError{File: path, Reason: "file name is not a segment name"}
 	}
 	if first {
-		l.next = start
+		l.nextSeq = start
 	}
-	if start != l.next {
-		return nil, &DamageError{File: path, Reason: fmt.Sprintf("begins at entry %d; entry %d is missing", start, l.next)}
+	if start != l.nextSeq {
+		return nil, &DamageError{File: path, Reason: fmt.Sprintf("segment begins at entry %d, but entry %d is missing", start, l.nextSeq)}
 	}
-	frames, good, err := l.parse(path, data, last)
+	frames, validBytes, err := l.parse(path, data, last)
 	if err != nil {
 		return nil, err
 	}
 	if last {
-		return frames, l.reopen(path, good, int64(len(data)))
+		return frames, l.reopen(path, validBytes, int64(len(data)))
 	}
 	return frames, nil
 }
 
-// parse returns the whole frames and where they end.
+// parse returns the complete frames in data and the offset at which they end.
 func (l *Log) parse(path string, data []byte, last bool) ([]frame, int64, error) {
 	var frames []frame
 	at := 0
 	for at < len(data) {
 		f, size, ok := parseFrame(data[at:])
 		if !ok {
-			if last && !wholeFrameAfter(data[at+1:]) {
-				break // a torn tail
+			if last && !containsFrame(data[at+1:]) {
+				break // incomplete last frame
 			}
 			return nil, 0, &DamageError{File: path, Offset: int64(at), Reason: "checksum or header wrong"}
 		}
-		if f.seq != l.next {
-			return nil, 0, &DamageError{File: path, Offset: int64(at), Reason: fmt.Sprintf("entry %d where %d belongs", f.seq, l.next)}
+		if f.seq != l.nextSeq {
+			return nil, 0, &DamageError{File: path, Offset: int64(at), Reason: fmt.Sprintf("got entry %d, want entry %d", f.seq, l.nextSeq)}
 		}
 		frames = append(frames, f)
-		l.next++
+		l.nextSeq++
 		at += size
 	}
 	return frames, int64(at), nil
 }
 
-// reopen cuts what follows the last whole frame and syncs before anything is
-// appended: bytes of the torn frame must not stand behind a later one. The sync
-// also covers frames that were written but not synced before a crash of the
-// process alone: they are about to be acted upon.
-func (l *Log) reopen(path string, good, size int64) error {
+// reopen opens the last segment for writing. It truncates the file after the last
+// complete frame and syncs it before anything is appended, because bytes of an
+// incomplete frame must not remain behind a later frame. The sync also covers frames
+// that were written but not synced when only the process crashed: the caller is about
+// to act on them.
+func (l *Log) reopen(path string, validBytes, size int64) error {
 	file, err := l.fs.Append(path)
 	if err != nil {
 		return fmt.Errorf("wal: %w", err)
 	}
-	if good < size {
-		if err := file.Truncate(good); err != nil {
+	if validBytes < size {
+		if err := file.Truncate(validBytes); err != nil {
 			return errors.Join(fmt.Errorf("wal: %w", err), file.Close())
 		}
 	}
 	if err := errors.Join(file.Sync(), l.fs.SyncDir(l.dir)); err != nil {
 		return errors.Join(fmt.Errorf("wal: %w", err), file.Close())
 	}
-	l.file, l.size = file, good
+	l.file, l.size = file, validBytes
 	return nil
 }
 
-// begin opens a new segment and makes its name durable.
-func (l *Log) begin() error {
-	name := fmt.Sprintf("%s%016x%s", segmentPrefix, l.next, segmentSuffix)
+// createSegment creates a new segment file and syncs the directory.
+func (l *Log) createSegment() error {
+	name := fmt.Sprintf("%s%016x%s", segmentPrefix, l.nextSeq, segmentSuffix)
 	file, err := l.fs.Create(filepath.Join(l.dir, name))
 	if err != nil {
 		return fmt.Errorf("wal: %w", err)
@@ -183,34 +187,37 @@
 	return nil
 }
 
-// Append writes payload and syncs it. It is durable once nil is returned; after
-// an error the log is unusable.
+// Append writes payload and syncs it. The payload is durable once Append returns nil.
+// After a failed write or sync the log is unusable. A payload of more than
+// MaxFrameBytes is refused and leaves the log usable.
 func (l *Log) Append(payload []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.size >= segmentBytes {
-		if err := l.roll(); err != nil {
+		if err := l.rotate(); err != nil {
 			return err
 		}
 	}
 	return l.write(frame{kind: kindEntry, payload: payload})
 }
 
-// Checkpoint replaces the log's content by payload and frees the space.
+// Checkpoint replaces the content of the log by payload and removes the old segments.
+// The payload is durable once Checkpoint returns nil.
 func (l *Log) Checkpoint(payload []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.roll(); err != nil {
+	if err := l.rotate(); err != nil {
 		return err
 	}
 	if err := l.write(frame{kind: kindCheckpoint, payload: payload}); err != nil {
 		return err
 	}
-	return l.removeOld()
+	return l.removeOldSegments()
 }
 
-// removeOld removes oldest first, so that a crash in between leaves no hole.
-func (l *Log) removeOld() error {
+// removeOldSegments removes all segments but the last. It starts with the oldest one,
+// so a crash in between leaves no gap.
+func (l *Log) removeOldSegments() error {
 	for len(l.segments) > 1 {
 		if err := l.fs.Remove(filepath.Join(l.dir, l.segments[0])); err != nil {
 			return l.fail(err)
@@ -223,9 +230,9 @@
 	return nil
 }
 
-func (l *Log) roll() error {
-	if l.broken != nil {
-		return l.broken
+func (l *Log) rotate() error {
+	if l.failure != nil {
+		return l.failure
 	}
 	if l.size == 0 {
 		return nil
@@ -233,20 +240,20 @@
 	if err := l.file.Close(); err != nil {
 		return l.fail(err)
 	}
-	if err := l.begin(); err != nil {
+	if err := l.createSegment(); err != nil {
 		return l.fail(err)
 	}
 	return nil
 }
 
 func (l *Log) write(f frame) error {
-	if l.broken != nil {
-		return l.broken
+	if l.failure != nil {
+		return l.failure
 	}
 	if len(f.payload) > MaxFrameBytes {
-		return fmt.Errorf("wal: entry of %d bytes exceeds %d", len(f.payload), MaxFrameBytes)
+		return fmt.Errorf("wal: entry of %d bytes exceeds the limit of %d bytes", len(f.payload), MaxFrameBytes)
 	}
-	f.seq = l.next
+	f.seq = l.nextSeq
 	l.buf = appendFrame(l.buf[:0], f)
 	if _, err := l.file.Write(l.buf); err != nil {
 		return l.fail(err)
@@ -254,22 +261,23 @@
 	if err := l.file.Sync(); err != nil {
 		return l.fail(err)
 	}
-	l.next++
+	l.nextSeq++
 	l.size += int64(len(l.buf))
 	return nil
 }
 
 func (l *Log) fail(err error) error {
-	l.broken = fmt.Errorf("%w: %w", ErrUnusable, err)
-	return l.broken
+	l.failure = fmt.Errorf("%w: %w", ErrUnusable, err)
+	return l.failure
 }
 
-// Close closes the files. What was appended is durable already.
+// Close closes the log and unlocks its directory. All appended entries are already
+// durable.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.broken == nil {
-		l.broken = fmt.Errorf("%w: closed", ErrUnusable)
+	if l.failure == nil {
+		l.failure = fmt.Errorf("%w: closed", ErrUnusable)
 	}
 	return errors.Join(l.file.Close(), l.lock.Close())
 }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -13,8 +13,8 @@
 
 const dir = "/data/wal"
 
-// workload appends, with a checkpoint of everything after each tenth entry, and
-// returns what was acknowledged.
+// workload appends entries and writes a checkpoint of all of them after every tenth.
+// It returns the acknowledged entries, and the entry whose append failed.
 func workload(fs wal.FS) (acked []string, tried string) {
 	l, _, err := wal.Open(fs, dir)
 	if err != nil {
@@ -33,10 +33,10 @@
 	return acked, ""
 }
 
-// joined is a checkpoint's payload.
+// joined returns the payload of a checkpoint of the entries.
 func joined(entries []string) []byte { return []byte("=" + strings.Join(entries, "\n")) }
 
-// contents expands checkpoints back into entries.
+// contents returns the entries in frames and expands checkpoints.
 func contents(frames [][]byte) []string {
 	var out []string
 	for _, f := range frames {
@@ -49,10 +49,10 @@
 	return out
 }
 
-// An operator's change was acknowledged, then the VM loses power. At every
-// write, sync, rename and removal in turn, with none, one or all of the unsynced
-// bytes on the disk: after the restart every acknowledged entry is there, in
-// order, and nothing that was not appended, since Append syncs before it returns.
+// Guards against losing acknowledged entries when a VM loses power. The crash occurs at
+// every write, sync, rename and removal in turn, with none, half or all of the unsynced
+// bytes on the disk. After the restart the log contains every acknowledged entry in
+// order and nothing that was not appended.
 func TestCrashAtEveryBoundary(t *testing.T) {
 	survivals := map[string]func(int) int{
 		"none": func(int) int { return 0 },
@@ -74,7 +74,7 @@
 				checkReopened(t, fs, op, acked, tried)
 			}
 			if crashes < 50 {
-				t.Fatalf("only %d boundaries met", crashes)
+				t.Fatalf("got %d crashes, want at least 50", crashes)
 			}
 		})
 	}
@@ -84,24 +84,24 @@
 	t.Helper()
 	l, frames, err := wal.Open(fs, dir)
 	if err != nil {
-		t.Fatalf("crash at %d: %v", op, err)
+		t.Fatalf("crash at operation %d: reopening failed: %v", op, err)
 	}
 	got := contents(frames)
 	want := acked
 	if len(got) > len(acked) && tried != "" {
-		want = append(slices.Clone(acked), tried) // written whole, never acknowledged
+		want = append(slices.Clone(acked), tried) // written completely, but not acknowledged
 	}
 	if !slices.Equal(got, want) {
-		t.Fatalf("crash at %d: got %v, acknowledged %v", op, got, acked)
+		t.Fatalf("crash at operation %d: got %v, want the acknowledged entries %v", op, got, acked)
 	}
 	if err := l.Append([]byte("after")); err != nil {
-		t.Fatalf("crash at %d: %v", op, err)
+		t.Fatalf("crash at operation %d: append after reopening failed: %v", op, err)
 	}
 }
 
-// A sync fails once and would succeed the next time, as Linux does after it
-// dropped the pages. The log must refuse all later appends: acknowledging one
-// would acknowledge the lost entry before it.
+// Guards against acknowledging a lost entry. A sync fails once and would succeed the
+// next time, as on Linux after the kernel has dropped the dirty pages. The log must
+// refuse all later appends, because a later entry would follow the lost one.
 func TestFailedSyncIsFinal(t *testing.T) {
 	fs := waltest.New()
 	l, _, err := wal.Open(fs, dir)
@@ -110,18 +110,18 @@
 	}
 	fs.FailSync(true)
 	if err := l.Append([]byte("a")); !errors.Is(err, wal.ErrUnusable) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("append with a failed sync: got %v, want ErrUnusable", err)
 	}
 	fs.FailSync(false)
 	for _, err := range []error{l.Append([]byte("b")), l.Checkpoint([]byte("c"))} {
 		if !errors.Is(err, wal.ErrUnusable) {
-			t.Errorf("after a failed sync: %v", err)
+			t.Errorf("write after a failed sync: got %v, want ErrUnusable", err)
 		}
 	}
 }
 
-// The disk is full: the append fails, nothing acknowledged is lost, and after
-// space was made and the process restarted the log goes on.
+// Guards against losing acknowledged entries on a full disk. The append fails, and the
+// log can be opened again once space was freed and the process was restarted.
 func TestFullDisk(t *testing.T) {
 	fs := waltest.New()
 	l, _, _ := wal.Open(fs, dir)
@@ -130,17 +130,18 @@
 	}
 	fs.Space(10)
 	if err := l.Append([]byte("does not fit")); !errors.Is(err, waltest.ErrFull) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("append on a full disk: got %v, want ErrFull", err)
 	}
 	fs.Space(-1)
 	_, frames, err := wal.Open(fs, dir)
 	if err != nil || len(frames) != 1 || string(frames[0]) != "kept" {
-		t.Fatalf("reopened: %q, %v", frames, err)
+		t.Fatalf("reopened log: got %q, %v; want the entry \"kept\"", frames, err)
 	}
 }
 
-// A byte in the middle rots: opening names file and offset instead of cutting
-// the acknowledged entries behind it. A damaged last frame looks like a torn one.
+// Guards against truncating acknowledged entries after a damaged byte in the middle of
+// a file. Open must return an error with file and offset. A damaged last frame cannot
+// be told apart from an incomplete one.
 func TestDamagedMiddle(t *testing.T) {
 	fs := waltest.New()
 	l, _, _ := wal.Open(fs, dir)
@@ -155,14 +156,14 @@
 		_, _, err := wal.Open(fs, dir)
 		var damage *wal.DamageError
 		if !errors.As(err, &damage) || damage.File != file || damage.Offset != int64(offset/24*24) {
-			t.Errorf("offset %d: got %v", offset, err)
+			t.Errorf("damage at offset %d: got %v, want a DamageError for the frame", offset, err)
 		}
 		fs.Damage(file, offset)
 	}
 }
 
-// Two daemons are started on one data folder: the second says so and stops, else
-// both would answer for one voter. Once the first has ended the folder is free.
+// Guards against two daemons that act as the same voter. The second one to open the
+// data directory gets ErrInUse. The directory is free once the first one has closed it.
 func TestFolderIsLocked(t *testing.T) {
 	dir := t.TempDir() + "/data/control"
 	first, _, err := wal.Open(wal.OS{}, dir)
@@ -170,14 +171,14 @@
 		t.Fatal(err)
 	}
 	if _, _, err := wal.Open(wal.OS{}, dir); !errors.Is(err, wal.ErrInUse) {
-		t.Errorf("second process: %v", err)
+		t.Errorf("second open: got %v, want ErrInUse", err)
 	}
 	if err := errors.Join(first.Append([]byte("x")), first.Close()); err != nil {
 		t.Fatal(err)
 	}
 	again, frames, err := wal.Open(wal.OS{}, dir)
 	if err != nil || len(frames) != 1 {
-		t.Fatalf("after the first has ended: %q, %v", frames, err)
+		t.Fatalf("open after the first was closed: got %q, %v; want one entry", frames, err)
 	}
 	if err := again.Close(); err != nil {
 		t.Error(err)
@@ -191,7 +192,7 @@
 		file, _ := fs.Create(dir + "/segment-0000000000000001.log")
 		_, _ = file.Write(data)
 		if l, _, err := wal.Open(fs, dir); err == nil && l.Append([]byte("x")) != nil {
-			t.Error("opened, but takes no entries")
+			t.Error("log was opened but refuses an append")
 		}
 	})
 }
--- a/internal/wal/waltest/fs.go
+++ b/internal/wal/waltest/fs.go
@@ -1,5 +1,5 @@
-// Package waltest is a file system in memory that forgets at a crash what was
-// not synced, and fails where a test tells it to.
+// Package waltest provides an in-memory file system for tests. A simulated crash drops
+// data that was not synced, and tests can inject failures.
 package waltest
 
 import (
@@ -14,69 +14,73 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal"
 )
 
-// Errors that FS returns.
+// Errors that FS returns for injected failures.
 var (
 	ErrCrashed = errors.New("waltest: crashed")
 	ErrSync    = errors.New("waltest: sync failed")
 	ErrFull    = errors.New("waltest: no space left")
 )
 
-type node struct {
+type inode struct {
 	data   []byte
 	synced []byte
 }
 
-// FS implements wal.FS. Operations are counted, so that a test can crash at each.
+// FS implements wal.FS in memory. It counts the operations that change the disk, which
+// lets a test crash at each of them. It is safe for concurrent use.
 type FS struct {
-	mu       sync.Mutex
-	live     map[string]*node // what the process sees
-	durable  map[string]*node // the names that survive a crash
-	ops      int
-	crashAt  int // 0: never
-	crashed  bool
-	failSync bool
-	space    int // bytes that can still be written; negative: no limit
+	mu             sync.Mutex
+	live           map[string]*inode // the files as the process sees them
+	durable        map[string]*inode // the directory entries that survive a crash
+	operations     int
+	crashAt        int // 0 means never
+	crashed        bool
+	failSync       bool
+	remainingBytes int // bytes that can still be written; negative means no limit
 }
 
-// New returns an empty FS.
+// New returns an empty FS without injected failures.
 func New() *FS {
-	return &FS{live: map[string]*node{}, durable: map[string]*node{}, space: -1}
+	return &FS{live: map[string]*inode{}, durable: map[string]*inode{}, remainingBytes: -1}
 }
 
-// CrashAt makes the op-th operation from now, and all after it, fail.
+// CrashAt makes the op-th operation from now on, and all later ones, fail with
+// ErrCrashed.
 func (f *FS) CrashAt(op int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ops, f.crashAt = 0, op
+	f.operations, f.crashAt = 0, op
 }
 
-// FailSync makes every sync of a file fail, or succeed again.
+// FailSync makes every sync of a file fail with ErrSync while on is true.
 func (f *FS) FailSync(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failSync = on
 }
 
-// Space bounds the bytes that can still be written; negative: no limit.
+// LimitSpace sets the number of bytes that can still be written; negative means no
+// limit. Writes beyond it fail with ErrFull.
 func (f *FS) Space(bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.space = bytes
+	f.remainingBytes = bytes
 }
 
-// Crashed reports whether the crash set by CrashAt has come.
+// Crashed reports whether the crash set by CrashAt has occurred.
 func (f *FS) Crashed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashed
 }
 
-// Crash drops what is not synced and starts anew. keep says how many of a
-// file's unsynced bytes reached the disk all the same.
+// Crash drops all data that is not synced and makes the FS usable again, as after a
+// restart. keep returns how many of a file's unsynced bytes reached the disk
+// nevertheless; nil means none.
 func (f *FS) Crash(keep func(unsynced int) int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.live = map[string]*node{}
+	f.live = map[string]*inode{}
 	for _, name := range slices.Sorted(maps.Keys(f.durable)) {
 		n := f.durable[name]
 		data := slices.Clone(n.synced)
@@ -84,23 +88,24 @@
 			rest := n.data[len(n.synced):]
 			data = append(data, rest[:min(keep(len(rest)), len(rest))]...)
 		}
-		f.live[name] = &node{data: data, synced: slices.Clone(data)}
+		f.live[name] = &inode{data: data, synced: slices.Clone(data)}
 	}
 	f.durable = maps.Clone(f.live)
 	f.crashed, f.crashAt = false, 0
 }
 
-// Damage changes one byte of a file.
+// CorruptByte inverts one byte of a file. A second call with the same arguments
+// restores it.
 func (f *FS) Damage(name string, offset int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.live[name].data[offset] ^= 0xFF
 }
 
-// step counts an operation and reports a crash.
-func (f *FS) step() error {
-	f.ops++
-	if f.crashAt > 0 && f.ops >= f.crashAt {
+// countOperation counts an operation and returns ErrCrashed at and after the crash.
+func (f *FS) countOperation() error {
+	f.operations++
+	if f.crashAt > 0 && f.operations >= f.crashAt {
 		f.crashed = true
 	}
 	if f.crashed {
@@ -112,7 +117,7 @@
 // MkdirAll implements wal.FS.
 func (f *FS) MkdirAll(string) error { return nil }
 
-// Lock implements wal.FS; a test has one process.
+// Lock implements wal.FS. It always succeeds, because a test has one process.
 func (f *FS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
 // List implements wal.FS.
@@ -144,10 +149,10 @@
 func (f *FS) Create(name string) (wal.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return nil, err
 	}
-	n := &node{}
+	n := &inode{}
 	f.live[name] = n
 	return &file{fs: f, n: n}, nil
 }
@@ -167,7 +172,7 @@
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	f.live[to] = f.live[from]
@@ -179,7 +184,7 @@
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	delete(f.live, name)
@@ -190,10 +195,10 @@
 func (f *FS) SyncDir(dir string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
-	inDir := func(name string, _ *node) bool { return filepath.Dir(name) == filepath.Clean(dir) }
+	inDir := func(name string, _ *inode) bool { return filepath.Dir(name) == filepath.Clean(dir) }
 	maps.DeleteFunc(f.durable, inDir)
 	for name, n := range f.live {
 		if inDir(name, n) {
@@ -205,26 +210,27 @@
 
 type file struct {
 	fs *FS
-	n  *node
+	n  *inode
 }
 
-// Write implements wal.File. A full disk takes the bytes that fit.
+// Write implements wal.File. On a full disk it writes the bytes that fit.
 func (f *file) Write(p []byte) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.fs.step(); err != nil {
-		// The crash may come in mid-write: the bytes count as written, unsynced.
+	if err := f.fs.countOperation(); err != nil {
+		// The crash may occur during the write: the bytes count as written but not
+		// synced.
 		f.n.data = append(f.n.data, p...)
 		return 0, err
 	}
-	if f.fs.space >= 0 && len(p) > f.fs.space {
-		f.n.data = append(f.n.data, p[:f.fs.space]...)
-		written := f.fs.space
-		f.fs.space = 0
+	if f.fs.remainingBytes >= 0 && len(p) > f.fs.remainingBytes {
+		f.n.data = append(f.n.data, p[:f.fs.remainingBytes]...)
+		written := f.fs.remainingBytes
+		f.fs.remainingBytes = 0
 		return written, ErrFull
 	}
-	if f.fs.space >= 0 {
-		f.fs.space -= len(p)
+	if f.fs.remainingBytes >= 0 {
+		f.fs.remainingBytes -= len(p)
 	}
 	f.n.data = append(f.n.data, p...)
 	return len(p), nil
@@ -234,7 +240,7 @@
 func (f *file) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.fs.step(); err != nil {
+	if err := f.fs.countOperation(); err != nil {
 		return err
 	}
 	f.n.data = f.n.data[:size:size]
@@ -245,7 +251,7 @@
 func (f *file) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.fs.step(); err != nil {
+	if err := f.fs.countOperation(); err != nil {
 		return err
 	}
 	if f.fs.failSync {
