--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -24,8 +24,8 @@
 	// the timeout is drawn from it to three times that. 0 means ElectionTicks. After a
 	// power loss on all VMs there is no leader to wait for, so it can be shorter. It
 	// deposes no leader: members that hear a leader refuse the pre-vote.
-	FirstTicks     int
-	HeartbeatTicks int
+	FirstElectionTicks int
+	HeartbeatTicks     int
 	// MaxEntryBytes bounds the data of one entry; 0 means maxEntryBytes.
 	MaxEntryBytes int
 	// Rand returns a random number from 0 to n-1.
@@ -103,7 +103,7 @@
 	Term             uint64
 	Answered, Quorum int // number of voters, including this member
 	UncommittedBytes int // size of the proposals that waited for a majority
-	SentBytes        int // size of the appends without a reply
+	InFlightBytes    int // size of the appends without a reply
 }
 
 // NewCore returns a follower that starts from the state s. It panics where the
@@ -120,8 +120,8 @@
 	if c.options.MaxEntryBytes == 0 {
 		c.options.MaxEntryBytes = maxEntryBytes
 	}
-	if o.FirstTicks > 0 {
-		c.electionTimeout = o.FirstTicks + o.Rand(2*o.FirstTicks)
+	if o.FirstElectionTicks > 0 {
+		c.electionTimeout = o.FirstElectionTicks + o.Rand(2*o.FirstElectionTicks)
 	}
 	return c
 }
@@ -215,7 +215,7 @@
 	r := &StepDown{Term: c.term, Answered: answered, Quorum: quorum, UncommittedBytes: c.uncommittedBytes}
 	for _, p := range c.progress {
 		if p.appendInFlight {
-			r.SentBytes += p.bytesInFlight
+			r.InFlightBytes += p.bytesInFlight
 		}
 	}
 	return r
@@ -281,7 +281,7 @@
 // the message is to be processed further.
 func (c *Core) stepNewerTerm(m Message) bool {
 	voteRequest := m.Kind == VoteRequest || m.Kind == PreVoteRequest
-	if voteRequest && !m.Handed && c.leader != "" && c.electionElapsed < c.options.ElectionTicks {
+	if voteRequest && !m.LeadershipTransfer && c.leader != "" && c.electionElapsed < c.options.ElectionTicks {
 		// The leader was heard within the election timeout. A member that cannot
 		// reach it must not depose it: it would do so repeatedly.
 		return false
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -50,7 +50,7 @@
 		}
 	case 14:
 		for _, leader := range s.claimedLeaders() {
-			leader.core.HandOver()
+			leader.core.TransferLeadership()
 			s.pump(leader)
 		}
 	case 13:
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -27,7 +27,7 @@
 	c.votes = map[MemberID]bool{c.options.ID: true}
 	for _, id := range c.log.config().config.Voters {
 		if id != c.options.ID {
-			c.send(Message{Kind: kind, To: id, Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm(), Handed: transfer})
+			c.send(Message{Kind: kind, To: id, Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm(), LeadershipTransfer: transfer})
 		}
 	}
 	c.countVotes()
@@ -37,7 +37,7 @@
 // change of leader then takes a few round trips instead of an election timeout. It
 // reports whether there was such a voter. If the message is lost, an election by
 // timeout follows.
-func (c *Core) HandOver() bool {
+func (c *Core) TransferLeadership() bool {
 	if c.role != Leader {
 		return false
 	}
--- a/internal/consensus/form.go
+++ b/internal/consensus/form.go
@@ -92,8 +92,8 @@
 // otherVMs returns the control VMs that are known now, without this one.
 func (n *Node) otherVMs() []string {
 	all := slices.Clone(n.o.VMs)
-	if n.o.Known != nil {
-		all = append(all, n.o.Known()...)
+	if n.o.KnownVMs != nil {
+		all = append(all, n.o.KnownVMs()...)
 	}
 	slices.Sort(all)
 	all = slices.Compact(all)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -49,22 +49,22 @@
 	VMs []string // every VM with the control role, including this one
 	// KnownVMs, if set, returns further control VMs that are known now. Only the VMs in
 	// VMs form the group; a member can join through any VM of both lists.
-	Known func() []string
+	KnownVMs func() []string
 	// JoinOnly is set if a group exists or has existed. This member then never forms a
 	// group: with an empty directory it would start a second history beside the first.
 	JoinOnly bool
 	// TargetVoters is the number of voters at which unreachable voters are no longer
 	// removed. 0 means that none is ever removed.
-	Target int
-	Dir    string // directory of the log; created if it is missing
-	FS     wal.FS // nil means the operating system's
+	TargetVoters int
+	Dir          string // directory of the log; created if it is missing
+	FS           wal.FS // nil means the operating system's
 	// Transport sends messages to the other VMs by id.
-	Transport peer.Transport
-	Machine   StateMachine
-	Log       zerolog.Logger
+	Transport    peer.Transport
+	StateMachine StateMachine
+	Log          zerolog.Logger
 	// OnFailure is called once, when the member cannot continue because of a failed
 	// sync or a damaged log. The process must then exit.
-	Failed func(error)
+	OnFailure func(error)
 }
 
 // Node is one member of the group. It runs a Core with its disk, its connections to
@@ -137,7 +137,7 @@
 	if store.snap.Index > 0 {
 		f, err := store.readSnapshot(store.snap)
 		if err == nil {
-			err = n.o.Machine.Restore(f.Data)
+			err = n.o.StateMachine.Restore(f.Data)
 		}
 		if err != nil {
 			return errors.Join(err, store.log.Close())
@@ -161,9 +161,9 @@
 		state = formed
 	}
 	n.core = NewCore(Options{
-		ID: n.store.identity.ID, ElectionTicks: electionTicks, FirstTicks: firstElectionTicks, HeartbeatTicks: heartbeatTicks, Rand: mathrand.IntN,
+		ID: n.store.identity.ID, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, HeartbeatTicks: heartbeatTicks, Rand: mathrand.IntN,
 	}, state)
-	n.applier = newApplier(n.o.Machine, n.store, state.Applied, n.core.log.configUpTo(state.Applied))
+	n.applier = newApplier(n.o.StateMachine, n.store, state.Applied, n.core.log.configUpTo(state.Applied))
 	n.applier.compact, n.applier.fail = n.saveSnapshot, n.fail
 	// A single voter has no leader to wait for.
 	config := n.core.Config()
@@ -216,13 +216,13 @@
 	case n.eagerElection && n.ticks%eagerCampaignTicks == 0:
 		n.core.Campaign()
 	}
-	if n.o.Target > 0 && n.ticks%electionTicks == 0 {
+	if n.o.TargetVoters > 0 && n.ticks%electionTicks == 0 {
 		n.removeSurplus()
 	}
 }
 
 func (n *Node) removeSurplus() {
-	id := n.core.Surplus(n.o.Target)
+	id := n.core.SurplusVoter(n.o.TargetVoters)
 	if id == "" {
 		return
 	}
@@ -252,17 +252,17 @@
 func (n *Node) process() error {
 	for n.core.HasReady() {
 		rd := n.core.Ready()
-		n.send(rd.Before)
+		n.send(rd.SendBeforeSync)
 		if err := n.save(rd); err != nil {
 			return err
 		}
 		n.core.Saved(rd)
-		n.send(rd.After)
+		n.send(rd.SendAfterSync)
 		n.applyCommitted(rd)
 		for _, r := range rd.Reads {
 			n.finishRead(r.ID, readOutcome{index: r.Index})
 		}
-		for _, to := range rd.Snapshots {
+		for _, to := range rd.SnapshotTargets {
 			n.sendSnapshot(to)
 		}
 	}
@@ -282,7 +282,7 @@
 func (n *Node) logStepDown() {
 	if r := n.core.TakeStepDown(); r != nil {
 		n.o.Log.Warn().Uint64("term", r.Term).Int("answered", r.Answered).Int("quorum", r.Quorum).
-			Int("uncommitted_bytes", r.UncommittedBytes).Int("sent_bytes", r.SentBytes).
+			Int("uncommitted_bytes", r.UncommittedBytes).Int("sent_bytes", r.InFlightBytes).
 			Msg("leader without answers from a majority steps down")
 	}
 }
@@ -291,7 +291,7 @@
 	switch {
 	case rd.Snapshot != nil:
 		return n.store.checkpoint(record{Hard: rd.Hard, Entries: rd.Entries, Base: rd.Snapshot, Snap: rd.Snapshot})
-	case rd.Save:
+	case rd.MustSync:
 		return n.store.append(record{Hard: rd.Hard, Entries: rd.Entries})
 	}
 	return nil
@@ -361,8 +361,8 @@
 	n.failOnce.Do(func() {
 		n.o.Log.Error().Err(err).Msg("member of the control group failed and stops")
 		n.cancel()
-		if n.o.Failed != nil {
-			go n.o.Failed(err)
+		if n.o.OnFailure != nil {
+			go n.o.OnFailure(err)
 		}
 	})
 }
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -73,14 +73,14 @@
 	Entries  []Entry
 	// MustSync is set if Hard, Entries or Snapshot must be synced before
 	// SendAfterSync is sent and Committed is applied.
-	Save      bool
-	Before    []Message
-	After     []Message
-	Committed []Entry
-	Reads     []Read
+	MustSync       bool
+	SendBeforeSync []Message
+	SendAfterSync  []Message
+	Committed      []Entry
+	Reads          []Read
 	// SnapshotTargets are the members that need a snapshot. The caller ends each
 	// transfer with SnapshotSent.
-	Snapshots []MemberID
+	SnapshotTargets []MemberID
 }
 
 // Ready returns the pending work. The caller must call Saved before the next Ready.
@@ -96,17 +96,17 @@
 		Snapshot: c.installedSnapshot, Hard: hard,
 		Entries:   c.log.entriesBetween(c.log.persisted+1, c.log.last(), math.MaxInt),
 		Committed: c.log.entriesBetween(c.delivered+1, c.commit, math.MaxInt),
-		Reads:     c.confirmedReads, Snapshots: c.snapshotTargets,
+		Reads:     c.confirmedReads, SnapshotTargets: c.snapshotTargets,
 	}
 	newTerm := hard.Term != c.savedHardState.Term || hard.Vote != c.savedHardState.Vote
-	rd.Save = newTerm || len(rd.Entries) > 0 || rd.Snapshot != nil
+	rd.MustSync = newTerm || len(rd.Entries) > 0 || rd.Snapshot != nil
 	// A leader may send appends before its own disk is synced: its own copy counts
 	// only after the sync. All other messages rely on state that must be on the disk
 	// first.
 	if c.role == Leader && !newTerm {
-		rd.Before = c.outbox
+		rd.SendBeforeSync = c.outbox
 	} else {
-		rd.After = c.outbox
+		rd.SendAfterSync = c.outbox
 	}
 	c.outbox, c.confirmedReads, c.snapshotTargets, c.installedSnapshot = nil, nil, nil, nil
 	c.delivered = c.commit
--- a/internal/consensus/requests.go
+++ b/internal/consensus/requests.go
@@ -132,10 +132,10 @@
 
 // TransferLeadership transfers the leadership to another voter if this member holds it.
 // It returns once this member no longer leads or ctx ends.
-func (n *Node) HandOver(ctx context.Context) {
+func (n *Node) TransferLeadership(ctx context.Context) {
 	for n.IsLeader() {
 		sent := make(chan bool, 1)
-		if n.runInLoop(ctx, func() { sent <- n.core.HandOver() }) != nil {
+		if n.runInLoop(ctx, func() { sent <- n.core.TransferLeadership() }) != nil {
 			return
 		}
 		if _, err := await(ctx, n, sent); err != nil {
--- a/internal/consensus/surplus.go
+++ b/internal/consensus/surplus.go
@@ -13,7 +13,7 @@
 // unreachable member raises the majority, and the next loss would stop the group. A
 // group with target voters or fewer keeps all of them, because an unreachable voter may
 // come back.
-func (c *Core) Surplus(target int) MemberID {
+func (c *Core) SurplusVoter(target int) MemberID {
 	config := c.log.config().config
 	if c.role != Leader || len(config.Voters) <= target || !c.ConfigSettled() {
 		return ""
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -72,19 +72,19 @@
 
 // Message is a message between members. Kind determines which fields are used.
 type Message struct {
-	Kind    MessageKind   `cbor:"1,keyasint"`
-	From    MemberID      `cbor:"2,keyasint"`
-	To      MemberID      `cbor:"3,keyasint"`
-	Term    uint64        `cbor:"4,keyasint"`
-	Index   uint64        `cbor:"5,keyasint,omitempty"` // append: the entry before Entries; vote: the last entry; reply: the last matching entry
-	LogTerm uint64        `cbor:"6,keyasint,omitempty"` // term of the entry at Index
-	Commit  uint64        `cbor:"7,keyasint,omitempty"`
-	Entries []Entry       `cbor:"8,keyasint,omitempty"`
-	Reject  bool          `cbor:"9,keyasint,omitempty"`
-	Hint    uint64        `cbor:"10,keyasint,omitempty"` // rejecting reply: the last index at which the logs may agree
-	Round   uint64        `cbor:"11,keyasint,omitempty"` // heartbeat round, which confirms reads
-	Meta    *SnapshotMeta `cbor:"12,keyasint,omitempty"`
-	Handed  bool          `cbor:"13,keyasint,omitempty"` // vote request: the leader itself transfers its leadership
+	Kind               MessageKind   `cbor:"1,keyasint"`
+	From               MemberID      `cbor:"2,keyasint"`
+	To                 MemberID      `cbor:"3,keyasint"`
+	Term               uint64        `cbor:"4,keyasint"`
+	Index              uint64        `cbor:"5,keyasint,omitempty"` // append: the entry before Entries; vote: the last entry; reply: the last matching entry
+	LogTerm            uint64        `cbor:"6,keyasint,omitempty"` // term of the entry at Index
+	Commit             uint64        `cbor:"7,keyasint,omitempty"`
+	Entries            []Entry       `cbor:"8,keyasint,omitempty"`
+	Reject             bool          `cbor:"9,keyasint,omitempty"`
+	Hint               uint64        `cbor:"10,keyasint,omitempty"` // rejecting reply: the last index at which the logs may agree
+	Round              uint64        `cbor:"11,keyasint,omitempty"` // heartbeat round, which confirms reads
+	Meta               *SnapshotMeta `cbor:"12,keyasint,omitempty"`
+	LeadershipTransfer bool          `cbor:"13,keyasint,omitempty"` // vote request: the leader itself transfers its leadership
 }
 
 // Errors of proposals, membership changes and reads.
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -74,7 +74,7 @@
 	g := &Group{o: o, tracker: newTracker(o.Lease)}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.node = consensus.NewNode(consensus.NodeOptions{
-		VM: o.VM, VMs: o.Voters, Known: o.Known, JoinOnly: o.JoinOnly, Target: o.Target, Dir: o.Dir, FS: o.FS, Transport: o.Transport, Machine: o.Machine, Log: o.Log, Failed: o.Failed,
+		VM: o.VM, VMs: o.Voters, KnownVMs: o.Known, JoinOnly: o.JoinOnly, TargetVoters: o.Target, Dir: o.Dir, FS: o.FS, Transport: o.Transport, StateMachine: o.Machine, Log: o.Log, OnFailure: o.Failed,
 	})
 	g.watch = newWatchServer(g)
 	o.Transport.Handle(peer.KindControl, g.serve)
@@ -94,7 +94,7 @@
 func (g *Group) HandOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	g.node.HandOver(ctx)
+	g.node.TransferLeadership(ctx)
 }
 
 // Close ends the member and all that waits on it.
--- a/internal/wal/waltest/fs.go
+++ b/internal/wal/waltest/fs.go
@@ -61,7 +61,7 @@
 
 // LimitSpace sets the number of bytes that can still be written; negative means no
 // limit. Writes beyond it fail with ErrFull.
-func (f *FS) Space(bytes int) {
+func (f *FS) LimitSpace(bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remainingBytes = bytes
@@ -96,7 +96,7 @@
 
 // CorruptByte inverts one byte of a file. A second call with the same arguments
 // restores it.
-func (f *FS) Damage(name string, offset int) {
+func (f *FS) CorruptByte(name string, offset int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.live[name].data[offset] ^= 0xFF
