--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -54,16 +54,16 @@
 
 // progress is a leader's view of one other member.
 type progress struct {
-	match              uint64 // last entry known to be on the member's disk
-	next               uint64 // next entry to send
-	appendInFlight     bool   // at most one append is in flight per member
-	heartbeatsInFlight int    // heartbeats since the append was sent
-	bytesInFlight      int    // size of the append's entries
-	snapshotInFlight   bool   // a snapshot transfer is in progress
-	recentlyActive     bool   // the member has replied since the last quorum check
-	missedChecks       int    // consecutive quorum checks without a reply
-	ackedRound         uint64 // last heartbeat round that the member answered
-	commitSent         uint64 // commit index last sent to the member
+	match                 uint64 // last entry known to be on the member's disk
+	next                  uint64 // next entry to send
+	appendInFlight        bool   // at most one append is in flight per member
+	heartbeatsSinceAppend int    // heartbeats since the append was sent
+	bytesInFlight         int    // size of the append's entries
+	snapshotInFlight      bool   // a snapshot transfer is in progress
+	recentlyActive        bool   // the member has replied since the last quorum check
+	missedChecks          int    // consecutive quorum checks without a reply
+	ackedRound            uint64 // last heartbeat round that the member answered
+	commitSent            uint64 // commit index last sent to the member
 }
 
 // Core is one member's protocol state. It is not safe for concurrent use.
@@ -234,7 +234,7 @@
 	c.heartbeatDue = true
 	for _, p := range c.progress {
 		if p.appendInFlight {
-			p.heartbeatsInFlight++
+			p.heartbeatsSinceAppend++
 		}
 	}
 }
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -78,7 +78,7 @@
 		c.snapshotTargets = append(c.snapshotTargets, id)
 		return
 	}
-	p.appendInFlight, p.heartbeatsInFlight = true, 0
+	p.appendInFlight, p.heartbeatsSinceAppend = true, 0
 	entries := c.log.entriesBetween(p.next, c.log.last(), maxBatchBytes)
 	p.bytesInFlight = entryBytes(entries)
 	p.commitSent = min(c.commit, before+uint64(len(entries)))
@@ -141,8 +141,8 @@
 	switch {
 	case m.Kind == HeartbeatReply:
 		p.ackedRound = max(p.ackedRound, m.Round)
-		if p.heartbeatsInFlight >= resendAfterHeartbeats {
-			p.appendInFlight, p.heartbeatsInFlight = false, 0
+		if p.heartbeatsSinceAppend >= resendAfterHeartbeats {
+			p.appendInFlight, p.heartbeatsSinceAppend = false, 0
 		}
 		c.confirmReads()
 	case m.Reject:
@@ -238,7 +238,7 @@
 		p.next = max(p.next, index+1)
 		return
 	}
-	p.appendInFlight, p.heartbeatsInFlight = true, 0 // retried after resendAfterHeartbeats
+	p.appendInFlight, p.heartbeatsSinceAppend = true, 0 // retried after resendAfterHeartbeats
 }
 
 // Compact drops the entries up to index from memory. It keeps entries that are not
