--- a/cmd/amaranthshelfd/routed.go
+++ b/cmd/amaranthshelfd/routed.go
@@ -69,7 +69,7 @@
 func startRouted(s *settings.Routed, common routed.Common, sup *routed.Supervision) (routed.Process, error) {
 	if s.Kind == settings.RoutedRouter {
 		r, err := routed.StartRouter(routed.RouterOptions{
-			Common: common, Callers: s.Callers, Wire: forward.NewPlainWire(), Allowance: forward.DefaultAllowance,
+			Common: common, Callers: s.Callers, Wire: forward.NewPlainWire(), Allowance: forward.DefaultRetryAllowance,
 			Drain: routed.DrainTimes{Grace: s.Grace, EntryTTL: routed.EntryTTL},
 		})
 		if err != nil {
--- a/internal/bulk/bulk.go
+++ b/internal/bulk/bulk.go
@@ -43,9 +43,9 @@
 
 // Errors of Fetch.
 var (
-	ErrGone    = errors.New("bulk: no source holds the value any more")
-	ErrSilent  = errors.New("bulk: no source answers")
-	ErrDamaged = errors.New("bulk: value differs from its reference")
+	ErrGone        = errors.New("bulk: no source holds the value any more")
+	ErrUnreachable = errors.New("bulk: no source answers")
+	ErrDamaged     = errors.New("bulk: value differs from its reference")
 )
 
 // Ref names a value by its content. Equal values have equal references on every VM.
@@ -124,7 +124,7 @@
 }
 
 // Offers reports whether a Value that was told before still leads to its content.
-func (s *Store) Offers(v Value) bool { return v.Ref.Size == 0 || s.Holds(v.Ref) }
+func (s *Store) StillOffers(v Value) bool { return v.Ref.Size == 0 || s.Holds(v.Ref) }
 
 // Holds reports whether a value can be fetched here.
 func (s *Store) Holds(ref Ref) bool {
@@ -198,7 +198,7 @@
 		}
 		f.limit = min(2*f.limit, maxPieceTimeout)
 	}
-	return ErrSilent
+	return ErrUnreachable
 }
 
 // ask asks the present source for a piece; none and no error: it lacks the value.
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -25,15 +25,15 @@
 
 func newFullHub(tb testing.TB, routers, engines int) *fullHub {
 	tb.Helper()
-	held := NewHeld(func(upstream.List) {})
+	held := NewListReplica(func(upstream.List) {})
 	f := &fullHub{hub: NewHub(peertest.New(1).VM("c1"), held, func() []string { return controls }, zerolog.Nop())}
 	l := modelsList(engines)
 	for i := range l.Backends {
 		l.Backends[i].ID = fmt.Sprintf("i-%010x", i*7919)
 	}
-	held.Take(l.Backends, 0)
-	f.hub.TakeList(l)
-	_, f.digest, _, _ = held.Now()
+	held.Update(l.Backends, 0)
+	f.hub.SetBackends(l)
+	_, f.digest, _, _ = held.Current()
 	f.engines = l.Backends
 	for r := range routers {
 		f.routers = append(f.routers, fmt.Sprintf("10.%d.%d.10:7221", r/40, r%40))
@@ -45,18 +45,18 @@
 // notice is a router's notice, encoded; the rest of what it wants is as given.
 func (f *fullHub) notice(tb testing.TB, router int, wantUse bool, held uint64) []byte {
 	f.turn++
-	n := Notice{
-		Zone: "a", Callers: f.routers[router], Ready: true, Held: f.digest, HeldAge: 100,
-		WantLoad: true, WantUse: wantUse, RoutersHeld: held,
+	n := Heartbeat{
+		Zone: "a", Endpoint: f.routers[router], Ready: true, ListDigest: f.digest, ListAgeMS: 100,
+		WantSummary: true, WantUse: wantUse, RoutersDigest: held,
 	}
 	id := func(i int) string { return f.engines[i%len(f.engines)].ID }
-	n.Told = Told{Life: uint64(router + 1), Turn: f.turn, Use: map[string]placement.Usage{
+	n.UseReport = UseReport{Incarnation: uint64(router + 1), Seq: f.turn, Use: map[string]placement.Usage{
 		id(router): {Requests: 1, Tokens: 9000}, id(router + 7): {Tokens: 9000, Copies: 9000}, "call": {Requests: 1},
 	}}
 	for i := 0; i < len(f.engines); i += 5 {
-		n.Told.Doubt = append(n.Told.Doubt, id(i))
+		n.UseReport.Suspected = append(n.UseReport.Suspected, id(i))
 	}
-	n.Spent = Spending{Life: uint64(router + 1), Turn: f.turn}
+	n.Spent = RetrySpending{Incarnation: uint64(router + 1), Seq: f.turn}
 	data, err := codec.Marshal(n)
 	if err != nil {
 		tb.Fatal(err)
@@ -65,7 +65,7 @@
 }
 
 // serve returns the answer to a notice, and how many bytes it has.
-func (f *fullHub) serve(tb testing.TB, router int, notice []byte) (Answer, int) {
+func (f *fullHub) serve(tb testing.TB, router int, notice []byte) (HeartbeatReply, int) {
 	out, err := f.hub.serve(context.Background(), f.routers[router], notice)
 	if err != nil {
 		tb.Fatal(err)
@@ -74,7 +74,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var a Answer
+	var a HeartbeatReply
 	if err := codec.Unmarshal(data, &a); err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -32,7 +32,7 @@
 const (
 	// NoticeEvery is how often a VM sends its notice. An engine that restarts is
 	// usable again once its new incarnation is known here.
-	NoticeEvery = 400 * time.Millisecond
+	HeartbeatInterval = 400 * time.Millisecond
 	// searchEvery is the same until the first list of backend servers is held: control
 	// VMs and routers are started together, and a router may be early.
 	searchEvery = 100 * time.Millisecond
@@ -70,51 +70,51 @@
 )
 
 // Notice is what a VM says of itself.
-type Notice struct {
-	Zone     string           `cbor:"1,keyasint"`
-	Callers  string           `cbor:"2,keyasint,omitempty"` // ip:port; empty: takes none
-	Ready    bool             `cbor:"3,keyasint,omitempty"`
-	Told     Told             `cbor:"4,keyasint"` // use of backend servers; empty: not for this control VM
-	Deaths   []recovery.Death `cbor:"5,keyasint,omitempty"`
-	Held     uint64           `cbor:"6,keyasint,omitempty"`  // digest of the list of backend servers; 0: none is held
-	HeldAge  int64            `cbor:"7,keyasint,omitempty"`  // ms; how old that list is
-	WantLoad bool             `cbor:"8,keyasint,omitempty"`  // a Summary is wanted
-	Dead     []string         `cbor:"9,keyasint,omitempty"`  // backend servers judged dead lately
-	Kept     []forward.Kept   `cbor:"10,keyasint,omitempty"` // streams here with a copy
-	Spent    Spending         `cbor:"11,keyasint"`           // of the services' retry budgets
-	Control  bool             `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
+type Heartbeat struct {
+	Zone        string                 `cbor:"1,keyasint"`
+	Endpoint    string                 `cbor:"2,keyasint,omitempty"` // ip:port; empty: takes none
+	Ready       bool                   `cbor:"3,keyasint,omitempty"`
+	UseReport   UseReport              `cbor:"4,keyasint"` // use of backend servers; empty: not for this control VM
+	Deaths      []recovery.Death       `cbor:"5,keyasint,omitempty"`
+	ListDigest  uint64                 `cbor:"6,keyasint,omitempty"`  // digest of the list of backend servers; 0: none is held
+	ListAgeMS   int64                  `cbor:"7,keyasint,omitempty"`  // ms; how old that list is
+	WantSummary bool                   `cbor:"8,keyasint,omitempty"`  // a Summary is wanted
+	Dead        []string               `cbor:"9,keyasint,omitempty"`  // backend servers judged dead lately
+	Runs        []forward.ResumableRun `cbor:"10,keyasint,omitempty"` // streams here with a copy
+	Spent       RetrySpending          `cbor:"11,keyasint"`           // of the services' retry budgets
+	Control     bool                   `cbor:"12,keyasint,omitempty"` // sent by a control VM with a disk
 	// WantEntrances: the directory is wanted, by an Observer.
-	WantEntrances bool `cbor:"13,keyasint,omitempty"`
+	WantEndpoints bool `cbor:"13,keyasint,omitempty"`
 	// WantUse: the use of engines is wanted with the Summary; RoutersHeld is the digest of
 	// the names of routers that are held.
-	WantUse     bool   `cbor:"14,keyasint,omitempty"`
-	RoutersHeld uint64 `cbor:"15,keyasint,omitempty"`
+	WantUse       bool   `cbor:"14,keyasint,omitempty"`
+	RoutersDigest uint64 `cbor:"15,keyasint,omitempty"`
 	// WantChanges: what has changed in the list since Held is wanted.
 	WantChanges bool `cbor:"16,keyasint,omitempty"`
 	// Rollouts is what this VM observed of the roll-outs under way.
-	Rollouts []rollout.Told `cbor:"17,keyasint,omitempty"`
+	Rollouts []rollout.Report `cbor:"17,keyasint,omitempty"`
 }
 
 // Answer is a control VM's reply.
-type Answer struct {
+type HeartbeatReply struct {
 	Controls []string `cbor:"1,keyasint"`
 	// Encoded is a Summary, for those who want it, EncodedUse the use of engines, and
 	// Own the asker's part of both. Routers are the VMs that take callers, where they
 	// are not those held.
-	Encoded    cbor.RawMessage            `cbor:"3,keyasint,omitempty"`
-	Own        map[string]placement.Usage `cbor:"4,keyasint,omitempty"`
-	EncodedUse cbor.RawMessage            `cbor:"9,keyasint,omitempty"`
-	Routers    []string                   `cbor:"11,keyasint,omitempty"`
+	EncodedSummary cbor.RawMessage            `cbor:"3,keyasint,omitempty"`
+	OwnUse         map[string]placement.Usage `cbor:"4,keyasint,omitempty"`
+	EncodedUse     cbor.RawMessage            `cbor:"9,keyasint,omitempty"`
+	Routers        []string                   `cbor:"11,keyasint,omitempty"`
 	// Digest and AgeMS are of the control VM's list; Changed leads to it from the one
 	// held. Where it is missing and the digests differ, the list is to be fetched.
-	Digest  uint64            `cbor:"5,keyasint,omitempty"`
-	AgeMS   int64             `cbor:"6,keyasint"`
-	Listed  bool              `cbor:"7,keyasint,omitempty"`
-	Changed *PackedDifference `cbor:"15,keyasint,omitempty"`
+	ListDigest uint64            `cbor:"5,keyasint,omitempty"`
+	ListAgeMS  int64             `cbor:"6,keyasint"`
+	HasList    bool              `cbor:"7,keyasint,omitempty"`
+	Changes    *PackedDifference `cbor:"15,keyasint,omitempty"`
 	// Spent is what the other VMs together spent of the retry budgets, by service.
-	Spent map[string]forward.Spent `cbor:"10,keyasint,omitempty"`
+	Spent map[string]forward.RetryUsage `cbor:"10,keyasint,omitempty"`
 	// Entrances are the callers' addresses of all VMs that take callers.
-	Entrances []string `cbor:"12,keyasint,omitempty"`
+	Endpoints []string `cbor:"12,keyasint,omitempty"`
 	// Observer: the VM that answers is an Observer, and knows nothing but Controls.
 	Observer bool `cbor:"13,keyasint,omitempty"`
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -21,15 +21,15 @@
 // testHub is a control VM of a test, and its own member towards the others.
 type testHub struct {
 	hub  *Hub
-	held *Held
+	held *ListReplica
 }
 
 // testVM is a router of a test.
 type testVM struct {
 	member *Member
-	held   *Held
+	held   *ListReplica
 	use    atomic.Pointer[map[string]placement.Usage]
-	heard  atomic.Pointer[Known]
+	heard  atomic.Pointer[PeerReports]
 	gone   atomic.Bool // not ready
 	stop   context.CancelFunc
 }
@@ -38,7 +38,7 @@
 func (v *testVM) uses(use map[string]placement.Usage) { v.use.Store(&use) }
 
 func startHub(ctx context.Context, n *peertest.Net, id string, all []string) *testHub {
-	h := &testHub{held: NewHeld(func(upstream.List) {})}
+	h := &testHub{held: NewListReplica(func(upstream.List) {})}
 	t := n.VM(id)
 	h.hub = NewHub(t, h.held, func() []string { return all }, zerolog.Nop())
 	m := NewMember(id, t, all, h.held, Local{}, zerolog.Nop())
@@ -49,10 +49,10 @@
 func startRouter(ctx context.Context, n *peertest.Net, id string, seeds []string, requests int) *testVM {
 	v := &testVM{}
 	v.uses(map[string]placement.Usage{"e1": {Requests: requests}})
-	v.held = NewHeld(func(upstream.List) {})
+	v.held = NewListReplica(func(upstream.List) {})
 	v.member = NewMember(id, n.VM(id), seeds, v.held, Local{
-		Callers: id + ":80", Ready: func() bool { return !v.gone.Load() },
-		Use: func() map[string]placement.Usage { return *v.use.Load() }, Learn: func(k Known) { v.heard.Store(&k) },
+		Endpoint: id + ":80", Ready: func() bool { return !v.gone.Load() },
+		Use: func() map[string]placement.Usage { return *v.use.Load() }, Learn: func(k PeerReports) { v.heard.Store(&k) },
 	}, zerolog.Nop())
 	ctx, v.stop = context.WithCancel(ctx)
 	go v.member.Run(ctx)
@@ -88,16 +88,16 @@
 		}
 		time.Sleep(2 * time.Second)
 		for i, h := range hubs {
-			if got := h.hub.Entrances(64); len(got) != 3 {
+			if got := h.hub.Endpoints(64); len(got) != 3 {
 				t.Fatalf("control VM %d knows %v: routers with one seed have not found it", i, got)
 			}
 		}
 		vms[0].stop()
 		time.Sleep(1500 * time.Millisecond)
 		vms[1].gone.Store(true)
-		time.Sleep(NoticeEvery + 50*time.Millisecond)
+		time.Sleep(HeartbeatInterval + 50*time.Millisecond)
 		for i, h := range hubs {
-			if got := h.hub.Entrances(64); !slices.Equal(got, []string{"r2:80"}) {
+			if got := h.hub.Endpoints(64); !slices.Equal(got, []string{"r2:80"}) {
 				t.Errorf("control VM %d sends callers to %v", i, got)
 			}
 		}
@@ -134,9 +134,9 @@
 		}
 		v := startRouter(ctx, n, "r1", controls, 0)
 		time.Sleep(time.Second)
-		hubs["c1"].held.Take([]upstream.Backend{{ID: "e1"}, {ID: "e2"}}, 0)
-		time.Sleep(NoticeEvery + 50*time.Millisecond)
-		if rows, _, age, ok := v.held.Now(); !ok || len(rows) != 2 || age > time.Second {
+		hubs["c1"].held.Update([]upstream.Backend{{ID: "e1"}, {ID: "e2"}}, 0)
+		time.Sleep(HeartbeatInterval + 50*time.Millisecond)
+		if rows, _, age, ok := v.held.Current(); !ok || len(rows) != 2 || age > time.Second {
 			t.Fatalf("the router holds %d rows, %v old", len(rows), age)
 		}
 		for _, other := range []string{"c2", "c3", "r1"} {
@@ -144,12 +144,12 @@
 			n.Cut(other, "c1")
 		}
 		time.Sleep(time.Second)
-		hubs["c2"].held.Take([]upstream.Backend{{ID: "e1"}}, 0)
+		hubs["c2"].held.Update([]upstream.Backend{{ID: "e1"}}, 0)
 		time.Sleep(time.Second)
 		n.HealAll()
 		time.Sleep(2 * time.Second)
-		for name, held := range map[string]*Held{"router": v.held, "c1": hubs["c1"].held, "c3": hubs["c3"].held} {
-			if rows, _, _, _ := held.Now(); len(rows) != 1 {
+		for name, held := range map[string]*ListReplica{"router": v.held, "c1": hubs["c1"].held, "c3": hubs["c3"].held} {
+			if rows, _, _, _ := held.Current(); len(rows) != 1 {
 				t.Errorf("%s holds %d rows", name, len(rows))
 			}
 		}
@@ -179,19 +179,19 @@
 // The age of a list counts from when it was read, over every VM that passed it on.
 func TestAgeOfAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := NewHeld(func(upstream.List) {})
-		h.Take([]upstream.Backend{{ID: "e1"}}, 300*time.Millisecond)
+		h := NewListReplica(func(upstream.List) {})
+		h.Update([]upstream.Backend{{ID: "e1"}}, 300*time.Millisecond)
 		time.Sleep(time.Second)
-		_, digest, age, _ := h.Now()
+		_, digest, age, _ := h.Current()
 		if age != 1300*time.Millisecond {
 			t.Errorf("age %v", age)
 		}
 		h.Confirm(digest+1, 0)
-		if _, _, age, _ := h.Now(); age != 1300*time.Millisecond {
+		if _, _, age, _ := h.Current(); age != 1300*time.Millisecond {
 			t.Error("another list's confirmation made this one younger")
 		}
 		h.Confirm(digest, 100*time.Millisecond)
-		if _, _, age, _ := h.Now(); age != 100*time.Millisecond {
+		if _, _, age, _ := h.Current(); age != 100*time.Millisecond {
 			t.Errorf("age %v after a confirmation", age)
 		}
 	})
@@ -211,9 +211,9 @@
 			t.Error("the router that was early has not asked again")
 		}
 		v.gone.Store(false)
-		v.member.Nudge()
+		v.member.NotifyNow()
 		time.Sleep(20 * time.Millisecond)
-		if got := h.hub.Entrances(64); len(got) != 1 {
+		if got := h.hub.Endpoints(64); len(got) != 1 {
 			t.Errorf("the directory names %v", got)
 		}
 	})
@@ -226,18 +226,18 @@
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
 		a, b := forward.Copy{Address: "e1:1", ID: "q1"}, forward.Copy{Address: "e2:1", ID: "q2"}
-		h.hub.note("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}, {Identity: 8, Left: forward.Left{Copy: a}}}})
-		h.hub.note("alive", Notice{Kept: []forward.Kept{{Identity: 8, Left: forward.Left{Copy: b}}}})
+		h.hub.note("dead", Heartbeat{Runs: []forward.ResumableRun{{Identity: 7, Orphan: forward.Orphan{Copy: a}}, {Identity: 8, Orphan: forward.Orphan{Copy: a}}}})
+		h.hub.note("alive", Heartbeat{Runs: []forward.ResumableRun{{Identity: 8, Orphan: forward.Orphan{Copy: b}}}})
 		for _, tt := range []struct {
 			identity uint64
 			want     forward.Copy
 		}{{7, a}, {8, forward.Copy{}}, {9, forward.Copy{}}} {
-			if got, ok := v.member.Find(ctx, tt.identity); got.Copy != tt.want || ok != (tt.want.Address != "") {
+			if got, ok := v.member.FindOrphan(ctx, tt.identity); got.Copy != tt.want || ok != (tt.want.Address != "") {
 				t.Errorf("identity %d: %+v, %t", tt.identity, got, ok)
 			}
 		}
 		time.Sleep(keptFor + time.Second)
-		if _, ok := v.member.Find(ctx, 7); ok {
+		if _, ok := v.member.FindOrphan(ctx, 7); ok {
 			t.Error("a copy that has expired is given out")
 		}
 	})
@@ -252,20 +252,20 @@
 		life, kill := context.WithCancel(ctx)
 		h := startHub(life, n, "c1", controls[:1])
 		a := forward.Copy{Address: "e1:1", ID: "q1"}
-		go h.hub.Remember(life, disk, "/data")
-		h.hub.note("router", Notice{Kept: []forward.Kept{{Identity: 7, Left: forward.Left{Copy: a}}}})
+		go h.hub.RunSaver(life, disk, "/data")
+		h.hub.note("router", Heartbeat{Runs: []forward.ResumableRun{{Identity: 7, Orphan: forward.Orphan{Copy: a}}}})
 		time.Sleep(2 * rememberEvery)
 		kill()
 		time.Sleep(time.Second)
 		again := startHub(ctx, n, "c1", controls[:1])
-		again.hub.Recall(disk, "/data")
+		again.hub.LoadRuns(disk, "/data")
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(500 * time.Millisecond)
-		if got, ok := v.member.Find(ctx, 7); got.Copy != a || !ok {
+		if got, ok := v.member.FindOrphan(ctx, 7); got.Copy != a || !ok {
 			t.Errorf("found %+v, %t", got, ok)
 		}
 		time.Sleep(keptFor)
-		if _, ok := v.member.Find(ctx, 7); ok {
+		if _, ok := v.member.FindOrphan(ctx, 7); ok {
 			t.Error("an old copy is given out")
 		}
 	})
@@ -277,10 +277,10 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		disk := waltest.New()
 		h := startHub(ctx, n, "c1", controls[:1])
-		go h.hub.Remember(ctx, disk, "/data")
+		go h.hub.RunSaver(ctx, disk, "/data")
 		written := func() string {
 			for i := range uint64(20) {
-				h.hub.note(fmt.Sprint("r", i), Notice{Kept: []forward.Kept{{Identity: i, Left: forward.Left{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
+				h.hub.note(fmt.Sprint("r", i), Heartbeat{Runs: []forward.ResumableRun{{Identity: i, Orphan: forward.Orphan{Copy: forward.Copy{Address: "e1:1", ID: fmt.Sprint("q", i)}}}}})
 			}
 			time.Sleep(2 * rememberEvery)
 			data, err := disk.ReadFile("/data/" + keptFile)
@@ -305,11 +305,11 @@
 		h := startHub(ctx, n, "c1", controls[:1])
 		const vms, limit, answers = 300, 64, 300
 		for i := range vms {
-			h.hub.note(fmt.Sprint("r", i), Notice{Ready: true, Callers: fmt.Sprint("10.0.0.", i, ":80")})
+			h.hub.note(fmt.Sprint("r", i), Heartbeat{Ready: true, Endpoint: fmt.Sprint("10.0.0.", i, ":80")})
 		}
 		named := map[string]int{}
 		for range answers {
-			got := h.hub.Entrances(limit)
+			got := h.hub.Endpoints(limit)
 			if len(got) != limit || !slices.IsSorted(got) || len(slices.Compact(got)) != limit {
 				t.Fatalf("%d named: %v", len(got), got)
 			}
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -41,8 +41,8 @@
 }
 
 // Packed returns the list held as it is sent whole; ok is false before the first.
-func (h *Held) Packed() (p PackedList, ok bool, err error) {
-	rows, digest, age, ok := h.Now()
+func (h *ListReplica) Packed() (p PackedList, ok bool, err error) {
+	rows, digest, age, ok := h.Current()
 	if !ok {
 		return p, false, nil
 	}
@@ -110,7 +110,7 @@
 	m.mu.Lock()
 	w := m.wanted
 	m.mu.Unlock()
-	if _, digest, _, ok := m.held.Now(); ok && digest == w.digest {
+	if _, digest, _, ok := m.held.Current(); ok && digest == w.digest {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -167,29 +167,29 @@
 
 // takeChanges takes what an answer says of the list of backend servers. The list's age
 // grew on the way here: counted from before the question.
-func (m *Member) takeChanges(vm string, n *Notice, a *Answer, onTheWay time.Duration) {
-	age := time.Duration(a.AgeMS)*time.Millisecond + onTheWay
-	if a.Listed {
+func (m *Member) takeChanges(vm string, n *Heartbeat, a *HeartbeatReply, onTheWay time.Duration) {
+	age := time.Duration(a.ListAgeMS)*time.Millisecond + onTheWay
+	if a.HasList {
 		m.noteList(vm, age)
 	}
 	switch {
-	case !a.Listed:
-	case a.Changed != nil:
+	case !a.HasList:
+	case a.Changes != nil:
 		m.patch(vm, a, age)
-	case a.Digest == n.Held:
-		m.held.Confirm(a.Digest, age)
-	case n.Held == 0 || n.WantChanges && a.AgeMS < n.HeldAge:
-		m.wantList(vm, a.Digest)
+	case a.ListDigest == n.ListDigest:
+		m.held.Confirm(a.ListDigest, age)
+	case n.ListDigest == 0 || n.WantChanges && a.ListAgeMS < n.ListAgeMS:
+		m.wantList(vm, a.ListDigest)
 	}
 }
 
 // patch takes what has changed in the list. Where that does not lead to the control
 // VM's list, all of it is fetched.
-func (m *Member) patch(vm string, a *Answer, age time.Duration) {
-	d, err := a.Changed.unpack()
-	if err == nil && m.held.Patch(d, a.Digest, age) {
+func (m *Member) patch(vm string, a *HeartbeatReply, age time.Duration) {
+	d, err := a.Changes.unpack()
+	if err == nil && m.held.Patch(d, a.ListDigest, age) {
 		return
 	}
-	m.log.Error().Err(err).Str("control", vm).Int("rows", len(d.Rows)).Int("gone", len(d.Gone)).Msg("changes do not lead to the list")
-	m.wantList(vm, a.Digest)
+	m.log.Error().Err(err).Str("control", vm).Int("rows", len(d.Rows)).Int("gone", len(d.Removed)).Msg("changes do not lead to the list")
+	m.wantList(vm, a.ListDigest)
 }
--- a/internal/cluster/fetch_test.go
+++ b/internal/cluster/fetch_test.go
@@ -35,17 +35,17 @@
 		readFor := func() {
 			for range 5 {
 				for _, id := range ids {
-					hubs[id].held.Take(list, 0)
+					hubs[id].held.Update(list, 0)
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
 		}
 		c := peertest.NewMeter(n.VM("r1"))
-		held := NewHeld(noList)
+		held := NewListReplica(noList)
 		m := NewMember("r1", c, ids[:1], held, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		readFor()
-		if got, _, _, _ := held.Now(); len(got) != len(list) {
+		if got, _, _, _ := held.Current(); len(got) != len(list) {
 			t.Fatalf("%d rows", len(got))
 		}
 		if got := c.Take(); got.ByKind[peer.KindList] != 1 || got.Bytes > linkBytes/10 {
@@ -53,7 +53,7 @@
 		}
 		list = slices.Concat(list[600:], rows(3600)[3000:])
 		readFor()
-		if got, _, _, _ := held.Now(); len(got) != len(list) {
+		if got, _, _, _ := held.Current(); len(got) != len(list) {
 			t.Errorf("%d rows after the change", len(got))
 		}
 		if got := c.Take(); got.ByKind[peer.KindList] != 0 || got.Bytes > linkBytes/10 {
@@ -67,14 +67,14 @@
 func TestListComesFromAnother(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
-			startHub(ctx, n, id, controls).held.Take(rows(3), 0)
+			startHub(ctx, n, id, controls).held.Update(rows(3), 0)
 		}
-		held := NewHeld(noList)
+		held := NewListReplica(noList)
 		m := NewMember("r1", n.VM("r1"), controls, held, Local{}, zerolog.Nop())
 		m.wantList("gone", 1)
 		go m.Run(ctx)
 		time.Sleep(searchEvery + 50*time.Millisecond)
-		if got, _, _, _ := held.Now(); len(got) != 3 {
+		if got, _, _, _ := held.Current(); len(got) != 3 {
 			t.Errorf("%d rows", len(got))
 		}
 	})
@@ -93,22 +93,22 @@
 				reader = h
 			}
 		}
-		held := NewHeld(noList)
+		held := NewListReplica(noList)
 		m := NewMember("r1", n.VM("r1"), ids, held, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		list := rows(5)
 		readFor := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); {
-				reader.held.Take(list, 0)
-				time.Sleep(NoticeEvery / 4)
+				reader.held.Update(list, 0)
+				time.Sleep(HeartbeatInterval / 4)
 			}
 		}
 		readFor(3 * time.Second)
 		for i := range 10 {
 			list = slices.Concat(list[1:], rows(6 + i)[5+i:])
-			readFor(NoticeEvery + NoticeEvery/4)
-			if got, _, _, _ := held.Now(); !slices.Contains(got, list[4]) {
-				t.Errorf("change %d is not known after %v", i, NoticeEvery+NoticeEvery/4)
+			readFor(HeartbeatInterval + HeartbeatInterval/4)
+			if got, _, _, _ := held.Current(); !slices.Contains(got, list[4]) {
+				t.Errorf("change %d is not known after %v", i, HeartbeatInterval+HeartbeatInterval/4)
 			}
 			readFor(time.Duration(i) * 70 * time.Millisecond)
 		}
@@ -148,24 +148,24 @@
 }
 
 func differencesArePacked(t *testing.T) {
-	h := NewHeld(func(upstream.List) {})
-	h.KeepFormer()
+	h := NewListReplica(func(upstream.List) {})
+	h.KeepHistory()
 	rows := make([]upstream.Backend, 3000)
 	for i := range rows {
 		rows[i] = upstream.Backend{
 			ID: fmt.Sprintf("i-%08x", i*2654435761%(1<<32)), Service: "models", Address: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), Zone: "zone1", Slots: 16,
 		}
 	}
-	h.Take(rows, 0)
-	_, before, _, _ := h.Now()
+	h.Update(rows, 0)
+	_, before, _, _ := h.Current()
 	next := slices.Clone(rows)
 	for i := range 1000 {
 		next[i].ID += "x"
 	}
 	time.Sleep(time.Millisecond)
-	h.Take(next, 0)
-	d, _, ok := h.Since(before)
-	p, digest, told, err := h.PackedSince(before)
+	h.Update(next, 0)
+	d, _, ok := h.DifferenceSince(before)
+	p, digest, told, err := h.PackedDifferenceSince(before)
 	if !ok || !told || err != nil {
 		t.Fatal(ok, told, err)
 	}
@@ -177,10 +177,10 @@
 		t.Errorf("%d bytes packed of %d", len(p.Data), len(plain))
 	}
 	got, err := p.unpack()
-	if err != nil || len(got.Rows) != 1000 || len(got.Gone) != 1000 {
-		t.Errorf("%d rows, %d gone, %v", len(got.Rows), len(got.Gone), err)
+	if err != nil || len(got.Rows) != 1000 || len(got.Removed) != 1000 {
+		t.Errorf("%d rows, %d gone, %v", len(got.Rows), len(got.Removed), err)
 	}
-	if _, now, _, _ := h.Now(); now != digest {
+	if _, now, _, _ := h.Current(); now != digest {
 		t.Error("leads to another list")
 	}
 }
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -19,7 +19,7 @@
 
 // Hub is a control VM's side: who is there. Safe for concurrent use.
 type Hub struct {
-	held     *Held
+	held     *ListReplica
 	controls func() []string
 	log      zerolog.Logger
 
@@ -34,17 +34,17 @@
 	deaths []toldDeath
 	summed *summary // nil: to be made anew
 	// recalled is what an earlier life wrote down; its copies are there until copiesTo.
-	recalled             []forward.Kept
+	recalled             []forward.ResumableRun
 	copiesTo, recalledTo time.Time
 }
 
 type seen struct {
 	vm     string
-	notice Notice
+	notice Heartbeat
 	at     time.Time
 }
 
-func (s seen) takesCallers() bool { return s.notice.Ready && s.notice.Callers != "" }
+func (s seen) takesCallers() bool { return s.notice.Ready && s.notice.Endpoint != "" }
 
 type toldDeath struct {
 	death recovery.Death
@@ -52,9 +52,9 @@
 }
 
 // NewHub registers the handler of notices. controls names the control VMs.
-func NewHub(t peer.Transport, held *Held, controls func() []string, log zerolog.Logger) *Hub {
+func NewHub(t peer.Transport, held *ListReplica, controls func() []string, log zerolog.Logger) *Hub {
 	h := &Hub{held: held, controls: controls, vms: map[string]seen{}, silent: map[string]bool{}, spent: spentBook{}, ledger: rollout.NewLedger(), log: log, schedule: newSchedule(t, log)}
-	held.KeepFormer()
+	held.KeepHistory()
 	t.Handle(peer.KindNotice, h.serve)
 	t.Handle(peer.KindList, h.serveList)
 	t.Handle(peer.KindKept, h.serveKept)
@@ -65,54 +65,54 @@
 }
 
 func (h *Hub) serve(_ context.Context, from string, body []byte) (any, error) {
-	var n Notice
+	var n Heartbeat
 	if err := codec.Unmarshal(body, &n); err != nil {
 		return nil, err
 	}
 	h.note(from, n)
-	h.schedule.told(from, &n.Told)
-	a := Answer{Controls: h.controls()}
-	if n.WantLoad || n.WantEntrances {
+	h.schedule.told(from, &n.UseReport)
+	a := HeartbeatReply{Controls: h.controls()}
+	if n.WantSummary || n.WantEndpoints {
 		if err := h.answerAll(from, &n, &a); err != nil {
 			return nil, err
 		}
 	}
-	_, digest, age, ok := h.held.Now()
+	_, digest, age, ok := h.held.Current()
 	if !ok {
 		return a, nil
 	}
-	a.Listed, a.Digest, a.AgeMS = true, digest, age.Milliseconds()
+	a.HasList, a.ListDigest, a.ListAgeMS = true, digest, age.Milliseconds()
 	// A VM with a younger list than ours has nothing to gain.
-	if n.WantChanges && digest != n.Held && a.AgeMS < n.HeldAge {
-		changed, digest, ok, err := h.held.PackedSince(n.Held)
+	if n.WantChanges && digest != n.ListDigest && a.ListAgeMS < n.ListAgeMS {
+		changed, digest, ok, err := h.held.PackedDifferenceSince(n.ListDigest)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
-			a.Changed, a.Digest = &changed, digest
+			a.Changes, a.ListDigest = &changed, digest
 		}
 	}
 	return a, nil
 }
 
 // answerAll adds what all VMs told.
-func (h *Hub) answerAll(from string, n *Notice, a *Answer) error {
+func (h *Hub) answerAll(from string, n *Heartbeat, a *HeartbeatReply) error {
 	s, err := h.summarize()
 	if err != nil {
 		return err
 	}
-	if n.WantLoad {
+	if n.WantSummary {
 		s.tell(a, from, n)
-		a.Spent = h.spentByOthers(n.Spent.Life)
+		a.Spent = h.spentByOthers(n.Spent.Incarnation)
 	}
-	if n.WantEntrances {
-		a.Entrances = s.entrances
+	if n.WantEndpoints {
+		a.Endpoints = s.entrances
 	}
 	return nil
 }
 
 // TakeList takes the list of backend servers.
-func (h *Hub) TakeList(l upstream.List) { h.schedule.setServers(l) }
+func (h *Hub) SetBackends(l upstream.List) { h.schedule.setServers(l) }
 
 // Totals is the state of the streams that ask here.
 func (h *Hub) Totals() Totals { return h.schedule.totals() }
@@ -131,7 +131,7 @@
 	defer h.mu.Unlock()
 	now := time.Now()
 	left := find(h.allKept(now), identity)
-	if left == (forward.Left{}) && now.Before(h.recalledTo) {
+	if left == (forward.Orphan{}) && now.Before(h.recalledTo) {
 		left = find(expired(h.recalled, now.After(h.copiesTo)), identity)
 	}
 	return left, nil
@@ -139,35 +139,35 @@
 
 // find returns what the one stream under an identity left. Two copies are of two
 // streams that look alike: neither is given out.
-func find(kept []forward.Kept, identity uint64) forward.Left {
-	var found forward.Left
+func find(kept []forward.ResumableRun, identity uint64) forward.Orphan {
+	var found forward.Orphan
 	for _, k := range kept {
 		if k.Identity != identity {
 			continue
 		}
 		if found.Copy.Address != "" && found.Copy != k.Copy {
-			return forward.Left{}
+			return forward.Orphan{}
 		}
-		found = k.Left
+		found = k.Orphan
 	}
 	return found
 }
 
 // allKept is what the streams of all VMs leave, as they last told. It needs h.mu.
-func (h *Hub) allKept(now time.Time) []forward.Kept {
-	var out []forward.Kept
+func (h *Hub) allKept(now time.Time) []forward.ResumableRun {
+	var out []forward.ResumableRun
 	for _, s := range h.vms {
-		out = append(out, expired(s.notice.Kept, now.Sub(s.at) > keptFor)...)
+		out = append(out, expired(s.notice.Runs, now.Sub(s.at) > keptFor)...)
 	}
 	return out
 }
 
 // expired leaves the copies out where engines have dropped them.
-func expired(kept []forward.Kept, copies bool) []forward.Kept {
+func expired(kept []forward.ResumableRun, copies bool) []forward.ResumableRun {
 	if !copies {
 		return kept
 	}
-	out := make([]forward.Kept, len(kept))
+	out := make([]forward.ResumableRun, len(kept))
 	for i, k := range kept {
 		out[i] = k
 		out[i].Copy = forward.Copy{}
@@ -175,7 +175,7 @@
 	return out
 }
 
-func (h *Hub) note(from string, n Notice) {
+func (h *Hub) note(from string, n Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -189,7 +189,7 @@
 	}
 	h.vms[from] = v
 	h.spent.note(n.Spent, now)
-	h.ledger.Note(n.Spent.Life, n.Rollouts, now)
+	h.ledger.Note(n.Spent.Incarnation, n.Rollouts, now)
 	h.expire(now)
 	for _, d := range n.Deaths {
 		h.deaths = append(h.deaths, toldDeath{d, now})
@@ -204,7 +204,7 @@
 }
 
 // KeepEvidence forgets what was observed of other roll-outs than those under way.
-func (h *Hub) KeepEvidence(underWay map[string]uint64) {
+func (h *Hub) RetainEvidence(underWay map[string]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ledger.Keep(underWay)
@@ -227,7 +227,7 @@
 }
 
 // Entrances are the addresses that callers may use, in order, at most limit.
-func (h *Hub) Entrances(limit int) []string {
+func (h *Hub) Endpoints(limit int) []string {
 	s, err := h.summarize()
 	if err != nil {
 		h.log.Error().Err(err).Msg("no directory")
--- a/internal/cluster/list.go
+++ b/internal/cluster/list.go
@@ -26,9 +26,9 @@
 // Difference is what leads from one list of backend servers to another.
 type Difference struct {
 	// Base is the digest of the list that it starts from; 0: from none.
-	Base uint64             `cbor:"1,keyasint,omitempty"`
-	Rows []upstream.Backend `cbor:"2,keyasint,omitempty"` // new or changed
-	Gone []string           `cbor:"3,keyasint,omitempty"` // ids
+	Base    uint64             `cbor:"1,keyasint,omitempty"`
+	Rows    []upstream.Backend `cbor:"2,keyasint,omitempty"` // new or changed
+	Removed []string           `cbor:"3,keyasint,omitempty"` // ids
 }
 
 // PackedDifference is a Difference as it is sent: a zone's loss changes a third of the
@@ -54,7 +54,7 @@
 // after another, which share no counter. It is counted on the monotonic clock and
 // on the wall clock, and the larger counts: a VM that was suspended must not pass
 // a list on as fresh.
-type Held struct {
+type ListReplica struct {
 	mu     sync.Mutex
 	list   upstream.List
 	digest uint64
@@ -75,18 +75,18 @@
 }
 
 // NewHeld returns an empty Held; took gets each list that is taken.
-func NewHeld(took func(upstream.List)) *Held { return &Held{took: took} }
+func NewListReplica(took func(upstream.List)) *ListReplica { return &ListReplica{took: took} }
 
 // KeepFormer has former lists kept, for a control VM to tell others what has changed.
 // A VM that only follows has no use for them, and up to eight lists less in memory.
-func (h *Held) KeepFormer() {
+func (h *ListReplica) KeepHistory() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.keeps = true
 }
 
 // Take takes rows that were read age ago, unless what is held was read later.
-func (h *Held) Take(rows []upstream.Backend, age time.Duration) {
+func (h *ListReplica) Update(rows []upstream.Backend, age time.Duration) {
 	rows = slices.Clone(rows)
 	slices.SortStableFunc(rows, byID)
 	// A row named twice would be lost in every difference, and the digest with it.
@@ -97,7 +97,7 @@
 func byID(a, b upstream.Backend) int { return strings.Compare(a.ID, b.ID) }
 
 // Confirm notes that the rows held were still the platform's age ago.
-func (h *Held) Confirm(digest uint64, age time.Duration) {
+func (h *ListReplica) Confirm(digest uint64, age time.Duration) {
 	h.mu.Lock()
 	same := h.listed && h.digest == digest
 	rows := h.list.Backends
@@ -111,7 +111,7 @@
 // where the outcome is another list: the rows held are not what they were taken for,
 // and the list is to be asked for whole. A difference from a list that is not held any
 // more is late, and changes nothing.
-func (h *Held) Patch(d Difference, digest uint64, age time.Duration) bool {
+func (h *ListReplica) Patch(d Difference, digest uint64, age time.Duration) bool {
 	h.mu.Lock()
 	held, rows := h.digest, h.list.Backends
 	h.mu.Unlock()
@@ -132,7 +132,7 @@
 	return true
 }
 
-func (h *Held) take(rows []upstream.Backend, digest uint64, age time.Duration) {
+func (h *ListReplica) take(rows []upstream.Backend, digest uint64, age time.Duration) {
 	h.mu.Lock()
 	asOf := time.Now().Add(-age)
 	if h.listed && !asOf.After(h.list.AsOf) {
@@ -150,7 +150,7 @@
 }
 
 // remember needs h.mu.
-func (h *Held) remember(f former) {
+func (h *ListReplica) remember(f former) {
 	h.since, h.told = map[uint64]Difference{}, map[uint64]PackedDifference{}
 	h.former = append(h.former, f)
 	if len(h.former) > formerLists {
@@ -160,7 +160,7 @@
 
 // Now returns the rows held with their digest and age; ok is false before the
 // first.
-func (h *Held) Now() (rows []upstream.Backend, digest uint64, age time.Duration, ok bool) {
+func (h *ListReplica) Current() (rows []upstream.Backend, digest uint64, age time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -171,7 +171,7 @@
 // Since is what leads to the list held, whose digest it returns, from the one with
 // a digest; false where that is not known any more or would be longer than the list. It
 // is worked out once for all VMs that hold the same.
-func (h *Held) Since(digest uint64) (d Difference, held uint64, ok bool) {
+func (h *ListReplica) DifferenceSince(digest uint64) (d Difference, held uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	d, ok = h.differenceFrom(digest)
@@ -179,7 +179,7 @@
 }
 
 // differenceFrom needs h.mu.
-func (h *Held) differenceFrom(digest uint64) (d Difference, ok bool) {
+func (h *ListReplica) differenceFrom(digest uint64) (d Difference, ok bool) {
 	if d, ok := h.since[digest]; ok {
 		return d, true
 	}
@@ -187,7 +187,7 @@
 		if f.digest != digest {
 			continue
 		}
-		if from := between(f, h.list.Backends); len(from.Rows)+len(from.Gone) < len(h.list.Backends) {
+		if from := between(f, h.list.Backends); len(from.Rows)+len(from.Removed) < len(h.list.Backends) {
 			h.since[digest] = from
 			return from, true
 		}
@@ -196,7 +196,7 @@
 }
 
 // PackedSince is Since as it is sent, packed once for all VMs that hold the same.
-func (h *Held) PackedSince(digest uint64) (p PackedDifference, held uint64, ok bool, err error) {
+func (h *ListReplica) PackedDifferenceSince(digest uint64) (p PackedDifference, held uint64, ok bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p, ok := h.told[digest]; ok {
@@ -223,14 +223,14 @@
 		}
 		delete(was, row.ID)
 	}
-	d.Gone = slices.Sorted(maps.Keys(was))
+	d.Removed = slices.Sorted(maps.Keys(was))
 	return d
 }
 
 // apply returns the rows after the difference, in order of id.
 func (d Difference) apply(rows []upstream.Backend) []upstream.Backend {
 	next := rowsByID(rows)
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		delete(next, id)
 	}
 	for _, row := range d.Rows {
--- a/internal/cluster/list_test.go
+++ b/internal/cluster/list_test.go
@@ -33,8 +33,8 @@
 // whatever started, left or changed meanwhile.
 func TestDifferencesLeadToTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	control, vm := NewHeld(noList), NewHeld(noList)
-	control.KeepFormer()
+	control, vm := NewListReplica(noList), NewListReplica(noList)
+	control.KeepHistory()
 	now, next := rows(40), 40
 	for step := range 400 {
 		for range rng.IntN(4) {
@@ -49,20 +49,20 @@
 			}
 		}
 		rng.Shuffle(len(now), func(i, k int) { now[i], now[k] = now[k], now[i] })
-		control.Take(now, time.Duration(400-step)*time.Second)
+		control.Update(now, time.Duration(400-step)*time.Second)
 		if rng.IntN(3) > 0 {
 			continue
 		}
-		_, held, _, _ := vm.Now()
-		want, _, age, _ := control.Now()
-		d, digest, ok := control.Since(held)
+		_, held, _, _ := vm.Current()
+		want, _, age, _ := control.Current()
+		d, digest, ok := control.DifferenceSince(held)
 		if !ok {
 			d, digest = Difference{Rows: want}, digestOf(want)
 		}
 		if !vm.Patch(d, digest, age) {
 			t.Fatalf("step %d: the difference leads elsewhere", step)
 		}
-		if got, _, _, _ := vm.Now(); !slices.Equal(got, want) {
+		if got, _, _, _ := vm.Current(); !slices.Equal(got, want) {
 			t.Fatalf("step %d: %d rows, want %d", step, len(got), len(want))
 		}
 	}
@@ -71,13 +71,13 @@
 // The load of a large deployment: one of 710 engines starts. What each of 330 VMs is
 // sent for it is some hundred bytes, not the list.
 func TestOneChangeIsSmall(t *testing.T) {
-	control := NewHeld(noList)
-	control.KeepFormer()
-	control.Take(rows(710), 2*time.Second)
-	_, before, _, _ := control.Now()
-	control.Take(rows(711), time.Second)
+	control := NewListReplica(noList)
+	control.KeepHistory()
+	control.Update(rows(710), 2*time.Second)
+	_, before, _, _ := control.Current()
+	control.Update(rows(711), time.Second)
 	size := func(since uint64) int {
-		d, _, ok := control.Since(since)
+		d, _, ok := control.DifferenceSince(since)
 		if !ok {
 			t.Fatal("no difference")
 		}
@@ -90,7 +90,7 @@
 	if one := size(before); one > 200 {
 		t.Errorf("one change takes %d bytes", one)
 	}
-	if _, _, ok := control.Since(0); ok {
+	if _, _, ok := control.DifferenceSince(0); ok {
 		t.Error("a VM without a list is told of changes")
 	}
 }
@@ -106,18 +106,18 @@
 	}{
 		{"one more", Difference{Base: base, Rows: []upstream.Backend{row(3)}}, digestOf(rows(4)), true, 4},
 		{"whole", Difference{Rows: rows(2)}, digestOf(rows(2)), true, 2},
-		{"all gone", Difference{Base: base, Gone: []string{row(0).ID, row(1).ID, row(2).ID}}, digestOf(nil), true, 0},
-		{"from a list that was held before", Difference{Base: 7, Gone: []string{row(0).ID}}, digestOf(rows(1)), true, 3},
-		{"not what it says", Difference{Base: base, Gone: []string{row(0).ID}}, digestOf(rows(9)), false, 3},
+		{"all gone", Difference{Base: base, Removed: []string{row(0).ID, row(1).ID, row(2).ID}}, digestOf(nil), true, 0},
+		{"from a list that was held before", Difference{Base: 7, Removed: []string{row(0).ID}}, digestOf(rows(1)), true, 3},
+		{"not what it says", Difference{Base: base, Removed: []string{row(0).ID}}, digestOf(rows(9)), false, 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := NewHeld(noList)
-			h.Take(rows(3), time.Minute)
+			h := NewListReplica(noList)
+			h.Update(rows(3), time.Minute)
 			if ok := h.Patch(tt.d, tt.digest, time.Second); ok != tt.ok {
 				t.Errorf("ok %t", ok)
 			}
-			if got, _, _, _ := h.Now(); len(got) != tt.want {
+			if got, _, _, _ := h.Current(); len(got) != tt.want {
 				t.Errorf("%d rows held, want %d", len(got), tt.want)
 			}
 		})
@@ -139,12 +139,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 				h := startHub(ctx, n, "c1", controls[:1])
-				h.held.Take(tt.rows, 0)
-				held := NewHeld(noList)
+				h.held.Update(tt.rows, 0)
+				held := NewListReplica(noList)
 				m := NewMember("r1", n.VM("r1"), controls[:1], held, Local{}, zerolog.Nop())
 				go m.Run(ctx)
 				time.Sleep(time.Second)
-				if got, _, _, ok := held.Now(); !ok || len(got) != tt.want {
+				if got, _, _, ok := held.Current(); !ok || len(got) != tt.want {
 					t.Errorf("%d rows, held %t", len(got), ok)
 				}
 			})
@@ -157,17 +157,17 @@
 func TestListIsAskedForWhole(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
-		h.held.Take(rows(5), 0)
-		held := NewHeld(noList)
+		h.held.Update(rows(5), 0)
+		held := NewListReplica(noList)
 		m := NewMember("r1", n.VM("r1"), controls[:1], held, Local{}, zerolog.Nop())
 		go m.Run(ctx)
 		time.Sleep(time.Second)
 		held.mu.Lock()
 		held.list.Backends = held.list.Backends[1:] // a fault: the digest stays
 		held.mu.Unlock()
-		h.held.Take(rows(6), 0)
-		time.Sleep(2 * NoticeEvery)
-		if got, _, _, _ := held.Now(); len(got) != 6 {
+		h.held.Update(rows(6), 0)
+		time.Sleep(2 * HeartbeatInterval)
+		if got, _, _, _ := held.Current(); len(got) != 6 {
 			t.Errorf("%d rows", len(got))
 		}
 	})
@@ -181,10 +181,10 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		h := startHub(ctx, n, "c1", controls[:1])
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
-		time.Sleep(NoticeEvery/2 + 10*time.Millisecond)
-		h.held.Take([]upstream.Backend{{ID: "e1"}}, 0)
+		time.Sleep(HeartbeatInterval/2 + 10*time.Millisecond)
+		h.held.Update([]upstream.Backend{{ID: "e1"}}, 0)
 		time.Sleep(searchEvery + 10*time.Millisecond)
-		if _, _, _, listed := v.held.Now(); !listed {
+		if _, _, _, listed := v.held.Current(); !listed {
 			t.Error("the router does not hold the list")
 		}
 	})
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -23,29 +23,29 @@
 // Local is what a Member says of its VM and does with what it hears. Functions
 // that are nil are left out.
 type Local struct {
-	Zone    string
-	Callers string
-	Ready   func() bool
-	Use     func() map[string]placement.Usage
-	Deaths  func() []recovery.Death
-	Dead    func() []string
-	Kept    func() []forward.Kept
-	Spent   func() map[string]forward.Spent
+	Zone     string
+	Endpoint string
+	Ready    func() bool
+	Use      func() map[string]placement.Usage
+	Deaths   func() []recovery.Death
+	Dead     func() []string
+	Runs     func() []forward.ResumableRun
+	Spent    func() map[string]forward.RetryUsage
 	// Opinion is what this VM thinks of backend servers, and Paces what it observed of
 	// them, by service.
-	Opinion func() upstream.Opinion
+	Opinion func() upstream.Report
 	Paces   func() map[string]scheduler.EngineTiming
 	// Learn takes what a control VM knows of the other VMs, and LearnSpent what
 	// they together spent of the retry budgets.
-	Learn      func(Known)
-	LearnSpent func(map[string]forward.Spent)
+	Learn      func(PeerReports)
+	LearnSpent func(map[string]forward.RetryUsage)
 	// Rollouts is what this VM observes of roll-outs, and Urgent that it is wanted soon.
-	Rollouts func() []rollout.Told
+	Rollouts func() []rollout.Report
 	Urgent   func() bool
 	// Control: this VM is a control VM with a disk.
 	Control bool
 	// LearnEntrances takes the directory.
-	LearnEntrances func([]string)
+	LearnEndpoints func([]string)
 }
 
 // Member is a VM's side of the exchange. Safe for concurrent use.
@@ -53,7 +53,7 @@
 	self  string
 	t     peer.Transport
 	local Local
-	held  *Held
+	held  *ListReplica
 	log   zerolog.Logger
 
 	mu         sync.Mutex
@@ -75,7 +75,7 @@
 }
 
 // NewMember returns a Member that knows the seeds, VM ids of control VMs.
-func NewMember(self string, t peer.Transport, seeds []string, held *Held, local Local, log zerolog.Logger) *Member {
+func NewMember(self string, t peer.Transport, seeds []string, held *ListReplica, local Local, log zerolog.Logger) *Member {
 	m := &Member{
 		self: self, t: t, local: local, held: held, log: log, seeds: seeds,
 		learnt: map[string]time.Time{}, observers: map[string]time.Time{}, answered: map[string]time.Time{}, silent: map[string]bool{}, nudged: newSignal(),
@@ -128,7 +128,7 @@
 // yet serves nobody: after a restart of all, the control VMs answer some tenths of a
 // second before they have read it.
 func (m *Member) interval() time.Duration {
-	_, _, _, listed := m.held.Now()
+	_, _, _, listed := m.held.Current()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.answered) == 0 || !listed {
@@ -137,7 +137,7 @@
 	if m.local.Urgent != nil && m.local.Urgent() {
 		return urgentEvery
 	}
-	return NoticeEvery
+	return HeartbeatInterval
 }
 
 // pause waits for d, or until the VM has something new to say.
@@ -155,10 +155,10 @@
 
 // Nudge sends the next notice at once: a VM that has just become ready would
 // otherwise stay out of the directory for an interval.
-func (m *Member) Nudge() { m.nudged.raise() }
+func (m *Member) NotifyNow() { m.nudged.raise() }
 
 // Tell sends one more round at once: a VM that is leaving must not wait.
-func (m *Member) Tell(ctx context.Context) { m.round(ctx) }
+func (m *Member) SendNow(ctx context.Context) { m.round(ctx) }
 
 func (m *Member) round(ctx context.Context) {
 	var deaths []recovery.Death
@@ -200,17 +200,17 @@
 }
 
 // noticeFor is what one control VM gets of a notice.
-func (m *Member) noticeFor(n Notice, vm string, to *addressees) Notice {
+func (m *Member) noticeFor(n Heartbeat, vm string, to *addressees) Heartbeat {
 	if len(to.told) > 0 && !slices.Contains(to.told, vm) {
-		n.Told = Told{}
+		n.UseReport = UseReport{}
 	}
 	n.WantChanges = n.WantChanges || vm == to.changes
-	n.WantEntrances = vm == to.entrances && m.local.LearnEntrances != nil
-	n.WantLoad = vm == to.load && (m.local.Learn != nil || m.local.LearnSpent != nil)
-	if n.WantLoad {
+	n.WantEndpoints = vm == to.entrances && m.local.LearnEndpoints != nil
+	n.WantSummary = vm == to.load && (m.local.Learn != nil || m.local.LearnSpent != nil)
+	if n.WantSummary {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		n.RoutersHeld, n.WantUse = m.others.digest, m.others.wantsUse(time.Now())
+		n.RoutersDigest, n.WantUse = m.others.digest, m.others.wantsUse(time.Now())
 	}
 	return n
 }
@@ -228,24 +228,24 @@
 	return best
 }
 
-func (m *Member) notice(deaths []recovery.Death) Notice {
-	n := Notice{Zone: m.local.Zone, Callers: m.local.Callers, Deaths: deaths, Control: m.local.Control}
+func (m *Member) notice(deaths []recovery.Death) Heartbeat {
+	n := Heartbeat{Zone: m.local.Zone, Endpoint: m.local.Endpoint, Deaths: deaths, Control: m.local.Control}
 	if m.local.Ready != nil {
 		n.Ready = m.local.Ready()
 	}
 	if m.local.Dead != nil {
 		n.Dead = m.local.Dead()
 	}
-	if m.local.Kept != nil {
-		n.Kept = m.local.Kept()
+	if m.local.Runs != nil {
+		n.Runs = m.local.Runs()
 	}
 	if m.local.Rollouts != nil {
 		n.Rollouts = m.local.Rollouts()
 	}
 	n.Spent = m.spent()
-	n.Told = m.toldWhole()
-	if _, digest, age, ok := m.held.Now(); ok {
-		n.Held, n.HeldAge = digest, age.Milliseconds()
+	n.UseReport = m.toldWhole()
+	if _, digest, age, ok := m.held.Current(); ok {
+		n.ListDigest, n.ListAgeMS = digest, age.Milliseconds()
 		// One control VM tells of changes, as long as the list is young: what a zone's
 		// loss changes would else come from each of them.
 		n.WantChanges = m.local.Control || age > staleList
@@ -253,9 +253,9 @@
 	return n
 }
 
-func (m *Member) exchange(ctx context.Context, vm string, n Notice) {
+func (m *Member) exchange(ctx context.Context, vm string, n Heartbeat) {
 	sent := time.Now()
-	var a Answer
+	var a HeartbeatReply
 	if err := m.t.Call(ctx, vm, peer.KindNotice, n, &a); err != nil {
 		m.missed(vm, err)
 		return
@@ -265,17 +265,17 @@
 		return
 	}
 	m.takeChanges(vm, &n, &a, time.Since(sent))
-	if n.WantEntrances {
-		m.local.LearnEntrances(a.Entrances)
+	if n.WantEndpoints {
+		m.local.LearnEndpoints(a.Endpoints)
 	}
-	if !n.WantLoad {
+	if !n.WantSummary {
 		return
 	}
 	m.learnAll(vm, &a, n.Dead)
 }
 
 // learnAll takes what all VMs told.
-func (m *Member) learnAll(vm string, a *Answer, dead []string) {
+func (m *Member) learnAll(vm string, a *HeartbeatReply, dead []string) {
 	m.mu.Lock()
 	k, err := m.others.learn(a, dead, time.Now())
 	m.mu.Unlock()
@@ -290,18 +290,18 @@
 }
 
 // Find asks a control VM for what a stream left that another VM carried.
-func (m *Member) Find(ctx context.Context, identity uint64) (forward.Left, bool) {
+func (m *Member) FindOrphan(ctx context.Context, identity uint64) (forward.Orphan, bool) {
 	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
-	var out forward.Left
+	var out forward.Orphan
 	if err := m.t.Call(ctx, m.source(), peer.KindKept, identity, &out); err != nil {
 		m.log.Debug().Err(err).Msg("no answer about a copy")
-		return forward.Left{}, false
+		return forward.Orphan{}, false
 	}
-	return out, out != (forward.Left{})
+	return out, out != (forward.Orphan{})
 }
 
-func (m *Member) heard(vm string, a *Answer) {
+func (m *Member) heard(vm string, a *HeartbeatReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
--- a/internal/cluster/observe.go
+++ b/internal/cluster/observe.go
@@ -47,14 +47,14 @@
 // disk may know this VM alone, when the seeds in their settings were exchanged: their
 // own notices name them.
 func (o *Observer) serve(_ context.Context, from string, body []byte) (any, error) {
-	var n Notice
+	var n Heartbeat
 	if err := codec.Unmarshal(body, &n); err != nil {
 		return nil, err
 	}
 	if n.Control {
 		o.noteVoter(from)
 	}
-	return Answer{Observer: true, Controls: o.Controls()}, nil
+	return HeartbeatReply{Observer: true, Controls: o.Controls()}, nil
 }
 
 func (o *Observer) noteVoter(vm string) {
@@ -80,14 +80,14 @@
 }
 
 // LearnEntrances takes the directory as a voter told it.
-func (o *Observer) LearnEntrances(addrs []string) {
+func (o *Observer) LearnEndpoints(addrs []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.entrances, o.toldAt = addrs, time.Now()
 }
 
 // Entrances are the addresses that callers may use, in order, at most limit.
-func (o *Observer) Entrances(limit int) []string {
+func (o *Observer) Endpoints(limit int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if time.Since(o.toldAt) > entrancesFor {
--- a/internal/cluster/observe_test.go
+++ b/internal/cluster/observe_test.go
@@ -21,8 +21,8 @@
 func startObserver(ctx context.Context, n *peertest.Net, id string, seeds []string) *testObserver {
 	o := &testObserver{}
 	t := n.VM(id)
-	o.member = NewMember(id, t, seeds, NewHeld(func(upstream.List) {}), Local{
-		LearnEntrances: func(addrs []string) { o.LearnEntrances(addrs) },
+	o.member = NewMember(id, t, seeds, NewListReplica(func(upstream.List) {}), Local{
+		LearnEndpoints: func(addrs []string) { o.LearnEndpoints(addrs) },
 	}, zerolog.Nop())
 	o.Observer = NewObserver(t, id, o.member.Controls)
 	go o.member.Run(ctx)
@@ -31,7 +31,7 @@
 
 // startDiskHub is a control VM with a disk that says so, and starts from other seeds.
 func startDiskHub(ctx context.Context, n *peertest.Net, id string, seeds, voters []string) *testHub {
-	h := &testHub{held: NewHeld(func(upstream.List) {})}
+	h := &testHub{held: NewListReplica(func(upstream.List) {})}
 	t := n.VM(id)
 	h.hub = NewHub(t, h.held, func() []string { return voters }, zerolog.Nop())
 	m := NewMember(id, t, seeds, h.held, Local{Control: true}, zerolog.Nop())
@@ -51,22 +51,22 @@
 		startRouter(ctx, n, "r1", controls, 0)
 		leaving := startRouter(ctx, n, "r2", controls, 0)
 		time.Sleep(2 * time.Second)
-		if got := o.Entrances(64); !slices.Equal(got, []string{"r1:80", "r2:80"}) {
+		if got := o.Endpoints(64); !slices.Equal(got, []string{"r1:80", "r2:80"}) {
 			t.Fatalf("the observer sends callers to %v", got)
 		}
 		n.Kill(controls[0])
 		leaving.gone.Store(true)
-		time.Sleep(3 * NoticeEvery)
-		if got := o.Entrances(64); !slices.Equal(got, []string{"r1:80"}) {
+		time.Sleep(3 * HeartbeatInterval)
+		if got := o.Endpoints(64); !slices.Equal(got, []string{"r1:80"}) {
 			t.Errorf("after a voter's loss the observer sends callers to %v", got)
 		}
-		if got := o.Entrances(0); len(got) != 0 {
+		if got := o.Endpoints(0); len(got) != 0 {
 			t.Errorf("%v with a limit of none", got)
 		}
 		n.Kill(controls[1])
 		n.Kill(controls[2])
-		time.Sleep(entrancesFor + NoticeEvery)
-		if got := o.Entrances(64); len(got) != 0 {
+		time.Sleep(entrancesFor + HeartbeatInterval)
+		if got := o.Endpoints(64); len(got) != 0 {
 			t.Errorf("the observer goes on sending callers to %v without a voter", got)
 		}
 	})
@@ -85,7 +85,7 @@
 		h := startDiskHub(ctx, n, "c1", seeds, []string{"c1"})
 		r := startRouter(ctx, n, "r1", seeds, 0)
 		time.Sleep(2 * time.Second)
-		if got := h.hub.Entrances(64); !slices.Equal(got, []string{"r1:80"}) {
+		if got := h.hub.Endpoints(64); !slices.Equal(got, []string{"r1:80"}) {
 			t.Errorf("the voter knows %v", got)
 		}
 		if got := r.member.Controls(); !slices.Equal(got, []string{"c1"}) {
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -58,7 +58,7 @@
 }
 
 // deliver hands a decision to the stream that waits for it, if it still does.
-func (p *placing) deliver(d Placed) bool {
+func (p *placing) deliver(d PlaceDecision) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ch := p.waiting[d.ID]
@@ -91,22 +91,22 @@
 }
 
 // told is what this VM tells of its use of engines.
-func (m *Member) told() Told {
+func (m *Member) told() UseReport {
 	t := m.toldWhole()
-	t.Doubt, t.SameDoubt = nil, true
+	t.Suspected, t.SuspectedUnchanged = nil, true
 	return t
 }
 
 // toldWhole is the same for the notices, with what this VM doubts.
-func (m *Member) toldWhole() Told {
+func (m *Member) toldWhole() UseReport {
 	if m.local.Use == nil {
-		return Told{}
+		return UseReport{}
 	}
 	turn, taken := m.placing.next()
-	t := Told{Life: m.life, Turn: turn, Taken: taken, Use: m.local.Use()}
+	t := UseReport{Incarnation: m.life, Seq: turn, LastGrant: taken, Use: m.local.Use()}
 	if m.local.Opinion != nil {
 		o := m.local.Opinion()
-		t.Avoid, t.Doubt, t.Alive = o.Avoid, o.Doubt, o.Alive
+		t.Avoid, t.Suspected, t.Alive = o.Avoid, o.Suspected, o.Alive
 	}
 	if m.local.Paces != nil {
 		t.Paces = m.local.Paces()
@@ -119,9 +119,9 @@
 func (m *Member) Place(ctx context.Context, st scheduler.Stream, abandon func() bool) (scheduler.Answer, bool) {
 	decided, end := m.placing.wait(st.ID)
 	defer end()
-	a := PlaceAsk{Stream: st}
+	a := PlaceRequest{Stream: st}
 	for again := false; ; again = true {
-		a.DueMS, a.LeftMS = time.Until(st.Due).Milliseconds(), time.Until(st.Deadline).Milliseconds()
+		a.DueMS, a.DeadlineMS = time.Until(st.Due).Milliseconds(), time.Until(st.Deadline).Milliseconds()
 		p, ok := m.askPlace(ctx, &a, again)
 		if !ok || p.Outcome != scheduler.Waiting {
 			return p, ok
@@ -146,15 +146,15 @@
 //
 // What this VM uses goes with the first question alone: hundreds of streams may wait,
 // and each asks again.
-func (m *Member) askPlace(ctx context.Context, a *PlaceAsk, again bool) (scheduler.Answer, bool) {
+func (m *Member) askPlace(ctx context.Context, a *PlaceRequest, again bool) (scheduler.Answer, bool) {
 	for range placeTries {
 		vm := m.scheduler()
 		if vm == "" || ctx.Err() != nil {
 			break
 		}
-		a.Told = Told{}
+		a.Report = UseReport{}
 		if !again {
-			a.Told = m.told()
+			a.Report = m.told()
 		}
 		asking, cancel := context.WithTimeout(ctx, placeTimeout)
 		var p scheduler.Answer
@@ -221,7 +221,7 @@
 
 // RunUse tells of changes until ctx ends. Those that come while one message is under
 // way go with the next one.
-func (m *Member) RunUse(ctx context.Context) { m.placing.changed.each(ctx, m.tellUse) }
+func (m *Member) RunUseReports(ctx context.Context) { m.placing.changed.each(ctx, m.tellUse) }
 
 func (m *Member) tellUse(ctx context.Context) {
 	vm := m.scheduler()
@@ -238,7 +238,7 @@
 // servePlaced takes a decision about a stream that waited. Nobody waits any more where
 // its caller left: the grant is given back.
 func (m *Member) servePlaced(_ context.Context, _ string, body []byte) (any, error) {
-	var p Placed
+	var p PlaceDecision
 	if err := codec.Unmarshal(body, &p); err != nil {
 		return nil, err
 	}
--- a/internal/cluster/place_test.go
+++ b/internal/cluster/place_test.go
@@ -24,7 +24,7 @@
 
 func startPlacing(ctx context.Context, n *peertest.Net, id string) *placingRouter {
 	v := &placingRouter{testVM: startRouter(ctx, n, id, controls, 0)}
-	go v.member.RunUse(ctx)
+	go v.member.RunUseReports(ctx)
 	return v
 }
 
@@ -48,7 +48,7 @@
 // has been granted the engine and has a prompt read there.
 func startReading(t *testing.T, ctx context.Context, n *peertest.Net) (reads, other *placingRouter) {
 	h := startHub(ctx, n, "c1", controls[:1])
-	h.hub.TakeList(modelsList(1))
+	h.hub.SetBackends(modelsList(1))
 	go h.hub.Run(ctx)
 	reads, other = startPlacing(ctx, n, "r1"), startPlacing(ctx, n, "r2")
 	time.Sleep(time.Second)
@@ -100,7 +100,7 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
-			h.hub.TakeList(modelsList(6))
+			h.hub.SetBackends(modelsList(6))
 		}
 		v := startPlacing(ctx, n, "r1")
 		time.Sleep(time.Second)
@@ -148,13 +148,13 @@
 	c := newSchedule(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(1))
 	busy := map[string]placement.Usage{"e0": {Requests: 1, PendingPrompt: 8000}}
-	c.told("r1", &Told{Life: 7, Turn: 2})
-	c.told("r1", &Told{Life: 7, Turn: 1, Use: busy})
+	c.told("r1", &UseReport{Incarnation: 7, Seq: 2})
+	c.told("r1", &UseReport{Incarnation: 7, Seq: 1, Use: busy})
 	c.s.Enqueue(scheduler.Stream{ID: "1", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
 	if p := c.runFor("1"); p.Outcome != scheduler.Granted {
 		t.Errorf("outcome %d", p.Outcome)
 	}
-	c.told("r1", &Told{Life: 8, Turn: 1, Use: busy}) // the process was started again
+	c.told("r1", &UseReport{Incarnation: 8, Seq: 1, Use: busy}) // the process was started again
 	c.s.Enqueue(scheduler.Stream{ID: "2", VM: "r1", Service: "models", Deadline: time.Now().Add(time.Minute)}, time.Now())
 	if p := c.runFor("2"); p.Outcome != scheduler.Waiting {
 		t.Errorf("outcome %d beside a prompt that is being read", p.Outcome)
@@ -168,13 +168,13 @@
 		h := startHub(ctx, n, "c1", controls[:1])
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
-		left := forward.Left{Copy: forward.Copy{Address: "e2:1", ID: "q1"}, Ran: "e1:1"}
-		h.hub.note("dead", Notice{Kept: []forward.Kept{{Identity: 7, Left: left}}})
-		if got, ok := v.member.Find(ctx, 7); !ok || got != left {
+		left := forward.Orphan{Copy: forward.Copy{Address: "e2:1", ID: "q1"}, PrefillEngine: "e1:1"}
+		h.hub.note("dead", Heartbeat{Runs: []forward.ResumableRun{{Identity: 7, Orphan: left}}})
+		if got, ok := v.member.FindOrphan(ctx, 7); !ok || got != left {
 			t.Errorf("at once: %+v, %t", got, ok)
 		}
 		time.Sleep(20 * time.Second)
-		if got, ok := v.member.Find(ctx, 7); !ok || got != (forward.Left{Ran: "e1:1"}) {
+		if got, ok := v.member.FindOrphan(ctx, 7); !ok || got != (forward.Orphan{PrefillEngine: "e1:1"}) {
 			t.Errorf("after 20 s: %+v, %t", got, ok)
 		}
 	})
@@ -187,7 +187,7 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
-			h.hub.TakeList(modelsList(1))
+			h.hub.SetBackends(modelsList(1))
 		}
 		v := startPlacing(ctx, n, "r1")
 		time.Sleep(time.Second)
@@ -195,8 +195,8 @@
 		v.uses(map[string]placement.Usage{"e0": {Requests: 8, Tokens: 70_000}})
 		v.member.Took(first.Number)
 		for range 6 {
-			time.Sleep(NoticeEvery)
-			if a := v.heard.Load(); a == nil || len(a.Short) != 1 {
+			time.Sleep(HeartbeatInterval)
+			if a := v.heard.Load(); a == nil || len(a.LowMemory) != 1 {
 				t.Fatalf("heard that %v is short of memory", a)
 			}
 		}
@@ -225,7 +225,7 @@
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
 			h := startHub(ctx, n, id, controls)
-			h.hub.TakeList(modelsList(1))
+			h.hub.SetBackends(modelsList(1))
 			go h.hub.Run(ctx)
 		}
 		reads, other := startPlacing(ctx, n, "r1"), startPlacing(ctx, n, "r2")
@@ -238,7 +238,7 @@
 		reads.member.Took(first.Number)
 		n.Kill(controls[0])
 		n.Kill(controls[1])
-		time.Sleep(presentFor + 2*NoticeEvery)
+		time.Sleep(presentFor + 2*HeartbeatInterval)
 		asking, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		defer cancel()
 		if p, ok := other.place(asking, "2"); ok {
@@ -253,18 +253,18 @@
 	c := newSchedule(peertest.New(1).VM("c1"), zerolog.Nop())
 	c.setServers(modelsList(2))
 	use := map[string]placement.Usage{"e1": {Requests: 1}}
-	doubted := func() []string { return c.turns["r1"].Doubt }
-	c.told("r1", &Told{Life: 1, Turn: 1, Doubt: []string{"e0"}})
-	c.told("r1", &Told{Life: 1, Turn: 2, Use: use, SameDoubt: true})
+	doubted := func() []string { return c.turns["r1"].Suspected }
+	c.told("r1", &UseReport{Incarnation: 1, Seq: 1, Suspected: []string{"e0"}})
+	c.told("r1", &UseReport{Incarnation: 1, Seq: 2, Use: use, SuspectedUnchanged: true})
 	if got := doubted(); len(got) != 1 {
 		t.Errorf("%v is doubted after a message of use", got)
 	}
-	c.told("r1", &Told{Life: 1, Turn: 3, Use: use})
+	c.told("r1", &UseReport{Incarnation: 1, Seq: 3, Use: use})
 	if got := doubted(); len(got) != 0 {
 		t.Errorf("%v is doubted after a notice that doubts nothing", got)
 	}
-	c.told("r1", &Told{Life: 1, Turn: 4, Doubt: []string{"e0"}})
-	c.told("r1", &Told{Life: 2, Turn: 1, Use: use, SameDoubt: true})
+	c.told("r1", &UseReport{Incarnation: 1, Seq: 4, Suspected: []string{"e0"}})
+	c.told("r1", &UseReport{Incarnation: 2, Seq: 1, Use: use, SuspectedUnchanged: true})
 	if got := doubted(); len(got) != 0 {
 		t.Errorf("%v is doubted by a process that has just started", got)
 	}
--- a/internal/cluster/reading.go
+++ b/internal/cluster/reading.go
@@ -28,29 +28,29 @@
 )
 
 // Reading is a control VM's part in reading the list.
-type Reading struct {
-	Leads bool
-	Rank  int // among the control VMs
+type ReadSchedule struct {
+	Leader bool
+	Rank   int // among the control VMs
 	// Listed: a list is held, of Rows, as old as Age.
-	Listed bool
-	Rows   int
-	Age    time.Duration
+	HasList bool
+	Rows    int
+	Age     time.Duration
 	// Up is how long the VM has been up, Since how long ago it last began to read, and
 	// Took how long that took.
-	Up, Since, Took time.Duration
+	Uptime, SinceLastRead, LastReadDuration time.Duration
 }
 
 // Due reports whether the VM is to read now.
-func (r Reading) Due() bool {
-	if r.Since < max(readEvery, time.Duration(float64(r.Took)/readPart)) {
+func (r ReadSchedule) Due() bool {
+	if r.SinceLastRead < max(readEvery, time.Duration(float64(r.LastReadDuration)/readPart)) {
 		return false
 	}
 	turn := time.Duration(r.Rank) * standbyStep
 	switch {
-	case r.Leads:
+	case r.Leader:
 		return true
-	case !r.Listed:
-		return r.Up >= turn
+	case !r.HasList:
+		return r.Uptime >= turn
 	}
 	return r.Age > takeOverAge+turn+time.Duration(r.Rows)*takeOverRow
 }
--- a/internal/cluster/reading_test.go
+++ b/internal/cluster/reading_test.go
@@ -11,18 +11,18 @@
 	second := time.Second
 	tests := []struct {
 		name string
-		r    Reading
+		r    ReadSchedule
 		want bool
 	}{
-		{"the leader", Reading{Leads: true, Listed: true, Since: second}, true},
-		{"the leader, just now", Reading{Leads: true, Listed: true, Since: second / 4}, false},
-		{"the leader, after a long reading", Reading{Leads: true, Listed: true, Since: second, Took: second}, false},
-		{"another", Reading{Rank: 1, Listed: true, Age: second, Since: 9 * second}, false},
-		{"another, of an old list", Reading{Rank: 1, Listed: true, Age: 2 * second, Since: 9 * second}, true},
-		{"another, of an old and long list", Reading{Rank: 1, Listed: true, Rows: 3000, Age: 2 * second, Since: 9 * second}, false},
-		{"the first without a list", Reading{Since: 9 * second}, true},
-		{"a later one without a list", Reading{Rank: 9, Up: second, Since: 9 * second}, false},
-		{"a later one, in its turn", Reading{Rank: 9, Up: 3 * second, Since: 9 * second}, true},
+		{"the leader", ReadSchedule{Leader: true, HasList: true, SinceLastRead: second}, true},
+		{"the leader, just now", ReadSchedule{Leader: true, HasList: true, SinceLastRead: second / 4}, false},
+		{"the leader, after a long reading", ReadSchedule{Leader: true, HasList: true, SinceLastRead: second, LastReadDuration: second}, false},
+		{"another", ReadSchedule{Rank: 1, HasList: true, Age: second, SinceLastRead: 9 * second}, false},
+		{"another, of an old list", ReadSchedule{Rank: 1, HasList: true, Age: 2 * second, SinceLastRead: 9 * second}, true},
+		{"another, of an old and long list", ReadSchedule{Rank: 1, HasList: true, Rows: 3000, Age: 2 * second, SinceLastRead: 9 * second}, false},
+		{"the first without a list", ReadSchedule{SinceLastRead: 9 * second}, true},
+		{"a later one without a list", ReadSchedule{Rank: 9, Uptime: second, SinceLastRead: 9 * second}, false},
+		{"a later one, in its turn", ReadSchedule{Rank: 9, Uptime: 3 * second, SinceLastRead: 9 * second}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -88,9 +88,9 @@
 			q.After(time.Duration(tick)*50*time.Millisecond, func() {
 				for vm := range controls {
 					up := q.Now().Sub(start)
-					r := Reading{Rank: vm, Up: up, Since: q.Now().Sub(began[vm]), Took: took[vm]}
+					r := ReadSchedule{Rank: vm, Uptime: up, SinceLastRead: q.Now().Sub(began[vm]), LastReadDuration: took[vm]}
 					if !got.IsZero() && q.Now().Sub(got) > spread {
-						r.Listed, r.Rows = true, 50*pages
+						r.HasList, r.Rows = true, 50*pages
 					}
 					if !reading[vm] && r.Due() {
 						reading[vm], began[vm] = true, q.Now()
--- a/internal/cluster/remember.go
+++ b/internal/cluster/remember.go
@@ -34,12 +34,12 @@
 // remembered is the file's content. SavedMS is of the wall clock: nothing rests on
 // it, an engine that has dropped a copy refuses it.
 type remembered struct {
-	SavedMS int64          `cbor:"1,keyasint"`
-	Kept    []forward.Kept `cbor:"2,keyasint"`
+	SavedMS int64                  `cbor:"1,keyasint"`
+	Kept    []forward.ResumableRun `cbor:"2,keyasint"`
 }
 
 // Recall reads what was written before this process started.
-func (h *Hub) Recall(fsys wal.FS, dir string) {
+func (h *Hub) LoadRuns(fsys wal.FS, dir string) {
 	data, err := wal.ReadFile(fsys, filepath.Join(dir, keptFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return
@@ -64,15 +64,15 @@
 
 // Remember writes where copies are kept until ctx ends. A disk that is slow or full
 // costs the memory of copies, and holds nothing else up.
-func (h *Hub) Remember(ctx context.Context, fsys wal.FS, dir string) {
+func (h *Hub) RunSaver(ctx context.Context, fsys wal.FS, dir string) {
 	var last []byte
 	failing := false
 	for timer.Sleep(ctx, rememberEvery) == nil {
 		h.mu.Lock()
 		kept := h.allKept(time.Now())
 		h.mu.Unlock()
-		slices.SortFunc(kept, func(a, b forward.Kept) int {
-			return cmp.Or(cmp.Compare(a.Identity, b.Identity), strings.Compare(a.Copy.ID, b.Copy.ID), strings.Compare(a.Ran, b.Ran))
+		slices.SortFunc(kept, func(a, b forward.ResumableRun) int {
+			return cmp.Or(cmp.Compare(a.Identity, b.Identity), strings.Compare(a.Copy.ID, b.Copy.ID), strings.Compare(a.PrefillEngine, b.PrefillEngine))
 		})
 		data, err := codec.Marshal(kept)
 		if err != nil || bytes.Equal(data, last) {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (h *Hub) save(fsys wal.FS, dir string, kept []forward.Kept) error {
+func (h *Hub) save(fsys wal.FS, dir string, kept []forward.ResumableRun) error {
 	data, err := codec.Marshal(remembered{SavedMS: time.Now().UnixMilli(), Kept: kept})
 	if err != nil {
 		return err
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -20,32 +20,32 @@
 // the routers last told them, and some prompts meet on an engine.
 
 // Told is what a router tells of its use of engines.
-type Told struct {
-	Life uint64                     `cbor:"1,keyasint"` // of the process
-	Turn uint64                     `cbor:"2,keyasint"` // grows with each message
-	Use  map[string]placement.Usage `cbor:"3,keyasint,omitempty"`
+type UseReport struct {
+	Incarnation uint64                     `cbor:"1,keyasint"` // of the process
+	Seq         uint64                     `cbor:"2,keyasint"` // grows with each message
+	Use         map[string]placement.Usage `cbor:"3,keyasint,omitempty"`
 	// Taken is the last grant that Use includes.
-	Taken uint64                            `cbor:"4,keyasint,omitempty"`
-	Avoid []string                          `cbor:"5,keyasint,omitempty"`
-	Paces map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
-	Doubt []string                          `cbor:"7,keyasint,omitempty"`
-	Alive []string                          `cbor:"8,keyasint,omitempty"`
+	LastGrant uint64                            `cbor:"4,keyasint,omitempty"`
+	Avoid     []string                          `cbor:"5,keyasint,omitempty"`
+	Paces     map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
+	Suspected []string                          `cbor:"7,keyasint,omitempty"`
+	Alive     []string                          `cbor:"8,keyasint,omitempty"`
 	// SameDoubt: Doubt is left out, and as it was last told. While a zone is lost it
 	// names all of its engines, and a router tells of its use with each stream.
-	SameDoubt bool `cbor:"9,keyasint,omitempty"`
+	SuspectedUnchanged bool `cbor:"9,keyasint,omitempty"`
 }
 
 // PlaceAsk asks for an engine for one stream. Times are from now, so that clocks need
 // not agree.
-type PlaceAsk struct {
-	Told   Told             `cbor:"1,keyasint"`
-	Stream scheduler.Stream `cbor:"2,keyasint"`
-	DueMS  int64            `cbor:"3,keyasint"`
-	LeftMS int64            `cbor:"4,keyasint"`
+type PlaceRequest struct {
+	Report     UseReport        `cbor:"1,keyasint"`
+	Stream     scheduler.Stream `cbor:"2,keyasint"`
+	DueMS      int64            `cbor:"3,keyasint"`
+	DeadlineMS int64            `cbor:"4,keyasint"`
 }
 
 // Placed is what was decided about a stream.
-type Placed struct {
+type PlaceDecision struct {
 	ID     string           `cbor:"1,keyasint"` // of the request
 	Answer scheduler.Answer `cbor:"2,keyasint"`
 }
@@ -70,14 +70,14 @@
 
 	mu    sync.Mutex
 	s     *scheduler.Scheduler
-	turns map[string]Told // the last of each router, for its life, turn and doubt
+	turns map[string]UseReport // the last of each router, for its life, turn and doubt
 	// logged is when the state was last logged.
 	logged           time.Time
 	granted, refused uint64
 }
 
 func newSchedule(t peer.Transport, log zerolog.Logger) *schedule {
-	return &schedule{t: t, log: log, s: scheduler.New(nil), turns: map[string]Told{}}
+	return &schedule{t: t, log: log, s: scheduler.New(nil), turns: map[string]UseReport{}}
 }
 
 // setServers takes a list of backend servers. A server that is leaving gets nothing new.
@@ -96,7 +96,7 @@
 
 // told takes what a router tells. A message that was overtaken on its way changes
 // nothing.
-func (c *schedule) told(from string, t *Told) {
+func (c *schedule) told(from string, t *UseReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.note(from, t)
@@ -104,19 +104,19 @@
 }
 
 // note needs c.mu.
-func (c *schedule) note(from string, t *Told) {
-	if t.Life == 0 {
+func (c *schedule) note(from string, t *UseReport) {
+	if t.Incarnation == 0 {
 		return // a control process, which sends no streams
 	}
 	last := c.turns[from]
-	if last.Life == t.Life && t.Turn < last.Turn {
+	if last.Incarnation == t.Incarnation && t.Seq < last.Seq {
 		return
 	}
-	if t.SameDoubt && last.Life == t.Life {
-		t.Doubt = last.Doubt
+	if t.SuspectedUnchanged && last.Incarnation == t.Incarnation {
+		t.Suspected = last.Suspected
 	}
-	c.turns[from] = Told{Life: t.Life, Turn: t.Turn, Doubt: t.Doubt}
-	c.s.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.Taken, Avoid: t.Avoid, Suspected: t.Doubt, Alive: t.Alive, EngineTimings: t.Paces}, time.Now())
+	c.turns[from] = UseReport{Incarnation: t.Incarnation, Seq: t.Seq, Suspected: t.Suspected}
+	c.s.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.LastGrant, Avoid: t.Avoid, Suspected: t.Suspected, Alive: t.Alive, EngineTimings: t.Paces}, time.Now())
 }
 
 // outlook names the services that have no memory for copies, and what is known of the
@@ -136,22 +136,22 @@
 }
 
 func (c *schedule) servePlace(_ context.Context, from string, body []byte) (any, error) {
-	var a PlaceAsk
+	var a PlaceRequest
 	if err := codec.Unmarshal(body, &a); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.note(from, &a.Told)
+	c.note(from, &a.Report)
 	now, st := time.Now(), a.Stream
 	st.VM = from
-	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.LeftMS)*time.Millisecond)
+	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.DeadlineMS)*time.Millisecond)
 	c.s.Enqueue(st, now)
 	return c.runFor(st.ID), nil
 }
 
 func (c *schedule) serveUse(_ context.Context, from string, body []byte) (any, error) {
-	var t Told
+	var t UseReport
 	if err := codec.Unmarshal(body, &t); err != nil {
 		return nil, err
 	}
@@ -191,7 +191,7 @@
 func (c *schedule) run() { c.runFor("") }
 
 func (c *schedule) tell(st *scheduler.Stream, a scheduler.Answer) {
-	if err := c.t.Send(st.VM, peer.KindPlaced, Placed{st.ID, a}); err != nil {
+	if err := c.t.Send(st.VM, peer.KindPlaced, PlaceDecision{st.ID, a}); err != nil {
 		// The router asks again; a grant that it never heard of expires.
 		c.log.Debug().Err(err).Str("request", st.ID).Str("router", st.VM).Msg("decision not told")
 	}
--- a/internal/cluster/spent.go
+++ b/internal/cluster/spent.go
@@ -27,10 +27,10 @@
 // service. A process that was started again has forgotten what it spent before,
 // which goes on to count as a former life's. Turn grows with each message: one that
 // was overtaken on its way changes nothing.
-type Spending struct {
-	Life  uint64                   `cbor:"1,keyasint"`
-	Turn  uint64                   `cbor:"2,keyasint"`
-	Spent map[string]forward.Spent `cbor:"3,keyasint,omitempty"`
+type RetrySpending struct {
+	Incarnation uint64                        `cbor:"1,keyasint"`
+	Seq         uint64                        `cbor:"2,keyasint"`
+	Spent       map[string]forward.RetryUsage `cbor:"3,keyasint,omitempty"`
 }
 
 // spentBook holds what each life told last.
@@ -38,15 +38,15 @@
 
 type toldSpending struct {
 	turn  uint64
-	spent map[string]forward.Spent
+	spent map[string]forward.RetryUsage
 	at    time.Time
 }
 
-func (b spentBook) note(s Spending, now time.Time) {
-	if s.Life == 0 || s.Turn < b[s.Life].turn {
+func (b spentBook) note(s RetrySpending, now time.Time) {
+	if s.Incarnation == 0 || s.Seq < b[s.Incarnation].turn {
 		return // a control process, which sends nothing again; or overtaken
 	}
-	b[s.Life] = toldSpending{s.Turn, s.Spent, now}
+	b[s.Incarnation] = toldSpending{s.Seq, s.Spent, now}
 	for life, t := range b {
 		if now.Sub(t.at) > spentFor {
 			delete(b, life)
@@ -56,8 +56,8 @@
 
 // others sums what all lives but one spent. One that has ended counts as long as
 // its sends are in the window.
-func (b spentBook) others(life uint64, now time.Time) map[string]forward.Spent {
-	out := map[string]forward.Spent{}
+func (b spentBook) others(life uint64, now time.Time) map[string]forward.RetryUsage {
+	out := map[string]forward.RetryUsage{}
 	for l, t := range b {
 		if l == life || now.Sub(t.at) > spentFor {
 			continue
@@ -65,50 +65,50 @@
 		for service, s := range t.spent {
 			sum := out[service]
 			sum.Requests += s.Requests
-			sum.Repeats += s.Repeats
+			sum.Retries += s.Retries
 			out[service] = sum
 		}
 	}
 	return out
 }
 
-func (h *Hub) spentByOthers(life uint64) map[string]forward.Spent {
+func (h *Hub) spentByOthers(life uint64) map[string]forward.RetryUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.spent.others(life, time.Now())
 }
 
 func (h *Hub) serveSpent(_ context.Context, _ string, body []byte) (any, error) {
-	var s Spending
+	var s RetrySpending
 	if err := codec.Unmarshal(body, &s); err != nil {
 		return nil, err
 	}
 	h.mu.Lock()
 	h.spent.note(s, time.Now())
 	h.mu.Unlock()
-	return h.spentByOthers(s.Life), nil
+	return h.spentByOthers(s.Incarnation), nil
 }
 
 // spent is what this VM's notices and messages say; a VM that sends nothing has
 // none.
-func (m *Member) spent() Spending {
+func (m *Member) spent() RetrySpending {
 	if m.local.Spent == nil {
-		return Spending{}
+		return RetrySpending{}
 	}
-	return Spending{m.life, m.turn.Add(1), m.local.Spent()}
+	return RetrySpending{m.life, m.turn.Add(1), m.local.Spent()}
 }
 
-func (m *Member) learnSpent(others map[string]forward.Spent) {
+func (m *Member) learnSpent(others map[string]forward.RetryUsage) {
 	if m.local.LearnSpent != nil {
 		m.local.LearnSpent(others)
 	}
 }
 
 // Spending has the control VMs told of a second send at once. It does not wait.
-func (m *Member) Spending() { m.spending.raise() }
+func (m *Member) NotifyRetry() { m.spending.raise() }
 
 // RunSpending tells the control VMs of second sends until ctx ends.
-func (m *Member) RunSpending(ctx context.Context) { m.spending.each(ctx, m.tellSpending) }
+func (m *Member) RunRetryReports(ctx context.Context) { m.spending.each(ctx, m.tellSpending) }
 
 // tellSpending tells every control VM, and learns from one what the others spent.
 // It waits for that one alone: a control VM that is lost would else hold up what
@@ -125,7 +125,7 @@
 	}
 }
 
-func (m *Member) tellSpendingTo(ctx context.Context, vm string, s Spending) (others map[string]forward.Spent, ok bool) {
+func (m *Member) tellSpendingTo(ctx context.Context, vm string, s RetrySpending) (others map[string]forward.RetryUsage, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, spendingTimeout)
 	defer cancel()
 	if err := m.t.Call(ctx, vm, peer.KindSpent, s, &others); err != nil {
--- a/internal/cluster/spent_test.go
+++ b/internal/cluster/spent_test.go
@@ -20,19 +20,19 @@
 	stop   context.CancelFunc
 
 	mu     sync.Mutex
-	own    forward.Spent
-	others forward.Spent
+	own    forward.RetryUsage
+	others forward.RetryUsage
 }
 
 func startSpender(ctx context.Context, n *peertest.Net, id string) *spender {
 	s := &spender{}
-	s.member = NewMember(id, n.VM(id), controls, NewHeld(func(upstream.List) {}), Local{
-		Spent: func() map[string]forward.Spent {
+	s.member = NewMember(id, n.VM(id), controls, NewListReplica(func(upstream.List) {}), Local{
+		Spent: func() map[string]forward.RetryUsage {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return map[string]forward.Spent{"m": s.own}
+			return map[string]forward.RetryUsage{"m": s.own}
 		},
-		LearnSpent: func(others map[string]forward.Spent) {
+		LearnSpent: func(others map[string]forward.RetryUsage) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.others = others["m"]
@@ -40,21 +40,21 @@
 	}, zerolog.Nop())
 	ctx, s.stop = context.WithCancel(ctx)
 	go s.member.Run(ctx)
-	go s.member.RunSpending(ctx)
+	go s.member.RunRetryReports(ctx)
 	return s
 }
 
 func (s *spender) spend() {
 	s.mu.Lock()
-	s.own.Repeats++
+	s.own.Retries++
 	s.mu.Unlock()
-	s.member.Spending()
+	s.member.NotifyRetry()
 }
 
 func (s *spender) knows() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.others.Repeats
+	return s.others.Retries
 }
 
 // A wave of losses: every VM sends one stream again within 30 ms. The next one that
@@ -120,12 +120,12 @@
 
 func TestSpendingThatWasOvertaken(t *testing.T) {
 	b, now := spentBook{}, time.Now()
-	told := func(turn uint64, repeats int) Spending {
-		return Spending{Life: 7, Turn: turn, Spent: map[string]forward.Spent{"m": {Repeats: repeats}}}
+	told := func(turn uint64, repeats int) RetrySpending {
+		return RetrySpending{Incarnation: 7, Seq: turn, Spent: map[string]forward.RetryUsage{"m": {Retries: repeats}}}
 	}
 	b.note(told(2, 5), now)
 	b.note(told(1, 3), now)
-	if got := b.others(0, now)["m"].Repeats; got != 5 {
+	if got := b.others(0, now)["m"].Retries; got != 5 {
 		t.Errorf("%d, want the later word", got)
 	}
 }
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -36,7 +36,7 @@
 	summaryFor = 50 * time.Millisecond
 	// useEvery is how often a VM wants the use of engines, and usePerEngine bounds the
 	// traffic where there are many: an engine's use takes some 25 bytes.
-	useEvery     = 3 * NoticeEvery
+	useEvery     = 3 * HeartbeatInterval
 	usePerEngine = 6 * time.Millisecond
 )
 
@@ -47,7 +47,7 @@
 	Deaths []recovery.Death `cbor:"2,keyasint,omitempty"`
 	Dead   []string         `cbor:"3,keyasint,omitempty"` // judged dead lately
 	// Short names the services whose memory is needed for prompts.
-	Short []string `cbor:"4,keyasint,omitempty"`
+	LowMemory []string `cbor:"4,keyasint,omitempty"`
 	// Paces of the services' engines: a VM that has just started, or carries few streams,
 	// has observed none.
 	Paces map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
@@ -56,12 +56,12 @@
 }
 
 // Known is what a VM has learnt of all others together.
-type Known struct {
+type PeerReports struct {
 	Summary
 	Routers []string                   // VMs that take callers, by id
 	Use     map[string]placement.Usage // of backend servers, by the others
 	// Spent is what the others spent of the retry budgets, by service.
-	Spent map[string]forward.Spent
+	Spent map[string]forward.RetryUsage
 }
 
 // summary is a Summary as it is told.
@@ -84,7 +84,7 @@
 		return s, nil
 	}
 	told := Summary{}
-	told.Short, told.Paces = h.schedule.outlook()
+	told.LowMemory, told.Paces = h.schedule.outlook()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, err := h.sum(&told, time.Now())
@@ -104,8 +104,8 @@
 		if now.Sub(v.at) > presentFor {
 			continue
 		}
-		s.parts[vm] = v.notice.Told.Use
-		for id, u := range v.notice.Told.Use {
+		s.parts[vm] = v.notice.UseReport.Use
+		for id, u := range v.notice.UseReport.Use {
 			use[id] = use[id].Add(u)
 		}
 		told.Dead = append(told.Dead, v.notice.Dead...)
@@ -113,10 +113,10 @@
 			ready = append(ready, v)
 		}
 	}
-	slices.SortFunc(ready, func(a, b seen) int { return strings.Compare(a.notice.Callers, b.notice.Callers) })
+	slices.SortFunc(ready, func(a, b seen) int { return strings.Compare(a.notice.Endpoint, b.notice.Endpoint) })
 	for _, v := range ready {
 		s.routers = append(s.routers, v.vm)
-		s.entrances = append(s.entrances, v.notice.Callers)
+		s.entrances = append(s.entrances, v.notice.Endpoint)
 	}
 	s.digest = xxhash.Sum64String(strings.Join(s.routers, " "))
 	told.RoutersDigest = s.digest
@@ -142,12 +142,12 @@
 }
 
 // tell adds to an answer what its asker wants and does not hold.
-func (s *summary) tell(a *Answer, from string, n *Notice) {
-	a.Encoded, a.Own = s.encoded, s.parts[from]
+func (s *summary) tell(a *HeartbeatReply, from string, n *Heartbeat) {
+	a.EncodedSummary, a.OwnUse = s.encoded, s.parts[from]
 	if n.WantUse {
 		a.EncodedUse = s.use
 	}
-	if n.RoutersHeld != s.digest {
+	if n.RoutersDigest != s.digest {
 		a.Routers = s.routers
 	}
 }
@@ -174,14 +174,14 @@
 // wantsUse reports whether the use of engines is wanted again.
 func (o *others) wantsUse(now time.Time) bool {
 	every := max(useEvery, time.Duration(len(o.engines))*usePerEngine)
-	return now.Sub(o.usedAt) > every-NoticeEvery/2
+	return now.Sub(o.usedAt) > every-HeartbeatInterval/2
 }
 
 // learn takes an answer, and returns all that is known by it. own are the servers that
 // this VM itself said are dead.
-func (o *others) learn(a *Answer, own []string, now time.Time) (Known, error) {
-	var k Known
-	if err := codec.Unmarshal(a.Encoded, &k.Summary); err != nil {
+func (o *others) learn(a *HeartbeatReply, own []string, now time.Time) (PeerReports, error) {
+	var k PeerReports
+	if err := codec.Unmarshal(a.EncodedSummary, &k.Summary); err != nil {
 		return k, err
 	}
 	if len(a.EncodedUse) > 0 {
@@ -190,7 +190,7 @@
 			return k, err
 		}
 		o.engines, o.usedAt = use, now
-		for id, u := range a.Own {
+		for id, u := range a.OwnUse {
 			if _, ok := use[id]; ok {
 				use[id] = use[id].Add(u.Negated())
 			}
@@ -205,7 +205,7 @@
 		k.Use = map[string]placement.Usage{}
 	}
 	for id, calls := range k.Calls {
-		k.Use[id] = placement.Usage{Requests: calls - a.Own[id].Requests}
+		k.Use[id] = placement.Usage{Requests: calls - a.OwnUse[id].Requests}
 	}
 	k.Dead = slices.DeleteFunc(k.Dead, func(id string) bool { return slices.Contains(own, id) })
 	return k, nil
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -28,9 +28,9 @@
 				t.Fatal(err)
 			}
 			total += n
-			now = now.Add(NoticeEvery)
+			now = now.Add(HeartbeatInterval)
 		}
-		perSecond := int(float64(total) / (notices * NoticeEvery.Seconds()))
+		perSecond := int(float64(total) / (notices * HeartbeatInterval.Seconds()))
 		t.Logf("%d routers, %d engines: %d B/s", size.routers, size.engines, perSecond)
 		if perSecond > controlBytes/2 {
 			t.Errorf("%d routers, %d engines: %d B/s of answers, half of %d at most", size.routers, size.engines, perSecond, controlBytes)
@@ -80,7 +80,7 @@
 func testPacesAreToldToAll(t *testing.T) {
 	f := newFullHub(t, 3, 4)
 	pace := scheduler.EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
-	f.hub.schedule.told(f.routers[0], &Told{Life: 1, Turn: 99, Paces: map[string]scheduler.EngineTiming{"models": pace}})
+	f.hub.schedule.told(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, Paces: map[string]scheduler.EngineTiming{"models": pace}})
 	f.hub.mu.Lock()
 	f.hub.summed = nil
 	f.hub.mu.Unlock()
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -40,7 +40,7 @@
 
 // build makes the engines and routers of a world.
 func (w *world) build(engines, zones int) {
-	w.blamed = &blameBoard{recovery.NewBlame()}
+	w.blamed = &blameBoard{recovery.NewPoisonSuspicion()}
 	for i := range engines {
 		w.engines = append(w.engines, &engineModel{
 			w: w, id: i, name: fmt.Sprint("e", i), zone: fmt.Sprint("z", i%zones), cache: map[uint64]bool{},
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -19,7 +19,7 @@
 )
 
 // blameBoard is the blame that routers share.
-type blameBoard struct{ *recovery.Blame }
+type blameBoard struct{ *recovery.PoisonSuspicion }
 
 // system is a router with the modules of the project.
 type system struct {
@@ -219,7 +219,7 @@
 	if l.closed {
 		return
 	}
-	s.detector.SetPatient(s.suspicion.Empty())
+	s.detector.SetCeilingOnly(s.suspicion.Empty())
 	suspect, again := s.detector.Check(l.stream, s.w.Now())
 	if suspect {
 		s.suspicion.Spend(l.run.r.prompt + l.run.r.journal)
@@ -264,7 +264,7 @@
 	s.hedges.Earn(1)
 	s.table.Progress(&l.place, 1)
 	s.paced(u)
-	if l.solo && s.w.blamed.Passed(digest(u.r), l.a.made) {
+	if l.solo && s.w.blamed.NoteProgress(digest(u.r), l.a.made) {
 		l.solo = false
 		s.table.EndIsolation(&l.place)
 	}
@@ -304,7 +304,7 @@
 	s.paced(u)
 	u.resume = &recovery.Resume{Deadline: u.item.Deadline, Prefill: u.r.prompt + u.r.journal}
 	s.resumes[u.resume] = u
-	s.pacer.Enter(u.resume, s.w.Now())
+	s.pacer.Enqueue(u.resume, s.w.Now())
 	s.grant()
 	s.w.After(3*time.Second, s.grant)
 }
@@ -324,7 +324,7 @@
 		return
 	}
 	delete(s.resumes, u.resume)
-	s.pacer.Leave(u.resume)
+	s.pacer.Release(u.resume)
 	u.resume = nil
 	s.grant()
 }
--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -31,9 +31,9 @@
 	fleet.Apply(upstream.List{Backends: net.List(), AsOf: time.Now()})
 	table := testRoutes()
 	h := forward.NewHandler(forward.Options{
-		Zone: "a", Wire: forward.NewPlainWire(), Pool: pool, Fleet: fleet, Routes: func() *routes.Table { return table }, Prepared: closed(),
-		Allowance: forward.DefaultAllowance, Log: zerolog.Nop(), Ordinary: zerolog.Nop(), Metrics: metrics.NewSet(),
-		Blame: forward.NewBlameBook(), Closing: func() bool { return false }, TooLate: func(bool, time.Duration) bool { return false },
+		Zone: "a", Wire: forward.NewPlainWire(), Pool: pool, Fleet: fleet, Routes: func() *routes.Table { return table }, ListsReady: closed(),
+		RetryAllowance: forward.DefaultRetryAllowance, Log: zerolog.Nop(), RoutineLog: zerolog.Nop(), Metrics: metrics.NewSet(),
+		SuspectContents: forward.NewSuspectContents(), Closing: func() bool { return false }, CannotFinish: func(bool, time.Duration) bool { return false },
 	})
 	front := httptest.NewServer(h)
 	b.Cleanup(front.Close)
--- a/internal/forward/blame.go
+++ b/internal/forward/blame.go
@@ -11,9 +11,9 @@
 
 // BlameBook remembers under which contents backend servers died, over all VMs.
 // Safe for concurrent use.
-type BlameBook struct {
+type SuspectContents struct {
 	mu       sync.Mutex
-	contents *recovery.Contents
+	contents *recovery.SuspectContents
 	fresh    []recovery.Death // not yet told to the other VMs
 }
 
@@ -22,50 +22,52 @@
 const maxFresh = 64
 
 // NewBlameBook returns an empty book.
-func NewBlameBook() *BlameBook { return &BlameBook{contents: recovery.NewContents()} }
+func NewSuspectContents() *SuspectContents {
+	return &SuspectContents{contents: recovery.NewSuspectContents()}
+}
 
 // Held reports whether a content must not begin now, and until when.
-func (b *BlameBook) Held(digest uint64) (until time.Time, held bool) {
+func (b *SuspectContents) Quarantined(digest uint64) (until time.Time, held bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.contents.Held(digest, time.Now())
+	return b.contents.Quarantined(digest, time.Now())
 }
 
 // Suspect reports whether a server died under a content, and none has run it well
 // since.
-func (b *BlameBook) Suspect(digest uint64) bool {
+func (b *SuspectContents) IsSuspect(digest uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Suspect(digest)
 }
 
 // Kills reports whether a run under way must not go on at another server.
-func (b *BlameBook) Kills(digest uint64) bool {
+func (b *SuspectContents) ForbidsRetry(digest uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.contents.Kills(digest)
+	return b.contents.MustAbort(digest)
 }
 
 // Died notes that a server died under a content.
-func (b *BlameBook) Died(digest uint64, server string) {
+func (b *SuspectContents) AddDeath(digest uint64, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.contents.Died(digest, server, now)
+	b.contents.ServerDied(digest, server, now)
 	if len(b.fresh) < maxFresh {
 		b.fresh = append(b.fresh, recovery.Death{Digest: digest, Engine: server, At: now})
 	}
 }
 
 // Succeeded clears a content: it ran well somewhere.
-func (b *BlameBook) Succeeded(digest uint64) {
+func (b *SuspectContents) Clear(digest uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.contents.Succeeded(digest)
 }
 
 // Fresh returns the deaths seen here since the last call.
-func (b *BlameBook) Fresh() []recovery.Death {
+func (b *SuspectContents) TakeNewDeaths() []recovery.Death {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.fresh
@@ -74,11 +76,11 @@
 }
 
 // Learn takes deaths that other VMs saw.
-func (b *BlameBook) Learn(deaths []recovery.Death) {
+func (b *SuspectContents) AddPeerDeaths(deaths []recovery.Death) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, d := range deaths {
-		b.contents.Died(d.Digest, d.Engine, time.Now())
+		b.contents.ServerDied(d.Digest, d.Engine, time.Now())
 	}
 }
 
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -33,7 +33,7 @@
 // milliseconds later what the others sent is known, and nothing is left to guess.
 
 // Allowance is the bound on second sends to a service over all VMs.
-type Allowance struct {
+type RetryAllowance struct {
 	Ratio  float64 // of the requests within Window
 	Slack  float64 // sends within Window
 	Window time.Duration
@@ -41,12 +41,12 @@
 
 // DefaultAllowance is for deployments that state none: a fifth, as retry budgets
 // commonly have it.
-var DefaultAllowance = Allowance{Ratio: 0.2, Slack: 30, Window: 10 * time.Second}
+var DefaultRetryAllowance = RetryAllowance{Ratio: 0.2, Slack: 30, Window: 10 * time.Second}
 
 // Spent is what a VM saw and sent again within the window.
-type Spent struct {
+type RetryUsage struct {
 	Requests int `cbor:"1,keyasint,omitempty"`
-	Repeats  int `cbor:"2,keyasint,omitempty"`
+	Retries  int `cbor:"2,keyasint,omitempty"`
 }
 
 const (
@@ -71,21 +71,21 @@
 // Budget counts requests and second sends to one service. Safe for concurrent
 // use.
 type Budget struct {
-	a     Allowance
+	a     RetryAllowance
 	now   func() time.Time
 	start time.Time // slots count from here, on the monotonic clock
 
 	mu     sync.Mutex
 	vms    int
-	others Spent
+	others RetryUsage
 	told   time.Time
 	sends  []time.Time // second sends of the last toldFor, oldest first
 	slot   int64
-	slots  [budgetSlots + 1]Spent
+	slots  [budgetSlots + 1]RetryUsage
 }
 
 // NewBudget returns a Budget for one of one VMs.
-func NewBudget(a Allowance, now func() time.Time) *Budget {
+func NewBudget(a RetryAllowance, now func() time.Time) *Budget {
 	return &Budget{a: a, now: now, start: now(), vms: 1}
 }
 
@@ -97,21 +97,21 @@
 }
 
 // SetOthers takes what the other VMs together saw and sent.
-func (b *Budget) SetOthers(s Spent) {
+func (b *Budget) SetPeerUsage(s RetryUsage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.others, b.told = s, b.now()
 }
 
 // Request notes a caller's request.
-func (b *Budget) Request() {
+func (b *Budget) CountRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slots[b.turn()].Requests++
 }
 
 // Own is what this VM saw and sent within the window.
-func (b *Budget) Own() Spent {
+func (b *Budget) OwnUsage() RetryUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.turn()
@@ -133,8 +133,8 @@
 
 // Urgencies.
 const (
-	InTime  Urgency = iota // the caller can still be served as if nothing had happened
-	TooLate                // it will be late, or was not served so far
+	InTime Urgency = iota // the caller can still be served as if nothing had happened
+	Late                  // it will be late, or was not served so far
 )
 
 // Spend takes one second send, if there is one left for its kind.
@@ -143,12 +143,12 @@
 	defer b.mu.Unlock()
 	i := b.turn()
 	limit, known, guess := b.limit(), b.known(), b.guess()
-	if u == TooLate {
+	if u == Late {
 		limit *= lateShare
 	}
 	switch {
 	case float64(known+guess+1) <= limit:
-		b.slots[i].Repeats++
+		b.slots[i].Retries++
 		b.sends = append(b.sends, b.now())
 		return Granted
 	case b.knowsOthers() && float64(known+1) <= limit:
@@ -170,9 +170,9 @@
 
 // known is what this VM spent and the others told. It needs b.mu.
 func (b *Budget) known() int {
-	own := b.sum().Repeats
+	own := b.sum().Retries
 	if b.knowsOthers() {
-		own += b.others.Repeats
+		own += b.others.Retries
 	}
 	return own
 }
@@ -182,7 +182,7 @@
 	if b.knowsOthers() {
 		return (b.vms - 1) * b.recent()
 	}
-	return (b.vms - 1) * b.sum().Repeats
+	return (b.vms - 1) * b.sum().Retries
 }
 
 func (b *Budget) knowsOthers() bool { return !b.told.IsZero() && b.now().Sub(b.told) < toldFor }
@@ -199,11 +199,11 @@
 	return n
 }
 
-func (b *Budget) sum() Spent {
-	var s Spent
+func (b *Budget) sum() RetryUsage {
+	var s RetryUsage
 	for _, slot := range b.slots {
 		s.Requests += slot.Requests
-		s.Repeats += slot.Repeats
+		s.Retries += slot.Retries
 	}
 	return s
 }
@@ -213,7 +213,7 @@
 	n := int64(len(b.slots))
 	slot := int64(b.now().Sub(b.start) / (b.a.Window / budgetSlots))
 	for s := max(b.slot+1, slot-n+1); s <= slot; s++ {
-		b.slots[s%n] = Spent{}
+		b.slots[s%n] = RetryUsage{}
 	}
 	b.slot = max(b.slot, slot)
 	return int(b.slot % n)
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -15,7 +15,7 @@
 	queue   *virtualtime.Queue
 	rng     *rand.Rand
 	budgets []*Budget
-	hub     []Spent
+	hub     []RetryUsage
 	tells   bool // of each second send at once
 	sends   []time.Time
 	wanted  int
@@ -31,10 +31,10 @@
 	budgetNotice = 400 * time.Millisecond
 )
 
-var waveAllowance = Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var waveAllowance = RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 func newBudgetWorld(vms int, tells bool) *budgetWorld {
-	w := &budgetWorld{queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2)), hub: make([]Spent, vms), tells: tells}
+	w := &budgetWorld{queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2)), hub: make([]RetryUsage, vms), tells: tells}
 	for i := range vms {
 		b := NewBudget(waveAllowance, w.queue.Now)
 		b.SetVMs(vms)
@@ -50,24 +50,24 @@
 }
 
 func (w *budgetWorld) tell(vm int) {
-	own := w.budgets[vm].Own()
+	own := w.budgets[vm].OwnUsage()
 	w.queue.After(budgetLink, func() {
 		w.hub[vm] = own
-		var others Spent
+		var others RetryUsage
 		for i, s := range w.hub {
 			if i != vm {
 				others.Requests += s.Requests
-				others.Repeats += s.Repeats
+				others.Retries += s.Retries
 			}
 		}
-		w.queue.After(budgetLink, func() { w.budgets[vm].SetOthers(others) })
+		w.queue.After(budgetLink, func() { w.budgets[vm].SetPeerUsage(others) })
 	})
 }
 
 func (w *budgetWorld) requests(perSecond float64) {
 	next := time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))
 	w.queue.After(next, func() {
-		w.budgets[w.rng.IntN(len(w.budgets))].Request()
+		w.budgets[w.rng.IntN(len(w.budgets))].CountRequest()
 		w.requests(perSecond)
 	})
 }
@@ -83,7 +83,7 @@
 	w.wanted++
 	u := InTime
 	if w.rng.Float64() < w.late {
-		u = TooLate
+		u = Late
 	} else {
 		w.inTime++
 	}
@@ -173,7 +173,7 @@
 // a quarter of the streams has no copy. In the order of losses a quarter of all is
 // broken off; with what is late coming after what is not, few that can still be served
 // in time are.
-func TestRestOfABudgetGoesWhereItSaves(t *testing.T) {
+func TestBudgetPrefersInTimeRetries(t *testing.T) {
 	inTime := func(alike bool) float64 {
 		w := newBudgetWorld(67, true)
 		w.late, w.alike = 0.25, alike
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -43,7 +43,7 @@
 			return
 		}
 		r := h.callAt(q, s, load)
-		q.rec.Note(r.sent)
+		q.rec.Add(r.sent)
 		h.logSend(q, s, &r)
 		skip[s.ID] = true
 		if q.ctx.Err() != nil {
@@ -58,7 +58,7 @@
 			}
 			failure = &r
 		}
-		if !q.rec.MaySend() || h.o.Blame.Kills(q.digest) {
+		if !q.rec.MaySend() || h.o.SuspectContents.ForbidsRetry(q.digest) {
 			h.endCall(w, q, failure, result.OutcomeUnknown)
 			return
 		}
@@ -72,7 +72,7 @@
 		status = r.resp.StatusCode
 	}
 	if r.sent == answered && status < http.StatusInternalServerError && q.rec.arrivals == 1 {
-		log = h.o.Ordinary
+		log = h.o.RoutineLog
 	}
 	log.Info().Str("request", q.RequestID).Str("route", q.route.Name).Str("server", s.ID).Str("sent", r.sent.String()).
 		Str("fault", r.fault.String()).Int("status", status).Int("arrivals", q.rec.arrivals).
@@ -96,7 +96,7 @@
 		case i < 0:
 			return nil, 0, result.NoBackendServer
 		}
-		w := admission.CallWait{Load: load, ServiceTime: h.o.Fleet.Work(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
+		w := admission.CallWait{Load: load, ServiceTime: h.o.Fleet.ServiceTime(servers[i]), Objective: q.route.Objective, Held: time.Since(q.arrived)}
 		switch w.Decide() {
 		case admission.HoldCall:
 			if timer.Sleep(q.ctx, callHold) != nil {
@@ -109,7 +109,7 @@
 			return nil, 0, result.DeadlineTooSoon
 		case admission.SendCall:
 		}
-		if q.rec.IsRepeat() && !h.mayRepeat(q, InTime) {
+		if q.rec.IsRetry() && !h.mayRepeat(q, InTime) {
 			return nil, 0, result.RetriesSpent
 		}
 		return servers[i], load, 0
@@ -127,7 +127,7 @@
 	watched := h.watchAnswer(q, s)
 	r := h.exchange(q, s, Send{}, h.patience(q, load))
 	h.noteAnswer(watched, q, s, &r)
-	h.o.Fleet.Give(s, use)
+	h.o.Fleet.Release(s, use)
 	h.learn(q, s, &r, time.Since(began))
 	return r
 }
@@ -148,10 +148,10 @@
 	f := h.o.Fleet
 	switch {
 	case q.ctx.Err() != nil, r.fault == faultDial:
-	case r.sent == refused && r.answer.Moved:
-		f.Stale(s)
+	case r.sent == refused && r.answer.WrongInstance:
+		f.MarkStale(s)
 	case r.sent == refused:
-		f.Full(s)
+		f.MarkFull(s)
 	case r.fault == faultBreak:
 		f.Failed(s)
 		h.confirmDeath(q, s, 0)
@@ -162,10 +162,10 @@
 		f.Failed(s)
 	default:
 		f.Succeeded(s, took)
-		h.o.Blame.Succeeded(q.digest)
+		h.o.SuspectContents.Clear(q.digest)
 	}
 	if r.answer.Load >= 0 && r.resp != nil {
-		f.Reported(s, r.answer.Load)
+		f.SetReportedLoad(s, r.answer.Load)
 	}
 }
 
@@ -175,7 +175,7 @@
 	case failure != nil:
 		h.deliver(w, failure)
 	case q.left() > 0 && q.ctx.Err() != nil:
-		h.Stats.CallerGone.Inc()
+		h.Stats.CallersGone.Inc()
 	default:
 		h.giveUp(w, q, code)
 	}
@@ -204,7 +204,7 @@
 	}
 	w.WriteHeader(r.resp.StatusCode)
 	if _, err := w.Write(r.body); err != nil {
-		h.Stats.CallerGone.Inc()
+		h.Stats.CallersGone.Inc()
 	}
 }
 
--- a/internal/forward/call_test.go
+++ b/internal/forward/call_test.go
@@ -86,7 +86,7 @@
 
 // The caller is refused at once, with a time to come back, and the promise is
 // true: no server has run the vote.
-func TestVoteThatNobodyTakes(t *testing.T) {
+func TestVoteRefusedByAllServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, voteServer("a"), voteServer("b"))
 		defer w.end()
@@ -110,7 +110,7 @@
 
 // A lookup may run again: each failure of the first server is made good by the
 // second, within the objective.
-func TestLookupIsRepeated(t *testing.T) {
+func TestIdempotentCallIsRetried(t *testing.T) {
 	failures := map[string]answerFunc{
 		"broken": breakOff(signedHead + "half"),
 		"silent": func(s *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
@@ -155,7 +155,7 @@
 
 // Two servers die at once while the same lookup is under way on both. Those who
 // ask for it next are served by the third: their lookup ends no server.
-func TestPopularLookupIsNotHeldBack(t *testing.T) {
+func TestPopularCallIsNotQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, voteServer("a"), voteServer("b"), voteServer("c"))
 		defer w.end()
@@ -194,7 +194,7 @@
 }
 
 // Bytes behind an answer belong to no request: the connection carries no other.
-func TestBytesBehindAnAnswer(t *testing.T) {
+func TestExtraBytesAfterAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, voteServer("a"))
 		defer w.end()
@@ -258,7 +258,7 @@
 
 // A request that ends every server that runs it is held back, longer each time,
 // though it comes under new ids; others are served.
-func TestRequestThatEndsItsServers(t *testing.T) {
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var servers []*routedengine.Server
 		for range 6 {
--- a/internal/forward/decisions_test.go
+++ b/internal/forward/decisions_test.go
@@ -34,12 +34,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := NewRecord(tt.repeatable, tt.attempts)
+			r := NewSendHistory(tt.repeatable, tt.attempts)
 			for _, s := range tt.sends {
-				r.Note(s)
+				r.Add(s)
 			}
-			if r.MaySend() != tt.maySend || r.IsRepeat() != tt.repeat || r.Refusal(result.BackendsFull) != tt.refusal {
-				t.Errorf("may send %t, repeat %t, refusal %d", r.MaySend(), r.IsRepeat(), r.Refusal(result.BackendsFull))
+			if r.MaySend() != tt.maySend || r.IsRetry() != tt.repeat || r.FinalCode(result.BackendsFull) != tt.refusal {
+				t.Errorf("may send %t, repeat %t, refusal %d", r.MaySend(), r.IsRetry(), r.FinalCode(result.BackendsFull))
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 // window, then each wants the given second sends. They tell one another what they
 // spent each 400 ms, unless they cannot. It returns what each got.
 func lostZone(want []int, telling bool) []int {
-	a := Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+	a := RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 	budgets := make([]*Budget, len(want))
 	for i := range budgets {
 		budgets[i] = NewBudget(a, time.Now)
@@ -57,21 +57,21 @@
 	}
 	tell := func() {
 		for i, b := range budgets {
-			var others Spent
+			var others RetryUsage
 			for k, o := range budgets {
-				if s := o.Own(); k != i {
+				if s := o.OwnUsage(); k != i {
 					others.Requests += s.Requests
-					others.Repeats += s.Repeats
+					others.Retries += s.Retries
 				}
 			}
 			if telling {
-				b.SetOthers(others)
+				b.SetPeerUsage(others)
 			}
 		}
 	}
 	for range 100 {
 		for _, b := range budgets {
-			b.Request()
+			b.CountRequest()
 		}
 		time.Sleep(a.Window / 200)
 	}
@@ -91,7 +91,7 @@
 // All VMs together stay within the allowance, whatever each wants and whether or
 // not they hear one another; and a VM that has much to mend while others have
 // little gets more than an even part.
-func TestBudgetInAWave(t *testing.T) {
+func TestBudgetWhenAZoneIsLost(t *testing.T) {
 	even := []int{500, 500, 500, 500, 500, 500, 500, 500, 500}
 	one := []int{500, 0, 0, 0, 0, 0, 0, 0, 0}
 	tests := []struct {
@@ -124,7 +124,7 @@
 // What was spent is free again once the window has passed, and no sooner.
 func TestBudgetRefills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBudget(Allowance{Slack: 20, Window: 10 * time.Second}, time.Now)
+		b := NewBudget(RetryAllowance{Slack: 20, Window: 10 * time.Second}, time.Now)
 		for b.Spend(InTime) == Granted {
 		}
 		time.Sleep(9 * time.Second)
@@ -239,7 +239,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := PatienceFor(pause, tt.begun).decide(tt.s); got != tt.want {
+			if got := SilenceLimitsFor(pause, tt.begun).decide(tt.s); got != tt.want {
 				t.Errorf("action %d, want %d", got, tt.want)
 			}
 		})
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -45,7 +45,7 @@
 	header := q.out.Header.Clone()
 	more.Deadline, more.Instance = max(time.Millisecond, q.left()), s.ID
 	more.Workspace, more.Priority = q.workspace, q.priority
-	h.o.Wire.Engine(header, more)
+	h.o.Wire.SetSendHeaders(header, more)
 	return header
 }
 
@@ -87,11 +87,11 @@
 		if err != nil {
 			return nil, Answer{}, err
 		}
-		a := h.o.Wire.Answer(resp.StatusCode, resp.Header)
+		a := h.o.Wire.ReadAnswer(resp.StatusCode, resp.Header)
 		if a.RequestID == "" || a.RequestID == q.RequestID || q.RequestID == "" {
 			return resp, a, nil
 		}
-		h.Stats.Strays.Inc()
+		h.Stats.StrayAnswers.Inc()
 		h.o.Log.Warn().Str("request", q.RequestID).Str("answered", a.RequestID).Msg("answer to another request dropped")
 		if _, err := upstream.ReadBody(resp, maxAnswer); err != nil {
 			return nil, Answer{}, err
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -60,25 +60,25 @@
 	Fleet  *upstream.Fleet
 	Routes func() *routes.Table // nil result: none held yet
 	// Prepared is closed once the lists that requests need are held.
-	Prepared  <-chan struct{}
-	Allowance Allowance
-	Log       zerolog.Logger
+	ListsReady     <-chan struct{}
+	RetryAllowance RetryAllowance
+	Log            zerolog.Logger
 	// Ordinary takes the lines about what went well; they may be left out under load.
-	Ordinary zerolog.Logger
+	RoutineLog zerolog.Logger
 	// Metrics is where the counters are registered.
-	Metrics *metrics.Set
-	Blame   *BlameBook
+	Metrics         *metrics.Set
+	SuspectContents *SuspectContents
 	// Find looks for what a stream left that another router carried; nil: nowhere.
-	Find func(ctx context.Context, identity uint64) (Left, bool)
+	FindOrphan func(ctx context.Context, identity uint64) (Orphan, bool)
 	// Placer decides for all VMs where streams go; nil: this VM decides.
 	Placer Placer
 	// Spending is told of each second send, after the budget counted it; nil: nobody.
-	Spending func()
+	ReportRetries func()
 	// Rollouts says which versions may run a request; nil: any.
 	Rollouts *Rollouts
 	// TooLate reports that a request could not be finished any more, since this VM
 	// is shutting down. takes is how long it is expected to last; 0: not known.
-	TooLate func(stream bool, takes time.Duration) bool
+	CannotFinish func(stream bool, takes time.Duration) bool
 	// Closing reports that callers should go elsewhere with their next request.
 	Closing func() bool
 }
@@ -100,8 +100,8 @@
 
 // NewHandler returns a Handler.
 func NewHandler(o Options) *Handler {
-	if o.Spending == nil {
-		o.Spending = func() {}
+	if o.ReportRetries == nil {
+		o.ReportRetries = func() {}
 	}
 	if o.Placer == nil {
 		o.Placer = alone{}
@@ -115,7 +115,7 @@
 }
 
 // Kept are the streams under way here of which a copy is kept.
-func (h *Handler) Kept() []Kept { return h.kept.all() }
+func (h *Handler) ResumableRuns() []ResumableRun { return h.kept.all() }
 
 // Paces are what was observed of each service's engines.
 func (h *Handler) Paces() map[string]scheduler.EngineTiming { return h.paces.all() }
@@ -134,7 +134,7 @@
 func (h *Handler) SetPaces(paces map[string]scheduler.EngineTiming) { h.paces.learn(paces) }
 
 // SetShort names the services whose memory is needed for prompts: no copies are made.
-func (h *Handler) SetShort(services []string) {
+func (h *Handler) SetCopiesDisabled(services []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.short = services
@@ -147,22 +147,22 @@
 }
 
 // Spent is what this VM saw and sent again of late, by service.
-func (h *Handler) Spent() map[string]Spent {
+func (h *Handler) RetryUsage() map[string]RetryUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make(map[string]Spent, len(h.budgets))
+	out := make(map[string]RetryUsage, len(h.budgets))
 	for service, b := range h.budgets {
-		out[service] = b.Own()
+		out[service] = b.OwnUsage()
 	}
 	return out
 }
 
 // SetSpent takes what the other VMs together saw and sent.
-func (h *Handler) SetSpent(others map[string]Spent) {
+func (h *Handler) SetPeerRetryUsage(others map[string]RetryUsage) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for service, b := range h.budgets {
-		b.SetOthers(others[service])
+		b.SetPeerUsage(others[service])
 	}
 }
 
@@ -171,7 +171,7 @@
 	defer h.mu.Unlock()
 	b := h.budgets[service]
 	if b == nil {
-		b = NewBudget(h.o.Allowance, time.Now)
+		b = NewBudget(h.o.RetryAllowance, time.Now)
 		b.SetVMs(h.vms)
 		h.budgets[service] = b
 	}
@@ -190,7 +190,7 @@
 	expires   time.Time
 	digest    uint64
 	out       upstream.Request
-	rec       *Record
+	rec       *SendHistory
 	budget    *Budget
 	choice    rollout.Choice
 	// refused: whoever decided about the request also said when its caller may come
@@ -231,7 +231,7 @@
 		defer q.leave()
 	}
 	if err != nil {
-		h.o.Ordinary.Info().Str("request", q.id()).Str("path", r.URL.Path).Int("code", int(result.CodeOf(err))).Msg("not admitted")
+		h.o.RoutineLog.Info().Str("request", q.id()).Str("path", r.URL.Path).Int("code", int(result.CodeOf(err))).Msg("not admitted")
 		h.refuse(w, err)
 		return
 	}
@@ -241,7 +241,7 @@
 	defer cancel()
 	q.ctx = ctx
 	h.chooseVersion(q)
-	q.budget.Request()
+	q.budget.CountRequest()
 	h.Stats.Requests.Inc()
 	if q.route.Kind == routes.Stream {
 		h.stream(w, q)
@@ -253,18 +253,18 @@
 // prepare waits, on a router that has just started, for its lists.
 func (h *Handler) prepare(r *http.Request) {
 	select {
-	case <-h.o.Prepared:
+	case <-h.o.ListsReady:
 		return
 	default:
 	}
 	hold := unpreparedHold
-	if c, err := h.o.Wire.Caller(r.Header); err == nil && c.Deadline > 0 {
+	if c, err := h.o.Wire.ReadCaller(r.Header); err == nil && c.Deadline > 0 {
 		hold = min(hold, time.Duration(unpreparedShare*float64(c.Deadline)))
 	}
 	t := time.NewTimer(hold)
 	defer t.Stop()
 	select {
-	case <-h.o.Prepared:
+	case <-h.o.ListsReady:
 	case <-t.C:
 	case <-r.Context().Done():
 	}
@@ -281,10 +281,10 @@
 	if route == nil {
 		return nil, result.New(result.NoRoute)
 	}
-	if h.o.TooLate(route.Kind == routes.Stream, 0) {
+	if h.o.CannotFinish(route.Kind == routes.Stream, 0) {
 		return nil, result.New(result.ShuttingDown).WithRetryAfter(elsewhere)
 	}
-	caller, err := h.o.Wire.Caller(r.Header)
+	caller, err := h.o.Wire.ReadCaller(r.Header)
 	if err != nil {
 		return nil, result.Newf(result.UnsupportedHeader, "%v", err)
 	}
@@ -295,11 +295,11 @@
 	if err := q.authorize(table); err != nil {
 		return q, err
 	}
-	q.service = table.Service(route.Draw())
-	if route.Kind == routes.Stream && h.o.TooLate(true, h.expected(q)) {
+	q.service = table.Service(route.PickRandom())
+	if route.Kind == routes.Stream && h.o.CannotFinish(true, h.expected(q)) {
 		return q, result.New(result.ShuttingDown).WithRetryAfter(elsewhere)
 	}
-	q.rec = NewRecord(route.Repeatable(), route.MaxAttempts)
+	q.rec = NewSendHistory(route.Repeatable(), route.MaxAttempts)
 	q.budget = h.budget(q.service.Name)
 	return q, h.read(w, r, q, bodyLimit(table))
 }
@@ -328,7 +328,7 @@
 	}
 	q.out = upstream.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: endToEnd(r.Header), Body: body}
 	q.digest = digest(rawPath(r), q.workspace, body)
-	if until, held := h.o.Blame.Held(q.digest); held {
+	if until, held := h.o.SuspectContents.Quarantined(q.digest); held {
 		return result.New(result.ContentHeldBack).WithRetryAfter(time.Until(until))
 	}
 	return nil
@@ -338,7 +338,7 @@
 	if !table.List.Keyed {
 		return nil
 	}
-	holder := table.Holder(q.Key)
+	holder := table.WorkspaceByKey(q.Key)
 	if q.Key == "" || holder == nil {
 		if q.route.Public {
 			return nil
@@ -368,7 +368,7 @@
 
 // giveUp is the final answer to a request that was admitted.
 func (h *Handler) giveUp(w http.ResponseWriter, q *request, code result.Code) {
-	code = q.rec.Refusal(code)
+	code = q.rec.FinalCode(code)
 	e := result.New(code).WithRan(q.rec.Ran())
 	if after := q.comeBack(); result.Lookup(code).Ran == result.RanNo && after > 0 {
 		e = e.WithRetryAfter(after)
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -36,7 +36,7 @@
 
 // Caller implements Wire. What cannot be read is taken as not said: a count or a
 // deadline only helps to place the request.
-func (n *Headers) Caller(h http.Header) (Caller, error) {
+func (n *Headers) ReadCaller(h http.Header) (Caller, error) {
 	c := Caller{RequestID: h.Get(n.RequestID)}
 	if key, ok := strings.CutPrefix(h.Get(n.Key), n.KeyScheme); ok {
 		c.Key = strings.TrimSpace(key)
@@ -48,7 +48,7 @@
 		c.After, c.HasAfter = after, true
 	}
 	in, out, _ := strings.Cut(h.Get(n.Tokens), ",")
-	c.Prompt, c.Output = count(in), count(out)
+	c.PromptTokens, c.OutputTokens = count(in), count(out)
 	return c, nil
 }
 
@@ -62,7 +62,7 @@
 }
 
 // Engine implements Wire.
-func (n *Headers) Engine(h http.Header, s Send) {
+func (n *Headers) SetSendHeaders(h http.Header, s Send) {
 	for _, name := range n.Reserved {
 		h.Del(name)
 	}
@@ -84,20 +84,20 @@
 	if s.CopyTo != "" {
 		h.Set(n.CopyTo, s.CopyTo)
 	}
-	if s.From != nil {
-		h.Set(n.CopyFrom, s.From.Address+"/"+s.From.ID)
+	if s.ResumeFrom != nil {
+		h.Set(n.CopyFrom, s.ResumeFrom.Address+"/"+s.ResumeFrom.ID)
 	}
 }
 
 // PerAttempt implements Wire.
-func (n *Headers) PerAttempt() []string { return []string{n.RequestID, n.Deadline, n.LastEvent} }
+func (n *Headers) PerAttemptHeaders() []string { return []string{n.RequestID, n.Deadline, n.LastEvent} }
 
 // Answer implements Wire. A server that says that it is another incarnation has
 // not run the request.
-func (n *Headers) Answer(status int, h http.Header) Answer {
+func (n *Headers) ReadAnswer(status int, h http.Header) Answer {
 	moved := status == http.StatusMisdirectedRequest
 	return Answer{
 		RequestID: h.Get(n.RequestID), Signed: h.Get(n.Signature) != "",
-		NotRun: moved || len(h.Values(n.NotRun)) > 0, Moved: moved, Load: n.ReadLoad(h.Get(n.Load)),
+		NotRun: moved || len(h.Values(n.NotRun)) > 0, WrongInstance: moved, Load: n.ReadLoad(h.Get(n.Load)),
 	}
 }
--- a/internal/forward/kept.go
+++ b/internal/forward/kept.go
@@ -22,28 +22,28 @@
 // there, nothing is read anew.
 
 // Kept is a stream under way, and what of it is of use once its router is gone.
-type Kept struct {
+type ResumableRun struct {
 	Identity uint64 `cbor:"1,keyasint"` // of the request, without what is new in each attempt
-	Left
+	Orphan
 }
 
 // Left is what a stream leaves behind.
-type Left struct {
-	Copy Copy   `cbor:"2,keyasint"`           // of its memory; empty: none
-	Ran  string `cbor:"3,keyasint,omitempty"` // address of the engine that has read its prompt
+type Orphan struct {
+	Copy          Copy   `cbor:"2,keyasint"`           // of its memory; empty: none
+	PrefillEngine string `cbor:"3,keyasint,omitempty"` // address of the engine that has read its prompt
 }
 
 // keptBook is what a router tells the others. Safe for concurrent use.
 type keptBook struct {
 	mu   sync.Mutex
-	runs map[string]Kept // by request id
+	runs map[string]ResumableRun // by request id
 }
 
-func (b *keptBook) put(id string, k Kept) {
+func (b *keptBook) put(id string, k ResumableRun) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.runs == nil {
-		b.runs = map[string]Kept{}
+		b.runs = map[string]ResumableRun{}
 	}
 	b.runs[id] = k
 }
@@ -54,10 +54,10 @@
 	delete(b.runs, id)
 }
 
-func (b *keptBook) all() []Kept {
+func (b *keptBook) all() []ResumableRun {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Kept, 0, len(b.runs))
+	out := make([]ResumableRun, 0, len(b.runs))
 	for _, k := range b.runs {
 		out = append(out, k)
 	}
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -108,7 +108,7 @@
 		ID: q.RequestID, Service: q.service.Name, Workspace: q.workspace, Need: st.need, KVTokens: st.kvTokens(),
 		Due: q.due(), Deadline: q.expires, Priority: q.priority,
 		Interrupted: st.seq.started, WantsCopy: st.mayCopy(), EventsReceived: events(st.seq.last),
-		Zone: st.h.o.Zone, Version: st.h.o.Fleet.Version(q.service.Name, q.choice.Versions), VersionShare: q.choice.Part,
+		Zone: st.h.o.Zone, Version: st.h.o.Fleet.Version(q.service.Name, q.choice.Versions), VersionShare: q.choice.ServerShare,
 	}
 	for id := range st.skip {
 		a.ExcludedEngines = append(a.ExcludedEngines, id)
@@ -124,7 +124,7 @@
 // Kept until the process ends, its caller would lose it without an answer; one that no
 // engine has seen can still be served elsewhere.
 func (st *stream) abandoned() bool {
-	return st.q.rec.arrivals == 0 && st.h.o.TooLate(true, st.h.expected(st.q))
+	return st.q.rec.arrivals == 0 && st.h.o.CannotFinish(true, st.h.expected(st.q))
 }
 
 // longRun is how much longer than the mean a run may well take.
@@ -132,7 +132,7 @@
 
 // expected is how long a stream lasts, if it is a long one of its service; 0: not known.
 func (h *Handler) expected(q *request) time.Duration {
-	return h.paces.of(q.service.Name).ExpectedDuration(q.Prompt, events(q.After), longRun)
+	return h.paces.of(q.service.Name).ExpectedDuration(q.PromptTokens, events(q.After), longRun)
 }
 
 // events is how many events a caller has by the id of its last one.
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -132,7 +132,7 @@
 }
 
 // Where nobody decides, this VM does, by what it knows.
-func TestNobodyDecides(t *testing.T) {
+func TestLocalPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, engine("a"), engine("b"))
 		defer w.end()
@@ -144,7 +144,7 @@
 // A shutdown cuts a stream off. Its caller comes for the rest at another router a moment
 // later, and finds the copy that was ordered: it is not dropped, as it is when a caller
 // leaves.
-func TestShutdownLeavesTheCopy(t *testing.T) {
+func TestShutdownKeepsBackupCopies(t *testing.T) {
 	for _, closing := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(t, engine("a"))
@@ -171,7 +171,7 @@
 // has carried a stream of four seconds; its shutdown begins, with three seconds left; a
 // caller sends the same again, and one who has nearly all of it comes for the rest. The
 // first is refused as not run and served elsewhere, the second is served.
-func TestShutdownTakesWhatItCanFinish(t *testing.T) {
+func TestShutdownAdmitsWhatItCanFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, engine("a"), engine("b"))
 		defer w.end()
@@ -196,7 +196,7 @@
 
 // The same for a router that has carried no stream yet, and goes by what all others
 // observed.
-func TestShutdownGoesByWhatOthersObserved(t *testing.T) {
+func TestShutdownUsesPeerPaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, engine("a"))
 		defer w.end()
--- a/internal/forward/prepare_test.go
+++ b/internal/forward/prepare_test.go
@@ -25,7 +25,7 @@
 
 // All routers restart at once, and a caller comes back with its one retry before
 // the route list does. It is kept for that moment and served, not refused.
-func TestCallerThatComesBeforeTheLists(t *testing.T) {
+func TestRequestWaitsForListsAtStartup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, prepare := newUnprepared(t)
 		defer w.end()
@@ -41,7 +41,7 @@
 
 // A caller is not kept beyond a fifth of its own time, nor for more than 0.6 s: it is
 // told that nothing ran and when to come again.
-func TestCallerIsNotKeptForLong(t *testing.T) {
+func TestStartupWaitIsBounded(t *testing.T) {
 	for deadline, most := range map[string]time.Duration{"600": 120 * time.Millisecond, "25000": 600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			w, _ := newUnprepared(t)
--- a/internal/forward/probe.go
+++ b/internal/forward/probe.go
@@ -100,7 +100,7 @@
 
 func (p *prober) try(ctx context.Context, s *upstream.Server) verdict {
 	r := upstream.Request{Method: http.MethodGet, URI: p.wire.ReportURI(), Host: s.Address, Header: http.Header{}}
-	resp, body, err := p.pool.Ask(ctx, s.ID, s.Address, &r)
+	resp, body, err := p.pool.Do(ctx, s.ID, s.Address, &r)
 	if err != nil {
 		return verdict{}
 	}
@@ -115,7 +115,7 @@
 func (h *Handler) blame(q *request, s *upstream.Server, passed int) {
 	// A stream that came well forward here is past what would have ended the server.
 	if passed < clearedAfter {
-		h.o.Blame.Died(q.digest, s.ID)
+		h.o.SuspectContents.AddDeath(q.digest, s.ID)
 	}
 	h.o.Log.Info().Str("request", q.RequestID).Str("server", s.ID).Int("passed", passed).Uint64("digest", q.digest).Msg("request blamed")
 }
@@ -135,11 +135,11 @@
 		defer close(found)
 		<-p.done
 		if !p.alive {
-			h.o.Fleet.Dead(s)
+			h.o.Fleet.MarkDead(s)
 			h.blame(q, s, passed)
 		}
 	}()
-	if h.o.Blame.Suspect(q.digest) {
+	if h.o.SuspectContents.IsSuspect(q.digest) {
 		<-found
 	}
 }
--- a/internal/forward/protect.go
+++ b/internal/forward/protect.go
@@ -93,7 +93,7 @@
 	if p.keeper == nil {
 		return // asked again with the next look
 	}
-	r.st.h.Stats.Protected.Inc()
+	r.st.h.Stats.CopiesOrdered.Inc()
 	if p.keeper != r.shield.now.keeper {
 		r.setKeeper(p.keeper)
 	}
@@ -107,7 +107,7 @@
 func (r *run) setKeeper(keeper *upstream.Server) {
 	fleet := r.st.h.o.Fleet
 	if r.shield.now.keeper != nil {
-		fleet.Give(r.shield.now.keeper, r.kept)
+		fleet.Release(r.shield.now.keeper, r.kept)
 	}
 	r.kept = placement.CopyUsage(r.st.need)
 	fleet.Take(keeper, r.kept)
@@ -136,7 +136,7 @@
 	defer cancel()
 	method, uri := h.o.Wire.CopyDrop(p.copy.ID)
 	r := upstream.Request{Method: method, URI: uri, Host: s.Address, Header: http.Header{}}
-	if _, _, err := h.o.Pool.Ask(ctx, s.ID, s.Address, &r); err != nil {
+	if _, _, err := h.o.Pool.Do(ctx, s.ID, s.Address, &r); err != nil {
 		h.o.Log.Debug().Err(err).Str("engine", s.ID).Msg("copy not dropped; it expires")
 	}
 }
@@ -145,7 +145,7 @@
 func (h *Handler) orderCopy(ctx context.Context, s *upstream.Server, requestID, to string) string {
 	method, uri, body := h.o.Wire.CopyOrder(requestID, to)
 	header := http.Header{"Content-Type": {"application/json"}}
-	resp, text, err := h.o.Pool.Ask(ctx, s.ID, s.Address, &upstream.Request{Method: method, URI: uri, Host: s.Address, Header: header, Body: body})
+	resp, text, err := h.o.Pool.Do(ctx, s.ID, s.Address, &upstream.Request{Method: method, URI: uri, Host: s.Address, Header: header, Body: body})
 	if err != nil {
 		h.o.Log.Info().Err(err).Str("request", requestID).Str("engine", s.ID).Msg("no copy on order")
 		return ""
@@ -167,8 +167,8 @@
 
 // keepVersions are the versions whose engines may keep copies of the stream's run.
 func (st *stream) keepVersions() rollout.Versions {
-	v := st.h.o.Rollouts.State().Keep(st.q.service.Name, st.q.choice)
-	v.Part = 0 // copies are spread over all engines
+	v := st.h.o.Rollouts.State().CopyVersions(st.q.service.Name, st.q.choice)
+	v.ServerShare = 0 // copies are spread over all engines
 	return v
 }
 
@@ -187,7 +187,7 @@
 // keeps its copy.
 func (r *run) leavesVersion() bool {
 	q, keeper := r.st.q, r.shield.now.keeper
-	if keeper == nil || !r.st.h.o.Rollouts.State().Leaves(q.service.Name, q.choice) {
+	if keeper == nil || !r.st.h.o.Rollouts.State().MustMove(q.service.Name, q.choice) {
 		return false
 	}
 	return r.server.Version != keeper.Version && r.st.mayKeep(keeper) && !r.st.h.o.Fleet.Lost(keeper)
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -22,7 +22,7 @@
 //
 // Without it a broken connection looks the same whether or not the request had
 // left: a vote would be cast twice, or refused as "not run" and counted.
-type Record struct {
+type SendHistory struct {
 	repeatable  bool
 	maxAttempts int
 	arrivals    int // sends of which bytes may have left
@@ -30,12 +30,12 @@
 }
 
 // NewRecord begins a record.
-func NewRecord(repeatable bool, maxAttempts int) *Record {
-	return &Record{repeatable: repeatable, maxAttempts: max(1, maxAttempts)}
+func NewSendHistory(repeatable bool, maxAttempts int) *SendHistory {
+	return &SendHistory{repeatable: repeatable, maxAttempts: max(1, maxAttempts)}
 }
 
 // Note adds one send.
-func (r *Record) Note(s sent) {
+func (r *SendHistory) Add(s sent) {
 	if s != notSent {
 		r.arrivals++
 	}
@@ -45,7 +45,7 @@
 }
 
 // MaySend reports whether the request may go to one more server.
-func (r *Record) MaySend() bool {
+func (r *SendHistory) MaySend() bool {
 	if r.runs == 0 {
 		return true
 	}
@@ -54,10 +54,10 @@
 
 // IsRepeat reports whether the next send draws on the retry budget: servers have
 // seen this request before.
-func (r *Record) IsRepeat() bool { return r.arrivals > 0 }
+func (r *SendHistory) IsRetry() bool { return r.arrivals > 0 }
 
 // Ran is what a caller may be told.
-func (r *Record) Ran() result.Ran {
+func (r *SendHistory) Ran() result.Ran {
 	if r.runs > 0 {
 		return result.RanUnknown
 	}
@@ -66,7 +66,7 @@
 
 // Refusal turns a reason that promises "not run" into one that does not, where
 // the request may have run.
-func (r *Record) Refusal(code result.Code) result.Code {
+func (r *SendHistory) FinalCode(code result.Code) result.Code {
 	if r.runs > 0 && result.Lookup(code).Ran == result.RanNo {
 		return result.OutcomeUnknown
 	}
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -66,13 +66,13 @@
 // start sends the request to an engine, with room for a copy elsewhere.
 func (st *stream) start(c chosen) *run {
 	h, s, from := st.h, c.server, c.from
-	r := &run{st: st, server: s, from: from, fresh: !st.seq.started, died: h.o.Fleet.Died(s), doubt: h.o.Fleet.Doubted(s)}
+	r := &run{st: st, server: s, from: from, fresh: !st.seq.started, died: h.o.Fleet.Died(s), doubt: h.o.Fleet.Suspected(s)}
 	r.use = placement.Usage{Requests: 1, Tokens: st.need.Tokens(), PendingPrompt: st.need.Prompt}
 	if from != nil {
 		r.use.PendingPrompt = 0
 	}
 	h.o.Fleet.Take(s, r.use)
-	more := Send{After: st.seq.last, HasAfter: st.seq.started, From: from}
+	more := Send{After: st.seq.last, HasAfter: st.seq.started, ResumeFrom: from}
 	if keeper := st.keeperFor(&c); keeper != nil {
 		r.setKeeper(keeper)
 		r.shield.now.copy = Copy{Address: keeper.Address, ID: st.q.RequestID}
@@ -107,14 +107,14 @@
 		h.Stats.Resumes.Inc()
 	}
 	if r.from != nil {
-		h.Stats.FromCopy.Inc()
+		h.Stats.ResumesFromCopy.Inc()
 	}
 	keeper := ""
 	if r.shield.now.keeper != nil {
 		keeper = r.shield.now.keeper.ID
 	}
 	use := h.o.Fleet.UseOf(r.server)
-	log := h.o.Ordinary
+	log := h.o.RoutineLog
 	if st.sends > 1 {
 		log = h.o.Log
 	}
@@ -151,7 +151,7 @@
 		}
 		return endBroken
 	}
-	r.clock = newClock(r.patience().Ask)
+	r.clock = newClock(r.patience().ProbeAfter)
 	defer r.clock.timer.Stop()
 	look := time.NewTicker(protectLook)
 	defer look.Stop()
@@ -167,7 +167,7 @@
 	select {
 	case it := <-r.items:
 		end, over := r.take(it)
-		r.clock.set(r.patience().Ask)
+		r.clock.set(r.patience().ProbeAfter)
 		return end, over
 	case <-r.answerToQuestion():
 		end, over := r.heed()
@@ -183,7 +183,7 @@
 	case p := <-r.shield.ordered:
 		r.protected(p)
 	case <-r.doubt:
-		r.doubt = r.st.h.o.Fleet.Doubted(r.server)
+		r.doubt = r.st.h.o.Fleet.Suspected(r.server)
 		r.ask()
 	case <-r.died:
 		return r.lost("engine judged dead"), true
@@ -193,8 +193,8 @@
 	return 0, false
 }
 
-func (r *run) patience() Patience {
-	return PatienceFor(r.st.q.route.PauseObjective, r.st.begun)
+func (r *run) patience() SilenceLimits {
+	return SilenceLimitsFor(r.st.q.route.PauseObjective, r.st.begun)
 }
 
 // take handles what the reader brought, and what else has come by then, so that
@@ -250,16 +250,16 @@
 func (r *run) takeHead() (ending, bool) {
 	rep := &r.reply
 	if rep.answer.Load >= 0 {
-		r.st.h.o.Fleet.Reported(r.server, rep.answer.Load)
+		r.st.h.o.Fleet.SetReportedLoad(r.server, rep.answer.Load)
 	}
 	*rep = r.st.h.judge(*rep)
 	switch {
 	case rep.sent == refused:
 		r.sent = refused
-		if rep.answer.Moved {
-			r.st.h.o.Fleet.Stale(r.server)
+		if rep.answer.WrongInstance {
+			r.st.h.o.Fleet.MarkStale(r.server)
 		} else if r.from == nil {
-			r.st.h.o.Fleet.Full(r.server)
+			r.st.h.o.Fleet.MarkFull(r.server)
 		}
 		return endNotRun, true
 	case rep.fault != noFault:
@@ -305,7 +305,7 @@
 		return endCallerEnd, true
 	}
 	if r.passed++; r.passed == clearedAfter {
-		st.h.o.Blame.Succeeded(st.q.digest)
+		st.h.o.SuspectContents.Clear(st.q.digest)
 		r.notePace()
 	}
 	return 0, false
@@ -315,12 +315,12 @@
 // its caller saw nothing: the resume latency.
 func (r *run) first() {
 	if st := r.st; st.begun {
-		observe(st.h.Stats.Pause, st.wrote)
+		observe(st.h.Stats.ResumePause, st.wrote)
 		st.h.o.Log.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Bool("from_copy", r.from != nil).
 			Dur("pause", time.Since(st.wrote)).Msg("stream went on")
 	} else {
 		observe(st.h.Stats.FirstEvent, st.q.arrived)
-		st.h.o.Ordinary.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Int("send", st.sends).
+		st.h.o.RoutineLog.Info().Str("request", st.q.RequestID).Str("engine", r.server.ID).Int("send", st.sends).
 			Dur("after", time.Since(st.q.arrived)).Msg("stream began")
 	}
 	fleet := r.st.h.o.Fleet
@@ -329,7 +329,7 @@
 	if r.alone && r.fresh {
 		r.st.h.paces.read(r.st.q.service.Name, r.use.PendingPrompt, r.firstAt.Sub(r.began))
 	}
-	fleet.Give(r.server, placement.Usage{PendingPrompt: r.use.PendingPrompt})
+	fleet.Release(r.server, placement.Usage{PendingPrompt: r.use.PendingPrompt})
 	r.use.PendingPrompt = 0
 	r.st.h.o.Placer.UseChanged()
 	fleet.Succeeded(r.server, 0)
@@ -339,8 +339,8 @@
 }
 
 // leaves is what the run would leave behind now.
-func (r *run) leaves() Kept {
-	k := Kept{Identity: r.st.id, Left: Left{Ran: r.server.Address}}
+func (r *run) leaves() ResumableRun {
+	k := ResumableRun{Identity: r.st.id, Orphan: Orphan{PrefillEngine: r.server.Address}}
 	if r.shield.now.keeper != nil {
 		k.Copy = r.shield.now.copy
 	}
@@ -355,7 +355,7 @@
 		r.st.h.paces.ran(r.st.q.service.Name, time.Since(r.firstAt), r.passed)
 	}
 	r.st.flush()
-	r.st.h.o.Blame.Succeeded(r.st.q.digest)
+	r.st.h.o.SuspectContents.Clear(r.st.q.digest)
 	return endDone, true
 }
 
@@ -379,9 +379,9 @@
 func (r *run) close(end ending) {
 	fleet := r.st.h.o.Fleet
 	r.st.h.o.Rollouts.Book.Drop(r.watched)
-	fleet.Give(r.server, r.use)
+	fleet.Release(r.server, r.use)
 	if r.shield.now.keeper != nil {
-		fleet.Give(r.shield.now.keeper, r.kept)
+		fleet.Release(r.shield.now.keeper, r.kept)
 	}
 	r.st.h.o.Placer.UseChanged()
 	// Callers whose streams this VM's shutdown ends come for the rest elsewhere.
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -19,9 +19,9 @@
 // an engine that names all that it has, and not the run, twice, has lost it.
 
 // Patience are the bounds of one stream's silence.
-type Patience struct {
-	Ask  time.Duration // silence after which the engine is asked
-	Move time.Duration // silence of a live engine after which a stream moves
+type SilenceLimits struct {
+	ProbeAfter time.Duration // silence after which the engine is asked
+	MoveAfter  time.Duration // silence of a live engine after which a stream moves
 }
 
 // Figures of patience.
@@ -50,16 +50,16 @@
 )
 
 // PatienceFor derives the bounds from a route's pause objective.
-func PatienceFor(pause time.Duration, begun bool) Patience {
+func SilenceLimitsFor(pause time.Duration, begun bool) SilenceLimits {
 	if pause <= 0 {
 		pause = defaultPause
 	}
 	if !begun {
-		return Patience{Ask: max(firstAsk, 2*pause)}
+		return SilenceLimits{ProbeAfter: max(firstAsk, 2*pause)}
 	}
-	return Patience{
-		Ask:  time.Duration(askShare * float64(pause)),
-		Move: time.Duration(moveShare * float64(pause)),
+	return SilenceLimits{
+		ProbeAfter: time.Duration(askShare * float64(pause)),
+		MoveAfter:  time.Duration(moveShare * float64(pause)),
 	}
 }
 
@@ -90,17 +90,17 @@
 )
 
 // decide is the whole policy. A dead engine needs none: its streams move at once.
-func (p Patience) decide(s silence) action {
+func (p SilenceLimits) decide(s silence) action {
 	if s.lost() {
 		return moveStream
 	}
 	if s.asked && s.begun && s.ahead > aheadLost {
 		return moveStream // its events are made and do not come: the connection is lost
 	}
-	if p.Move > 0 && s.begun && s.lasted >= p.Move && s.copyWaits && !s.moved {
+	if p.MoveAfter > 0 && s.begun && s.lasted >= p.MoveAfter && s.copyWaits && !s.moved {
 		return moveStream
 	}
-	if s.lasted >= p.Ask && s.heardAgo >= neighbourHeard {
+	if s.lasted >= p.ProbeAfter && s.heardAgo >= neighbourHeard {
 		return askEngine
 	}
 	return keepWaiting
--- a/internal/forward/spend.go
+++ b/internal/forward/spend.go
@@ -24,14 +24,14 @@
 	for {
 		switch q.budget.Spend(u) {
 		case Granted:
-			h.Stats.Repeats.Inc()
-			h.o.Spending()
+			h.Stats.Retries.Inc()
+			h.o.ReportRetries()
 			return true
 		case Denied:
 			return false
 		case Uncertain:
 		}
-		h.o.Spending()
+		h.o.ReportRetries()
 		if time.Since(began) >= askFor || timer.Sleep(q.ctx, rand.N(2*askPause)) != nil {
 			return false
 		}
--- a/internal/forward/stats.go
+++ b/internal/forward/stats.go
@@ -14,30 +14,30 @@
 type Stats struct {
 	set *metrics.Set
 
-	Requests   *metrics.Counter
-	Repeats    *metrics.Counter // second sends
-	Resumes    *metrics.Counter // streams that went on at another engine
-	FromCopy   *metrics.Counter // of these, from a copy of their memory
-	Probes     *metrics.Counter
-	Protected  *metrics.Counter // copies made on order
-	Strays     *metrics.Counter // answers to other requests, dropped
-	Broken     *metrics.Counter // streams that ended broken
-	CallerGone *metrics.Counter
-
-	FirstEvent *metrics.Histogram // seconds from a caller's request
-	Pause      *metrics.Histogram // seconds that a resumed stream's caller saw nothing
-	CallTime   *metrics.Histogram // seconds from a caller's request to the answer
-	StreamWait *metrics.Histogram // seconds that a stream waited for an engine
+	Requests        *metrics.Counter
+	Retries         *metrics.Counter // second sends
+	Resumes         *metrics.Counter // streams that went on at another engine
+	ResumesFromCopy *metrics.Counter // of these, from a copy of their memory
+	Probes          *metrics.Counter
+	CopiesOrdered   *metrics.Counter // copies made on order
+	StrayAnswers    *metrics.Counter // answers to other requests, dropped
+	BrokenStreams   *metrics.Counter // streams that ended broken
+	CallersGone     *metrics.Counter
+
+	FirstEvent  *metrics.Histogram // seconds from a caller's request
+	ResumePause *metrics.Histogram // seconds that a resumed stream's caller saw nothing
+	CallTime    *metrics.Histogram // seconds from a caller's request to the answer
+	StreamWait  *metrics.Histogram // seconds that a stream waited for an engine
 }
 
 // NewStats registers the counters in a set.
 func NewStats(set *metrics.Set) *Stats {
 	counter := func(name string) *metrics.Counter { return set.NewCounter("shelf_" + name + "_total") }
 	return &Stats{
-		set: set, Requests: counter("requests"), Repeats: counter("repeats"), Resumes: counter("resumes"),
-		FromCopy: counter("resumes_from_copy"), Probes: counter("probes"), Protected: counter("copies_ordered"),
-		Strays: counter("stray_answers"), Broken: counter("streams_broken"), CallerGone: counter("callers_gone"),
-		FirstEvent: set.NewHistogram("shelf_first_event_seconds"), Pause: set.NewHistogram("shelf_resume_pause_seconds"),
+		set: set, Requests: counter("requests"), Retries: counter("repeats"), Resumes: counter("resumes"),
+		ResumesFromCopy: counter("resumes_from_copy"), Probes: counter("probes"), CopiesOrdered: counter("copies_ordered"),
+		StrayAnswers: counter("stray_answers"), BrokenStreams: counter("streams_broken"), CallersGone: counter("callers_gone"),
+		FirstEvent: set.NewHistogram("shelf_first_event_seconds"), ResumePause: set.NewHistogram("shelf_resume_pause_seconds"),
 		CallTime: set.NewHistogram("shelf_call_seconds"), StreamWait: set.NewHistogram("shelf_stream_wait_seconds"),
 	}
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -62,9 +62,9 @@
 func (h *Handler) stream(w http.ResponseWriter, q *request) {
 	st := &stream{
 		h: h, q: q, w: w, skip: map[string]bool{},
-		need: placement.Need{Prompt: q.Prompt, Output: q.Output},
+		need: placement.Need{Prompt: q.PromptTokens, Output: q.OutputTokens},
 		seq:  sequence{last: q.After, started: q.HasAfter},
-		id:   q.identity(h.o.Wire.PerAttempt()),
+		id:   q.identity(h.o.Wire.PerAttemptHeaders()),
 	}
 	defer h.kept.drop(q.RequestID)
 	st.findLeft()
@@ -106,14 +106,14 @@
 	if !st.began.IsZero() {
 		first = st.began.Sub(st.q.arrived)
 	}
-	st.h.o.Ordinary.Info().Str("request", st.q.RequestID).Str("outcome", outcome).Int("events", st.events).
+	st.h.o.RoutineLog.Info().Str("request", st.q.RequestID).Str("outcome", outcome).Int("events", st.events).
 		Dur("first_event", first).Dur("longest_pause", st.longest).Dur("waited", st.waited).Int("sends", st.sends).
 		Bool("rest_only", st.q.HasAfter).Dur("objective", st.q.route.Objective).Dur("pause_objective", st.q.route.PauseObjective).Dur("held", time.Since(st.q.arrived)).Msg("stream ended")
 }
 
 // settled takes in how a run ended; true: the caller has its final answer.
 func (st *stream) settled(run *run, end ending) bool {
-	st.q.rec.Note(run.sent)
+	st.q.rec.Add(run.sent)
 	switch end {
 	case endDone:
 		return true
@@ -158,7 +158,7 @@
 // returns the reason where there is none.
 func (st *stream) next() chosen {
 	for {
-		if !st.q.rec.MaySend() || st.sends > 0 && st.h.o.Blame.Kills(st.q.digest) {
+		if !st.q.rec.MaySend() || st.sends > 0 && st.h.o.SuspectContents.ForbidsRetry(st.q.digest) {
 			return chosen{refused: result.StreamBroken}
 		}
 		c := st.choose()
@@ -177,7 +177,7 @@
 			c.refused = result.NoBackendServer
 		case c.server == nil:
 			c.refused = result.BackendsFull
-		case st.q.rec.IsRepeat() && !st.h.mayRepeat(st.q, st.urgency(c.from)):
+		case st.q.rec.IsRetry() && !st.h.mayRepeat(st.q, st.urgency(c.from)):
 			c.refused = result.RetriesSpent
 		default:
 			st.sends++
@@ -195,19 +195,19 @@
 	if st.begun && from != nil {
 		return InTime
 	}
-	return TooLate
+	return Late
 }
 
 // findLeft looks for the copy of a stream whose rest is asked for.
 func (st *stream) findLeft() {
-	if !st.q.HasAfter || !st.q.rec.repeatable || st.h.o.Find == nil {
+	if !st.q.HasAfter || !st.q.rec.repeatable || st.h.o.FindOrphan == nil {
 		return
 	}
-	left, ok := st.h.o.Find(st.q.ctx, st.id)
+	left, ok := st.h.o.FindOrphan(st.q.ctx, st.id)
 	if !ok {
 		return
 	}
-	st.ran = left.Ran
+	st.ran = left.PrefillEngine
 	if left.Copy.Address != "" {
 		st.left = &left.Copy
 	}
@@ -259,9 +259,9 @@
 	h := st.h
 	switch {
 	case st.callerLeft():
-		h.Stats.CallerGone.Inc()
+		h.Stats.CallersGone.Inc()
 	case st.begun:
-		h.Stats.Broken.Inc()
+		h.Stats.BrokenStreams.Inc()
 		h.o.Log.Warn().Str("request", st.q.RequestID).Uint64("last_event", st.seq.last).Int("sends", st.q.rec.arrivals).
 			Str("reason", result.Lookup(code).Name).Msg("stream broken off")
 		panic(http.ErrAbortHandler)
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -55,7 +55,7 @@
 // closes the run, and the engine in another zone that keeps a copy of its memory
 // goes on behind the last whole event. Why a copy: a prompt of 8,000 tokens read
 // anew takes a second, more than the pause that a caller accepts.
-func TestStreamGoesOnFromACopy(t *testing.T) {
+func TestStreamResumesFromBackupCopy(t *testing.T) {
 	for _, state := range []routedengine.State{routedengine.Dead, routedengine.Dark} {
 		t.Run(fmt.Sprint(state), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -84,7 +84,7 @@
 // The caller gets the whole answer, later. In order: engine and keeper die
 // together, as where two zones are lost; a third engine reads the prompt anew and
 // goes on behind the last event.
-func TestStreamGoesOnWithoutItsCopy(t *testing.T) {
+func TestStreamResumesWithoutBackupCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, engine("a"), engine("b"), engine("c"))
 		defer w.end()
@@ -102,7 +102,7 @@
 // The caller gets each event once. In order: the engine breaks off in the middle
 // of an event; the part that came is not passed on, and the next engine makes the
 // event again. Passed on, the caller would have a torn event before the whole one.
-func TestEventCutInTheMiddle(t *testing.T) {
+func TestTruncatedEventIsNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cut := engine("a")
 		cut.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
@@ -125,7 +125,7 @@
 
 // The caller's connection breaks off and does not end as if the answer were whole.
 // In order: the only engine dies in mid-stream and no other comes.
-func TestStreamThatCannotGoOnBreaksOff(t *testing.T) {
+func TestStreamThatCannotResumeIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, engine("a"))
 		defer w.end()
@@ -200,7 +200,7 @@
 		<-a.done
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		use := w.fleet.Mine()
+		use := w.fleet.OwnUse()
 		if len(use) != 0 {
 			t.Errorf("still counted as running: %v", use)
 		}
@@ -262,20 +262,20 @@
 // longer than for a pause. In order: the first router carries the stream for two
 // seconds and has told where its copy is; it is gone, and the second finds the copy
 // by what the two attempts have in common.
-func TestStreamOfADeadRouterGoesOnFromItsCopy(t *testing.T) {
+func TestOrphanedStreamResumesFromBackupCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, engine("a"), engine("b"), engine("c"))
 		defer w.end()
 		first := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(2 * time.Second)
 		w.left = map[uint64]forward.Copy{}
-		for _, k := range w.handler.Kept() {
+		for _, k := range w.handler.ResumableRuns() {
 			w.left[k.Identity] = k.Copy
 		}
 		first.leave()
 		<-first.done
-		if len(w.left) != 1 || len(w.handler.Kept()) != 0 {
-			t.Fatalf("%d copies told, %d of a stream that has ended", len(w.left), len(w.handler.Kept()))
+		if len(w.left) != 1 || len(w.handler.ResumableRuns()) != 0 {
+			t.Fatalf("%d copies told, %d of a stream that has ended", len(w.left), len(w.handler.ResumableRuns()))
 		}
 		began := time.Now()
 		got := strings.Count(first.text.String(), "id: ")
@@ -311,7 +311,7 @@
 // order: the engine that keeps the run's copy dies and leaves the list; the run
 // goes on; two seconds later its own engine dies, and it goes on from a copy that
 // was ordered meanwhile.
-func TestRunWhoseKeeperDiedIsProtectedAgain(t *testing.T) {
+func TestLostBackupCopyIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, engine("a"), engine("b"), engine("c"))
 		defer w.end()
@@ -335,14 +335,14 @@
 // seconds more; another VM judges it dead; 1.2 s later the run's own engine dies. Why
 // the list is not waited for: zones are lost three seconds apart, and the list, the
 // look at it and the order itself take as long.
-func TestKeeperThatOthersJudgedDeadIsReplaced(t *testing.T) {
+func TestBackupEngineReportedDeadIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, engine("a"), engine("b"), engine("c"))
 		defer w.end()
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(1500 * time.Millisecond)
 		first := w.runningOn("r1")
-		w.fleet.HearsayDead(w.loseKeepers())
+		w.fleet.PeerReportedDead(w.loseKeepers())
 		time.Sleep(1200 * time.Millisecond)
 		first.Set(routedengine.Dead)
 		a.wholeStream(t, 100)
@@ -383,7 +383,7 @@
 // An answer without a length that ends with its connection is whole only if its
 // engine lives. In order: the engine sends two events and its connection ends; it is
 // dead, and the next engine goes on.
-func TestStreamWithoutALengthOfADeadEngine(t *testing.T) {
+func TestUnframedStreamOfDeadEngineResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dying := engine("a")
 		dying.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
--- a/internal/forward/versions.go
+++ b/internal/forward/versions.go
@@ -15,13 +15,13 @@
 // observes of them.
 type Rollouts struct {
 	State func() *rollout.State
-	Book  *rollout.Book
+	Book  *rollout.Recorder
 }
 
 // NewRollouts returns a Rollouts of no roll-outs.
 func NewRollouts() *Rollouts {
 	none := &rollout.State{}
-	return &Rollouts{State: func() *rollout.State { return none }, Book: rollout.NewBook(time.Now)}
+	return &Rollouts{State: func() *rollout.State { return none }, Book: rollout.NewRecorder(time.Now)}
 }
 
 // chooseVersion decides which version a request that has just come goes to.
@@ -36,7 +36,7 @@
 func (h *Handler) recheckVersion(q *request, failed bool) {
 	state := h.o.Rollouts.State()
 	if failed && q.choice.Target || !state.Allows(q.service.Name, q.choice) {
-		q.choice = state.Back(q.service.Name, q.choice)
+		q.choice = state.Fallback(q.service.Name, q.choice)
 	}
 }
 
@@ -46,7 +46,7 @@
 	if !q.choice.Target {
 		return false
 	}
-	back := h.o.Rollouts.State().Back(q.service.Name, q.choice)
+	back := h.o.Rollouts.State().Fallback(q.service.Name, q.choice)
 	if back.Only == q.choice.Only {
 		return false
 	}
--- a/internal/forward/versions_test.go
+++ b/internal/forward/versions_test.go
@@ -56,7 +56,7 @@
 
 // Guards against a version whose servers are listed before a router knows its order, and
 // against a service that stands still once all of its servers are replaced by others.
-func TestUnorderedVersion(t *testing.T) {
+func TestVersionWithoutRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, ofVersion("v1", voteServer("a")), ofVersion("v2", voteServer("a")))
 		defer w.end()
@@ -78,7 +78,7 @@
 // Guards against a caller that pays for a trial: what failed there and may be repeated goes
 // back to the other version, what may not be runs once, and a trial whose servers are gone
 // leaves the requests where they were.
-func TestTrialGoesBack(t *testing.T) {
+func TestFailedTrialRequestFallsBack(t *testing.T) {
 	tests := []struct {
 		name         string
 		path         string
@@ -156,18 +156,18 @@
 
 // Guards against evidence that is missing or counted twice: each request that came, was
 // sent and was answered shows once in what the router tells.
-func TestTrialIsTold(t *testing.T) {
+func TestTrialObservationsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, ofVersion("v1", voteServer("a")), ofVersion("v2", voteServer("a")))
 		defer w.end()
 		w.rollOut("votes", rollout.Trial, 0.5)
 		w.calls("/tally/1", 60)
 		l := rollout.NewLedger()
-		l.Note(1, w.book.Told(), time.Now())
+		l.Note(1, w.book.Reports(), time.Now())
 		e := l.Sum("votes", uint64(len("votes")), time.Now())
 		cell := rollout.Cell{Route: "tally"}
 		answered := 0
-		for _, servers := range []rollout.Servers{e.Former[cell], e.Target[cell]} {
+		for _, servers := range []rollout.CountsByServer{e.Former[cell], e.Target[cell]} {
 			for _, c := range servers {
 				answered += c.Answers
 			}
@@ -180,7 +180,7 @@
 
 // Guards against a version that is slow from one event to the next, and shows it only when
 // its long answers end.
-func TestSlowPaceIsToldEarly(t *testing.T) {
+func TestSlowPaceIsReportedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, ofVersion("v1", engine("a")), ofVersion("v2", engine("a")))
 		defer w.end()
@@ -189,7 +189,7 @@
 		a := w.send("POST", "/s/1", "r1", "log")
 		time.Sleep(4 * time.Second)
 		l := rollout.NewLedger()
-		l.Note(1, w.book.Told(), time.Now())
+		l.Note(1, w.book.Reports(), time.Now())
 		e := l.Sum("models", uint64(len("models")), time.Now())
 		if c := e.Target[rollout.Cell{Route: "summary", Measure: rollout.Pace}]["i1"]; c.Answers != 1 {
 			t.Errorf("told after four seconds: %+v", e.Target)
--- a/internal/forward/watch.go
+++ b/internal/forward/watch.go
@@ -48,7 +48,7 @@
 
 func (r *run) silence() silence {
 	s := silence{
-		lasted: time.Since(r.last), heardAgo: r.st.h.o.Fleet.HeardAgo(r.server),
+		lasted: time.Since(r.last), heardAgo: r.st.h.o.Fleet.SilentFor(r.server),
 		begun: r.passed > 0 || r.from != nil, moved: r.st.moved, copyWaits: r.shield.now.keeper != nil && r.st.q.rec.runs+1 < r.st.q.rec.maxAttempts,
 		asked: r.known, unknown: r.unknown,
 	}
@@ -63,8 +63,8 @@
 // nextLook is when the silence is looked at again.
 func (r *run) nextLook() time.Duration {
 	p, lasted := r.patience(), time.Since(r.last)
-	if p.Move > lasted {
-		return min(askAgain, p.Move-lasted)
+	if p.MoveAfter > lasted {
+		return min(askAgain, p.MoveAfter-lasted)
 	}
 	return askAgain
 }
@@ -94,7 +94,7 @@
 		if r.again() {
 			return 0, false
 		}
-		r.st.h.o.Fleet.Dead(r.server)
+		r.st.h.o.Fleet.MarkDead(r.server)
 		r.st.h.blame(r.st.q, r.server, r.passed)
 		return r.lost("engine does not answer"), true
 	}
@@ -133,7 +133,7 @@
 		return r.lost("engine does not have the run")
 	}
 	r.st.moved = true
-	r.st.h.o.Fleet.Suspect(r.server)
+	r.st.h.o.Fleet.Avoid(r.server)
 	return r.lost("silent too long on a live engine")
 }
 
--- a/internal/forward/watch_test.go
+++ b/internal/forward/watch_test.go
@@ -8,7 +8,7 @@
 
 // A VM that stood still for seconds finds all its streams silent when it wakes. The
 // silence is its own: what the engines sent waits to be read, and no stream moves.
-func TestStalledVMBlamesNobody(t *testing.T) {
+func TestStalledVMSuspectsNoEngine(t *testing.T) {
 	tests := []struct {
 		name  string
 		slept time.Duration // beyond the timer
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -12,13 +12,13 @@
 
 // Caller is what a caller says about its request beside the request itself.
 type Caller struct {
-	RequestID string
-	Key       string        // of a workspace; empty: none
-	Deadline  time.Duration // how long the caller waits; 0: not said
-	After     uint64        // last event that the caller has, where HasAfter
-	HasAfter  bool
-	Prompt    int // tokens; 0: not said
-	Output    int // tokens at most
+	RequestID    string
+	Key          string        // of a workspace; empty: none
+	Deadline     time.Duration // how long the caller waits; 0: not said
+	After        uint64        // last event that the caller has, where HasAfter
+	HasAfter     bool
+	PromptTokens int // tokens; 0: not said
+	OutputTokens int // tokens at most
 }
 
 // Copy names a copy of a run's memory as engines know it: an address and an id
@@ -30,14 +30,14 @@
 
 // Send is what the system tells a backend server about one send of a request.
 type Send struct {
-	Deadline  time.Duration
-	Instance  string // the incarnation that is meant; any other must refuse
-	Workspace string
-	Priority  int // 0 is the first
-	After     uint64
-	HasAfter  bool
-	CopyTo    string // address of the engine that is to keep a copy
-	From      *Copy  // go on from this copy
+	Deadline   time.Duration
+	Instance   string // the incarnation that is meant; any other must refuse
+	Workspace  string
+	Priority   int // 0 is the first
+	After      uint64
+	HasAfter   bool
+	CopyTo     string // address of the engine that is to keep a copy
+	ResumeFrom *Copy  // go on from this copy
 }
 
 // Answer is what a backend server's headers say about its answer.
@@ -47,7 +47,7 @@
 	// NotRun is the server's word that the request did not and will not run.
 	NotRun bool
 	// Moved: another incarnation answers at this address.
-	Moved bool
+	WrongInstance bool
 	// Load is how many requests run and wait there; -1: not said.
 	Load int
 }
@@ -63,15 +63,15 @@
 // Wire translates between the project's terms and the headers in use.
 type Wire interface {
 	// Caller reads a caller's headers.
-	Caller(h http.Header) (Caller, error)
+	ReadCaller(h http.Header) (Caller, error)
 	// Engine puts s into the headers of a request on its way to an engine. It
 	// first takes out what only the system may say there.
-	Engine(h http.Header, s Send)
+	SetSendHeaders(h http.Header, s Send)
 	// PerAttempt are the headers, in canonical form, that differ between two attempts
 	// of one request.
-	PerAttempt() []string
+	PerAttemptHeaders() []string
 	// Answer reads the headers of a backend server's answer.
-	Answer(status int, h http.Header) Answer
+	ReadAnswer(status int, h http.Header) Answer
 	// ReportURI is where an engine reports, and ReadReport decodes it.
 	ReportURI() string
 	ReadReport(body []byte) (Report, error)
--- a/internal/forward/world_test.go
+++ b/internal/forward/world_test.go
@@ -35,16 +35,16 @@
 	left    map[uint64]forward.Copy // what another router has told
 	placer  forward.Placer          // nil: the router decides for itself
 	state   atomic.Pointer[rollout.State]
-	book    *rollout.Book
+	book    *rollout.Recorder
 	closing bool          // the router is shutting down
 	grace   time.Duration // left of its shutdown's; 0: none goes on
 }
 
 func (w *world) late(_ bool, takes time.Duration) bool { return w.grace > 0 && takes > w.grace }
 
-func (w *world) find(_ context.Context, identity uint64) (forward.Left, bool) {
+func (w *world) find(_ context.Context, identity uint64) (forward.Orphan, bool) {
 	c, ok := w.left[identity]
-	return forward.Left{Copy: c}, ok
+	return forward.Orphan{Copy: c}, ok
 }
 
 // testRoutes: a stream that may resume, a vote, and a lookup.
@@ -91,7 +91,7 @@
 	w.fleet.Apply(upstream.List{Backends: w.net.List(), AsOf: time.Now()})
 	w.table.Store(testRoutes())
 	w.state.Store(&rollout.State{})
-	w.book = rollout.NewBook(time.Now)
+	w.book = rollout.NewRecorder(time.Now)
 	ready := make(chan struct{})
 	close(ready)
 	w.rebuild(ready)
@@ -102,9 +102,9 @@
 func (w *world) rebuild(ready <-chan struct{}) {
 	w.handler = forward.NewHandler(forward.Options{
 		Zone: "a", Wire: forward.NewPlainWire(), Pool: w.pool, Fleet: w.fleet,
-		Routes: w.table.Load, Prepared: ready, Allowance: forward.Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
-		Log: w.log, Ordinary: w.log, Metrics: metrics.NewSet(), Blame: forward.NewBlameBook(), Closing: func() bool { return w.closing },
-		TooLate: w.late, Find: w.find, Placer: w.placer,
+		Routes: w.table.Load, ListsReady: ready, RetryAllowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
+		Log: w.log, RoutineLog: w.log, Metrics: metrics.NewSet(), SuspectContents: forward.NewSuspectContents(), Closing: func() bool { return w.closing },
+		CannotFinish: w.late, FindOrphan: w.find, Placer: w.placer,
 		Rollouts: &forward.Rollouts{State: w.state.Load, Book: w.book},
 	})
 }
--- a/internal/recovery/content.go
+++ b/internal/recovery/content.go
@@ -43,7 +43,7 @@
 
 // Contents remembers under which contents of requests servers died, by digest. It
 // is not safe for concurrent use.
-type Contents struct{ blamed map[uint64]*blamedContent }
+type SuspectContents struct{ blamed map[uint64]*blamedContent }
 
 type blamedContent struct {
 	servers map[string]bool
@@ -51,10 +51,12 @@
 }
 
 // NewContents returns an empty memory.
-func NewContents() *Contents { return &Contents{blamed: map[uint64]*blamedContent{}} }
+func NewSuspectContents() *SuspectContents {
+	return &SuspectContents{blamed: map[uint64]*blamedContent{}}
+}
 
 // Died notes that a server died while it ran a content.
-func (c *Contents) Died(digest uint64, server string, now time.Time) {
+func (c *SuspectContents) ServerDied(digest uint64, server string, now time.Time) {
 	b := c.blamed[digest]
 	if b == nil || now.Sub(b.last) > contentLife {
 		c.expire(now)
@@ -66,10 +68,10 @@
 }
 
 // Succeeded clears a content.
-func (c *Contents) Succeeded(digest uint64) { delete(c.blamed, digest) }
+func (c *SuspectContents) Succeeded(digest uint64) { delete(c.blamed, digest) }
 
 // Held reports whether a content must not begin now, and until when.
-func (c *Contents) Held(digest uint64, now time.Time) (until time.Time, held bool) {
+func (c *SuspectContents) Quarantined(digest uint64, now time.Time) (until time.Time, held bool) {
 	b := c.blamed[digest]
 	if b == nil {
 		return time.Time{}, false
@@ -80,17 +82,17 @@
 
 // Suspect reports whether a server died under a content that has not succeeded
 // since.
-func (c *Contents) Suspect(digest uint64) bool { return c.blamed[digest] != nil }
+func (c *SuspectContents) Suspect(digest uint64) bool { return c.blamed[digest] != nil }
 
 // Kills reports whether a run under way must not go on at another server.
-func (c *Contents) Kills(digest uint64) bool {
+func (c *SuspectContents) MustAbort(digest uint64) bool {
 	b := c.blamed[digest]
 	return b != nil && len(b.servers) >= killerDeaths
 }
 
 // expire makes room: it forgets what is old, or else everything that has one
 // death only.
-func (c *Contents) expire(now time.Time) {
+func (c *SuspectContents) expire(now time.Time) {
 	if len(c.blamed) < maxContents {
 		return
 	}
--- a/internal/recovery/detector.go
+++ b/internal/recovery/detector.go
@@ -75,7 +75,7 @@
 
 // SetPatient makes the detector wait for the ceiling: the budget for work done
 // twice is used up.
-func (d *Detector) SetPatient(on bool) { d.patient = on }
+func (d *Detector) SetCeilingOnly(on bool) { d.patient = on }
 
 func (d *Detector) watch(name string) *watched {
 	w := d.engines[name]
@@ -125,7 +125,7 @@
 func (d *Detector) Polled(name string, now time.Time) { d.watch(name).lastPoll = now }
 
 // Lost forgets the figures of an engine that died.
-func (d *Detector) Lost(name string) {
+func (d *Detector) ResetStats(name string) {
 	w := d.watch(name)
 	w.gap, w.dev, w.first = 0, 0, 0
 }
--- a/internal/recovery/outage.go
+++ b/internal/recovery/outage.go
@@ -29,7 +29,7 @@
 	outageWindow = 1 * time.Second
 	// OutageFor is how long the place is avoided after its last death: a restarted
 	// engine has another id, which is on the list within two seconds.
-	OutageFor = 2500 * time.Millisecond
+	OutageAvoidDuration = 2500 * time.Millisecond
 )
 
 // Outage recognises the loss of a whole place. It is not safe for concurrent use.
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -57,7 +57,7 @@
 func (p *Pacer) Waiting() int { return len(p.waiting) }
 
 // Enter queues a resume.
-func (p *Pacer) Enter(r *Resume, now time.Time) {
+func (p *Pacer) Enqueue(r *Resume, now time.Time) {
 	r.since, r.state = now, resumeWaiting
 	at, _ := slices.BinarySearchFunc(p.waiting, r, order)
 	p.waiting = slices.Insert(p.waiting, at, r)
@@ -95,7 +95,7 @@
 
 // Leave ends a resume: its first token came, its attempt failed, or its caller
 // is gone. It may be called twice.
-func (p *Pacer) Leave(r *Resume) {
+func (p *Pacer) Release(r *Resume) {
 	switch r.state {
 	case resumeWaiting:
 		p.waiting = slices.DeleteFunc(p.waiting, func(o *Resume) bool { return o == r })
--- a/internal/recovery/poison.go
+++ b/internal/recovery/poison.go
@@ -63,18 +63,18 @@
 // Blame remembers which requests were running when engines died, by the digest
 // of their content, so that a resend under a new id is known. It is not safe
 // for concurrent use.
-type Blame struct {
+type PoisonSuspicion struct {
 	byDigest map[uint64]*blame
 	recent   []death // of engines
 }
 
 // NewBlame returns an empty ledger.
-func NewBlame() *Blame { return &Blame{byDigest: map[uint64]*blame{}} }
+func NewPoisonSuspicion() *PoisonSuspicion { return &PoisonSuspicion{byDigest: map[uint64]*blame{}} }
 
 // EngineDied notes that an engine died while it ran a request. passed is the
 // number of tokens that the request got there: a suspect that got past its
 // first death is not blamed for the second.
-func (b *Blame) EngineDied(d Death, passed int) Standing {
+func (b *PoisonSuspicion) EngineDied(d Death, passed int) Standing {
 	b.noteEngine(d)
 	b.add(d, passed)
 	if len(b.recent) >= massDeaths {
@@ -83,7 +83,7 @@
 	return b.Standing(d.Digest, d.At)
 }
 
-func (b *Blame) add(d Death, passed int) {
+func (b *PoisonSuspicion) add(d Death, passed int) {
 	e := b.byDigest[d.Digest]
 	if e == nil || d.At.Sub(e.last) > blameLife {
 		b.expire(d.At)
@@ -103,7 +103,7 @@
 
 // Passed clears a suspect that has generated tokens on another engine, and
 // reports whether it did so now.
-func (b *Blame) Passed(digest uint64, tokens int) bool {
+func (b *PoisonSuspicion) NoteProgress(digest uint64, tokens int) bool {
 	if e := b.byDigest[digest]; e == nil || tokens < passedTokens || len(e.deaths) >= engineLimit {
 		return false
 	}
@@ -112,7 +112,7 @@
 }
 
 // Standing judges a request by its content.
-func (b *Blame) Standing(digest uint64, now time.Time) Standing {
+func (b *PoisonSuspicion) Standing(digest uint64, now time.Time) Standing {
 	e := b.byDigest[digest]
 	switch {
 	case e == nil || len(e.deaths) == 0 || now.Sub(e.last) > blameLife:
@@ -125,14 +125,14 @@
 }
 
 // Expires is when a request's blame will have expired.
-func (b *Blame) Expires(digest uint64) time.Time {
+func (b *PoisonSuspicion) Expires(digest uint64) time.Time {
 	if e := b.byDigest[digest]; e != nil {
 		return e.last.Add(blameLife)
 	}
 	return time.Time{}
 }
 
-func (b *Blame) noteEngine(d Death) {
+func (b *PoisonSuspicion) noteEngine(d Death) {
 	b.recent = slices.DeleteFunc(b.recent, func(o death) bool { return d.At.Sub(o.at) > massWindow })
 	if !slices.ContainsFunc(b.recent, func(o death) bool { return o.engine == d.Engine }) {
 		b.recent = append(b.recent, death{d.Engine, d.At})
@@ -141,7 +141,7 @@
 
 // withdraw takes back the blame for the deaths of a common cause. A request
 // that was on massDeaths of the engines is the cause, and keeps it.
-func (b *Blame) withdraw(now time.Time) {
+func (b *PoisonSuspicion) withdraw(now time.Time) {
 	for digest, e := range b.byDigest {
 		recent := func(o death) bool { return now.Sub(o.at) <= massWindow }
 		n := 0
@@ -163,7 +163,7 @@
 	}
 }
 
-func (b *Blame) expire(now time.Time) {
+func (b *PoisonSuspicion) expire(now time.Time) {
 	if len(b.byDigest) < maxBlamed {
 		return
 	}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -95,7 +95,7 @@
 			return suspectedAfter(t, d, s, now, nil)
 		}, 2 * time.Second, 2100 * time.Millisecond},
 		{"budget used up: patient", ResumeLatency, func(d *Detector) time.Duration {
-			d.SetPatient(true)
+			d.SetCeilingOnly(true)
 			return suspectedAfter(t, d, streams(d, "e", 10, 20*time.Millisecond, end)[0], end, nil)
 		}, 2 * time.Second, 2100 * time.Millisecond},
 	}
@@ -152,7 +152,7 @@
 	for n := range 40 {
 		r := &Resume{Prefill: 5000, Deadline: start.Add(time.Duration(40-n) * time.Second)}
 		all = append(all, r)
-		p.Enter(r, start)
+		p.Enqueue(r, start)
 	}
 	underway := 0
 	for p.Next(start) != nil {
@@ -164,7 +164,7 @@
 	if !all[39].Granted() || all[0].Granted() {
 		t.Error("the earliest deadline did not go first")
 	}
-	p.Leave(all[39])
+	p.Release(all[39])
 	if r := p.Next(start); r != all[35] {
 		t.Error("an ended resume did not let the next one start")
 	}
@@ -175,8 +175,8 @@
 		t.Errorf("%d resumes held beyond %s", p.Waiting(), maxHold)
 	}
 	for _, r := range all {
-		p.Leave(r)
-		p.Leave(r)
+		p.Release(r)
+		p.Release(r)
 	}
 	if p.underway != 0 {
 		t.Errorf("%d tokens under way after the end", p.underway)
@@ -186,7 +186,7 @@
 func TestOneHugeResumeIsNotHeldForever(t *testing.T) {
 	p := &Pacer{}
 	p.SetEngines(1, 11)
-	p.Enter(&Resume{Prefill: 1 << 20}, start)
+	p.Enqueue(&Resume{Prefill: 1 << 20}, start)
 	if p.Next(start) == nil {
 		t.Error("a resume larger than the limit never starts")
 	}
@@ -209,7 +209,7 @@
 	}
 }
 
-func (b *Blame) dies(engine string, at time.Time, digests ...uint64) {
+func (b *PoisonSuspicion) dies(engine string, at time.Time, digests ...uint64) {
 	for _, d := range digests {
 		b.EngineDied(Death{Digest: d, Engine: engine, At: at}, 0)
 	}
@@ -220,7 +220,7 @@
 // on other engines and are cleared; the bad one takes down a second engine, and
 // then it is refused, also under new ids, until the blame expires.
 func TestPoisonIsRefusedAfterTwoEnginesAndInnocentsNever(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	const bad = 7
 	b.dies("e1", start, 1, 2, 3, 4, 5, 6, bad)
 	for d := uint64(1); d <= bad; d++ {
@@ -230,7 +230,7 @@
 	}
 	later := start.Add(10 * time.Second)
 	for d := uint64(1); d < bad; d++ {
-		if !b.Passed(d, passedTokens) || b.Standing(d, later) != Innocent {
+		if !b.NoteProgress(d, passedTokens) || b.Standing(d, later) != Innocent {
 			t.Errorf("request %d ran past the death and is not cleared", d)
 		}
 	}
@@ -238,7 +238,7 @@
 	if got := b.Standing(bad, later); got != Poison {
 		t.Fatalf("after two engines: %v", got)
 	}
-	if b.Passed(bad, 1000) {
+	if b.NoteProgress(bad, 1000) {
 		t.Error("poison cleared by a late event")
 	}
 	if got := b.Standing(bad, later.Add(blameLife+time.Second)); got != Innocent {
@@ -249,7 +249,7 @@
 // Two engines die in a row under one long answer. It had gone on for minutes on
 // the second one, so it is not what killed both.
 func TestSecondDeathFarBehindTheFirstIsNoPoison(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	b.EngineDied(Death{Digest: 1, Engine: "e1", At: start}, 500)
 	if got := b.EngineDied(Death{Digest: 1, Engine: "e2", At: start.Add(time.Minute)}, 300); got != Suspect {
 		t.Errorf("got %v", got)
@@ -259,7 +259,7 @@
 // A zone is lost: eight engines die within two seconds, and some streams had
 // just been moved from one of them to another. Nobody is to blame.
 func TestCommonCauseBlamesNobody(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	for n := range 8 {
 		at := start.Add(time.Duration(n) * 200 * time.Millisecond)
 		b.dies([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[n], at, uint64(n), uint64(n+1))
@@ -274,7 +274,7 @@
 // The same bad content comes under ten ids at once and takes down an engine
 // each. That is no common cause: it was on all of them.
 func TestPoisonSentManyTimesAtOnceIsStillFound(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	for n := range 4 {
 		b.dies([]string{"a", "b", "c", "d"}[n], start.Add(time.Duration(n)*100*time.Millisecond), 7, uint64(100+n))
 	}
@@ -287,7 +287,7 @@
 }
 
 func TestBlameIsBounded(t *testing.T) {
-	b := NewBlame()
+	b := NewPoisonSuspicion()
 	for n := range maxBlamed + 20 {
 		b.add(Death{Digest: uint64(n), Engine: "e", At: start.Add(time.Duration(n) * time.Millisecond)}, 0)
 		if len(b.byDigest) > maxBlamed {
--- a/internal/relay/recover.go
+++ b/internal/relay/recover.go
@@ -22,7 +22,7 @@
 	detector  *recovery.Detector
 	suspicion *recovery.Budget
 	hedges    *recovery.Budget
-	blame     *recovery.Blame
+	blame     *recovery.PoisonSuspicion
 	pacers    map[string]*recovery.Pacer // by model
 	grants    map[*recovery.Resume]chan struct{}
 	heard     heard
@@ -36,7 +36,7 @@
 	return &recoverer{
 		hub: h, policy: policy, detector: recovery.NewDetector(policy),
 		suspicion: recovery.NewSuspicionBudget(), hedges: recovery.NewBudget(policy.HedgeShare),
-		blame: recovery.NewBlame(), pacers: map[string]*recovery.Pacer{}, grants: map[*recovery.Resume]chan struct{}{}, heard: heard{},
+		blame: recovery.NewPoisonSuspicion(), pacers: map[string]*recovery.Pacer{}, grants: map[*recovery.Resume]chan struct{}{}, heard: heard{},
 	}
 }
 
@@ -87,7 +87,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.detector.SetPatient(c.suspicion.Empty())
+	c.detector.SetCeilingOnly(c.suspicion.Empty())
 	suspect, again = c.detector.Check(s, now)
 	if suspect {
 		c.suspicion.Spend(prefill)
@@ -123,7 +123,7 @@
 	granted := make(chan struct{})
 	c.mu.Lock()
 	c.grants[r] = granted
-	c.pacer(model).Enter(r, time.Now())
+	c.pacer(model).Enqueue(r, time.Now())
 	c.grant(model)
 	c.mu.Unlock()
 	ticker := time.NewTicker(checkEvery)
@@ -170,7 +170,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pacer(model).Leave(r)
+	c.pacer(model).Release(r)
 	delete(c.grants, r)
 	c.grant(model)
 }
@@ -188,7 +188,7 @@
 func (c *recoverer) died(engine string, digest uint64, passed int) recovery.Standing {
 	d := recovery.Death{Digest: digest, Engine: engine, At: time.Now()}
 	c.mu.Lock()
-	c.detector.Lost(engine)
+	c.detector.ResetStats(engine)
 	standing := c.blame.EngineDied(d, passed)
 	c.mu.Unlock()
 	c.tell(blameMessage{Death: d, Passed: passed})
@@ -198,7 +198,7 @@
 // passed clears a suspect that ran past the point of its engine's death.
 func (c *recoverer) passed(digest uint64, tokens int) bool {
 	c.mu.Lock()
-	cleared := c.blame.Passed(digest, tokens)
+	cleared := c.blame.NoteProgress(digest, tokens)
 	c.mu.Unlock()
 	if cleared {
 		c.tell(blameMessage{Death: recovery.Death{Digest: digest}, Passed: tokens, Cleared: true})
@@ -241,7 +241,7 @@
 		return false
 	}
 	if m.Cleared {
-		c.blame.Passed(m.Death.Digest, m.Passed)
+		c.blame.NoteProgress(m.Death.Digest, m.Passed)
 		return true
 	}
 	m.Death.At = time.Now()
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -10,7 +10,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, under := range []bool{false, true} {
 		b.Run(fmt.Sprint("under way ", under), func(b *testing.B) {
-			s, book := &State{}, NewBook(time.Now)
+			s, book := &State{}, NewRecorder(time.Now)
 			if under {
 				s = stateAt(Record{Order: toV2, Number: 1, Phase: Trial, DefaultShare: 0.1})
 				book.Watch(s.UnderWay())
@@ -36,9 +36,9 @@
 		e := NewEvidence()
 		for _, route := range []string{"a", "b", "c"} {
 			e.Requests[route] = 14 * seconds
-			for _, m := range []Measure{Whole, Pace} {
+			for _, m := range []Measure{Response, Pace} {
 				cell := Cell{route, m}
-				e.Former[cell], e.Target[cell] = Servers{}, Servers{}
+				e.Former[cell], e.Target[cell] = CountsByServer{}, CountsByServer{}
 				for i := range 16 {
 					c := Counts{Answers: seconds, Times: map[uint8]int{uint8(40 + i%8): seconds}}
 					e.Former[cell][fmt.Sprint(i)], e.Target[cell][fmt.Sprint(i)] = c, c
@@ -49,12 +49,12 @@
 	}
 	for s := range 60 {
 		e := evidence(s + 1)
-		j.Look(&r, &e, View{Elapsed: time.Duration(s) * time.Second, Former: 1})
+		j.Evaluate(&r, &e, View{Elapsed: time.Duration(s) * time.Second, FormerServers: 1})
 	}
 	e := evidence(60)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		j.Look(&r, &e, View{Elapsed: 59 * time.Second, Former: 1})
+		j.Evaluate(&r, &e, View{Elapsed: 59 * time.Second, FormerServers: 1})
 	}
 }
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -48,7 +48,7 @@
 
 // slot is the answers of a moment.
 type slot struct {
-	former, target map[Cell]Servers
+	former, target map[Cell]CountsByServer
 	// judged is the new version's part by server, once it and the slot behind it are over.
 	judged map[Cell]map[string]verdict
 }
@@ -58,10 +58,10 @@
 	return slot{former: newIn(now.Former, before.Former), target: newIn(now.Target, before.Target)}
 }
 
-func newIn(now, before map[Cell]Servers) map[Cell]Servers {
-	out := make(map[Cell]Servers, len(now))
+func newIn(now, before map[Cell]CountsByServer) map[Cell]CountsByServer {
+	out := make(map[Cell]CountsByServer, len(now))
 	for cell, servers := range now {
-		out[cell] = make(Servers, len(servers))
+		out[cell] = make(CountsByServer, len(servers))
 		for server, c := range servers {
 			if was := before[cell][server]; c.Answers > was.Answers || len(c.Waiting) > 0 {
 				out[cell][server] = c.minus(was)
@@ -73,7 +73,7 @@
 
 // settle forgets what waits, when the moment is over: it is in the next one, or answered.
 func (s *slot) settle() {
-	for _, cells := range []map[Cell]Servers{s.former, s.target} {
+	for _, cells := range []map[Cell]CountsByServer{s.former, s.target} {
 		for _, servers := range cells {
 			for server, c := range servers {
 				c.Waiting = nil
@@ -87,7 +87,7 @@
 func (s *slot) answers() int {
 	n := 0
 	for cell, servers := range s.target {
-		if cell.Measure == Whole {
+		if cell.Measure == Response {
 			for _, c := range servers {
 				n += c.Answers
 			}
@@ -162,7 +162,7 @@
 }
 
 // compare judges the last n slots. overall is the other version's answers of all slots.
-func compare(slots []slot, n int, overall map[Cell]Servers) comparison {
+func compare(slots []slot, n int, overall map[Cell]CountsByServer) comparison {
 	out := comparison{cells: map[Cell]*verdict{}}
 	byServer := map[Cell]map[string]verdict{}
 	for i := max(0, len(slots)-n); i < len(slots); i++ {
@@ -184,7 +184,7 @@
 	for _, cell := range slices.SortedFunc(maps.Keys(byServer), Cell.compare) {
 		v := withoutWorst(byServer[cell])
 		out.cells[cell] = &v
-		if cell.Measure == Whole {
+		if cell.Measure == Response {
 			out.all.add(&v)
 		}
 	}
@@ -193,7 +193,7 @@
 
 // judgeSlot counts the new version's answers of a slot against what the other version
 // did around it.
-func judgeSlot(slots []slot, i int, overall map[Cell]Servers) map[Cell]map[string]verdict {
+func judgeSlot(slots []slot, i int, overall map[Cell]CountsByServer) map[Cell]map[string]verdict {
 	out := map[Cell]map[string]verdict{}
 	for cell, servers := range slots[i].target {
 		faulty := faultyOf(overall[cell])
@@ -207,8 +207,8 @@
 	return out
 }
 
-func formerOf(slots []slot, cell Cell) Servers {
-	sum := Servers{}
+func formerOf(slots []slot, cell Cell) CountsByServer {
+	sum := CountsByServer{}
 	for i := range slots {
 		for server, c := range slots[i].former[cell] {
 			sum.add(server, c)
@@ -218,7 +218,7 @@
 }
 
 // without sums all servers but one.
-func (s Servers) without(server string) Counts {
+func (s CountsByServer) without(server string) Counts {
 	var sum Counts
 	for id, c := range s {
 		if id != server {
@@ -229,7 +229,7 @@
 }
 
 // faultyOf names the server that fails far more often than the others; "": none does.
-func faultyOf(s Servers) string {
+func faultyOf(s CountsByServer) string {
 	answers, failures := 0, 0
 	for _, c := range s {
 		answers += c.Answers
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -94,8 +94,8 @@
 
 // The measures.
 const (
-	Whole Measure = 0 // a call's answer, or a stream's first event
-	Pace  Measure = 1 // the mean time between a stream's first events
+	Response Measure = 0 // a call's answer, or a stream's first event
+	Pace     Measure = 1 // the mean time between a stream's first events
 )
 
 // Cell names what answers have in common that are compared.
@@ -128,7 +128,7 @@
 }
 
 // Told is what one life of a router observed of one roll-out.
-type Told struct {
+type Report struct {
 	Service string `cbor:"1,keyasint"`
 	Number  uint64 `cbor:"2,keyasint"`
 	// Requests that came, by route, and those of them sent to the new version.
@@ -168,7 +168,7 @@
 }
 
 // Book is what a router observes of the roll-outs under way. Safe for concurrent use.
-type Book struct {
+type Recorder struct {
 	now func() time.Time
 
 	mu       sync.Mutex
@@ -177,10 +177,12 @@
 }
 
 // NewBook returns an empty Book.
-func NewBook(now func() time.Time) *Book { return &Book{now: now, services: map[string]*watched{}} }
+func NewRecorder(now func() time.Time) *Recorder {
+	return &Recorder{now: now, services: map[string]*watched{}}
+}
 
 // Watch says which roll-outs are under way. The others are forgotten.
-func (b *Book) Watch(underWay map[string]uint64) {
+func (b *Recorder) Watch(underWay map[string]uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	maps.DeleteFunc(b.services, func(service string, w *watched) bool { return underWay[service] != w.number })
@@ -194,7 +196,7 @@
 }
 
 // at returns a roll-out under way, or nil. It needs b.mu.
-func (b *Book) at(service string, number uint64) *watched {
+func (b *Recorder) at(service string, number uint64) *watched {
 	w := b.services[service]
 	if w == nil || w.number != number {
 		return nil
@@ -203,7 +205,7 @@
 }
 
 // Request notes a request that came for a service.
-func (b *Book) Request(service, route string, c Choice) {
+func (b *Recorder) Request(service, route string, c Choice) {
 	if c.Number == 0 {
 		return
 	}
@@ -216,7 +218,7 @@
 
 // Sent notes that a request is sent to the new version, whether or not its answer is
 // watched.
-func (b *Book) Sent(service string, c Choice) {
+func (b *Recorder) Sent(service string, c Choice) {
 	if !c.Target {
 		return
 	}
@@ -228,7 +230,7 @@
 }
 
 // Begin watches for the answer of a request that is sent to a server.
-func (b *Book) Begin(service, route string, c Choice, server string) Ticket {
+func (b *Recorder) Begin(service, route string, c Choice, server string) Ticket {
 	if c.Number == 0 {
 		return Ticket{}
 	}
@@ -252,7 +254,7 @@
 
 // End notes the server's answer, or its first event. A server that has just started is
 // cold: its time is not compared.
-func (b *Book) End(t Ticket, failed, cold bool) {
+func (b *Recorder) End(t Ticket, failed, cold bool) {
 	b.close(t, func(w *watched, run openRun) {
 		took := b.now().Sub(run.began)
 		if cold {
@@ -263,9 +265,9 @@
 }
 
 // Drop forgets a request that was broken off or refused: that says nothing of the version.
-func (b *Book) Drop(t Ticket) { b.close(t, func(*watched, openRun) {}) }
+func (b *Recorder) Drop(t Ticket) { b.close(t, func(*watched, openRun) {}) }
 
-func (b *Book) close(t Ticket, note func(*watched, openRun)) {
+func (b *Recorder) close(t Ticket, note func(*watched, openRun)) {
 	if t.run == 0 {
 		return
 	}
@@ -282,7 +284,7 @@
 }
 
 // Pace notes the mean time between a stream's first events.
-func (b *Book) Pace(service, route string, c Choice, server string, gap time.Duration) {
+func (b *Recorder) Pace(service, route string, c Choice, server string, gap time.Duration) {
 	if c.Number == 0 {
 		return
 	}
@@ -301,12 +303,12 @@
 }
 
 // Told returns all that was observed, nil where nothing is under way.
-func (b *Book) Told() []Told {
+func (b *Recorder) Reports() []Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []Told
+	var out []Report
 	for service, w := range b.services {
-		t := Told{Service: service, Number: w.number, Requests: maps.Clone(w.requests), Sent: w.sent}
+		t := Report{Service: service, Number: w.number, Requests: maps.Clone(w.requests), Sent: w.sent}
 		for k, c := range w.withWaiting(b.now()) {
 			t.Rows = append(t.Rows, Row{Cell: k.cell, Target: k.target, Server: k.server, Counts: c})
 		}
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -90,7 +90,7 @@
 	// InForce: every router applies the last step.
 	InForce bool
 	// Target and Former servers are listed.
-	Target, Former int
+	TargetServers, FormerServers int
 }
 
 // Judge decides about one roll-out. It is not safe for concurrent use.
@@ -118,16 +118,16 @@
 
 // Look takes what is known now, and returns the next step, if it is time for one. It keeps
 // the evidence.
-func (j *Judge) Look(r *Record, e *Evidence, v View) (Step, bool) {
+func (j *Judge) Evaluate(r *Record, e *Evidence, v View) (Step, bool) {
 	j.note(e, v.Elapsed)
-	j.hadFormer = j.hadFormer || v.Former > 0
+	j.hadFormer = j.hadFormer || v.FormerServers > 0
 	next := Step{Service: r.Service, Number: r.Number, Phase: r.Phase, Shares: r.Shares, DefaultShare: r.DefaultShare}
 	step := func(p Phase, reason string) (Step, bool) {
 		next.Phase, next.Reason = p, reason
 		return next, true
 	}
 	p := j.plan(r, e)
-	if !j.hadFormer && v.Target > 0 && v.Elapsed > p.trialLeast {
+	if !j.hadFormer && v.TargetServers > 0 && v.Elapsed > p.trialLeast {
 		return j.nothingElse(r, step)
 	}
 	if why := cmp.Or(j.whole.bad(), j.late.bad()); why != "" {
@@ -251,7 +251,7 @@
 // hasServers reports whether there are as many servers of the new version as of the
 // others, or some and no time to wait for more.
 func (p *plan) hasServers(v *View) bool {
-	return v.Target > 0 && (v.Target >= v.Former || v.Elapsed >= p.noLater)
+	return v.TargetServers > 0 && (v.TargetServers >= v.FormerServers || v.Elapsed >= p.noLater)
 }
 
 func hasStreams(e *Evidence) bool {
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -9,14 +9,14 @@
 type Evidence struct {
 	Requests map[string]int
 	Sent     int
-	Former   map[Cell]Servers
-	Target   map[Cell]Servers
+	Former   map[Cell]CountsByServer
+	Target   map[Cell]CountsByServer
 }
 
 // Servers are counts by server, or group of servers.
-type Servers map[string]Counts
+type CountsByServer map[string]Counts
 
-func (s Servers) add(server string, c Counts) { s[server] = s[server].plus(c) }
+func (s CountsByServer) add(server string, c Counts) { s[server] = s[server].plus(c) }
 
 // total is the number of requests of all routes.
 func (e *Evidence) total() int {
@@ -37,7 +37,7 @@
 
 // noted is what a life told of one service.
 type noted struct {
-	told Told
+	told Report
 	at   time.Time
 }
 
@@ -46,7 +46,7 @@
 
 // Note takes what a life told. What it observes only grows: a message that was
 // overtaken on its way changes nothing.
-func (l *Ledger) Note(life uint64, told []Told, now time.Time) {
+func (l *Ledger) Note(life uint64, told []Report, now time.Time) {
 	for i := range told {
 		t := &told[i]
 		held, ok := l.lives[life][t.Service]
@@ -61,7 +61,7 @@
 }
 
 // weight grows with all that is observed.
-func (t *Told) weight() int {
+func (t *Report) weight() int {
 	n := t.Sent
 	for _, r := range t.Requests {
 		n += r
@@ -98,10 +98,10 @@
 
 // NewEvidence returns an Evidence of nothing.
 func NewEvidence() Evidence {
-	return Evidence{Requests: map[string]int{}, Former: map[Cell]Servers{}, Target: map[Cell]Servers{}}
+	return Evidence{Requests: map[string]int{}, Former: map[Cell]CountsByServer{}, Target: map[Cell]CountsByServer{}}
 }
 
-func (e *Evidence) add(t *Told, waits bool) {
+func (e *Evidence) add(t *Report, waits bool) {
 	e.Sent += t.Sent
 	for route, n := range t.Requests {
 		e.Requests[route] += n
@@ -113,7 +113,7 @@
 			cells = e.Target
 		}
 		if cells[r.Cell] == nil {
-			cells[r.Cell] = Servers{}
+			cells[r.Cell] = CountsByServer{}
 		}
 		c := r.Counts
 		if !waits {
--- a/internal/rollout/part.go
+++ b/internal/rollout/part.go
@@ -54,26 +54,28 @@
 )
 
 // Part is the roll-outs in the control group's state. It implements control.Part.
-type Part struct {
+type StateMachine struct {
 	version uint64
 	number  uint64
 	state   State
 }
 
 // NewPart returns a Part without roll-outs.
-func NewPart() *Part { return &Part{state: State{Records: map[string]Record{}}} }
+func NewStateMachine() *StateMachine {
+	return &StateMachine{state: State{Records: map[string]Record{}}}
+}
 
 // Version implements control.Part.
-func (p *Part) Version() uint64 { return p.version }
+func (p *StateMachine) Version() uint64 { return p.version }
 
 // Record returns a service's newest roll-out.
-func (p *Part) Record(service string) (Record, bool) {
+func (p *StateMachine) Record(service string) (Record, bool) {
 	r, ok := p.state.Records[service]
 	return r, ok
 }
 
 // UnderWay returns the roll-outs without an outcome.
-func (p *Part) UnderWay() []Record {
+func (p *StateMachine) UnderWay() []Record {
 	var out []Record
 	for _, r := range p.state.Records {
 		if !r.Phase.Over() {
@@ -84,7 +86,7 @@
 }
 
 // Apply executes an encoded Command.
-func (p *Part) Apply(nowMS int64, cmd []byte) []byte {
+func (p *StateMachine) Apply(nowMS int64, cmd []byte) []byte {
 	var c Command
 	reply := Reply{Outcome: Unreadable}
 	if err := codec.Unmarshal(cmd, &c); err == nil {
@@ -93,7 +95,7 @@
 	return mustMarshal(&reply)
 }
 
-func (p *Part) execute(nowMS int64, c *Command) Reply {
+func (p *StateMachine) execute(nowMS int64, c *Command) Reply {
 	switch {
 	case c.Order != nil:
 		outcome := p.order(nowMS, c.Order)
@@ -107,7 +109,7 @@
 
 // order begins a roll-out. A resend of the order in force changes nothing, whatever
 // became of it.
-func (p *Part) order(nowMS int64, o *Order) Outcome {
+func (p *StateMachine) order(nowMS int64, o *Order) Outcome {
 	last, known := p.state.Records[o.Service]
 	same := known && last.Order == *o
 	switch {
@@ -141,7 +143,7 @@
 }
 
 // step takes a roll-out on, never back, and never past its outcome.
-func (p *Part) step(nowMS int64, s *Step) Outcome {
+func (p *StateMachine) step(nowMS int64, s *Step) Outcome {
 	r, ok := p.state.Records[s.Service]
 	if !ok || r.Number != s.Number || r.Phase.Over() || !mayFollow(r.Phase, s.Phase) {
 		return Outdated
@@ -169,13 +171,13 @@
 	return false
 }
 
-func (p *Part) put(r Record) {
+func (p *StateMachine) put(r Record) {
 	p.state.Records[r.Service] = r
 	p.version++
 }
 
 // Changes implements control.Part: all roll-outs.
-func (p *Part) Changes(uint64) []byte { return mustMarshal(&p.state) }
+func (p *StateMachine) Changes(uint64) []byte { return mustMarshal(&p.state) }
 
 // snapshot is the content of a snapshot.
 type snapshot struct {
@@ -185,12 +187,12 @@
 }
 
 // Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) {
+func (p *StateMachine) Snapshot() ([]byte, error) {
 	return codec.Marshal(&snapshot{p.version, p.number, p.state.Records})
 }
 
 // Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+func (p *StateMachine) Restore(data []byte) error {
 	var s snapshot
 	if err := codec.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("rollout: snapshot: %w", err)
--- a/internal/rollout/part_test.go
+++ b/internal/rollout/part_test.go
@@ -13,7 +13,7 @@
 var toV2 = Order{Service: "desk", To: "v2", Duration: 12 * time.Second}
 
 // apply executes a command as the log does.
-func apply(t interface{ Fatal(...any) }, p *Part, atMS int64, c Command) Reply {
+func apply(t interface{ Fatal(...any) }, p *StateMachine, atMS int64, c Command) Reply {
 	data, err := codec.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := NewPart()
+			p := NewStateMachine()
 			for _, c := range tt.before {
 				if r := apply(t, p, 0, c); r.Outcome != Accepted {
 					t.Fatalf("before: %+v", r)
@@ -86,7 +86,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := NewPart()
+			p := NewStateMachine()
 			apply(t, p, 0, Command{Order: &toV2})
 			for _, phase := range tt.before {
 				apply(t, p, 0, stepTo(1, phase))
@@ -103,13 +103,13 @@
 // version never goes back, and an outcome that was reached stays.
 func TestAnyLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, now := NewPart(), int64(0)
+		p, now := NewStateMachine(), int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
 			now += rapid.Int64Range(0, 20_000).Draw(t, "later")
 			c := drawCommand(t)
 			before, known := p.Record("desk")
 			version := p.Version()
-			restored := NewPart()
+			restored := NewStateMachine()
 			data, err := p.Snapshot()
 			if err != nil {
 				t.Fatal(err)
@@ -151,7 +151,7 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, cmd []byte) {
-		p := NewPart()
+		p := NewStateMachine()
 		var r Reply
 		if err := codec.Unmarshal(p.Apply(1, cmd), &r); err != nil || r.Outcome == 0 {
 			t.Errorf("%+v, %v", r, err)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -137,12 +137,12 @@
 type Versions struct {
 	// Only is the one version that may; empty: the version in use, which is none of
 	// Except. Else is for a service that has servers of no other version.
-	Only   string
-	Except []string
-	Else   string
+	Only     string
+	Except   []string
+	Fallback string
 	// Part of the servers takes all the requests; 0: all of them do. A small share of the
 	// requests, spread over all servers, would not show how a version does under load.
-	Part float64
+	ServerShare float64
 }
 
 // fewest servers have the requests of a trial: one that is faulty by itself shows beside
@@ -151,7 +151,9 @@
 
 // Few is how many servers have the requests of a trial, such that each has as much to do
 // as one of the other version's.
-func Few(part float64, others int) int { return max(fewest, int(math.Ceil(part*float64(others)))) }
+func TrialServers(part float64, others int) int {
+	return max(fewest, int(math.Ceil(part*float64(others))))
+}
 
 // Choice is where one request goes.
 type Choice struct {
@@ -189,7 +191,7 @@
 func (r *Record) target() Versions {
 	v := Versions{Only: r.To}
 	if r.Phase == Trial {
-		v.Part = r.DefaultShare
+		v.ServerShare = r.DefaultShare
 	}
 	return v
 }
@@ -207,7 +209,7 @@
 	if !slices.Contains(except, r.To) {
 		except = append(except, r.To)
 	}
-	return Versions{Except: except, Else: orElse}
+	return Versions{Except: except, Fallback: orElse}
 }
 
 // Former is where a request goes that is not to run on the new version, as one that
@@ -224,13 +226,13 @@
 }
 
 // Back is the choice for a request that is not to run on the new version any more.
-func (s *State) Back(service string, c Choice) Choice {
+func (s *State) Fallback(service string, c Choice) Choice {
 	return Choice{Versions: s.Former(service), Number: c.Number}
 }
 
 // Keep says where the copies of a run may lie that was chosen before: they follow the
 // requests once these are switched.
-func (s *State) Keep(service string, c Choice) Versions {
+func (s *State) CopyVersions(service string, c Choice) Versions {
 	if r, ok := s.Records[service]; ok && r.Phase.switched() {
 		return Versions{Only: r.To}
 	}
@@ -239,7 +241,7 @@
 
 // Leaves reports whether a run that was chosen before is to go on elsewhere, as soon as
 // it has a copy there.
-func (s *State) Leaves(service string, c Choice) bool {
+func (s *State) MustMove(service string, c Choice) bool {
 	r, ok := s.Records[service]
 	return ok && (r.Phase == Moving || r.Phase == Completed) && c.Only != r.To
 }
@@ -254,7 +256,7 @@
 	case r.Phase == Moving, r.Phase == Completed:
 		return c.Only == r.To
 	case r.Phase == Reverted:
-		return c.Only != r.To && c.Else != r.To
+		return c.Only != r.To && c.Fallback != r.To
 	}
 	return c.Only != "" || slices.Contains(c.Except, r.To)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -73,7 +73,7 @@
 			t.Errorf("%v: new version %v, old %v", tt.phase, s.Allows("desk", toNew), s.Allows("desk", toOld))
 		}
 		for _, c := range []Choice{toNew, toOld} {
-			if back := s.Back("desk", c); !s.Allows("desk", c) && !s.Allows("desk", back) {
+			if back := s.Fallback("desk", c); !s.Allows("desk", c) && !s.Allows("desk", back) {
 				t.Errorf("%v: %+v is sent back to %+v", tt.phase, c, back)
 			}
 		}
@@ -107,11 +107,11 @@
 	clock := func() time.Time { return now }
 	c := Choice{Versions: Versions{Only: "v2"}, Number: 1, Target: true}
 	old := Choice{Versions: Versions{Except: []string{"v2"}}, Number: 1}
-	a, b := NewBook(clock), NewBook(clock)
-	for _, book := range []*Book{a, b} {
+	a, b := NewRecorder(clock), NewRecorder(clock)
+	for _, book := range []*Recorder{a, b} {
 		book.Watch(map[string]uint64{"desk": 1})
 	}
-	answer := func(book *Book, c Choice, failed bool) {
+	answer := func(book *Recorder, c Choice, failed bool) {
 		book.Request("desk", "book", c)
 		book.Sent("desk", c)
 		run := book.Begin("desk", "book", c, "i1")
@@ -119,17 +119,17 @@
 		book.End(run, failed, false)
 	}
 	answer(a, c, true)
-	early := a.Told()
+	early := a.Reports()
 	answer(a, c, false)
 	answer(a, old, false)
 	answer(b, c, true)
 	waits := b.Begin("desk", "book", c, "i2")
 	now = now.Add(time.Second)
 	l := NewLedger()
-	l.Note(1, a.Told(), now)
+	l.Note(1, a.Reports(), now)
 	l.Note(1, early, now)
-	l.Note(1, a.Told(), now)
-	l.Note(2, b.Told(), now)
+	l.Note(1, a.Reports(), now)
+	l.Note(2, b.Reports(), now)
 	cell := Cell{Route: "book"}
 	e := l.Sum("desk", 1, now)
 	target := e.Target[cell].without("")
@@ -145,7 +145,7 @@
 		t.Errorf("after its end: %+v", e)
 	}
 	b.Drop(waits)
-	if told := b.Told(); len(told) != 1 || told[0].Rows[0].Counts.Answers != 1 {
+	if told := b.Reports(); len(told) != 1 || told[0].Rows[0].Counts.Answers != 1 {
 		t.Errorf("dropped: %+v", told)
 	}
 	l.Keep(map[string]uint64{"desk": 2})
@@ -153,7 +153,7 @@
 		t.Errorf("of a former roll-out: %+v", e)
 	}
 	a.Watch(nil)
-	if told := a.Told(); told != nil {
+	if told := a.Reports(); told != nil {
 		t.Errorf("nothing is under way: %+v", told)
 	}
 }
@@ -169,11 +169,11 @@
 		if at == slotLength {
 			e = NewEvidence()
 			e.Requests["book"] = 80
-			e.Former[Cell{Route: "book"}] = Servers{"a": good}
-			e.Target[Cell{Route: "book"}] = Servers{"b": good}
+			e.Former[Cell{Route: "book"}] = CountsByServer{"a": good}
+			e.Target[Cell{Route: "book"}] = CountsByServer{"b": good}
 			e.Sent = 40
 		}
-		s, ok := j.Look(&r, &e, View{Elapsed: at, Step: at - 13*time.Second, Target: 3, Former: 3})
+		s, ok := j.Evaluate(&r, &e, View{Elapsed: at, Step: at - 13*time.Second, TargetServers: 3, FormerServers: 3})
 		if !ok || at < 13*time.Second {
 			continue
 		}
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -76,7 +76,7 @@
 
 // decider is a way to decide about a roll-out.
 type decider interface {
-	Look(r *Record, e *Evidence, v View) (Step, bool)
+	Evaluate(r *Record, e *Evidence, v View) (Step, bool)
 }
 
 // simOutcome is what one roll-out came to.
@@ -180,11 +180,11 @@
 
 func (s *sim) look(j decider, t time.Duration) {
 	sums := s.withWaiting(t)
-	v := View{Elapsed: t, Step: t - s.stepAt, InForce: s.applyAt < 0, Former: s.kind.servers}
+	v := View{Elapsed: t, Step: t - s.stepAt, InForce: s.applyAt < 0, FormerServers: s.kind.servers}
 	if t >= simStart {
-		v.Target = s.kind.servers
+		v.TargetServers = s.kind.servers
 	}
-	step, ok := j.Look(&s.record, sums, v)
+	step, ok := j.Evaluate(&s.record, sums, v)
 	if !ok {
 		return
 	}
@@ -303,7 +303,7 @@
 			cells = s.sums.Target
 		}
 		if cells[a.cell] == nil {
-			cells[a.cell] = Servers{}
+			cells[a.cell] = CountsByServer{}
 		}
 		cells[a.cell].add(a.server, one)
 	}
@@ -324,7 +324,7 @@
 	for i := range s.queue {
 		a := &s.queue[i]
 		age := t - a.sent - simReport/2
-		if a.cell.Measure != Whole || age <= 0 {
+		if a.cell.Measure != Response || age <= 0 {
 			continue
 		}
 		cells := out.Former
@@ -332,7 +332,7 @@
 			cells = out.Target
 		}
 		if cells[a.cell] == nil {
-			cells[a.cell] = Servers{}
+			cells[a.cell] = CountsByServer{}
 		}
 		cells[a.cell].add(a.server, Counts{Waiting: map[uint8]int{bucketOf(age): 1}})
 	}
@@ -343,12 +343,12 @@
 // on the difference of the rates.
 type fixedSteps struct{ step int }
 
-func (f *fixedSteps) Look(r *Record, e *Evidence, v View) (Step, bool) {
+func (f *fixedSteps) Evaluate(r *Record, e *Evidence, v View) (Step, bool) {
 	shares := []float64{0.05, 0.25, 0.5, 1}
 	s := Step{Service: r.Service, Number: r.Number, Phase: r.Phase, DefaultShare: r.DefaultShare}
 	var former, target Counts
 	for cell, c := range e.Former {
-		if cell.Measure == Whole {
+		if cell.Measure == Response {
 			former = former.plus(c.without(""))
 			for _, t := range e.Target[cell] {
 				target = target.plus(t)
