--- a/internal/routed/control.go
+++ b/internal/routed/control.go
@@ -61,7 +61,7 @@
 	members *members
 	member  *cluster.Member
 	hub     *cluster.Hub
-	held    *cluster.Held
+	held    *cluster.ListReplica
 	values  *bulk.Store // what other VMs fetch here
 	text    sharedText
 	peers   *http.Server
@@ -80,7 +80,7 @@
 	c := &Control{o: o, failure: make(chan error, 1), values: bulk.NewStore()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.network = newNetwork(&o.Common)
-	c.held = cluster.NewHeld(func(l upstream.List) { c.hub.TakeList(l) })
+	c.held = cluster.NewListReplica(func(l upstream.List) { c.hub.SetBackends(l) })
 	c.member = cluster.NewMember(o.ID, c.network, o.Seeds, c.held, cluster.Local{Zone: o.Zone, Control: true}, o.Log)
 	c.hub = cluster.NewHub(c.network, c.held, c.controls, o.Log)
 	c.text.values = c.values
@@ -94,9 +94,9 @@
 		c.cancel()
 		return nil, err
 	}
-	c.hub.Recall(wal.OS{}, o.Dir)
+	c.hub.LoadRuns(wal.OS{}, o.Dir)
 	c.work.Go(c.runMember)
-	c.work.Go(func() { c.hub.Remember(c.ctx, wal.OS{}, o.Dir) })
+	c.work.Go(func() { c.hub.RunSaver(c.ctx, wal.OS{}, o.Dir) })
 	go c.member.Run(c.ctx)
 	go c.hub.Run(c.ctx)
 	go c.readBackends()
@@ -123,9 +123,9 @@
 	set.NewGauge("shelf_streams_waiting_late", func() float64 { return float64(c.hub.Totals().Late) })
 	set.NewGauge("shelf_streams_granted_total", func() float64 { return float64(c.hub.Totals().Granted) })
 	set.NewGauge("shelf_streams_refused_total", func() float64 { return float64(c.hub.Totals().Refused) })
-	set.NewGauge("shelf_ready_routers", func() float64 { return float64(len(c.hub.Entrances(maxRouters))) })
+	set.NewGauge("shelf_ready_routers", func() float64 { return float64(len(c.hub.Endpoints(maxRouters))) })
 	set.NewGauge("shelf_backend_list_age_seconds", func() float64 {
-		_, _, age, _ := c.held.Now()
+		_, _, age, _ := c.held.Current()
 		return age.Seconds()
 	})
 }
@@ -177,7 +177,7 @@
 func (c *Control) SetSeeds(seeds []string) { c.member.SetSeeds(seeds) }
 
 // Entrances are the addresses of routers that callers may use, at most limit.
-func (c *Control) Entrances(limit int) []string { return c.hub.Entrances(limit) }
+func (c *Control) Entrances(limit int) []string { return c.hub.Endpoints(limit) }
 
 // PutRoutes implements Operable.
 func (c *Control) PutRoutes(ctx context.Context, l *routes.List) (routes.Reply, error) {
@@ -190,8 +190,8 @@
 
 // propose puts a list in force through a client of the group. An operator without an
 // answer sends the list to several VMs: it is the same command from each.
-func propose(ctx context.Context, client *control.Remote, l *routes.List, log zerolog.Logger) (routes.Reply, error) {
-	reply, err := control.ProposeSame[routes.Reply](ctx, client, control.PartRoutes, l)
+func propose(ctx context.Context, client *control.RemoteClient, l *routes.List, log zerolog.Logger) (routes.Reply, error) {
+	reply, err := control.ProposeDeduplicated[routes.Reply](ctx, client, control.RoutesStateMachine, l)
 	log.Info().Uint64("version", l.Version).Int("outcome", int(reply.Outcome)).
 		Uint64("in_force", reply.Version).AnErr("error", err).Msg("route list proposed")
 	switch {
@@ -215,7 +215,7 @@
 		return nil, err
 	}
 	var source []byte
-	s.machine.Read(control.PartRoutes, func(control.Part) { source = s.part.List().Source })
+	s.machine.Read(control.RoutesStateMachine, func(control.StateMachine) { source = s.part.List().Source })
 	return source, nil
 }
 
@@ -270,10 +270,10 @@
 			return
 		}
 		leader = c.noteLeader(leader)
-		rows, _, age, ok := c.held.Now()
-		r := cluster.Reading{
-			Leads: c.Leads(), Rank: slices.Index(c.controls(), c.o.ID), Listed: ok, Rows: len(rows), Age: age,
-			Up: time.Since(began), Since: time.Since(last), Took: took,
+		rows, _, age, ok := c.held.Current()
+		r := cluster.ReadSchedule{
+			Leader: c.Leads(), Rank: slices.Index(c.controls(), c.o.ID), HasList: ok, Rows: len(rows), Age: age,
+			Uptime: time.Since(began), SinceLastRead: time.Since(last), LastReadDuration: took,
 		}
 		if r.Due() {
 			last = time.Now()
@@ -306,5 +306,5 @@
 		c.o.Log.Warn().Err(err).Dur("took", time.Since(began)).Msg("list of backend servers not read")
 		return
 	}
-	c.held.Take(rows, time.Since(began))
+	c.held.Update(rows, time.Since(began))
 }
--- a/internal/routed/observer.go
+++ b/internal/routed/observer.go
@@ -23,7 +23,7 @@
 	network  *peer.Network
 	member   *cluster.Member
 	observer *cluster.Observer
-	client   *control.Remote
+	client   *control.RemoteClient
 	text     *textReader
 	peers    *http.Server
 	cancel   context.CancelFunc
@@ -34,12 +34,12 @@
 	v := &Observer{o: o, network: newNetwork(&o)}
 	var ctx context.Context
 	ctx, v.cancel = context.WithCancel(context.Background())
-	v.member = cluster.NewMember(o.ID, v.network, o.Seeds, cluster.NewHeld(func(upstream.List) {}), cluster.Local{
-		Zone: o.Zone, LearnEntrances: func(addrs []string) { v.observer.LearnEntrances(addrs) },
+	v.member = cluster.NewMember(o.ID, v.network, o.Seeds, cluster.NewListReplica(func(upstream.List) {}), cluster.Local{
+		Zone: o.Zone, LearnEndpoints: func(addrs []string) { v.observer.LearnEndpoints(addrs) },
 	}, o.Log)
 	v.observer = cluster.NewObserver(v.network, o.ID, v.member.Controls)
 	consensus.ServeObserver(v.network, o.ID)
-	v.client = control.NewRemote(v.network, o.ID, v.observer.Controls)
+	v.client = control.NewRemoteClient(v.network, o.ID, v.observer.Controls)
 	v.text = &textReader{t: v.network, voters: v.observer.Controls, log: o.Log}
 	o.Metrics.NewGauge("shelf_ready_routers", func() float64 { return float64(len(v.Entrances(maxRouters))) })
 	var err error
@@ -56,7 +56,7 @@
 func (v *Observer) SetSeeds(seeds []string) { v.member.SetSeeds(seeds) }
 
 // Entrances implements Operable.
-func (v *Observer) Entrances(limit int) []string { return v.observer.Entrances(limit) }
+func (v *Observer) Entrances(limit int) []string { return v.observer.Endpoints(limit) }
 
 // PutRoutes implements Operable.
 func (v *Observer) PutRoutes(ctx context.Context, l *routes.List) (routes.Reply, error) {
--- a/internal/routed/options.go
+++ b/internal/routed/options.go
@@ -44,7 +44,7 @@
 	Common
 	Callers   string // address for callers, ip:port
 	Wire      forward.Wire
-	Allowance forward.Allowance
+	Allowance forward.RetryAllowance
 	Drain     DrainTimes
 }
 
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -20,14 +20,14 @@
 
 // rolloutOf reads a service's roll-out from the member's state.
 func (s *membership) rolloutOf(service string) (r rollout.Record, ok bool) {
-	s.machine.Read(control.PartRollouts, func(control.Part) { r, ok = s.rollouts.Record(service) })
+	s.machine.Read(control.RolloutsStateMachine, func(control.StateMachine) { r, ok = s.rollouts.Record(service) })
 	return r, ok
 }
 
 // names reports whether the route list names a service.
 func (s *membership) names(service string) bool {
 	found := false
-	s.machine.Read(control.PartRoutes, func(control.Part) {
+	s.machine.Read(control.RoutesStateMachine, func(control.StateMachine) {
 		for i := range s.part.List().Services {
 			found = found || s.part.List().Services[i].Name == service
 		}
@@ -60,7 +60,7 @@
 			return rollout.Record{}, result.New(result.UnknownService)
 		}
 	}
-	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.PartRollouts, rollout.Command{Order: o})
+	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.RolloutsStateMachine, rollout.Command{Order: o})
 	switch {
 	case err != nil:
 		return rollout.Record{}, err
@@ -146,12 +146,12 @@
 
 func (w *rolloutWatch) look(s *membership, now time.Time) {
 	var records []rollout.Record
-	s.machine.Read(control.PartRollouts, func(control.Part) { records = s.rollouts.UnderWay() })
+	s.machine.Read(control.RolloutsStateMachine, func(control.StateMachine) { records = s.rollouts.UnderWay() })
 	numbers := map[string]uint64{}
 	for i := range records {
 		numbers[records[i].Service] = records[i].Number
 	}
-	w.c.hub.KeepEvidence(numbers)
+	w.c.hub.RetainEvidence(numbers)
 	w.mu.Lock()
 	for service := range w.watched {
 		if _, ok := numbers[service]; !ok {
@@ -163,7 +163,7 @@
 		r := &records[i]
 		v := w.note(s, r, now)
 		e := w.c.hub.Evidence(r.Service, r.Number)
-		step, ok := w.judgeOf(r).Look(r, &e, v)
+		step, ok := w.judgeOf(r).Evaluate(r, &e, v)
 		if ok && w.c.Leads() {
 			w.take(s, &step, &e, &v)
 		}
@@ -194,7 +194,7 @@
 		go w.askInForce(s, k, k.stepMS)
 	}
 	v := rollout.View{Elapsed: now.Sub(k.ordered), Step: now.Sub(k.step), InForce: k.inForce}
-	v.Target, v.Former = w.c.countVersions(r)
+	v.TargetServers, v.FormerServers = w.c.countVersions(r)
 	return v
 }
 
@@ -212,8 +212,8 @@
 	ctx, cancel := context.WithTimeout(w.c.ctx, 2*Lease)
 	defer cancel()
 	version := uint64(0)
-	s.machine.Read(control.PartRollouts, func(p control.Part) { version = p.Version() })
-	err := control.InForce(ctx, s.client, control.PartRollouts, version)
+	s.machine.Read(control.RolloutsStateMachine, func(p control.StateMachine) { version = p.Version() })
+	err := control.WaitInForce(ctx, s.client, control.RolloutsStateMachine, version)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k.asking = false
@@ -223,7 +223,7 @@
 // countVersions counts the servers of a roll-out's service that are listed, of the new
 // version and of others.
 func (c *Control) countVersions(r *rollout.Record) (target, former int) {
-	rows, _, _, _ := c.held.Now()
+	rows, _, _, _ := c.held.Current()
 	for i := range rows {
 		b := &rows[i]
 		switch {
@@ -241,13 +241,13 @@
 func (w *rolloutWatch) take(s *membership, step *rollout.Step, e *rollout.Evidence, v *rollout.View) {
 	ctx, cancel := context.WithTimeout(w.c.ctx, stepTimeout)
 	defer cancel()
-	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.PartRollouts, rollout.Command{Step: step})
+	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.RolloutsStateMachine, rollout.Command{Step: step})
 	requests := 0
 	for _, n := range e.Requests {
 		requests += n
 	}
 	w.c.o.Log.Info().Str("service", step.Service).Uint64("rollout", step.Number).Stringer("phase", step.Phase).
 		Str("reason", step.Reason).Float64("share", step.DefaultShare).Interface("shares", step.Shares).
-		Int("requests", requests).Int("sent", e.Sent).Int("servers_new", v.Target).Int("servers_former", v.Former).
+		Int("requests", requests).Int("sent", e.Sent).Int("servers_new", v.TargetServers).Int("servers_former", v.FormerServers).
 		Dur("elapsed", v.Elapsed).Dur("step", v.Step).Int("outcome", int(reply.Outcome)).AnErr("error", err).Msg("roll-out step")
 }
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -24,13 +24,13 @@
 	network *peer.Network
 	feed    *control.Feed
 	member  *cluster.Member
-	held    *cluster.Held
+	held    *cluster.ListReplica
 	fleet   *upstream.Fleet
 	handler *forward.Handler
-	blame   *forward.BlameBook
+	blame   *forward.SuspectContents
 	table   atomic.Pointer[routes.Table]
 	state   atomic.Pointer[rollout.State]
-	book    *rollout.Book
+	book    *rollout.Recorder
 	drain   *drain
 	conns   *callerConns
 	// prepared is closed once both lists are held.
@@ -44,29 +44,29 @@
 
 // StartRouter binds the addresses and serves.
 func StartRouter(o RouterOptions) (*Router, error) {
-	r := &Router{o: o, blame: forward.NewBlameBook(), prepared: make(chan struct{}), conns: newCallerConns(DefaultLimits), book: rollout.NewBook(time.Now)}
+	r := &Router{o: o, blame: forward.NewSuspectContents(), prepared: make(chan struct{}), conns: newCallerConns(DefaultLimits), book: rollout.NewRecorder(time.Now)}
 	r.state.Store(&rollout.State{})
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.drain = newDrain(o.Drain)
 	pool := upstream.NewPool()
 	r.fleet = upstream.NewFleet(pool, o.Log)
 	r.gauges(pool)
-	r.held = cluster.NewHeld(r.takeList)
+	r.held = cluster.NewListReplica(r.takeList)
 	r.network = newNetwork(&o.Common)
 	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.held, cluster.Local{
-		Zone: o.Zone, Callers: o.Callers, Ready: r.Ready, Use: r.fleet.Mine, Deaths: r.blame.Fresh,
-		Dead: r.fleet.Dying, Kept: r.kept, Spent: r.spent, Learn: r.learn, LearnSpent: r.learnSpent,
-		Opinion: r.fleet.Opinion, Paces: r.paces, Rollouts: r.book.Told, Urgent: func() bool { return r.state.Load().Urgent() },
+		Zone: o.Zone, Endpoint: o.Callers, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.blame.TakeNewDeaths,
+		Dead: r.fleet.RecentlyDead, Runs: r.kept, Spent: r.spent, Learn: r.learn, LearnSpent: r.learnSpent,
+		Opinion: r.fleet.Report, Paces: r.paces, Rollouts: r.book.Reports, Urgent: func() bool { return r.state.Load().Urgent() },
 	}, o.Log)
 	r.feed = control.NewFeed(control.FeedOptions{
 		Self: o.ID, Voters: r.member.Controls, Transport: r.network, Lease: Lease, Log: o.Log,
 	})
-	r.feed.OnChange(control.PartRoutes, r.take)
-	r.feed.OnChange(control.PartRollouts, r.takeRollouts)
+	r.feed.OnChange(control.RoutesStateMachine, r.take)
+	r.feed.OnChange(control.RolloutsStateMachine, r.takeRollouts)
 	r.handler = forward.NewHandler(forward.Options{
-		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, Prepared: r.prepared,
-		Allowance: o.Allowance, Log: o.Log, Ordinary: o.Ordinary, Metrics: o.Metrics, Blame: r.blame, Closing: r.drain.started,
-		Placer: r.member, Find: r.member.Find, Spending: r.member.Spending, TooLate: r.drain.tooLate,
+		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.prepared,
+		RetryAllowance: o.Allowance, Log: o.Log, RoutineLog: o.Ordinary, Metrics: o.Metrics, SuspectContents: r.blame, Closing: r.drain.started,
+		Placer: r.member, FindOrphan: r.member.FindOrphan, ReportRetries: r.member.NotifyRetry, CannotFinish: r.drain.tooLate,
 		Rollouts: &forward.Rollouts{State: r.state.Load, Book: r.book},
 	})
 	if err := r.serve(); err != nil {
@@ -75,8 +75,8 @@
 	}
 	r.feed.Start()
 	go r.member.Run(r.ctx)
-	go r.member.RunSpending(r.ctx)
-	go r.member.RunUse(r.ctx)
+	go r.member.RunRetryReports(r.ctx)
+	go r.member.RunUseReports(r.ctx)
 	return r, nil
 }
 
@@ -99,7 +99,7 @@
 		return 0
 	})
 	set.NewGauge("shelf_backend_list_age_seconds", func() float64 {
-		_, _, age, _ := r.held.Now()
+		_, _, age, _ := r.held.Current()
 		return age.Seconds()
 	})
 	set.NewGauge("shelf_feed_polls_total", func() float64 { return float64(r.feed.Stats().Polls) })
@@ -158,31 +158,33 @@
 		return
 	}
 	r.prepare.Do(func() { close(r.prepared) })
-	r.member.Nudge()
+	r.member.NotifyNow()
 }
 
-func (r *Router) learn(k cluster.Known) {
-	r.fleet.SetOthers(k.Use)
-	r.fleet.HearsayDead(k.Dead)
-	r.blame.Learn(k.Deaths)
+func (r *Router) learn(k cluster.PeerReports) {
+	r.fleet.SetPeerUse(k.Use)
+	r.fleet.PeerReportedDead(k.Dead)
+	r.blame.AddPeerDeaths(k.Deaths)
 	r.handler.SetVMs(len(k.Routers))
-	r.handler.SetShort(k.Short)
+	r.handler.SetCopiesDisabled(k.LowMemory)
 	r.handler.SetPaces(k.Paces)
 	r.fleet.SetRouters(r.o.ID, k.Routers)
 }
 
 // kept are the streams here with a copy. The member starts after the handler.
-func (r *Router) kept() []forward.Kept { return r.handler.Kept() }
+func (r *Router) kept() []forward.ResumableRun { return r.handler.ResumableRuns() }
 
-func (r *Router) learnSpent(others map[string]forward.Spent) { r.handler.SetSpent(others) }
+func (r *Router) learnSpent(others map[string]forward.RetryUsage) {
+	r.handler.SetPeerRetryUsage(others)
+}
 
 func (r *Router) paces() map[string]scheduler.EngineTiming { return r.handler.Paces() }
 
-func (r *Router) spent() map[string]forward.Spent { return r.handler.Spent() }
+func (r *Router) spent() map[string]forward.RetryUsage { return r.handler.RetryUsage() }
 
 // Ready reports whether callers may be sent here.
 func (r *Router) Ready() bool {
-	_, _, _, listed := r.held.Now()
+	_, _, _, listed := r.held.Current()
 	return listed && r.table.Load() != nil && !r.drain.started()
 }
 
@@ -198,7 +200,7 @@
 func (r *Router) Shutdown() {
 	r.drain.start()
 	ctx, cancel := context.WithTimeout(r.ctx, tellTimeout)
-	r.member.Tell(ctx)
+	r.member.SendNow(ctx)
 	cancel()
 	r.drain.wait()
 	r.Close()
--- a/internal/routed/text.go
+++ b/internal/routed/text.go
@@ -35,7 +35,7 @@
 func (s *sharedText) answer(text []byte) (bulk.Value, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if bytes.Equal(s.last, text) && s.values.Offers(s.told) {
+	if bytes.Equal(s.last, text) && s.values.StillOffers(s.told) {
 		return s.told, nil
 	}
 	v, err := s.values.Offer(text)
--- a/internal/routedlocal/system.go
+++ b/internal/routedlocal/system.go
@@ -154,7 +154,7 @@
 func (s *System) startRouter(id, front string, seeds []string) error {
 	r, err := routed.StartRouter(routed.RouterOptions{
 		Common: common(id, seeds), Callers: front, Wire: forward.NewPlainWire(),
-		Allowance: forward.Allowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
+		Allowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
 		Drain:     routed.DrainTimes{Grace: 4 * time.Second, EntryTTL: 300 * time.Millisecond},
 	})
 	if err != nil {
--- a/internal/routes/bench_test.go
+++ b/internal/routes/bench_test.go
@@ -36,7 +36,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []struct{ routes, workspaces int }{{1_400, 24}, {4_248, 24}, {4_248, 6_600}} {
 		b.Run(fmt.Sprintf("%d_routes_%d_workspaces", size.routes, size.workspaces), func(b *testing.B) {
-			p := &Part{held: *benchList(size.routes, size.workspaces)}
+			p := &StateMachine{held: *benchList(size.routes, size.workspaces)}
 			whole := p.Changes(0)
 			packed, err := codec.Pack(whole)
 			if err != nil {
--- a/internal/routes/part.go
+++ b/internal/routes/part.go
@@ -13,8 +13,8 @@
 // The outcomes.
 const (
 	Accepted   Outcome = 1
-	Held       Outcome = 2 // the same list is in force already
-	Overtaken  Outcome = 3 // a higher version is in force; nothing changed
+	Unchanged  Outcome = 2 // the same list is in force already
+	Superseded Outcome = 3 // a higher version is in force; nothing changed
 	Conflict   Outcome = 4 // other content is held under this version
 	Unreadable Outcome = 5
 )
@@ -29,19 +29,19 @@
 //
 // Safeguard: the decision is taken where the log is applied, so that two
 // operators who race with one version cannot both be told that theirs holds.
-type Part struct{ held List }
+type StateMachine struct{ held List }
 
 // NewPart returns a Part without a list.
-func NewPart() *Part { return &Part{} }
+func NewStateMachine() *StateMachine { return &StateMachine{} }
 
 // Version implements control.Part.
-func (p *Part) Version() uint64 { return p.held.Version }
+func (p *StateMachine) Version() uint64 { return p.held.Version }
 
 // List is the list in force; Version 0: none yet. It must not be changed.
-func (p *Part) List() *List { return &p.held }
+func (p *StateMachine) List() *List { return &p.held }
 
 // Apply executes an encoded List.
-func (p *Part) Apply(_ int64, cmd []byte) []byte {
+func (p *StateMachine) Apply(_ int64, cmd []byte) []byte {
 	var l List
 	outcome := Unreadable
 	if err := codec.Unmarshal(cmd, &l); err == nil {
@@ -54,31 +54,31 @@
 	return out
 }
 
-func (p *Part) put(l List) Outcome {
+func (p *StateMachine) put(l List) Outcome {
 	switch {
 	case l.Version > p.held.Version:
 		p.held = l
 		return Accepted
 	case l.Version < p.held.Version:
-		return Overtaken
+		return Superseded
 	case bytes.Equal(l.Source, p.held.Source):
-		return Held
+		return Unchanged
 	}
 	return Conflict
 }
 
 // Changes implements control.Part: the whole list without the operator's text.
-func (p *Part) Changes(uint64) []byte {
+func (p *StateMachine) Changes(uint64) []byte {
 	l := p.held
 	l.Source = nil
 	return mustMarshal(&l)
 }
 
 // Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.held) }
+func (p *StateMachine) Snapshot() ([]byte, error) { return codec.Marshal(&p.held) }
 
 // Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+func (p *StateMachine) Restore(data []byte) error {
 	var l List
 	if err := codec.Unmarshal(data, &l); err != nil {
 		return fmt.Errorf("routes: snapshot: %w", err)
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -76,7 +76,7 @@
 			t.Errorf("%s%s leads to %q, want %q", tt.host, tt.path, got, tt.want)
 		}
 	}
-	if w := table.Holder("k2"); w == nil || w.Name != "nelson" {
+	if w := table.WorkspaceByKey("k2"); w == nil || w.Name != "nelson" {
 		t.Errorf("k2 is held by %v", w)
 	}
 }
@@ -105,12 +105,12 @@
 		held    uint64
 	}{
 		{"first", proper(2), Accepted, 2},
-		{"sent again", proper(2), Held, 2},
+		{"sent again", proper(2), Unchanged, 2},
 		{"other content, same version", other, Conflict, 2},
 		{"higher", proper(5), Accepted, 5},
-		{"older, late", proper(2), Overtaken, 5},
+		{"older, late", proper(2), Superseded, 5},
 	}
-	p := NewPart()
+	p := NewStateMachine()
 	for _, s := range steps {
 		data, err := codec.Marshal(s.list)
 		if err != nil {
@@ -130,13 +130,13 @@
 }
 
 func TestPartSnapshot(t *testing.T) {
-	p := NewPart()
+	p := NewStateMachine()
 	p.put(*proper(3))
 	data, err := p.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := NewPart()
+	q := NewStateMachine()
 	if err := q.Restore(data); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -56,7 +56,7 @@
 }
 
 // Holder returns the workspace that holds a key, or nil.
-func (t *Table) Holder(key string) *Workspace { return t.holders[key] }
+func (t *Table) WorkspaceByKey(key string) *Workspace { return t.holders[key] }
 
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
@@ -77,7 +77,7 @@
 }
 
 // Draw is Pick with the process's own randomness.
-func (r *Route) Draw() string {
+func (r *Route) PickRandom() string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -130,7 +130,7 @@
 	}
 	slices.Sort(ids)
 	out := map[string]bool{}
-	for _, id := range ids[:min(len(ids), rollout.Few(w.VersionShare, others))] {
+	for _, id := range ids[:min(len(ids), rollout.TrialServers(w.VersionShare, others))] {
 		out[id] = true
 	}
 	if r.versionSubsets == nil {
--- a/internal/upstream/fleet.go
+++ b/internal/upstream/fleet.go
@@ -160,7 +160,7 @@
 }
 
 // SetOthers takes what other VMs have running on each server.
-func (f *Fleet) SetOthers(use map[string]placement.Usage) {
+func (f *Fleet) SetPeerUse(use map[string]placement.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.others = use
@@ -189,7 +189,7 @@
 }
 
 // Mine is what this VM has running on each server.
-func (f *Fleet) Mine() map[string]placement.Usage {
+func (f *Fleet) OwnUse() map[string]placement.Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string]placement.Usage{}
@@ -202,7 +202,7 @@
 }
 
 // Work is how long a call takes at a server once it has a slot; 0: not known.
-func (f *Fleet) Work(s *Server) time.Duration {
+func (f *Fleet) ServiceTime(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(s.work * float64(time.Millisecond))
@@ -259,8 +259,8 @@
 			out = append(out, s)
 		}
 	}
-	if v.Part > 0 {
-		return few(out, rollout.Few(v.Part, others), f.now())
+	if v.ServerShare > 0 {
+		return few(out, rollout.TrialServers(v.ServerShare, others), f.now())
 	}
 	return out
 }
@@ -299,18 +299,18 @@
 func (s *Server) avoided(now time.Time) bool { return now.Before(s.avoid) || now.Before(s.doubted) }
 
 // Opinion is what this VM would tell others of servers, by id.
-type Opinion struct {
-	Avoid []string // not to be used, as this VM found itself
-	Doubt []string // taken for lost with their zone, or by hearsay
-	Alive []string // heard just now
+type Report struct {
+	Avoid     []string // not to be used, as this VM found itself
+	Suspected []string // taken for lost with their zone, or by hearsay
+	Alive     []string // heard just now
 }
 
 // Opinion returns what this VM knows of its servers that others may not.
-func (f *Fleet) Opinion() Opinion {
+func (f *Fleet) Report() Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	var o Opinion
+	var o Report
 	for _, s := range f.order {
 		switch {
 		case s.stale || now.Before(s.avoid):
@@ -318,7 +318,7 @@
 		case now.Sub(s.heard) < heardLately:
 			o.Alive = append(o.Alive, s.ID)
 		case now.Before(s.doubted):
-			o.Doubt = append(o.Doubt, s.ID)
+			o.Suspected = append(o.Suspected, s.ID)
 		}
 	}
 	return o
@@ -372,7 +372,7 @@
 }
 
 // Give takes it off again.
-func (f *Fleet) Give(s *Server, u placement.Usage) {
+func (f *Fleet) Release(s *Server, u placement.Usage) {
 	f.Take(s, u.Negated())
 }
 
@@ -385,7 +385,7 @@
 
 // Doubted is closed when its neighbours' deaths give reason to ask the server
 // whether it lives.
-func (f *Fleet) Doubted(s *Server) <-chan struct{} {
+func (f *Fleet) Suspected(s *Server) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.doubt
@@ -399,7 +399,7 @@
 }
 
 // HeardAgo is how long the server has been silent towards this VM.
-func (f *Fleet) HeardAgo(s *Server) time.Duration {
+func (f *Fleet) SilentFor(s *Server) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now().Sub(s.heard)
--- a/internal/upstream/fleet_test.go
+++ b/internal/upstream/fleet_test.go
@@ -44,12 +44,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(12)
 		time.Sleep(5 * time.Second)
-		doubted := f.Doubted(f.Lookup("b7"))
-		f.Dead(f.Lookup("b0"))
+		doubted := f.Suspected(f.Lookup("b7"))
+		f.MarkDead(f.Lookup("b0"))
 		if n := usable(f, "b"); n != 11 {
 			t.Errorf("%d usable after one death", n)
 		}
-		f.Dead(f.Lookup("b1"))
+		f.MarkDead(f.Lookup("b1"))
 		if n := usable(f, "b"); n != 0 {
 			t.Errorf("%d of a lost zone would still get requests", n)
 		}
@@ -74,8 +74,8 @@
 		f := newTestFleet(4)
 		time.Sleep(5 * time.Second)
 		f.Heard(f.Lookup("b3"))
-		f.Dead(f.Lookup("b0"))
-		f.Dead(f.Lookup("b1"))
+		f.MarkDead(f.Lookup("b0"))
+		f.MarkDead(f.Lookup("b1"))
 		if n := usable(f, "b"); n != 1 {
 			t.Errorf("%d usable, want the one that was heard", n)
 		}
@@ -88,7 +88,7 @@
 		f := newTestFleet(4)
 		time.Sleep(5 * time.Second)
 		died := f.Died(f.Lookup("a0"))
-		f.HearsayDead([]string{"a0", "unknown"})
+		f.PeerReportedDead([]string{"a0", "unknown"})
 		if n := usable(f, "a"); n != 3 {
 			t.Errorf("%d usable", n)
 		}
@@ -116,7 +116,7 @@
 func TestNothingGoesToLeavingServers(t *testing.T) {
 	f := newTestFleet(1)
 	stale := f.Lookup("c0")
-	f.Stale(stale)
+	f.MarkStale(stale)
 	f.Apply(List{Backends: []Backend{
 		{ID: "a0", Service: "m", Zone: "a", Address: "a0:1", Draining: true},
 		{ID: "b0", Service: "m", Zone: "b", Address: "b0:1"},
@@ -135,11 +135,11 @@
 func TestOthersLoadCounts(t *testing.T) {
 	f := newTestFleet(1)
 	f.Take(f.Lookup("a0"), placement.Usage{Requests: 1, Tokens: 10})
-	f.SetOthers(map[string]placement.Usage{"a0": {Requests: 2, Tokens: 30}})
+	f.SetPeerUse(map[string]placement.Usage{"a0": {Requests: 2, Tokens: 30}})
 	if u := f.UseOf(f.Lookup("a0")); u.Requests != 3 || u.Tokens != 40 {
 		t.Errorf("use %+v", u)
 	}
-	if mine := f.Mine()["a0"]; mine.Requests != 1 {
+	if mine := f.OwnUse()["a0"]; mine.Requests != 1 {
 		t.Errorf("told to others: %+v", mine)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -97,7 +97,7 @@
 
 // Ask sends a request of this system's own on a new connection and reads the whole
 // answer: a kept connection may have gone silent by itself while the server lives.
-func (p *Pool) Ask(ctx context.Context, key, addr string, r *Request) (*http.Response, []byte, error) {
+func (p *Pool) Do(ctx context.Context, key, addr string, r *Request) (*http.Response, []byte, error) {
 	c, err := p.Get(ctx, key, addr, true)
 	if err != nil {
 		return nil, nil, err
--- a/internal/upstream/verdict.go
+++ b/internal/upstream/verdict.go
@@ -7,7 +7,7 @@
 )
 
 // Suspect avoids a server for a while, longer each time in a row.
-func (f *Fleet) Suspect(s *Server) {
+func (f *Fleet) Avoid(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.strike(s)
@@ -38,7 +38,7 @@
 
 // Dead judges a server dead: all that runs there for this VM moves on at once,
 // since one silent stream is a witness for its neighbours.
-func (f *Fleet) Dead(s *Server) {
+func (f *Fleet) MarkDead(s *Server) {
 	f.mu.Lock()
 	f.avoidFor(s, deadFor)
 	f.dead[s.ID] = f.now()
@@ -67,7 +67,7 @@
 			continue
 		}
 		avoided++
-		o.doubted = now.Add(recovery.OutageFor)
+		o.doubted = now.Add(recovery.OutageAvoidDuration)
 		f.raiseDoubt(o)
 	}
 	f.log.Warn().Str("service", s.Service).Str("zone", s.Zone).Int("avoided", avoided).Msg("zone taken for lost")
@@ -96,7 +96,7 @@
 }
 
 // Dying are the servers that this VM judged dead lately, to tell the others.
-func (f *Fleet) Dying() []string {
+func (f *Fleet) RecentlyDead() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
@@ -112,7 +112,7 @@
 
 // HearsayDead takes what other VMs judged dead. It moves nothing by itself: the
 // other VM's link may be at fault.
-func (f *Fleet) HearsayDead(ids []string) {
+func (f *Fleet) PeerReportedDead(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
@@ -124,14 +124,14 @@
 		if s.avoided(f.now()) {
 			continue
 		}
-		s.doubted = f.now().Add(recovery.OutageFor)
+		s.doubted = f.now().Add(recovery.OutageAvoidDuration)
 		f.raiseDoubt(s)
 		f.noteDeath(s)
 	}
 }
 
 // Full notes that the server refused a request because it is full.
-func (f *Fleet) Full(s *Server) {
+func (f *Fleet) MarkFull(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoidFor(s, fullFor)
@@ -139,7 +139,7 @@
 
 // Stale notes that another incarnation holds the server's address: nothing is
 // sent there until the list names it. Each send would be refused, and count.
-func (f *Fleet) Stale(s *Server) {
+func (f *Fleet) MarkStale(s *Server) {
 	f.mu.Lock()
 	s.stale = true
 	f.mu.Unlock()
@@ -182,7 +182,7 @@
 
 // Reported takes the load that a server states: requests that run and wait there
 // from all VMs.
-func (f *Fleet) Reported(s *Server, requests int) {
+func (f *Fleet) SetReportedLoad(s *Server, requests int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.reported, s.told = max(0, requests-s.use.Requests), f.now()
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -55,7 +55,7 @@
 	if other := mostOf(u.listed[service], v.Except); other != "" {
 		return other
 	}
-	return v.Else
+	return v.Fallback
 }
 
 // mostOf is the version with the most servers that is not excepted; "": there is none.
