--- a/internal/relay/ticket.go
+++ b/internal/relay/admission.go
@@ -9,10 +9,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// enter reserves the request's cost and takes a place in the admission queue. A
-// refusal comes before the journal is opened, so that it can promise that
+// admit reserves the request's cost and takes a place in the admission queue. This
+// happens before the journal is opened, and a refusal can therefore promise that
 // nothing ran.
-func (r *Run) enter(ctx context.Context, accepted bool) error {
+func (r *Run) admit(ctx context.Context, accepted bool) error {
 	if !accepted {
 		if err := r.hub.recovery.refusePoison(r.Request().ContentDigest(), result.RanNo); err != nil {
 			r.hub.note(r.Request().ID, explain.Refused, err.Error())
@@ -54,13 +54,13 @@
 	return err
 }
 
-// charge settles the reservation. offered tells that the journal was given to
-// keepers. A finished answer is charged by its usage, a request of which nothing
-// ran not at all. Whatever may still go on elsewhere is charged in full, because
-// a takeover reserves nothing: a deposed owner's answer, a journal that some
-// keepers may hold, an answer that stopped half-way and that its caller may
-// still come back for.
-func (r *Run) charge(offered bool) {
+// charge settles the reservation. offered reports whether the journal was
+// sent to keepers. A finished answer is charged by its usage. A request of which
+// nothing ran is not charged. Every answer that may still continue on another VM is
+// charged in full, because a takeover reserves nothing: the answer of a deposed owner,
+// a journal that some keepers may hold, and an unfinished answer for which the caller
+// may still come back.
+func (r *Run) charge(replicated bool) {
 	if r.settle == nil {
 		return
 	}
@@ -71,15 +71,15 @@
 		used = j.Usage.PromptTokens + j.Len()
 	}
 	if j.Finish != "" && j.Usage.PromptTokens == 0 {
-		used += r.owner.Request.PromptTokens() // the engine did not say
+		used += r.owner.Request.PromptTokens() // the engine reported no usage
 	}
-	none := errors.Is(r.err, result.New(result.AdapterNotServed)) // no engine began
-	ran := offered && !none && (r.stats.Attempts > 0 || r.owner.Deposed() || !r.owner.Accepted())
+	adapterNotServed := errors.Is(r.err, result.New(result.AdapterNotServed)) // no engine started the request
+	ran := replicated && !adapterNotServed && (r.stats.Attempts > 0 || r.owner.Deposed() || !r.owner.Accepted())
 	r.mu.Unlock()
 	r.settle(ran, used)
 }
 
-func noteOr(f NoteFunc) NoteFunc {
+func noteFuncOrNop(f NoteFunc) NoteFunc {
 	if f != nil {
 		return f
 	}
--- a/internal/relay/attach.go
+++ b/internal/relay/attach.go
@@ -15,26 +15,25 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// attachOverlap is how many tokens of the journal a new owner reads again from
-// the stream that it attaches to. They must be equal: a stream of another
-// attempt that slipped in would differ within a few tokens.
+// attachOverlap is how many tokens at the journal's end a new owner reads again from
+// the stream to which it attaches. They must equal the journal's, because the stream
+// of a wrong attempt would differ within a few tokens.
 const attachOverlap = 8
 
 var errSourceDiffers = errors.New("relay: the engine's stream does not continue the journal")
 
-// attachFirst goes on with the stream that the former owner left on an engine,
-// which saves the prefill of prompt and journal. The attempt is a new one of
-// this epoch; the old attempt's id is only the label that its events carry here,
-// on a connection of this owner's own. It reports whether the run needs no
-// further attempt.
-func (r *Run) attachFirst(ctx context.Context) bool {
+// attachToSource continues the stream that the former owner left running on an
+// engine, which saves the prefill of prompt and journal. This counts as a new attempt
+// of this epoch. The events still carry the old attempt's id, but they arrive on this
+// owner's own connection. It reports whether the run needs no further attempt.
+func (r *Run) attachToSource(ctx context.Context) bool {
 	src := r.source
 	if src == nil {
 		return false
 	}
 	r.source = nil
 	id, from := r.beginAttach(*src)
-	r.hub.note(r.Request().ID, explain.Resumed, fmt.Sprintf("attached to the stream on %s behind %d tokens", src.Backend, from))
+	r.hub.note(r.Request().ID, explain.Resumed, fmt.Sprintf("attached to the stream on %s after %d tokens", src.Backend, from))
 	span := r.hub.span(r.Request(), "attempt", attribute.String("engine", src.Backend), attribute.Int("from", from), attribute.Bool("attached", true))
 	actx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -58,15 +57,15 @@
 		return true
 	}
 	r.hub.metrics.Add("attach_failed", 1)
-	r.log.Info().Err(err).Str("engine", src.Backend).Msg("stream of the former owner is gone; resuming")
+	r.log.Info().Err(err).Str("engine", src.Backend).Msg("former owner's stream is gone; resuming on another engine")
 	r.cancelAttempt(src.Addr, src.Attempt)
 	return false
 }
 
-// cancelSilent ends an attached stream once its engine is suspected. There is
-// nothing to prefill: a stream that is there goes on at once.
+// cancelSilent cancels an attached stream once its engine is suspected. It allows no
+// time for prefill, because a stream that is still running continues immediately.
 func (c *recoverer) cancelSilent(ctx context.Context, cancel context.CancelFunc, s *recovery.Stream) {
-	ticker := time.NewTicker(checkEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -81,7 +80,8 @@
 	}
 }
 
-// beginAttach returns the attempt and the index to read from.
+// beginAttach starts an attempt for an attached stream. It returns the attempt's id
+// and the index from which to read.
 func (r *Run) beginAttach(src generation.Source) (generation.AttemptID, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +97,7 @@
 		return errForeignEvent
 	}
 	err := r.update(func() error {
-		span, err := behind(r.owner.Journal(), e)
+		span, err := afterJournal(r.owner.Journal(), e)
 		if err != nil {
 			return err
 		}
@@ -111,14 +111,14 @@
 		return r.owner.Append(id.Number, span, e.Finish, r.usage(e))
 	})
 	if err == nil {
-		r.hub.journals.mark(r)
+		r.hub.replicator.mark(r)
 	}
 	return err
 }
 
-// behind returns the part of an event that comes after the journal's end. The
-// part before it must be equal to the journal.
-func behind(j *generation.Journal, e engine.Event) (generation.Span, error) {
+// afterJournal returns the part of an event after the journal's end. The part before
+// it must equal the journal.
+func afterJournal(j *generation.Journal, e engine.Event) (generation.Span, error) {
 	from := e.Index - len(e.TokenIDs)
 	if from < 0 || from > j.Len() {
 		return generation.Span{}, errSourceDiffers
@@ -130,18 +130,19 @@
 	return generation.Span{From: from + known, Tokens: e.TokenIDs[known:], Texts: e.Texts[known:]}, nil
 }
 
-// began notes on which engine an attempt runs, before its first token.
-func (r *Run) began(b Backend, c *engine.Completion) {
+// recordSource records the engine of an attempt in the journal, before the attempt's
+// first token.
+func (r *Run) recordSource(b Backend, c *engine.Completion) {
 	r.mu.Lock()
 	r.owner.SetSource(generation.Source{Backend: b.Name, Addr: b.Addr, Attempt: c.Attempt, From: len(c.Generated)})
 	r.mu.Unlock()
-	r.hub.journals.mark(r)
+	r.hub.replicator.mark(r)
 }
 
-// endAttempt cancels an attempt on its engine, unless the generation goes on
-// elsewhere: its new owner may be reading that very stream.
+// endAttempt cancels an attempt on its engine, unless the generation may continue on
+// another VM, whose run may have attached to the same stream.
 func (r *Run) endAttempt(addr string, id engine.Attempt) {
-	if !r.letGo() {
+	if !r.handedOff() {
 		r.cancelAttempt(addr, id)
 	}
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -4,272 +4,312 @@
 	"context"
 	"errors"
 	"fmt"
-	"math/rand/v2"
-	"slices"
+	"net"
+	"net/http"
 	"time"
 
 	"github.com/amaranthshelf/amaranthshelf/internal/engine"
 	"github.com/amaranthshelf/amaranthshelf/internal/explain"
 	"github.com/amaranthshelf/amaranthshelf/internal/generation"
 	"github.com/amaranthshelf/amaranthshelf/internal/recovery"
-	"github.com/amaranthshelf/amaranthshelf/internal/result"
 
-	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// Pauses between tries to find an engine. Others run out of work within tens of
-// milliseconds; after an outage a half second more is not noticed.
-const (
-	pickPauseMin = 20 * time.Millisecond
-	pickPauseMax = 500 * time.Millisecond
-)
+// attempt is one attempt on one engine. A hedge is a second attempt that runs beside
+// the first. It may append only once it has become the current attempt, by delivering
+// the next token first.
+type attempt struct {
+	choice     Choice
+	completion engine.Completion
+	number     int // 0: a hedge that has not won; guarded by Run.mu
+	from       int // number of tokens before the attempt
+	events     int // used only by the goroutine that launch starts
+	stream     *recovery.Stream
+	resume     *recovery.Resume
+	suspect    bool
+	silent     bool // abandoned because the engine was silent
+	slow       bool // abandoned because the engine was slow
+	cancel     context.CancelFunc
+	err        error
+}
 
-// rejectLimit engines that refuse the request itself are enough to believe it.
-const rejectLimit = 2
+// launch starts an attempt and sends it to ends when it has ended.
+func (r *Run) launch(ctx context.Context, a *attempt, ends chan<- *attempt) {
+	ctx, a.cancel = context.WithCancel(ctx)
+	span := r.hub.span(r.Request(), "attempt", attribute.String("engine", a.choice.Backend.Name), attribute.Int("from", a.from))
+	go func() {
+		defer func() { endSpan(span, a.err) }()
+		defer a.cancel()
+		a.err = r.hub.engines.Generate(ctx, a.choice.Backend.Addr, a.completion, func(e engine.Event) error {
+			return r.onEvent(a, e)
+		})
+		ends <- a
+	}()
+}
 
-// drive waits for a slot and runs attempts until the generation has finished,
-// was taken over, or cannot go on.
-func (r *Run) drive(ctx context.Context) {
-	defer r.release()
-	if r.attachFirst(ctx) {
-		return
-	}
-	deadline := deadlineOf(r.Request(), time.Now())
-	err := r.admitted(ctx)
-	for again := true; again && err == nil && ctx.Err() == nil; {
-		again, err = r.attempt(ctx, deadline)
-	}
-	if err != nil && ctx.Err() == nil {
-		r.stop(err)
+// follow runs an attempt until it ends. It may hedge a silent attempt, and abandons
+// one that stays silent for too long or whose engine is too slow. It reports whether
+// another attempt is needed.
+func (r *Run) follow(ctx context.Context, a *attempt) (bool, error) {
+	ends := make(chan *attempt, 2)
+	r.launch(ctx, a, ends)
+	timer := time.NewTimer(checkInterval)
+	defer timer.Stop()
+	var hedge *attempt
+	hedged := false
+	for {
+		select {
+		case <-timer.C:
+			if hedge != nil && r.hasWon(hedge) {
+				a.cancel() // it is then received from ends, and the hedge continues alone
+				continue
+			}
+			suspect, due, again := r.hub.recovery.check(a.stream, a.from+r.Request().PromptTokens())
+			if suspect {
+				a.silent = true
+				a.cancel()
+				continue // the attempt is then received from ends
+			}
+			if hedge == nil && r.worthMoving(a) {
+				a.slow = true
+				a.cancel()
+				continue
+			}
+			if due && !hedged {
+				hedged = true
+				hedge = r.hedge(ctx, a, ends)
+			}
+			timer.Reset(again)
+		case ended := <-ends:
+			if ended == hedge && !r.hasWon(hedge) {
+				r.discard(hedge)
+				hedge = nil
+				continue
+			}
+			if hedge == nil {
+				return r.endCurrent(ctx, ended)
+			}
+			other := hedge
+			if ended == hedge {
+				other = a
+			}
+			if ended.err == nil || ctx.Err() != nil {
+				other.cancel()
+				r.discard(<-ends)
+				return r.endCurrent(ctx, ended)
+			}
+			r.settleFailed(ctx, ended)
+			a, hedge = other, nil
+			timer.Reset(checkInterval)
+		}
 	}
 }
 
-func (r *Run) admitted(ctx context.Context) error {
-	if r.ticket == nil {
-		return nil
+// worthMoving reports whether the answer would finish sooner on another engine and
+// the budget of extra work allows the move, which it then charges.
+func (r *Run) worthMoving(a *attempt) bool {
+	slowness := a.choice.slowness()
+	if slowness <= 1 {
+		return false
 	}
-	span := r.hub.span(r.Request(), "queue")
-	err := r.ticket.Wait(ctx)
-	endSpan(span, err)
-	return err
+	q := r.query()
+	left := r.Request().MaxTokens - q.Tokens
+	return recovery.WorthMoving(slowness, left, q.Prefill()) && r.hub.recovery.spendMove(q.Prefill())
 }
 
-// attempt runs one attempt and reports whether another is needed.
-func (r *Run) attempt(ctx context.Context, deadline time.Time) (bool, error) {
-	resume, err := r.pace(ctx, deadline)
-	if err != nil {
-		return false, err
-	}
-	defer r.hub.recovery.paced(r.Request().Model, resume)
-	choice, err := r.pick(ctx, deadline)
-	if err != nil {
-		return false, err
+// giveUp settles an attempt whose answer continues in the other attempt.
+func (r *Run) settleFailed(ctx context.Context, a *attempt) {
+	if errors.Is(a.err, generation.ErrStaleAttempt) || r.superseded(a) {
+		r.discard(a)
+		return
 	}
-	l := r.begin(choice, resume)
-	r.began(choice.Backend, &l.completion)
-	return r.follow(ctx, l)
+	o := a.outcome(ctx)
+	a.choice.done(o)
+	r.hub.recovery.end(a.stream)
+	r.recordLoss(a, o)
 }
 
-// pace holds a resume back while the engines are busy with others; the first
-// attempt has its slot already.
-func (r *Run) pace(ctx context.Context, deadline time.Time) (*recovery.Resume, error) {
-	q := r.query()
-	if !q.Resume {
-		return nil, nil
-	}
-	req := r.Request()
-	resume := &recovery.Resume{Deadline: deadline, Priority: req.Priority, Prefill: q.Prefill()}
-	return resume, r.hub.recovery.pace(ctx, req.Model, resume)
+func (r *Run) superseded(a *attempt) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return a.number != 0 && a.number != r.current
 }
 
-// pick finds an engine. An accepted request outlives an outage of all engines:
-// it waits for one until its deadline or until its caller is gone for good.
-func (r *Run) pick(ctx context.Context, deadline time.Time) (Choice, error) {
-	req := r.Request()
-	digest := req.ContentDigest()
-	pause := pickPauseMin
-	for waited := false; ; waited = true {
-		q := r.query()
-		if err := r.hub.recovery.refusePoison(digest, r.ran()); err != nil {
-			r.hub.note(req.ID, explain.Refused, err.Error())
-			return Choice{}, err
-		}
-		q.Suspect = r.hub.recovery.standing(digest) == recovery.Suspect
-		choice, err := r.hub.router.Pick(ctx, q)
-		if err == nil {
-			r.notePlaced(&choice, &q)
-			return choice, nil
-		}
-		if !errors.Is(err, result.New(result.NoBackendServer)) {
-			return Choice{}, err
-		}
-		if !deadline.IsZero() && time.Now().After(deadline) {
-			return Choice{}, result.New(result.DeadlinePassed).WithRan(r.ran())
-		}
-		if !waited {
-			r.hub.metrics.Add("waits_for_engine", 1)
-			r.hub.note(req.ID, explain.Queued, "no engine can take it now")
-		}
-		if err := timer.Sleep(ctx, pause/2+rand.N(pause)); err != nil {
-			return Choice{}, err
-		}
-		pause = min(2*pause, pickPauseMax)
-	}
+func (r *Run) hasWon(a *attempt) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return a.number != 0
+}
+
+// discard settles an attempt whose tokens are discarded.
+func (r *Run) discard(a *attempt) {
+	a.choice.done(OutcomeCancelled)
+	r.hub.recovery.end(a.stream)
+	r.endAttempt(a.choice.Backend.Addr, a.completion.Attempt)
 }
 
-func (r *Run) notePlaced(c *Choice, q *Query) {
-	what, why := explain.Placed, fmt.Sprintf("on %s in %s", c.Backend.Name, c.Backend.Zone)
-	if q.Resume {
-		what, why = explain.Resumed, fmt.Sprintf("on %s in %s behind %d tokens", c.Backend.Name, c.Backend.Zone, q.Tokens)
+// hedge starts a second attempt on another engine if the budget allows it.
+func (r *Run) hedge(ctx context.Context, a *attempt, ends chan<- *attempt) *attempt {
+	q := r.query()
+	q.Resume = true
+	q.Avoid = append(q.Avoid, a.choice.Backend.Name)
+	if !r.hub.recovery.spendHedge(q.Prefill()) {
+		return nil
 	}
-	if c.Cached > 0 {
-		why += fmt.Sprintf(", %d prompt tokens cached there", c.Cached)
+	choice, err := r.hub.router.Pick(ctx, q)
+	if err != nil {
+		return nil
 	}
-	if q.Suspect {
-		why += ", alone: its last engine died"
+	if choice.Backend.Name == a.choice.Backend.Name {
+		choice.done(OutcomeCancelled)
+		return nil
 	}
-	r.hub.note(r.Request().ID, what, why)
+	r.mu.Lock()
+	hedge := r.newAttempt(choice, a.completion.Attempt+"-hedge")
+	r.stats.ExtraPrefill += q.Prefill()
+	r.mu.Unlock()
+	r.hub.metrics.Add("hedges", 1)
+	r.hub.note(r.Request().ID, explain.Suspected, fmt.Sprintf("%s is silent; hedged on %s", a.choice.Backend.Name, choice.Backend.Name))
+	r.launch(ctx, hedge, ends)
+	return hedge
 }
 
-// ran tells whether any engine was given the request.
-func (r *Run) ran() result.Ran {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.stats.Attempts > 0 || r.owner.Journal().Len() > 0 {
-		return result.RanYes
+var errForeignEvent = errors.New("relay: event of another attempt")
+
+func (r *Run) onEvent(a *attempt, e engine.Event) error {
+	if e.Attempt != a.completion.Attempt {
+		r.hub.metrics.Add("events_foreign", 1)
+		return errForeignEvent
 	}
-	return result.RanNo
+	span := generation.Span{From: e.Index - len(e.TokenIDs), Tokens: e.TokenIDs, Texts: e.Texts}
+	err := r.update(func() error {
+		if err := r.claim(a); err != nil {
+			r.stats.ExtraDecoded += len(e.TokenIDs)
+			return err
+		}
+		if err := r.pin(e); err != nil {
+			return err
+		}
+		r.noteResumed()
+		return r.owner.Append(a.number, span, e.Finish, r.usage(e))
+	})
+	if err != nil {
+		return err
+	}
+	r.hub.replicator.mark(r)
+	r.progress(a, e)
+	return nil
 }
 
-// avoidLast is how many engines that failed this request are avoided while
-// there are others: older ones have had time to come back.
-const avoidLast = 3
-
-func (r *Run) query() Query {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	avoid := r.failed[max(0, len(r.failed)-avoidLast):]
-	tokens := r.owner.Journal().Len()
-	return Query{
-		Request: &r.owner.Request, Tokens: tokens, Resume: r.stats.Attempts > 0 || tokens > 0,
-		Affinity: r.hub.recovery.policy.Affinity, Avoid: slices.Clone(avoid),
+// pin fixes the answer's model version to that of its first event. It refuses an
+// event of any other version, whose tokens would belong to a different generation.
+// It needs r.mu.
+func (r *Run) pin(e engine.Event) error {
+	pinned := r.owner.Version()
+	if pinned != "" && e.Version != "" && e.Version != pinned {
+		r.hub.metrics.Add("events_of_another_version", 1)
+		return errForeignEvent
 	}
+	r.owner.Pin(e.Version)
+	return nil
 }
 
-// begin makes a new attempt the one that may append.
-func (r *Run) begin(choice Choice, resume *recovery.Resume) *lane {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// claim makes a hedge the current attempt when its first token arrives. It fails if
+// the first attempt has appended tokens in the meantime, because the hedge's tokens
+// then no longer continue the journal. It needs r.mu.
+func (r *Run) claim(a *attempt) error {
+	switch {
+	case a.number != 0:
+		r.current = max(r.current, a.number)
+		return nil
+	case r.owner.Journal().Len() != a.from:
+		return generation.ErrStaleAttempt
+	}
 	id, _ := r.owner.BeginAttempt()
-	l := r.lane(choice, id.String())
-	l.number, l.resume = id.Number, resume
+	a.number, r.current = id.Number, id.Number
+	r.owner.SetSource(a.source())
 	r.stats.Attempts++
-	if r.stats.Attempts > 1 {
-		r.stats.ExtraPrefill += max(0, r.owner.Request.PromptTokens()+l.from-choice.Cached)
-	}
-	r.log.Debug().Str("engine", choice.Backend.Name).Int("attempt", id.Number).Int("from", l.from).Msg("attempt")
-	return l
+	r.hub.metrics.Add("hedges_won", 1)
+	return nil
 }
 
-// lane needs r.mu.
-func (r *Run) lane(choice Choice, label engine.Attempt) *lane {
-	req := &r.owner.Request
-	j := r.owner.Journal()
-	priority := req.Priority
-	if r.stats.Attempts > 0 || j.Len() > 0 {
-		priority += recovery.ResumePriority
-	}
-	return &lane{
-		choice: choice, from: j.Len(), stream: r.hub.recovery.begin(choice.Backend.Name),
-		suspect: r.hub.recovery.standing(req.ContentDigest()) == recovery.Suspect,
-		completion: engine.Completion{
-			Attempt: label, Model: req.Model, Version: r.owner.Version(), Adapter: req.Adapter,
-			Prompt: req.Prompt, PromptIDs: req.PromptIDs, Generated: slices.Clone(j.Tokens),
-			MaxTokens: req.MaxTokens, Priority: priority, Stream: true,
-			DetachMS: r.hub.cfg.DetachKeep.Milliseconds(),
-		},
-	}
+func (a *attempt) source() generation.Source {
+	b := a.choice.Backend
+	return generation.Source{Backend: b.Name, Addr: b.Addr, Attempt: a.completion.Attempt, From: a.from}
 }
 
-// concluded takes the end of the current attempt and reports whether another one is
-// needed.
-func (r *Run) concluded(ctx context.Context, l *lane) (bool, error) {
-	outcome := l.outcome(ctx)
-	l.choice.done(outcome)
-	r.hub.recovery.end(l.stream)
-	if outcome == OutcomeOK {
-		r.hub.recovery.passed(r.Request().ContentDigest(), l.from+r.Request().MaxTokens)
-		return false, nil
+// progress reports an event to admission, recovery and the router.
+func (r *Run) progress(a *attempt, e engine.Event) {
+	model := r.Request().Model
+	if a.events == 0 && a.resume != nil {
+		r.hub.recovery.releaseResume(model, a.resume)
 	}
-	if outcome != OutcomeDied && outcome != OutcomeRefused {
-		r.endAttempt(l.choice.Backend.Addr, l.completion.Attempt)
+	a.events++
+	if e.Index == len(e.TokenIDs) && r.ticket != nil {
+		r.ticket.FirstToken()
 	}
-	if outcome == OutcomeCancelled {
-		return false, nil
+	r.hub.recovery.event(a.stream, len(e.TokenIDs))
+	a.choice.progress(len(e.TokenIDs))
+	if a.suspect && r.hub.recovery.noteProgress(r.Request().ContentDigest(), e.Index-a.from) {
+		a.suspect = false
+		a.choice.cleared()
 	}
-	r.lost(l, outcome)
-	if outcome == OutcomeUnserved && r.adapterUnserved() {
-		return false, result.New(result.AdapterNotServed)
-	}
-	if outcome == OutcomeRejected && r.reject() >= rejectLimit {
-		return false, result.Newf(result.BackendFailed, "the backend servers refuse the request: %v", l.err)
-	}
-	return true, nil
 }
 
-// adapterUnserved counts engines that serve the model and not the request's
-// adapter, and reports whether they are enough to believe that none does. Before
-// the first token only: an answer that has begun waits for its adapter to return.
-func (r *Run) adapterUnserved() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.owner.Request.Adapter == "" || r.owner.Journal().Len() > 0 {
-		return false
+// noteResumed records the latency of a resume at its first token. It needs r.mu.
+func (r *Run) noteResumed() {
+	if r.lostAt.IsZero() {
+		return
 	}
-	r.unserved++
-	return r.unserved >= rejectLimit
-}
-
-func (r *Run) reject() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.rejected++
-	return r.rejected
+	r.stats.ResumeLatency = append(r.stats.ResumeLatency, time.Since(r.lostAt))
+	r.resumeSpan.End()
+	r.lostAt = time.Time{}
 }
 
-// lost notes that an attempt's engine is given up.
-func (r *Run) lost(l *lane, o Outcome) {
-	name := l.choice.Backend.Name
-	r.mu.Lock()
-	r.failed = append(r.failed, name)
-	if r.lostAt.IsZero() {
-		r.lostAt = time.Now()
-		r.resumeSpan = r.hub.span(r.Request(), "resume", attribute.String("lost", name))
+// outcome classifies the end of an attempt.
+func (a *attempt) outcome(ctx context.Context) Outcome {
+	switch {
+	case a.err == nil:
+		return OutcomeOK
+	case a.silent:
+		return OutcomeSuspected
+	case a.slow:
+		return OutcomeSlow
+	case errors.Is(a.err, generation.ErrDeposed), ctx.Err() != nil:
+		return OutcomeCancelled
+	default:
+		return classify(a.err)
 	}
-	tokens := r.owner.Journal().Len()
-	r.mu.Unlock()
-	r.hub.metrics.Add("attempts_lost", 1)
-	r.hub.metrics.Add("attempts_lost_"+o.String(), 1)
-	if o == OutcomeDied {
-		r.hub.recovery.died(name, r.Request().ContentDigest(), tokens-l.from)
-	}
-	r.log.Warn().Err(l.err).Str("engine", name).Stringer("outcome", o).Int("tokens", tokens).Msg("attempt lost; resuming")
-	r.hub.note(r.Request().ID, explain.Suspected, fmt.Sprintf("%s: %s after %d tokens", name, o, tokens))
 }
 
-// cancelAttempt frees the engine of work that nobody wants any more.
-func (r *Run) cancelAttempt(addr string, id engine.Attempt) {
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
-		defer cancel()
-		_ = r.hub.engines.Cancel(ctx, addr, id)
-	}()
+// classify maps an error to an outcome. It distinguishes an engine's death from a
+// refusal: only a death makes the requests that ran there suspects, and only a
+// refused connection proves immediately that no engine listens there.
+func classify(err error) Outcome {
+	var status *engine.StatusError
+	var op *net.OpError
+	switch {
+	case errors.As(err, &status):
+		return classifyStatus(status.Status)
+	case errors.As(err, &op) && op.Op == "dial":
+		return OutcomeRefused
+	case errors.Is(err, errForeignEvent), errors.Is(err, generation.ErrStaleAttempt):
+		return OutcomeFailed
+	default:
+		return OutcomeDied
+	}
 }
 
-func (r *Run) usage(e engine.Event) generation.Usage {
-	if e.Usage == nil {
-		return generation.Usage{}
+func classifyStatus(status int) Outcome {
+	switch status {
+	case http.StatusNotFound:
+		return OutcomeUnserved
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return OutcomeOverloaded
+	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
+		return OutcomeRejected
+	default:
+		return OutcomeFailed
 	}
-	return generation.Usage{PromptTokens: e.Usage.Prompt, CompletionTokens: e.Index}
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -17,14 +17,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/relay"
 )
 
-// tap is an engine that gives tokens as fast as they are taken, and then keeps
-// its streams open.
-type tap struct {
+// fastEngine is an engine that generates tokens as fast as they are read and then
+// keeps its streams open. It is also the router and the list of VMs.
+type fastEngine struct {
 	tokens int
 	views  []generation.Membership
 }
 
-func (e *tap) Generate(ctx context.Context, _ string, c engine.Completion, on func(engine.Event) error) error {
+func (e *fastEngine) Generate(ctx context.Context, _ string, c engine.Completion, on func(engine.Event) error) error {
 	ids, texts := []int32{7}, []string{" boiler"}
 	for i := range e.tokens {
 		if err := on(engine.Event{Attempt: c.Attempt, Index: i + 1, TokenIDs: ids, Texts: texts}); err != nil {
@@ -35,22 +35,23 @@
 	return ctx.Err()
 }
 
-func (e *tap) Attach(context.Context, string, engine.Attempt, int, func(engine.Event) error) error {
+func (e *fastEngine) Attach(context.Context, string, engine.Attempt, int, func(engine.Event) error) error {
 	return nil
 }
-func (e *tap) Cancel(context.Context, string, engine.Attempt) error { return nil }
-func (e *tap) Views() []generation.Membership                       { return e.views }
-func (e *tap) Reachable(string) bool                                { return true }
-func (e *tap) Usable(string) (engines, routers int)                 { return 1, 1 }
-func (e *tap) Pick(context.Context, relay.Query) (relay.Choice, error) {
+func (e *fastEngine) Cancel(context.Context, string, engine.Attempt) error { return nil }
+func (e *fastEngine) Views() []generation.Membership                       { return e.views }
+func (e *fastEngine) Reachable(string) bool                                { return true }
+func (e *fastEngine) Usable(string) (engines, routers int)                 { return 1, 1 }
+func (e *fastEngine) Pick(context.Context, relay.Query) (relay.Choice, error) {
 	return relay.Choice{Backend: relay.Backend{Name: "e"}}, nil
 }
 
-// One token of 500 running streams from the engine's event to its release, over
-// five VMs in one process without sockets; then what a stream holds on all five.
+// Measures the time of one token of 500 running streams from the engine's event to its
+// release, with five VMs in one process without sockets, and then the memory that a
+// stream holds on all five VMs.
 func BenchmarkStreams(b *testing.B) {
 	const streams, length = 500, 1000
-	e := &tap{tokens: length}
+	e := &fastEngine{tokens: length}
 	view := generation.Membership{Version: 1}
 	for i := range 5 {
 		view.Candidates = append(view.Candidates, generation.Candidate{VM: fmt.Sprint("vm", i), Zone: fmt.Sprint("z", i%3)})
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -13,12 +13,12 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// Figures of a planned takeover.
+// Constants of a planned takeover.
 const (
-	handoversAtOnce = 16
-	adoptTimeout    = 3 * time.Second
-	drainRetry      = 200 * time.Millisecond
-	moveStep        = 5 * time.Millisecond
+	maxConcurrentHandovers = 16
+	adoptTimeout           = 3 * time.Second
+	drainRetryPause        = 200 * time.Millisecond
+	movePollInterval       = 5 * time.Millisecond
 )
 
 type adoptRequest struct {
@@ -26,12 +26,12 @@
 }
 
 type adoptReply struct {
-	Owner string `cbor:"1,keyasint"` // the VM that owns the generation now
+	Owner string `cbor:"1,keyasint"` // the VM that owns the generation after the takeover
 }
 
-// Drain refuses new generations and hands the running ones to other VMs, which
-// attach to the engines' streams. It returns once this VM owns none, or ctx is
-// done. Where no other VM takes a generation it goes on here until its end.
+// Drain refuses new generations and hands the running ones over to other VMs, which
+// attach to the engines' streams. It returns once this VM owns no running generation,
+// or when ctx is done. A generation that no other VM takes continues here to its end.
 func (h *Hub) Drain(ctx context.Context) error {
 	h.draining.Store(true)
 	for {
@@ -40,7 +40,7 @@
 			return nil
 		}
 		h.handOverAll(ctx, runs)
-		timer := time.NewTimer(drainRetry)
+		timer := time.NewTimer(drainRetryPause)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -50,15 +50,16 @@
 	}
 }
 
-// running are the generations that would be cut off now, and those that are
-// being opened. A finished one is read from its keepers by any VM.
+// running returns the generations that a shutdown would interrupt now. If there are
+// none but one is being opened, it returns a single nil. Any VM can read a finished
+// generation from its keepers.
 func (h *Hub) running() []*Run {
 	h.mu.Lock()
 	busy := len(h.opening) > 0
 	h.mu.Unlock()
 	var out []*Run
 	for _, run := range h.owned() {
-		if !run.ended() && !run.finished() {
+		if !run.stopped() && !run.finished() {
 			out = append(out, run)
 		}
 	}
@@ -69,7 +70,7 @@
 }
 
 func (h *Hub) handOverAll(ctx context.Context, runs []*Run) {
-	slots := make(chan struct{}, handoversAtOnce)
+	slots := make(chan struct{}, maxConcurrentHandovers)
 	var wg sync.WaitGroup
 	for i, run := range runs {
 		if run == nil {
@@ -84,24 +85,24 @@
 	wg.Wait()
 }
 
-// awaitMove claims the run once it does not move to other keepers any more; the
-// list of VMs has just changed by this VM's leaving.
+// awaitMove claims the run for a handover. It first waits for a move to other keepers
+// to end, which is likely because this VM has just left the list of VMs.
 func (r *Run) awaitMove(ctx context.Context) bool {
 	for !r.beginMove() {
-		if timer.Sleep(ctx, moveStep) != nil {
+		if timer.Sleep(ctx, movePollInterval) != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// handOver asks the other VMs in turn to take a generation over, its keepers
-// first since they hold the journal. The successor's promise deposes this owner.
+// handOver asks the other VMs in turn to take a generation over. Its keepers come
+// first because they hold the journal. The successor's epoch deposes this owner.
 func (h *Hub) handOver(ctx context.Context, run *Run, turn int) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
 	if !run.awaitMove(ctx) {
-		return // Drain comes again
+		return // Drain tries again
 	}
 	defer run.endMove()
 	vms := h.successors(run)
@@ -122,14 +123,14 @@
 func (h *Hub) successors(run *Run) []string {
 	var keepers, others []string
 	view := h.members.Views()[0]
-	held := map[string]bool{}
+	isKeeper := map[string]bool{}
 	for _, vm := range run.keepers() {
-		held[vm] = true
+		isKeeper[vm] = true
 	}
 	for _, c := range view.Candidates {
 		switch {
 		case c.VM == h.cfg.VM || c.Leaving || !h.members.Reachable(c.VM):
-		case held[c.VM]:
+		case isKeeper[c.VM]:
 			keepers = append(keepers, c.VM)
 		default:
 			others = append(others, c.VM)
@@ -141,7 +142,7 @@
 	return others
 }
 
-// handleAdopt takes a generation over at its owner's wish.
+// handleAdopt takes a generation over at its owner's request.
 func (h *Hub) handleAdopt(ctx context.Context, _ string, body []byte) (any, error) {
 	var req adoptRequest
 	if err := codec.Unmarshal(body, &req); err != nil {
@@ -150,7 +151,7 @@
 	if h.draining.Load() {
 		return nil, result.New(result.ShuttingDown)
 	}
-	f, err := h.share(ctx, req.ID, func(ctx context.Context) (found, error) { return h.adopt(ctx, req.ID) })
+	f, err := h.openShared(ctx, req.ID, func(ctx context.Context) (location, error) { return h.adopt(ctx, req.ID) })
 	if err != nil {
 		return nil, err
 	}
@@ -160,12 +161,12 @@
 	return adoptReply{Owner: h.cfg.VM}, nil
 }
 
-func (h *Hub) adopt(ctx context.Context, id generation.RequestID) (found, error) {
+func (h *Hub) adopt(ctx context.Context, id generation.RequestID) (location, error) {
 	for try := range openAttempts {
 		o := h.opener(generation.Request{ID: id}, true)
-		replies, err := o.ask(ctx, generation.Promise{ID: id, Epoch: o.nextEpoch(generation.Epoch{}), Peek: true})
+		replies, err := o.requestPromises(ctx, generation.Promise{ID: id, Epoch: o.nextEpoch(generation.Epoch{}), Peek: true})
 		if err != nil {
-			return found{}, err
+			return location{}, err
 		}
 		f, err := o.takeOver(ctx, replies.Max)
 		if !errors.Is(err, generation.ErrDeposed) {
@@ -175,5 +176,5 @@
 			break
 		}
 	}
-	return found{}, unavailable()
+	return location{}, unavailable()
 }
--- a/internal/relay/engine_test.go
+++ b/internal/relay/engine_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Three callers read answers from two VMs when engines go wrong in mid-output:
-// one dies, two in a row, one goes silent or is paused and comes back with late
-// tokens, one stalls a single stream, one sends each caller's events under
-// another attempt's id. Each caller receives its own whole answer, continued on
-// another engine; no token of another attempt or answer is let in.
+// Three callers read answers from two VMs when engines fail in mid-output. An engine
+// dies, two engines die in a row, an engine is paused and then sends late tokens, an
+// engine stalls a single stream, or an engine sends each caller's events under another
+// attempt's id. Each caller must receive its own complete answer, continued on another
+// engine, without any token of another attempt or answer.
 func TestEngineFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(s *system)
-		gap   time.Duration // the longest that an answer may stand still
+		gap   time.Duration // the longest allowed wait for a token
 	}{
 		{"reset", func(s *system) { s.engines[0].Kill() }, 2 * time.Second},
 		{"two in a row", func(s *system) {
@@ -36,7 +36,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inBubble(t, 3, 4, func(s *system) {
-				s.onlyEngine(0) // all three answers begin there
+				s.onlyEngine(0) // all three answers begin on this engine
 				callers := make([]*caller, 3)
 				for i := range callers {
 					callers[i] = s.caller(fmt.Sprint("k", i))
@@ -53,7 +53,7 @@
 				wg.Wait()
 				for _, caller := range callers {
 					if caller.gap > c.gap {
-						t.Errorf("%s stood still for %v", caller.key, caller.gap)
+						t.Errorf("%s: longest wait for tokens was %v, over the limit of the fault", caller.key, caller.gap)
 					}
 				}
 			})
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -11,11 +11,11 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// A follower reads an answer from its owner by long polls, so that a caller who
-// reconnects to another VM costs no engine work while the owner lives.
+// A follower reads an answer from its owner by long polls. A caller that reconnects
+// to another VM therefore causes no engine work while the owner is alive.
 const (
 	pollTime  = 1 * time.Second
-	pollGrace = 1 * time.Second // beyond pollTime: the owner is dead or cut off
+	pollGrace = 1 * time.Second // after pollTime + pollGrace the owner counts as lost
 )
 
 type followRequest struct {
@@ -28,35 +28,36 @@
 	Chunk   Chunk               `cbor:"2,keyasint"`
 	Code    int                 `cbor:"3,keyasint,omitempty"`
 	Request *generation.Request `cbor:"4,keyasint,omitempty"`
-	Opening bool                `cbor:"5,keyasint,omitempty"` // not the owner yet
+	Opening bool                `cbor:"5,keyasint,omitempty"` // the VM is about to become the owner
 	Ran     result.Ran          `cbor:"6,keyasint,omitempty"` // with Code
 }
 
-// Reader reads one caller's answer, wherever its owner is: on this VM or on
-// another one. When the owner is lost the reader opens the journal again, and
-// this VM may become the owner. It is not safe for concurrent use.
+// Reader reads one caller's answer from its owner, which may be this VM or another
+// one. If the owner is lost, the reader opens the journal again, and this VM may
+// become the owner. A Reader is not safe for concurrent use.
 type Reader struct {
 	hub   *Hub
 	req   generation.Request
-	local *Run   // the owner, where it is this VM
-	owner string // else the owner's VM
+	local *Run   // set if this VM is the owner
+	owner string // the owner's VM, if local is nil
 }
 
-// Request is the request as it was accepted.
-func (f *Reader) Request() *generation.Request { return &f.req }
+// Request returns the request as it was accepted.
+func (r *Reader) Request() *generation.Request { return &r.req }
 
-// Release tells that the caller is gone.
-func (f *Reader) Release() {
-	if f.local != nil {
-		f.local.leave()
+// Release ends the caller's read of the generation, which is cancelled after
+// Config.CallerKeep without readers.
+func (r *Reader) Release() {
+	if r.local != nil {
+		r.local.removeReader()
 	}
 }
 
-// Wait returns tokens from index from on, blocking until there are some, the
-// answer has ended, or ctx is done.
-func (f *Reader) Wait(ctx context.Context, from int) (Chunk, error) {
+// Wait returns the released tokens that start at index from. It blocks until there is
+// at least one, the answer has ended, or ctx is done.
+func (r *Reader) Wait(ctx context.Context, from int) (Chunk, error) {
 	for {
-		chunk, err := f.read(ctx, from)
+		chunk, err := r.read(ctx, from)
 		if err == nil && (len(chunk.Span.Tokens) > 0 || chunk.Finish != "") {
 			return chunk, nil
 		}
@@ -68,32 +69,34 @@
 			return chunk, err
 		}
 		if err != nil {
-			if err := f.reopen(ctx); err != nil {
+			if err := r.reopen(ctx); err != nil {
 				return chunk, err
 			}
 		}
 	}
 }
 
-func (f *Reader) read(ctx context.Context, from int) (Chunk, error) {
-	if f.local != nil {
-		return f.local.Wait(ctx, from)
+func (r *Reader) read(ctx context.Context, from int) (Chunk, error) {
+	if r.local != nil {
+		return r.local.Wait(ctx, from)
 	}
-	return f.poll(ctx, from)
+	return r.poll(ctx, from)
 }
 
-// reopen finds or becomes the owner after the present one was lost.
-func (f *Reader) reopen(ctx context.Context) error {
-	next, err := f.hub.read(ctx, f.req, true)
+// reopen finds the new owner after the current one was lost, or makes this VM the
+// owner.
+func (r *Reader) reopen(ctx context.Context) error {
+	next, err := r.hub.read(ctx, r.req, true)
 	if err != nil {
 		return err
 	}
-	f.Release()
-	f.local, f.owner = next.local, next.owner
+	r.Release()
+	r.local, r.owner = next.local, next.owner
 	return nil
 }
 
-// probe asks a VM whether it owns a journal, or is about to.
+// probe asks the VM of an epoch whether it owns a journal or is about to. The reply is
+// empty if the VM does not answer.
 func (h *Hub) probe(ctx context.Context, id generation.RequestID, epochVM string) followReply {
 	vm := vmOf(epochVM)
 	if vm == "" || vm == h.cfg.VM || !h.members.Reachable(vm) {
@@ -113,11 +116,11 @@
 
 var errNotOwner = errors.New("relay: VM does not own the generation")
 
-func (f *Reader) poll(ctx context.Context, from int) (Chunk, error) {
+func (r *Reader) poll(ctx context.Context, from int) (Chunk, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTime+pollGrace)
 	defer cancel()
 	var reply followReply
-	err := f.hub.transport.Call(ctx, f.owner, peer.KindFollow, followRequest{ID: f.req.ID, From: from}, &reply)
+	err := r.hub.transport.Call(ctx, r.owner, peer.KindFollow, followRequest{ID: r.req.ID, From: from}, &reply)
 	switch {
 	case err != nil:
 		return Chunk{}, err
@@ -134,23 +137,23 @@
 	if err := codec.Unmarshal(body, &req); err != nil {
 		return nil, err
 	}
-	opening := h.isOpening(req.ID) // before the run: it becomes one, never the reverse
+	opening := h.isOpening(req.ID) // read before the run: an opening becomes a run, never the reverse
 	run := h.Run(req.ID)
-	if run == nil || run.ended() {
+	if run == nil || run.stopped() {
 		return followReply{Opening: opening}, nil
 	}
 	if req.From < 0 {
 		return followReply{Found: true, Request: run.Request()}, nil
 	}
-	run.join()
-	defer run.leave()
+	run.addReader()
+	defer run.removeReader()
 	ctx, cancel := context.WithTimeout(ctx, pollTime)
 	defer cancel()
 	chunk, err := run.Wait(ctx, req.From)
 	switch {
 	case err == nil, errors.Is(err, context.DeadlineExceeded):
 		return followReply{Found: true, Chunk: chunk}, nil
-	case errors.Is(err, generation.ErrDeposed), run.letGo():
+	case errors.Is(err, generation.ErrDeposed), run.handedOff():
 		return followReply{}, nil
 	}
 	coded := result.From(err)
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -7,28 +7,31 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/generation"
 )
 
-// Figures of spreading blame.
+// Bounds of the distribution of suspicion reports.
 const (
-	// directMost VMs are told directly. Beyond it each VM tells those 1, 2, 4, 8...
-	// places behind it in the order of names, and they tell on: all 330 hear within
-	// nine steps, and no VM needs more than nine connections for it. Telling all
-	// directly would leave a mesh of connections whose pings alone cost 28 KB/s.
-	directMost = 12
+	// maxDirectPeers is the number of peers up to which a VM sends a report to all of
+	// them directly. With more peers, each VM sends to those 1, 2, 4, 8... places after
+	// it in the order of names, and they forward the report. A report reaches 330 VMs
+	// within nine steps, and no VM needs more than nine connections for it. Direct
+	// sends to all would require a full mesh of connections whose pings alone cost
+	// 28 KB/s.
+	maxDirectPeers = 12
 
-	// heardLife is how long a message is known, and not passed on again; it takes
-	// far less to reach everybody.
-	heardLife = 10 * time.Second
-	heardMost = 4096
+	// seenTTL is how long a report is remembered and not forwarded again. A report
+	// reaches every VM in far less time.
+	seenTTL = 10 * time.Second
+	maxSeen = 4096
 )
 
-// neighbours returns the VMs that self tells, and whether they have to tell on.
-func neighbours(self string, all []generation.Candidate) (vms []string, pass bool) {
+// neighbours returns the VMs to which self sends a report, and whether they have to
+// forward it.
+func neighbours(self string, all []generation.Candidate) (vms []string, forward bool) {
 	for _, c := range all {
 		vms = append(vms, c.VM)
 	}
 	slices.Sort(vms)
 	vms = slices.Compact(vms)
-	if len(vms) <= directMost+1 {
+	if len(vms) <= maxDirectPeers+1 {
 		return slices.DeleteFunc(vms, func(vm string) bool { return vm == self }), false
 	}
 	at, found := slices.BinarySearch(vms, self)
@@ -42,17 +45,17 @@
 	return out, true
 }
 
-// heard remembers recent messages, so that each is passed on once.
-type heard map[blameMessage]time.Time
+// seenReports holds recent reports, each of which is forwarded once.
+type seenReports map[suspicionReport]time.Time
 
-// first reports whether m is new.
-func (h heard) first(m blameMessage, now time.Time) bool {
+// first records m and reports whether it is new.
+func (h seenReports) first(m suspicionReport, now time.Time) bool {
 	m.Death.At = time.Time{}
-	if at, ok := h[m]; ok && now.Sub(at) < heardLife {
+	if at, ok := h[m]; ok && now.Sub(at) < seenTTL {
 		return false
 	}
-	if len(h) >= heardMost {
-		clear(h) // some are passed on twice; memory stays bounded
+	if len(h) >= maxSeen {
+		clear(h) // bounds memory; some reports are forwarded twice
 	}
 	h[m] = now
 	return true
--- a/internal/relay/gossip_test.go
+++ b/internal/relay/gossip_test.go
@@ -7,8 +7,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/generation"
 )
 
-// One VM tells its neighbours of a death, and each that hears of it for the
-// first time passes it on. All hear, over a bounded number of connections.
+// A VM reports a death to its neighbours, and each VM forwards the report when it first
+// receives it. The report must reach every VM over a bounded number of connections.
 func TestBlameReachesEveryVM(t *testing.T) {
 	for _, n := range []int{1, 3, 11, 13, 14, 100, 330} {
 		var all []generation.Candidate
@@ -19,24 +19,24 @@
 		queue := []string{"vm0"}
 		for len(queue) > 0 {
 			from := queue[0]
-			vms, pass := neighbours(from, all)
-			if len(vms) > directMost {
-				t.Fatalf("%d VMs: %d neighbours", n, len(vms))
+			vms, forward := neighbours(from, all)
+			if len(vms) > maxDirectPeers {
+				t.Fatalf("%d VMs: got %d neighbours, want at most 12", n, len(vms))
 			}
 			first := from == "vm0"
 			queue = queue[1:]
 			for _, vm := range vms {
-				if _, known := steps[vm]; !known && (first || pass) {
+				if _, known := steps[vm]; !known && (first || forward) {
 					steps[vm] = steps[from] + 1
 					queue = append(queue, vm)
 					if steps[vm] > 9 {
-						t.Fatalf("%d VMs: %s heard after %d steps", n, vm, steps[vm])
+						t.Fatalf("%d VMs: report reached %s after %d steps, want at most 9", n, vm, steps[vm])
 					}
 				}
 			}
 		}
 		if len(steps) != n {
-			t.Errorf("%d of %d VMs heard", len(steps), n)
+			t.Errorf("report reached %d of %d VMs, want all", len(steps), n)
 		}
 	}
 }
--- a/internal/relay/hub.go
+++ b/internal/relay/hub.go
@@ -14,26 +14,26 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Hub holds the generations of one VM: those it owns, and the journals it keeps
-// for others.
+// Hub holds the generations that one VM owns and the journals that it keeps for
+// other VMs.
 type Hub struct {
-	cfg       Config
-	transport peer.Transport
-	members   Members
-	engines   Engines
-	router    Router
-	admission Admission
-	quota     Quota
-	note      NoteFunc
-	tracer    Tracer
-	log       zerolog.Logger
-	metrics   *expvar.Map
-	journals  *journals
-	recovery  *recoverer
-	ctx       context.Context
-	cancel    context.CancelFunc
-	round     atomic.Uint64 // the highest that this VM has used in an epoch
-	draining  atomic.Bool
+	cfg        Config
+	transport  peer.Transport
+	members    Members
+	engines    Engines
+	router     Router
+	admission  Admission
+	quota      Quota
+	note       NoteFunc
+	tracer     Tracer
+	log        zerolog.Logger
+	metrics    *expvar.Map
+	replicator *replicator
+	recovery   *recoverer
+	ctx        context.Context
+	cancel     context.CancelFunc
+	lastRound  atomic.Uint64 // the highest round that this VM has used in an epoch
+	draining   atomic.Bool
 
 	mu      sync.Mutex
 	runs    map[generation.RequestID]*Run
@@ -43,20 +43,22 @@
 	keeper   *generation.Keeper
 }
 
+// opening is the opening of a generation that is in progress on this VM.
 type opening struct {
-	done  chan struct{}
-	found found
-	err   error
+	done     chan struct{}
+	location location
+	err      error
 }
 
-// found is where a generation was found: the run of this VM, or its owner.
-type found struct {
+// location is where a generation was found: a run of this VM, or the VM that owns it.
+// req is the request as it was accepted.
+type location struct {
 	run   *Run
 	owner string
 	req   *generation.Request
 }
 
-// Deps are what a Hub works with.
+// Deps are the components that a Hub uses.
 type Deps struct {
 	Transport peer.Transport
 	Members   Members
@@ -64,7 +66,7 @@
 	Router    Router
 	Log       zerolog.Logger
 	Metrics   *expvar.Map
-	Admission Admission // nil: every request starts at once
+	Admission Admission // nil: every request starts immediately
 	Quota     Quota     // nil: nothing is charged
 	Note      NoteFunc  // nil: nothing is recorded
 	Tracer    Tracer    // nil: no spans
@@ -75,26 +77,26 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &Hub{
 		cfg: cfg, transport: d.Transport, members: d.Members, engines: d.Engines, router: d.Router,
-		admission: d.Admission, quota: d.Quota, note: noteOr(d.Note), tracer: d.Tracer, log: d.Log, metrics: d.Metrics, ctx: ctx, cancel: cancel,
+		admission: d.Admission, quota: d.Quota, note: noteFuncOrNop(d.Note), tracer: d.Tracer, log: d.Log, metrics: d.Metrics, ctx: ctx, cancel: cancel,
 		runs: map[generation.RequestID]*Run{}, opening: map[generation.RequestID]*opening{},
 		keeper: generation.NewKeeper(cfg.Incarnation, cfg.Limits),
 	}
-	h.journals = newJournals(ctx, d.Transport, cfg.VM, h.write)
+	h.replicator = newReplicator(ctx, d.Transport, cfg.VM, h.write)
 	h.recovery = newRecoverer(h)
-	d.Transport.Handle(peer.KindBlame, h.recovery.handleBlame)
+	d.Transport.Handle(peer.KindBlame, h.recovery.handleReport)
 	d.Transport.Handle(peer.KindJournal, h.handleWrites)
 	d.Transport.Handle(peer.KindPromise, h.handlePromise)
 	d.Transport.Handle(peer.KindFollow, h.handleFollow)
 	d.Transport.Handle(peer.KindAdopt, h.handleAdopt)
-	go h.tend()
+	go h.maintain()
 	return h
 }
 
-// Close stops every run at once, as a dying VM does.
+// Close stops every run immediately, without a handover.
 func (h *Hub) Close() { h.cancel() }
 
-// Open finds or starts the generation of a request. A request that resumes
-// (resuming: the caller named an event) is never started anew.
+// Open finds or starts the generation of a request. With resuming, the caller has
+// named the last event that it received, and no new generation is started.
 func (h *Hub) Open(ctx context.Context, req generation.Request, resuming bool) (*Reader, error) {
 	if h.draining.Load() {
 		err := result.New(result.ShuttingDown)
@@ -107,7 +109,7 @@
 }
 
 func (h *Hub) read(ctx context.Context, req generation.Request, resuming bool) (*Reader, error) {
-	found, err := h.share(ctx, req.ID, func(ctx context.Context) (found, error) {
+	found, err := h.openShared(ctx, req.ID, func(ctx context.Context) (location, error) {
 		return h.open(ctx, req, resuming)
 	})
 	if err != nil {
@@ -117,21 +119,21 @@
 		return nil, result.New(result.KeyReused)
 	}
 	if found.run != nil {
-		found.run.join()
+		found.run.addReader()
 	}
 	return &Reader{hub: h, req: *found.req, local: found.run, owner: found.owner}, nil
 }
 
-// share runs f once for all who ask for a request at the same time, or returns
-// the run that is there. f does not end with the caller that came first: the
-// others wait for its outcome.
-func (h *Hub) share(ctx context.Context, id generation.RequestID, f func(context.Context) (found, error)) (found, error) {
-	o, first := h.enter(id)
+// openShared runs f once for all concurrent callers of one request, or returns the
+// run that already exists. f does not end when the first caller's context does,
+// because the other callers wait for its result.
+func (h *Hub) openShared(ctx context.Context, id generation.RequestID, f func(context.Context) (location, error)) (location, error) {
+	o, first := h.findOrBeginOpening(id)
 	if first {
 		go func() {
 			octx, cancel := context.WithTimeout(h.ctx, h.cfg.OpenTimeout)
 			defer cancel()
-			o.found, o.err = f(octx)
+			o.location, o.err = f(octx)
 			h.mu.Lock()
 			delete(h.opening, id)
 			h.mu.Unlock()
@@ -140,19 +142,19 @@
 	}
 	select {
 	case <-o.done:
-		return o.found, o.err
+		return o.location, o.err
 	case <-ctx.Done():
-		return found{}, ctx.Err()
+		return location{}, ctx.Err()
 	}
 }
 
-func (h *Hub) enter(id generation.RequestID) (*opening, bool) {
+func (h *Hub) findOrBeginOpening(id generation.RequestID) (*opening, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if run := h.runs[id]; run != nil && !run.ended() {
+	if run := h.runs[id]; run != nil && !run.stopped() {
 		done := make(chan struct{})
 		close(done)
-		return &opening{done: done, found: found{run: run, req: run.Request()}}, false
+		return &opening{done: done, location: location{run: run, req: run.Request()}}, false
 	}
 	if o := h.opening[id]; o != nil {
 		return o, false
@@ -176,7 +178,7 @@
 	}
 }
 
-// Run returns a generation owned by this VM, or nil.
+// Run returns the generation with this id if this VM owns it, and nil otherwise.
 func (h *Hub) Run(id generation.RequestID) *Run {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -193,7 +195,7 @@
 	return out
 }
 
-// vmOf returns the VM of a name used in epochs.
+// vmOf returns the VM of a name that is used in epochs.
 func vmOf(epochVM string) string {
 	vm, _, _ := strings.Cut(epochVM, "#")
 	return vm
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -16,8 +16,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// The caller vanishes. Its generation goes on for CallerKeep, so that it may
-// come back, and is then cancelled on the engine; the journal is forgotten.
+// The caller disconnects for good. Its generation continues for CallerKeep, within which
+// the caller may come back. It is then cancelled on the engine, and the keepers drop the
+// journal.
 func TestVanishedCaller(t *testing.T) {
 	inBubble(t, 3, 1, func(s *system) {
 		s.engines[0].Slow(100) // the answer would take minutes
@@ -27,25 +28,25 @@
 		}
 		time.Sleep(callerKeep - time.Second)
 		if s.engines[0].Running() != 1 {
-			t.Error("the generation ended before its caller's time")
+			t.Error("the generation ended before CallerKeep had elapsed")
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		if s.engines[0].Running() != 0 || s.work().Cancelled != 1 {
-			t.Errorf("%d runs on the engine, %d cancelled", s.engines[0].Running(), s.work().Cancelled)
+			t.Errorf("got %d runs on the engine and %d cancelled, want 0 and 1", s.engines[0].Running(), s.work().Cancelled)
 		}
 		time.Sleep(2 * callerKeep)
 		time.Sleep(time.Minute)
 		if err := c.read("vm1", 10); result.CodeOf(err) != result.NotFound {
-			t.Errorf("a caller that came back too late got %v", err)
+			t.Errorf("a caller that came back too late got %v, want not_found", err)
 		}
 	})
 }
 
-// The owner shuts down in mid-output. Another VM takes the generation over at
-// its wish and attaches to the engine's stream; the caller's connection on the
-// leaving VM is served to the end, a caller that reconnects goes on elsewhere,
-// and nothing is computed twice.
+// The owner shuts down in mid-output. Another VM takes the generation over at its
+// request and attaches to the engine's stream. The caller's connection on the leaving VM
+// is served to the end, a caller that reconnects continues on another VM, and no work is
+// done twice.
 func TestPlannedTakeover(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		stays, moves := s.caller("k"), s.caller("k")
@@ -63,7 +64,7 @@
 			t.Fatal(err)
 		}
 		if err := s.caller("new").read(owner, 1); result.CodeOf(err) != result.ShuttingDown {
-			t.Errorf("a new request on the leaving VM: %v", err)
+			t.Errorf("a new request on the leaving VM got %v, want shutting_down", err)
 		}
 		if next := s.owner("k"); next == owner {
 			t.Error("the leaving VM still owns the generation")
@@ -71,13 +72,13 @@
 		moves.finishOn(s.other(owner))
 		wg.Wait()
 		if s.work().Starts != 1 || s.extra() != 0 {
-			t.Errorf("%d attempts, extra work %d tokens", s.work().Starts, s.extra())
+			t.Errorf("got %d attempts and %d tokens of extra work, want 1 and 0", s.work().Starts, s.extra())
 		}
 	})
 }
 
-// A VM shuts down and there is no other to take its answers. It waits for them,
-// but no longer than it is given; an answer that ends in time is whole.
+// A VM shuts down when no other VM can take over its answers. It waits for them until
+// its deadline, and an answer that ends in time is complete.
 func TestDrainWithoutSuccessor(t *testing.T) {
 	inBubble(t, 1, 1, func(s *system) {
 		c := s.caller("k")
@@ -90,22 +91,21 @@
 		short, cancel := context.WithTimeout(s.t.Context(), 500*time.Millisecond)
 		defer cancel()
 		if err := s.hubs["vm0"].Drain(short); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("a drain of half a second ended with %v", err)
+			t.Errorf("a drain of half a second ended with %v, want a passed deadline", err)
 		}
 		if err := s.hubs["vm0"].Drain(s.t.Context()); err != nil {
-			t.Errorf("a drain with time enough ended with %v", err)
+			t.Errorf("a drain with enough time ended with %v, want no error", err)
 		}
 		wg.Wait()
 	})
 }
 
-// The keepers are full. A new request is refused with a reason and the promise
-// that it did not run; the answers that run are not touched, and neither is the
-// resend of one of them.
+// The keepers are full. A new request is refused with a reason and the promise that it
+// did not run. Running answers are unaffected, and so is the resend of one of them.
 func TestFullKeepersRefuseNewAnswers(t *testing.T) {
 	inBubble(t, 3, 1, func(s *system) {
 		var running []*caller
-		for i := range fullAt {
+		for i := range maxJournals {
 			running = append(running, s.caller(fmt.Sprint("k", i)))
 			if err := running[i].read("vm0", 10); err != nil {
 				t.Fatal(err)
@@ -113,7 +113,7 @@
 		}
 		err := s.caller("one more").read("vm1", 1)
 		if result.CodeOf(err) != result.KeepersFull || result.From(err).Ran != result.RanNo {
-			t.Errorf("a new request: %v", err)
+			t.Errorf("a new request got %v, want keepers_full with the promise that it did not run", err)
 		}
 		s.kill("vm0")
 		for _, c := range running {
@@ -122,26 +122,27 @@
 	})
 }
 
-// A keeper finds that a write would change a token that it holds: memory is
-// damaged somewhere, or this program is wrong. That one answer stops with its
-// own code and is counted; the caller beside it notices nothing.
+// A keeper finds that a write would change a token that it holds, because of a memory
+// error or a fault of this program. Only that answer stops, with its own result code,
+// and is counted. The caller of another answer is unaffected.
 func TestBrokenInvariantStopsOneAnswer(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		for _, link := range s.links {
 			link.Handle(peer.KindJournal, damagedKeeper)
 		}
-		hurt, beside := s.caller("k0"), s.caller("k1")
-		if err := hurt.read("vm0", testTokens); result.CodeOf(err) != result.InvariantBroken {
-			t.Errorf("the damaged answer ended with %v", err)
+		damaged, unaffected := s.caller("k0"), s.caller("k1")
+		if err := damaged.read("vm0", testTokens); result.CodeOf(err) != result.InvariantBroken {
+			t.Errorf("the damaged answer ended with %v, want invariant_broken", err)
 		}
-		beside.finishOn("vm0")
+		unaffected.finishOn("vm0")
 		if s.count("invariants_broken") == 0 {
 			t.Error("the broken invariant was not counted")
 		}
 	})
 }
 
-// damagedKeeper refuses what follows the tenth token of one answer.
+// damagedKeeper reports a broken invariant for every token of one answer after the
+// tenth.
 func damagedKeeper(_ context.Context, _ string, body []byte) (any, error) {
 	var batch relay.WriteBatch
 	if err := codec.Unmarshal(body, &batch); err != nil {
--- a/internal/relay/tend.go
+++ b/internal/relay/maintenance.go
@@ -9,27 +9,28 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Figures of the upkeep of runs.
+// Constants of the maintenance of runs.
 const (
-	tendEvery  = 100 * time.Millisecond
-	watchEvery = 500 * time.Millisecond
-	sweepEvery = 1 * time.Second
-
-	// abdicateAfter is how long an owner waits for its majority before it lets go:
-	// three write timeouts. It may be cut off one way: its callers would hear
-	// heartbeats from it for ever, while every other VM can go on with the answer.
+	maintainInterval = 100 * time.Millisecond
+	watchInterval    = 500 * time.Millisecond
+	sweepInterval    = 1 * time.Second
+
+	// abdicateAfter is how long an owner waits for a majority of its keepers before it
+	// gives the generation up: three write timeouts. In a one-way partition its callers
+	// would otherwise receive heartbeats from it forever, although every other VM could
+	// continue the answer.
 	abdicateAfter = 3 * writeTimeout
 
-	touchesPerKeep = 4                // of AbandonKeep
-	mostTouchEvery = 10 * time.Second // also bounds how late a cut is noticed while no token comes
-	replacesAtOnce = 16               // journals re-placed at the same time after a change of the list
+	touchesPerKeep        = 4                // touches within AbandonKeep
+	maxTouchInterval      = 10 * time.Second // also bounds the detection of a partition while no token arrives
+	maxConcurrentReplaces = 16               // concurrent moves of journals after a change of the list of VMs
 )
 
-// tend follows the list of VMs and sweeps the keeper.
-func (h *Hub) tend() {
-	ticker := time.NewTicker(tendEvery)
+// maintain moves journals after changes of the list of VMs and sweeps the keeper.
+func (h *Hub) maintain() {
+	ticker := time.NewTicker(maintainInterval)
 	defer ticker.Stop()
-	slots := make(chan struct{}, replacesAtOnce)
+	slots := make(chan struct{}, maxConcurrentReplaces)
 	var version uint64
 	var swept time.Time
 	for {
@@ -39,9 +40,9 @@
 			h.setFloor(views[len(views)-1].Version)
 		}
 		for _, run := range h.owned() {
-			h.considerReplace(run, views, slots)
+			h.maybeReplace(run, views, slots)
 		}
-		if time.Since(swept) >= sweepEvery {
+		if time.Since(swept) >= sweepInterval {
 			swept = time.Now()
 			h.sweep(swept)
 		}
@@ -69,11 +70,11 @@
 	h.setGauge("journal_bytes", h.keeper.Bytes())
 }
 
-// considerReplace starts the move of a journal whose keepers are no longer those
-// that the newest list gives, or whose epoch will soon fall out of the list's
-// history.
-func (h *Hub) considerReplace(run *Run, views []generation.Membership, slots chan struct{}) {
-	if !run.wantsReplace(views) {
+// maybeReplace starts the move of a journal if its keepers are no longer those of the
+// newest list of VMs, or if the version in its epoch will soon be dropped from the
+// list's history.
+func (h *Hub) maybeReplace(run *Run, views []generation.Membership, slots chan struct{}) {
+	if !run.needsReplace(views) {
 		return
 	}
 	select {
@@ -92,7 +93,7 @@
 	}()
 }
 
-func (r *Run) wantsReplace(views []generation.Membership) bool {
+func (r *Run) needsReplace(views []generation.Membership) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.moving || r.err != nil || r.seenVersion == views[0].Version {
@@ -108,9 +109,10 @@
 	return true
 }
 
-// beginMove claims the run for one move at a time: to other keepers, or to
-// another owner. Both bid for the journal: a bid for other keepers that comes
-// behind the successor's deposes it, and its callers' answers go to and fro.
+// beginMove claims the run for one move at a time, to other keepers or to another
+// owner. Both moves propose a new epoch. Without the claim, a move to other keepers
+// that follows a handover would depose the successor, and the ownership would
+// alternate between the two VMs.
 func (r *Run) beginMove() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,8 +129,8 @@
 	r.moving = false
 }
 
-// replace seals the journal on a majority of every keeper set and installs it on
-// the newest, while the attempt goes on. Nothing is released in between.
+// replace seals the journal on a majority of every keeper set and installs it on the
+// newest set. The attempt continues meanwhile, but no token is released.
 func (h *Hub) replace(run *Run) {
 	ctx, cancel := context.WithTimeout(h.ctx, h.cfg.OpenTimeout)
 	defer cancel()
@@ -136,10 +138,10 @@
 	run.owner.BeginSeal()
 	epoch := run.owner.Epoch
 	run.mu.Unlock()
-	for try := 0; ctx.Err() == nil && !run.ended(); try++ {
+	for try := 0; ctx.Err() == nil && !run.stopped(); try++ {
 		o := h.opener(*run.Request(), true)
 		next := o.nextEpoch(epoch)
-		replies, err := o.ask(ctx, generation.Promise{ID: o.req.ID, Epoch: next})
+		replies, err := o.requestPromises(ctx, generation.Promise{ID: o.req.ID, Epoch: next})
 		if err == nil && replies.Ready() {
 			run.replaced(o, next, replies)
 			return
@@ -163,18 +165,19 @@
 	r.mu.Lock()
 	r.seenVersion = o.newest.Version
 	r.mu.Unlock()
-	r.targets.Store(r.hub.journals.targets(r, o.groups[0].Keepers))
+	r.targets.Store(r.hub.replicator.targets(r, o.groups[0].Keepers))
 	r.hub.metrics.Add("replacements", 1)
-	r.hub.journals.mark(r)
+	r.hub.replicator.mark(r)
 }
 
-// watch cancels a run that nobody has read for CallerKeep, lets go of one that
-// cannot reach its keepers, and keeps the rest from being forgotten.
+// watch cancels a run that had no reader for CallerKeep and abdicates from one that
+// cannot reach its keepers. It touches the journals of other runs, which the keepers
+// would otherwise sweep as abandoned.
 func (h *Hub) watch(ctx context.Context, run *Run) {
 	defer h.forget(run)
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	touch := min(mostTouchEvery, h.cfg.Limits.AbandonKeep/touchesPerKeep)
+	touch := min(maxTouchInterval, h.cfg.Limits.AbandonKeep/touchesPerKeep)
 	touched, caughtUp := time.Now(), time.Now()
 	for {
 		select {
@@ -183,7 +186,7 @@
 			return
 		}
 		now := time.Now()
-		idle, behind := run.state(now, h.cfg.CallerKeep)
+		idle, behind := run.idleOrBehind(now, h.cfg.CallerKeep)
 		if !behind {
 			caughtUp = now
 		}
@@ -202,23 +205,23 @@
 	}
 }
 
-func (r *Run) state(now time.Time, keep time.Duration) (idle, behind bool) {
+func (r *Run) idleOrBehind(now time.Time, keep time.Duration) (idle, behind bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.readers == 0 && now.Sub(r.vacant) >= keep, r.owner.Behind()
+	return r.readers == 0 && now.Sub(r.unreadSince) >= keep, r.owner.Behind()
 }
 
 func (r *Run) touch() uint64 {
 	r.mu.Lock()
 	touch := r.owner.Touch()
 	r.mu.Unlock()
-	r.hub.journals.mark(r)
+	r.hub.replicator.mark(r)
 	return touch
 }
 
-// letGo reports whether the run ended because another VM has it or will have
-// it, so that what the engine still does for it must not be cancelled.
-func (r *Run) letGo() bool {
+// handedOff reports whether another VM owns the generation or will take it over. Its
+// stream on the engine must then not be cancelled.
+func (r *Run) handedOff() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hub.ctx.Err() != nil || r.owner.Deposed() || errors.Is(r.err, generation.ErrDeposed) ||
--- a/internal/relay/open.go
+++ b/internal/relay/open.go
@@ -15,22 +15,22 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// Figures of an opening. Two VMs that are given the same key at once bid against
-// each other; the pause between bids is random and doubles, so that after a few
-// rounds one of them has the milliseconds that it needs for itself.
+// Constants of an opening. Two VMs that receive the same key at the same time
+// propose competing epochs. The backoff between proposals is random and doubles, and
+// after a few rounds one VM has the milliseconds that it needs without interference.
 const (
-	openAttempts  = 8
-	politeTries   = 6 // bids before an opening that another VM has under way is taken over
-	leastBackoff  = 5 * time.Millisecond
-	mostBackoff   = 320 * time.Millisecond
-	awaitViewStep = 20 * time.Millisecond
+	openAttempts        = 8
+	triesBeforeTakeover = 6 // proposals before an opening that another VM has in progress is taken over
+	minBackoff          = 5 * time.Millisecond
+	maxBackoff          = 320 * time.Millisecond
+	viewPollInterval    = 20 * time.Millisecond
 )
 
-// errContended tells that another VM is opening the same journal now, with a
-// higher bid. Deposing it would throw its work away, for as little.
+// errContended means that another VM is opening the same journal with a higher
+// epoch. Deposing it would discard its work and gain nothing.
 var errContended = errors.New("relay: another VM opens the journal")
 
-func (h *Hub) open(ctx context.Context, req generation.Request, resuming bool) (found, error) {
+func (h *Hub) open(ctx context.Context, req generation.Request, resuming bool) (location, error) {
 	for try := range openAttempts {
 		f, err := h.openOnce(ctx, req, resuming, try)
 		if !errors.Is(err, generation.ErrDeposed) && !errors.Is(err, errContended) {
@@ -41,19 +41,20 @@
 			break
 		}
 	}
-	return found{}, unavailable()
+	return location{}, unavailable()
 }
 
-// unavailable is the refusal where too few keepers could be asked. Those that
-// could not may know the request, as the resend of one that is running: only an
-// answer that all needed keepers gave could promise that it did not run.
+// unavailable returns the refusal for the case that too few keepers answered. The
+// request may be the resend of a running one that only the silent keepers know.
+// Without an answer from every needed keeper, the refusal cannot promise that the
+// request did not run.
 func unavailable() *result.Error {
 	return result.New(result.KeepersUnavail).WithRan(result.RanUnknown)
 }
 
 func backOff(ctx context.Context, try int) error {
-	most := min(mostBackoff, leastBackoff<<try)
-	timer := time.NewTimer(most/2 + rand.N(most))
+	ceiling := min(maxBackoff, minBackoff<<try)
+	timer := time.NewTimer(ceiling/2 + rand.N(ceiling))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -63,8 +64,8 @@
 	}
 }
 
-// opener is what one bid needs: the keeper sets of the request and the list of
-// VMs that they come from.
+// opener holds the state of one proposal: the keeper sets of the request and the
+// list of VMs from which they are derived.
 type opener struct {
 	h      *Hub
 	req    generation.Request
@@ -78,74 +79,75 @@
 	return &opener{h: h, req: req, groups: generation.Groups(req.ID, views), newest: views[0], resume: resuming}
 }
 
-// nextEpoch is above seen and unlike any other that this VM has used: two
-// owners in one epoch would write two answers that no keeper could tell apart.
+// nextEpoch returns an epoch that is higher than seen and that this VM has never used
+// before. Two owners in one epoch would write two answers that no keeper could tell
+// apart.
 func (o *opener) nextEpoch(seen generation.Epoch) generation.Epoch {
 	for {
-		last := o.h.round.Load()
+		last := o.h.lastRound.Load()
 		next := max(last, seen.Round) + 1
-		if o.h.round.CompareAndSwap(last, next) {
+		if o.h.lastRound.CompareAndSwap(last, next) {
 			return generation.Epoch{Version: o.newest.Version, Round: next, VM: o.h.cfg.Epoch}
 		}
 	}
 }
 
-func (h *Hub) openOnce(ctx context.Context, req generation.Request, resuming bool, try int) (found, error) {
+func (h *Hub) openOnce(ctx context.Context, req generation.Request, resuming bool, try int) (location, error) {
 	o := h.opener(req, resuming)
 	epoch := o.nextEpoch(generation.Epoch{})
 	first := generation.Promise{ID: req.ID, Epoch: epoch, IfAbsent: !resuming, Peek: resuming}
-	replies, err := o.ask(ctx, first)
+	replies, err := o.requestPromises(ctx, first)
 	if err != nil {
-		return found{}, err
+		return location{}, err
 	}
 	if !resuming && replies.Ready() {
-		return o.own(ctx, epoch, replies, generation.PromiseReply{})
+		return o.becomeOwner(ctx, epoch, replies, generation.PromiseReply{})
 	}
 	if resuming && replies.Ready() && replies.Max.IsZero() {
-		return found{}, result.New(result.NotFound)
+		return location{}, result.New(result.NotFound)
 	}
 	owner := h.probe(ctx, req.ID, replies.Max.VM)
 	if owner.Request != nil {
 		h.note(req.ID, explain.Followed, "read from its owner "+vmOf(replies.Max.VM))
-		return found{owner: vmOf(replies.Max.VM), req: owner.Request}, nil
+		return location{owner: vmOf(replies.Max.VM), req: owner.Request}, nil
 	}
-	if owner.Opening && try < politeTries {
-		return found{}, errContended
+	if owner.Opening && try < triesBeforeTakeover {
+		return location{}, errContended
 	}
 	return o.takeOver(ctx, replies.Max)
 }
 
-// takeOver seals the journal against every lower epoch and goes on with it.
-func (o *opener) takeOver(ctx context.Context, seen generation.Epoch) (found, error) {
+// takeOver seals the journal against every lower epoch and continues it on this VM.
+func (o *opener) takeOver(ctx context.Context, seen generation.Epoch) (location, error) {
 	if seen.Version > o.newest.Version {
 		if err := o.h.awaitView(ctx, seen.Version); err != nil {
-			return found{}, err
+			return location{}, err
 		}
-		return found{}, generation.ErrDeposed // again, by the newer list
+		return location{}, generation.ErrDeposed // the caller retries with the newer list
 	}
 	epoch := o.nextEpoch(seen)
-	replies, err := o.ask(ctx, generation.Promise{ID: o.req.ID, Epoch: epoch})
+	replies, err := o.requestPromises(ctx, generation.Promise{ID: o.req.ID, Epoch: epoch})
 	if err != nil {
-		return found{}, err
+		return location{}, err
 	}
 	if !replies.Ready() {
-		return found{}, generation.ErrDeposed
+		return location{}, generation.ErrDeposed
 	}
 	best, ok := replies.Best()
 	if !ok && o.resume {
-		return found{}, result.New(result.JournalLost)
+		return location{}, result.New(result.JournalLost)
 	}
 	if ok {
 		o.req = *best.Request
 	}
 	o.h.metrics.Add("takeovers", 1)
-	o.h.note(o.req.ID, explain.TakenOver, fmt.Sprintf("from %s behind %d tokens, epoch %s", vmOf(seen.VM), best.Journal.Len(), epoch))
-	return o.own(ctx, epoch, replies, best)
+	o.h.note(o.req.ID, explain.TakenOver, fmt.Sprintf("from %s after %d tokens, epoch %s", vmOf(seen.VM), best.Journal.Len(), epoch))
+	return o.becomeOwner(ctx, epoch, replies, best)
 }
 
-// awaitView waits until this VM has learnt of a version of the list.
+// awaitView waits until this VM has received a version of the list of VMs.
 func (h *Hub) awaitView(ctx context.Context, version uint64) error {
-	ticker := time.NewTicker(awaitViewStep)
+	ticker := time.NewTicker(viewPollInterval)
 	defer ticker.Stop()
 	for h.members.Views()[0].Version < version {
 		select {
@@ -157,27 +159,28 @@
 	return nil
 }
 
-// own installs the journal on its keepers and starts driving it.
-func (o *opener) own(ctx context.Context, epoch generation.Epoch, replies *generation.Replies, best generation.PromiseReply) (found, error) {
+// becomeOwner installs the journal on its keepers and starts to drive the
+// generation.
+func (o *opener) becomeOwner(ctx context.Context, epoch generation.Epoch, replies *generation.Replies, best generation.PromiseReply) (location, error) {
 	h := o.h
 	run := newRun(h, generation.NewOwner(o.req, epoch, o.groups[0], replies, best.Journal))
 	run.source = best.Source
 	if best.Source != nil {
 		run.owner.Pin(best.Source.Version)
 	}
-	if err := run.enter(ctx, best.Found); err != nil {
-		return found{}, err
+	if err := run.admit(ctx, best.Found); err != nil {
+		return location{}, err
 	}
 	rctx, cancel := context.WithCancel(h.ctx)
 	run.cancel = cancel
-	h.journals.mark(run)
+	h.replicator.mark(run)
 	span := h.span(run.Request(), "journal", attribute.Int("tokens", best.Journal.Len()), attribute.String("epoch", epoch.String()))
 	err := run.accepted(ctx)
 	endSpan(span, err)
 	if err != nil {
 		run.stop(err)
 		run.release()
-		return found{}, err
+		return location{}, err
 	}
 	if !best.Found {
 		h.note(o.req.ID, explain.Accepted, fmt.Sprintf("a majority of %d keepers holds it, epoch %s", len(o.groups[0].Keepers), epoch))
@@ -191,16 +194,17 @@
 		run.release()
 	}
 	go h.watch(rctx, run)
-	return found{run: run, req: run.Request()}, nil
+	return location{run: run, req: run.Request()}, nil
 }
 
-// settledGrace is how long the opening of a new request waits for keeper sets
-// that it can do without: some round trips between zones.
-const settledGrace = 20 * time.Millisecond
+// formerKeepersGrace is how long the opening of a new request waits for former keeper
+// sets whose answers it does not need. It covers some round trips between zones.
+const formerKeepersGrace = 20 * time.Millisecond
 
-// ask sends a promise to every keeper of every set. It returns once a majority
-// of each has answered OK, or enough have answered to know that it will not.
-func (o *opener) ask(ctx context.Context, p generation.Promise) (*generation.Replies, error) {
+// requestPromises sends a promise request to every keeper of every set. It returns
+// once a majority of each set has answered OK, or once enough keepers have answered
+// to rule that out.
+func (o *opener) requestPromises(ctx context.Context, p generation.Promise) (*generation.Replies, error) {
 	type answer struct {
 		keeper generation.KeeperID
 		reply  generation.PromiseReply
@@ -228,7 +232,7 @@
 		select {
 		case a = <-answers:
 		case <-grace:
-			return replies, o.verdict(replies)
+			return replies, o.quorumError(replies)
 		}
 		if a.err == nil {
 			replies.Add(a.keeper, a.reply)
@@ -238,19 +242,19 @@
 			break
 		}
 		if replies.Ready() && grace == nil {
-			grace = time.After(settledGrace)
+			grace = time.After(formerKeepersGrace)
 		}
 	}
-	return replies, o.verdict(replies)
+	return replies, o.quorumError(replies)
 }
 
-// verdict is an error where the answers allow no decision at all.
-func (o *opener) verdict(replies *generation.Replies) error {
+// quorumError returns an error if the answers allow no decision.
+func (o *opener) quorumError(replies *generation.Replies) error {
 	switch {
 	case replies.Ready():
 		return nil
 	case replies.Full():
-		return o.full(replies)
+		return o.fullError(replies)
 	case replies.Heard():
 		return nil
 	case o.resume && replies.Lost():
@@ -259,7 +263,7 @@
 	return unavailable()
 }
 
-func (o *opener) full(replies *generation.Replies) error {
+func (o *opener) fullError(replies *generation.Replies) error {
 	err := result.New(result.KeepersFull)
 	if !replies.Heard() || !replies.Max.IsZero() {
 		return err.WithRan(result.RanUnknown)
--- a/internal/relay/owner_test.go
+++ b/internal/relay/owner_test.go
@@ -10,9 +10,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// The caller's VM dies in mid-output; the caller goes on at another one. The
-// engine has kept the stream, so the new owner attaches and nothing is computed
-// twice.
+// The caller's VM dies in mid-output, and the caller reconnects to another VM. The
+// engine continues the stream, and the new owner attaches to it without any extra work.
 func TestOwnerKilled(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
@@ -22,18 +21,18 @@
 		s.kill(s.owner("k"))
 		c.finishOn(s.other())
 		if s.extra() != 0 || s.count("attached") != 1 {
-			t.Errorf("extra work %d tokens, %d attached", s.extra(), s.count("attached"))
+			t.Errorf("got %d tokens of extra work and %d attached streams, want 0 and 1", s.extra(), s.count("attached"))
 		}
 		if c.gap > time.Second {
-			t.Errorf("the answer stood still for %v", c.gap)
+			t.Errorf("the longest wait for tokens was %v, want at most 1s", c.gap)
 		}
 	})
 }
 
-// The caller's VM is paused; another VM takes over and finishes the answer. Back
-// again, the paused VM has late tokens of its own stream: its keepers refuse
-// them, and a caller still connected there is served as a reader of the answer
-// that went on elsewhere.
+// The caller's VM is paused, and another VM takes over and finishes the answer. After
+// the pause, the first VM receives late tokens of its own stream. The keepers refuse
+// them, and a caller that is still connected to this VM reads the answer that the other
+// VM has continued.
 func TestOwnerPausedAndBack(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		stays, moves := s.caller("k"), s.caller("k")
@@ -51,15 +50,15 @@
 		s.net.Resume(paused)
 		wg.Wait()
 		if fmt.Sprint(stays.tokens) != fmt.Sprint(moves.tokens) {
-			t.Error("two callers of one request received two answers")
+			t.Error("two callers of one request received different answers")
 		}
 	})
 }
 
-// The caller's VM is paused, another one goes on, and the caller comes back to
-// the first one the moment it runs again. It still believes to own the answer,
-// with fewer tokens than the caller has: it must not call the caller's index
-// wrong before its keepers have confirmed it, and they don't.
+// The caller's VM is paused, another VM continues the answer, and the caller reconnects
+// to the first VM as soon as it runs again. That VM still regards itself as the owner and
+// has fewer tokens than the caller. It must not refuse the caller's index before the
+// keepers have confirmed its ownership, which they do not.
 func TestStaleOwnerAsksBeforeItRefuses(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
@@ -76,34 +75,34 @@
 	})
 }
 
-// The caller's VM can send but hears nothing, not even acknowledgements. It may
-// release no token, and must tell its caller so in bounded time instead of
-// sending heartbeats for ever; any other VM goes on with the answer.
+// The caller's VM can send but receives nothing, not even acknowledgements. It cannot
+// release any token, and must report an error to its caller in bounded time instead of
+// sending heartbeats forever. Any other VM can continue the answer.
 func TestOwnerCutOffOneWay(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
 		if err := c.read("vm0", 100); err != nil {
 			t.Fatal(err)
 		}
-		deaf := s.owner("k")
-		s.net.Deafen(deaf)
+		partitioned := s.owner("k")
+		s.net.Deafen(partitioned)
 		began := time.Now()
-		if err := c.read(deaf, testTokens); result.CodeOf(err) != result.KeepersUnavail || result.From(err).Ran == result.RanNo {
-			t.Errorf("the cut-off VM ended the answer with %v", err)
+		if err := c.read(partitioned, testTokens); result.CodeOf(err) != result.KeepersUnavail || result.From(err).Ran == result.RanNo {
+			t.Errorf("the partitioned VM ended the answer with %v, want keepers_unavailable without the promise that it did not run", err)
 		}
-		if err := s.caller("k").read(deaf, 1); result.CodeOf(err) != result.KeepersUnavail || result.From(err).Ran == result.RanNo {
-			t.Errorf("the cut-off VM refused the resend of a running answer with %v", err)
+		if err := s.caller("k").read(partitioned, 1); result.CodeOf(err) != result.KeepersUnavail || result.From(err).Ran == result.RanNo {
+			t.Errorf("the partitioned VM refused the resend of a running answer with %v, want keepers_unavailable without the promise that it did not run", err)
 		}
 		if took := time.Since(began); took > 5*time.Second {
-			t.Errorf("the cut-off VM held its caller for %v", took)
+			t.Errorf("the partitioned VM kept its caller waiting for %v, want at most 5s", took)
 		}
-		c.finishOn(s.other(deaf))
+		c.finishOn(s.other(partitioned))
 	})
 }
 
-// Callers of one key come to every VM at the same moment, as after the loss of
-// a VM or by a caller's own retries. They share one generation: one attempt,
-// and the same whole answer for each.
+// Callers of one key reach every VM at the same time, as after the loss of a VM or by a
+// caller's own retries. They must share one generation, with one attempt and the same
+// complete answer for each.
 func TestManyAtOnceShareOneGeneration(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		var wg sync.WaitGroup
@@ -119,13 +118,13 @@
 			}
 		}
 		if s.work().Starts != 1 || s.extra() != 0 {
-			t.Errorf("%d attempts, extra work %d tokens", s.work().Starts, s.extra())
+			t.Errorf("got %d attempts and %d tokens of extra work, want 1 and 0", s.work().Starts, s.extra())
 		}
 	})
 }
 
-// A caller reconnects at every index, each time to another VM, while the owner
-// lives: each VM reads from the owner, and no engine does anything twice.
+// A caller reconnects at every index, each time to another VM, while the owner is alive.
+// Each VM reads from the owner, and no engine does any work twice.
 func TestReconnectAnywhereCostsNothing(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
@@ -136,14 +135,14 @@
 		}
 		c.check()
 		if s.work().Starts != 1 || s.extra() != 0 || s.count("takeovers") != 0 {
-			t.Errorf("%d attempts, extra %d, %d takeovers", s.work().Starts, s.extra(), s.count("takeovers"))
+			t.Errorf("got %d attempts, %d tokens of extra work and %d takeovers, want 1, 0 and 0", s.work().Starts, s.extra(), s.count("takeovers"))
 		}
 	})
 }
 
-// The caller reads on a VM that follows the owner on another one. The owner
-// dies, loudly or silently: the follower becomes the owner, and the caller's
-// connection stays.
+// The caller reads on a VM that follows the owner on another VM. The owner is killed,
+// partitioned or paused. The follower becomes the owner, and the caller's connection
+// stays open.
 func TestFollowedOwnerIsLost(t *testing.T) {
 	for name, lose := range map[string]func(s *system, vm string){
 		"killed":  func(s *system, vm string) { s.kill(vm) },
@@ -164,7 +163,7 @@
 				lose(s, owner)
 				wg.Wait()
 				if c.gap > 5*time.Second {
-					t.Errorf("the answer stood still for %v", c.gap)
+					t.Errorf("the longest wait for tokens was %v, want at most 5s", c.gap)
 				}
 				s.net.Resume(owner)
 			})
@@ -172,16 +171,16 @@
 	}
 }
 
-// The answer has ended and its owner dies. A caller that lost the connection
-// before the end reads the rest on another VM, from the keepers, though every
-// engine is dead by then.
+// The owner dies after the answer has ended. A caller that lost its connection before
+// the end reads the rest on another VM, from the keepers, although every engine is dead
+// by then.
 func TestFinishedAnswerNeedsNoEngine(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
-		c, whole := s.caller("k"), s.caller("k")
+		c, complete := s.caller("k"), s.caller("k")
 		if err := c.read("vm0", 50); err != nil {
 			t.Fatal(err)
 		}
-		whole.finishOn("vm0")
+		complete.finishOn("vm0")
 		s.kill(s.owner("k"))
 		for _, e := range s.engines {
 			e.Kill()
@@ -190,9 +189,9 @@
 	})
 }
 
-// Two VMs that keep the journal are lost together; the list of VMs follows, and
-// the owner moves the journal. Right after, a third of the first five is lost,
-// and the owner with it. The caller still gets the rest on another VM.
+// Two VMs that keep the journal are lost together. The list of VMs is updated, and the
+// owner moves the journal. Immediately afterwards a third of the first five keepers and
+// the owner are lost. The caller must still get the rest on another VM.
 func TestTwoVMsLostThenAThird(t *testing.T) {
 	inBubble(t, 9, 2, func(s *system) {
 		c := s.caller("k")
@@ -208,19 +207,19 @@
 			t.Fatal(err)
 		}
 		if s.count("replacements") == 0 {
-			t.Error("the journal was not moved")
+			t.Error("got no replacements, want the journal moved to new keepers")
 		}
 		s.kill(first[2].VM, owner)
 		c.finishOn(s.other())
 		if s.extra() != 0 {
-			t.Errorf("extra work %d tokens", s.extra())
+			t.Errorf("got %d tokens of extra work, want 0", s.extra())
 		}
 	})
 }
 
-// Three of the journal's five keepers are lost together, with the owner. What
-// the caller has seen can't be shown to be whole any more: the answer is an
-// error with its own code, and never a continuation that might differ.
+// Three of the journal's five keepers and the owner are lost together. The remaining
+// keepers cannot prove that they hold every token that the caller has seen. The answer
+// must end with its own result code, and never with a continuation that may differ.
 func TestMajorityLostIsAnError(t *testing.T) {
 	inBubble(t, 9, 2, func(s *system) {
 		c := s.caller("k")
@@ -233,14 +232,14 @@
 		s.kill(first[0].VM, first[1].VM, first[2].VM, owner)
 		s.commit()
 		if err := c.read(s.other(), testTokens); result.CodeOf(err) != result.JournalLost {
-			t.Errorf("error %v, want journal_lost", err)
+			t.Errorf("got error %v, want journal_lost", err)
 		}
 	})
 }
 
-// VMs that keep the journal restart one by one without their memory, as in a
-// rolling update. Each is another keeper from then on; the owner installs the
-// journal on it again, and the caller notices nothing.
+// VMs that keep the journal restart one by one and lose their memory, as in a rolling
+// update. Each returns as a new keeper, the owner installs the journal on it again, and
+// the caller is unaffected.
 func TestKeepersRestartOneByOne(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
@@ -254,9 +253,9 @@
 				continue
 			}
 			s.kill(vm)
-			back := s.candidate(i)
-			s.start(back)
-			s.commit(back)
+			restarted := s.candidate(i)
+			s.start(restarted)
+			s.commit(restarted)
 			if err := c.read(owner, len(c.tokens)+60); err != nil {
 				t.Fatalf("after the restart of %s: %v", vm, err)
 			}
@@ -264,7 +263,7 @@
 		s.kill(owner)
 		c.finishOn(s.other())
 		if s.extra() != 0 {
-			t.Errorf("extra work %d tokens", s.extra())
+			t.Errorf("got %d tokens of extra work, want 0", s.extra())
 		}
 	})
 }
--- a/internal/relay/charge_test.go
+++ b/internal/relay/quota_test.go
@@ -11,8 +11,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// charges is a relay.Quota that records what is reserved and settled.
-type charges struct {
+// quotaRecorder is a relay.Quota that records what is reserved and settled.
+type quotaRecorder struct {
 	mu       sync.Mutex
 	refuse   error
 	reserved int
@@ -20,7 +20,7 @@
 }
 
 // Reserve implements relay.Quota.
-func (c *charges) Reserve(context.Context, *generation.Request) (func(ran bool, tokens int), error) {
+func (c *quotaRecorder) Reserve(context.Context, *generation.Request) (func(ran bool, tokens int), error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.refuse != nil {
@@ -37,9 +37,9 @@
 	}, nil
 }
 
-// One request, whatever happens to it, is reserved once. The reservation is
-// settled by the usage where its owner finished it, and in full where the answer
-// went on elsewhere, or may still do so, since a takeover reserves nothing.
+// A request is reserved exactly once, whatever faults occur. The reservation is settled
+// by the usage if its owner finished the answer, and in full if the answer continued on
+// another VM or still may, because a takeover reserves nothing.
 func TestReservedOnceAndSettled(t *testing.T) {
 	full := len(testPrompt) + testTokens
 	for name, tc := range map[string]struct {
@@ -49,11 +49,11 @@
 		"finished, read on two VMs": {func(s *system, c *caller) {
 			c.finishOn("vm0")
 			s.caller("k").finishOn("vm1")
-		}, []int{full}}, // testTokens come, and the stand-in counts a token for each byte of the prompt
+		}, []int{full}}, // testTokens arrive, and the stand-in counts each byte of the prompt as a token
 		"owner killed": {func(s *system, c *caller) {
 			s.kill(s.owner("k"))
 			c.finishOn(s.other())
-		}, []int{full}}, // by the dying hub; a process that crashes settles nothing, which counts as in full
+		}, []int{full}}, // settled by the hub that is closed; a crashed process settles nothing, which counts as in full
 		"owner paused and deposed": {func(s *system, c *caller) {
 			paused := s.owner("k")
 			s.net.Pause(paused)
@@ -80,17 +80,17 @@
 					t.Fatal(err)
 				}
 				tc.run(s, c)
-				time.Sleep(5 * time.Second) // virtual: a deposed owner finds out by its next write
+				time.Sleep(5 * time.Second) // virtual: a deposed owner learns of it from the reply to its next write
 				synctest.Wait()
-				s.charges.mu.Lock()
-				defer s.charges.mu.Unlock()
-				if s.charges.reserved != 1 || len(s.charges.settled) != len(tc.want) {
-					t.Errorf("reserved %d times, settled %v, want %v", s.charges.reserved, s.charges.settled, tc.want)
+				s.quota.mu.Lock()
+				defer s.quota.mu.Unlock()
+				if s.quota.reserved != 1 || len(s.quota.settled) != len(tc.want) {
+					t.Errorf("got %d reservations settled as %v, want one settled as %v", s.quota.reserved, s.quota.settled, tc.want)
 					return
 				}
 				for i, want := range tc.want {
-					if s.charges.settled[i] != want {
-						t.Errorf("settled %v, want %v", s.charges.settled, tc.want)
+					if s.quota.settled[i] != want {
+						t.Errorf("got settlements %v, want %v", s.quota.settled, tc.want)
 					}
 				}
 			})
@@ -98,22 +98,22 @@
 	}
 }
 
-// The plan refuses. The caller gets its code and the promise that nothing ran:
-// no keeper has a journal, and no engine has seen the request.
+// The plan refuses a request. The caller must receive the plan's result code and the
+// promise that nothing ran: no keeper has a journal, and no engine got the request.
 func TestRefusedByThePlanDidNotRun(t *testing.T) {
 	inBubble(t, 3, 1, func(s *system) {
-		s.charges.refuse = result.New(result.TokensExhausted)
+		s.quota.refuse = result.New(result.TokensExhausted)
 		c := s.caller("k")
 		if err := c.read("vm0", 1); result.CodeOf(err) != result.TokensExhausted || result.From(err).Ran != result.RanNo {
-			t.Errorf("refusal: %v", err)
+			t.Errorf("got %v, want tokens_exhausted with the promise that nothing ran", err)
 		}
-		s.charges.refuse = nil
+		s.quota.refuse = nil
 		if s.work().Starts != 0 {
-			t.Error("an engine ran it")
+			t.Error("an engine ran the refused request, want none")
 		}
 		c.finishOn("vm1")
-		if s.charges.reserved != 1 {
-			t.Errorf("reserved %d times after the refusal", s.charges.reserved)
+		if s.quota.reserved != 1 {
+			t.Errorf("got %d reservations after the refusal, want 1", s.quota.reserved)
 		}
 	})
 }
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -42,14 +42,15 @@
 	code  result.Code // 0: the read brought tokens or the end
 }
 
-// answerState is the part of an answer that some caller has seen.
+// answerState is the part of an answer that at least one caller has seen.
 type answerState struct {
 	tokens []int32
 	finish string
 }
 
-// answerModel is an answer as callers may see it: it only grows, no index
-// changes, it ends once, and it can't be unknown after a token of it was read.
+// answerModel is the model of an answer that callers may observe. The answer only
+// grows, no index changes, it ends once, and it cannot be lost or unknown after one of
+// its tokens was read.
 var answerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -101,7 +102,7 @@
 	return true, next
 }
 
-// schedule is one randomised run: callers that move between VMs, and faults.
+// schedule is one randomised run with callers that move between VMs, and with faults.
 type schedule struct {
 	s       *system
 	rand    *rand.Rand
@@ -109,11 +110,11 @@
 	history []porcupine.Operation
 }
 
-// Several callers read two answers, moving between VMs at random and reading
-// each index as often as they like, while VMs die, shut down, restart empty, pause
-// and go deaf, messages are lost and doubled, and engines pause. Every caller receives
-// a whole answer in the end, and what all of them saw is one history of one
-// growing answer for each key.
+// Several callers read two answers and move between VMs at random. Meanwhile VMs are
+// killed, shut down, restarted without memory, paused and cut off from receiving,
+// messages are lost and duplicated, and engines are paused. Every caller must receive a
+// complete answer in the end, and all reads together must form a history of one growing
+// answer for each key.
 func TestRandomFaults(t *testing.T) {
 	seed := uint64(pinnedSeed)
 	if text := os.Getenv("AMARANTHSHELF_SEED"); text != "" {
@@ -147,19 +148,19 @@
 	s.net.SetLoss(0, 0)
 	wg.Wait()
 	if verdict := porcupine.CheckOperationsTimeout(answerModel, r.history, time.Minute); verdict != porcupine.Ok {
-		s.t.Errorf("the callers' history is not that of one answer for each key: %v", verdict)
+		s.t.Errorf("got verdict %v on the callers' history, want the history of one answer for each key", verdict)
 	}
 	if n := s.count("invariants_broken"); n != 0 {
-		s.t.Errorf("%d invariants broken", n)
+		s.t.Errorf("got %d broken invariants, want 0", n)
 	}
 }
 
-func (r *schedule) pause(least, most time.Duration) {
-	time.Sleep(least + time.Duration(r.rand.Int64N(int64(most-least)))) // virtual
+func (r *schedule) pause(shortest, longest time.Duration) {
+	time.Sleep(shortest + time.Duration(r.rand.Int64N(int64(longest-shortest)))) // virtual
 }
 
-// fault brings one fault about and ends it. At most two VMs are away at a time,
-// and the next are lost only after the owners could move their journals.
+// fault causes one fault and ends it. At most two VMs are lost at a time, and the next
+// ones are lost only after the owners had time to move their journals.
 func (r *schedule) fault() {
 	s := r.s
 	i := r.rand.IntN(randomVMs)
@@ -185,41 +186,41 @@
 		s.engines[r.rand.IntN(len(s.engines))].Pause(time.Duration(r.rand.IntN(4000)) * time.Millisecond)
 	case 6:
 		ctx, cancel := context.WithTimeout(s.t.Context(), 5*time.Second)
-		_ = s.hub(vm).Drain(ctx) // an error: some answer found no successor in time
+		_ = s.hub(vm).Drain(ctx) // on an error, some answer has found no successor in time
 		cancel()
 		r.restart(vm)
 	}
 	r.pause(1500*time.Millisecond, 3*time.Second)
 }
 
-// restart loses VMs with their memory; they come back as other keepers.
+// restart kills VMs, which lose their memory and return as new keepers.
 func (r *schedule) restart(vms ...string) {
 	r.s.kill(vms...)
 	r.pause(10*time.Millisecond, time.Second)
-	var back []generation.Candidate
+	var restarted []generation.Candidate
 	for _, vm := range vms {
 		var i int
 		_, _ = fmt.Sscanf(vm, "vm%d", &i)
-		back = append(back, r.s.candidate(i))
-		r.s.start(back[len(back)-1])
+		restarted = append(restarted, r.s.candidate(i))
+		r.s.start(restarted[len(restarted)-1])
 	}
-	r.s.commit(back...)
+	r.s.commit(restarted...)
 }
 
-// caller reads one answer to its end, and now and then an index again.
+// caller reads one answer to its end over successive connections to random VMs.
 func (r *schedule) caller(key string, id int, turns *rand.Rand) {
 	c := r.s.caller(key)
 	deadline := time.Now().Add(5 * time.Minute)
 	for c.finish == "" && time.Now().Before(deadline) {
 		vm := fmt.Sprint("vm", turns.IntN(randomVMs))
-		r.stretch(c, id, vm, len(c.tokens)+1+turns.IntN(testTokens))
+		r.readStretch(c, id, vm, len(c.tokens)+1+turns.IntN(testTokens))
 		time.Sleep(time.Duration(20+turns.IntN(300)) * time.Millisecond) // virtual
 	}
 	c.check()
 }
 
-// stretch is one connection: it ends at n tokens or with an error.
-func (r *schedule) stretch(c *caller, id int, vm string, n int) {
+// readStretch reads over one connection, until the answer has n tokens or an error occurs.
+func (r *schedule) readStretch(c *caller, id int, vm string, n int) {
 	hub := r.s.hub(vm)
 	if hub == nil {
 		return
--- a/internal/relay/recover_test.go
+++ b/internal/relay/recover_test.go
@@ -25,18 +25,19 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// fleet is a few engines without a network. A dead one refuses connections.
+// fleet is a set of engines that are called without a network. A dead engine refuses
+// connections.
 type fleet struct {
 	mu      sync.Mutex
 	engines []*standin.Engine
 	cfg     func(i int) standin.EngineConfig
-	slow    func(engine string) float64 // what routers know of slowness; nil: nothing
+	slow    func(engine string) float64 // the slowness that routers observe; nil: none
 }
 
 func newFleet(n int, change func(*standin.EngineConfig)) *fleet {
 	f := &fleet{cfg: func(i int) standin.EngineConfig {
 		c := standin.DefaultEngine(fmt.Sprint("e", i), "m")
-		c.ByAttempt = true // so that a splice of two attempts shows
+		c.ByAttempt = true // makes a splice of two attempts detectable
 		if change != nil {
 			change(&c)
 		}
@@ -115,7 +116,7 @@
 	return e.Cancel(ctx, addr, a)
 }
 
-// tableRouter is package routing behind relay.Router.
+// tableRouter implements relay.Router with a routing.Table.
 type tableRouter struct {
 	mu    sync.Mutex
 	table *routing.Table
@@ -173,18 +174,18 @@
 	}, nil
 }
 
-type fixedMembers []generation.Candidate
+type staticMembers []generation.Candidate
 
-func (m fixedMembers) Views() []generation.Membership {
+func (m staticMembers) Views() []generation.Membership {
 	return []generation.Membership{{Version: 1, Candidates: m}}
 }
-func (m fixedMembers) Reachable(string) bool { return true }
+func (m staticMembers) Reachable(string) bool { return true }
 
 // hubs starts VMs that share a fleet.
 func hubs(t *testing.T, f *fleet, n int, o recovery.Objective) []*relay.Hub {
 	t.Helper()
 	network := peertest.New(20261202)
-	var members fixedMembers
+	var members staticMembers
 	for i := range n {
 		members = append(members, generation.Candidate{VM: fmt.Sprint("vm", i), Zone: fmt.Sprint("z", i), Incarnation: "1"})
 	}
@@ -210,8 +211,8 @@
 	}
 }
 
-// read reads a whole answer as a caller does and checks it token by token. at
-// is called once, when 50 tokens have come.
+// read reads a complete answer as a caller does and checks it token by token. It calls
+// at once, when 50 tokens have arrived.
 func read(ctx context.Context, h *relay.Hub, req generation.Request, at func()) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Minute) // virtual
 	defer cancel()
@@ -239,9 +240,9 @@
 	return standin.Verify(c, "1", tokens, true)
 }
 
-// The caller's answer stops at its 50th token for half a minute and then goes
-// on, within the longest probation (30 s) of the engine that comes back. Every engine dies at that moment, and one comes back. The request was
-// accepted, so it waits for an engine instead of failing.
+// Every engine dies at the 50th token of an answer, and one restarts after half a
+// minute. The request was accepted, and it waits for an engine instead of failing. The
+// answer resumes within the longest probation (30 s) of the restarted engine.
 func TestAcceptedRequestOutlivesAnOutageOfAllEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, nil)
@@ -259,15 +260,15 @@
 			t.Error(err)
 		}
 		if took := time.Since(began); took > 65*time.Second {
-			t.Errorf("the answer took %s", took)
+			t.Errorf("the answer took %s, want at most 65s", took)
 		}
 	})
 }
 
-// The caller's engine falls silent for four seconds and then sends on. With
-// resume-latency the answer goes on elsewhere within a second and a half; with
-// extra-work within five, as the bound is longer than most pauses. The late
-// tokens of the first engine differ and must not show.
+// The caller's engine is silent for a minute and then continues. With the objective
+// resume-latency the answer resumes on another engine within 1.5 seconds. With
+// extra-work it resumes within 5 seconds, because the timeout is longer than most pauses.
+// The late tokens of the first engine differ and must not appear in the answer.
 func TestSilentEngineIsLeftByObjective(t *testing.T) {
 	for _, c := range []struct {
 		objective recovery.Objective
@@ -289,16 +290,16 @@
 			}
 			unbroken := paused.Sub(began) * 3 // 150 more tokens
 			if took := time.Since(paused); took > c.within+unbroken {
-				t.Errorf("objective %d: the answer ended %s after the pause began", c.objective, took)
+				t.Errorf("objective %d: the answer ended %s after the start of the pause, over the limit", c.objective, took)
 			}
-			time.Sleep(2 * time.Minute) // virtual: the late tokens come and are dropped
+			time.Sleep(2 * time.Minute) // virtual: the late tokens arrive and are dropped
 		})
 	}
 }
 
-// The caller's engine becomes eight times slower with most of the answer to
-// come. It has not failed, and the answer would take a minute; it goes on on
-// another engine and is whole within a quarter of that.
+// The caller's engine becomes eight times slower while most of the answer is missing.
+// The engine has not failed, and the answer would take a minute on it. The answer must
+// move to another engine and be complete within a quarter of that time.
 func TestAnswerMovesOffASlowEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, nil)
@@ -322,15 +323,14 @@
 			t.Error(err)
 		}
 		if took := time.Since(began); took > 15*time.Second {
-			t.Errorf("the answer took %s", took)
+			t.Errorf("the answer took %s, want at most 15s", took)
 		}
 	})
 }
 
-// A request crashes each engine that runs it, with four innocent ones beside it.
-// Its caller sends it again under new ids, to another VM. It takes down two
-// engines and no more, and is refused with its code; the innocent answers are
-// whole; after the blame has expired it is taken again.
+// A request crashes each engine that runs it, while 12 other requests run. Its caller
+// resends it under new ids to other VMs. It must crash exactly two engines and then be
+// refused with its own result code, and the other answers must be complete.
 func TestPoisonTakesDownTwoEnginesAndNoInnocents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(6, func(c *standin.EngineConfig) { c.PoisonWord, c.PoisonAt = "crash", 40 })
@@ -340,24 +340,24 @@
 		for i := range 12 {
 			wg.Go(func() {
 				if err := read(t.Context(), vms[0], request(fmt.Sprint("good", i), fmt.Sprint("unit ", i), 400), nil); err != nil {
-					t.Errorf("innocent %d: %v", i, err)
+					t.Errorf("request %d beside the poison request: got error %v, want a complete answer", i, err)
 				}
 			})
 		}
 		err := read(t.Context(), vms[0], request("bad", "please crash", 400), nil)
 		if !errors.Is(err, result.New(result.PoisonRequest)) {
-			t.Errorf("the bad request got: %v", err)
+			t.Errorf("the poison request got %v, want poison_request", err)
 		}
 		synctest.Wait()
 		for i := range 5 {
 			err := read(t.Context(), vms[1+i%2], request(fmt.Sprint("again", i), "please crash", 400), nil)
 			if !errors.Is(err, result.New(result.PoisonRequest)) {
-				t.Errorf("resend %d got: %v", i, err)
+				t.Errorf("resend %d got %v, want poison_request", i, err)
 			}
 		}
 		wg.Wait()
 		if n := f.deaths(); n != 2 {
-			t.Errorf("%d engines died, want 2", n)
+			t.Errorf("got %d dead engines, want 2", n)
 		}
 		for _, h := range vms {
 			h.Close()
--- a/internal/relay/recover.go
+++ b/internal/relay/recoverer.go
@@ -12,8 +12,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// recoverer is the recovery policy of one VM: what package recovery decides,
-// shared by all runs, and blame exchanged with the other VMs.
+// recoverer applies the policies of package recovery to all runs of one VM and
+// exchanges suspicion reports with the other VMs.
 type recoverer struct {
 	hub    *Hub
 	policy recovery.Policy
@@ -22,10 +22,10 @@
 	detector  *recovery.Detector
 	suspicion *recovery.Budget
 	hedges    *recovery.Budget
-	blame     *recovery.PoisonSuspicion
+	poison    *recovery.PoisonSuspicion
 	pacers    map[string]*recovery.Pacer // by model
 	grants    map[*recovery.Resume]chan struct{}
-	heard     heard
+	seen      seenReports
 }
 
 func newRecoverer(h *Hub) *recoverer {
@@ -36,37 +36,37 @@
 	return &recoverer{
 		hub: h, policy: policy, detector: recovery.NewDetector(policy),
 		suspicion: recovery.NewSuspicionBudget(), hedges: recovery.NewBudget(policy.HedgeShare),
-		blame: recovery.NewPoisonSuspicion(), pacers: map[string]*recovery.Pacer{}, grants: map[*recovery.Resume]chan struct{}{}, heard: heard{},
+		poison: recovery.NewPoisonSuspicion(), pacers: map[string]*recovery.Pacer{}, grants: map[*recovery.Resume]chan struct{}{}, seen: seenReports{},
 	}
 }
 
-// standing judges a request by its content.
+// standing returns whether a request's content is suspected or known to be poison.
 func (c *recoverer) standing(digest uint64) recovery.Standing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.blame.Standing(digest, time.Now())
+	return c.poison.Standing(digest, time.Now())
 }
 
-// refusePoison returns the final answer to a request that ended every engine
-// which ran it, with the time at which the blame will have expired.
+// refusePoison returns the error for a request that has killed the engines on which it
+// ran, with the time until the suspicion expires. It returns nil for other requests.
 func (c *recoverer) refusePoison(digest uint64, ran result.Ran) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.blame.Standing(digest, time.Now()) != recovery.Poison {
+	if c.poison.Standing(digest, time.Now()) != recovery.Poison {
 		return nil
 	}
 	c.hub.metrics.Add("poison_refused", 1)
-	return result.New(result.PoisonRequest).WithRan(ran).WithRetryAfter(time.Until(c.blame.Expires(digest)))
+	return result.New(result.PoisonRequest).WithRan(ran).WithRetryAfter(time.Until(c.poison.Expires(digest)))
 }
 
-// begin watches an attempt on an engine.
+// begin starts to monitor an attempt on an engine for silence.
 func (c *recoverer) begin(engine string) *recovery.Stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.detector.Begin(engine, time.Now())
 }
 
-// event notes useful tokens of a stream.
+// event records useful tokens of a stream, which also earn budget for extra work.
 func (c *recoverer) event(s *recovery.Stream, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,8 +81,8 @@
 	c.detector.End(s)
 }
 
-// check judges a stream's silence: suspect, worth a hedge, or when to look
-// again.
+// check reports whether a stream's engine is suspected because of its silence,
+// whether a hedge is due, and after what time to check again.
 func (c *recoverer) check(s *recovery.Stream, prefill int) (suspect, hedge bool, again time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,11 +93,11 @@
 		c.suspicion.Spend(prefill)
 		return true, false, 0
 	}
-	return false, c.detector.HedgeDue(s, now), min(again, checkEvery)
+	return false, c.detector.HedgeDue(s, now), min(again, checkInterval)
 }
 
-// checkEvery is the resolution of suspicion and hedging.
-const checkEvery = 100 * time.Millisecond
+// checkInterval is the interval of checks for suspicion and hedging.
+const checkInterval = 100 * time.Millisecond
 
 func (c *recoverer) spendMove(prefill int) bool {
 	c.mu.Lock()
@@ -111,14 +111,14 @@
 	return c.hedges.Spend(prefill)
 }
 
-// Polled notes that an engine answered a poll of its load.
+// Polled records that an engine has answered a poll of its load.
 func (h *Hub) Polled(engine string) {
 	h.recovery.mu.Lock()
 	defer h.recovery.mu.Unlock()
 	h.recovery.detector.Polled(engine, time.Now())
 }
 
-// pace holds a resume back until the engines can prefill it.
+// pace delays a resume until the engines have capacity for its prefill.
 func (c *recoverer) pace(ctx context.Context, model string, r *recovery.Resume) error {
 	granted := make(chan struct{})
 	c.mu.Lock()
@@ -126,7 +126,7 @@
 	c.pacer(model).Enqueue(r, time.Now())
 	c.grant(model)
 	c.mu.Unlock()
-	ticker := time.NewTicker(checkEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -134,16 +134,17 @@
 			return nil
 		case <-ticker.C:
 			c.mu.Lock()
-			c.grant(model) // some may have been held long enough
+			c.grant(model) // the maximum wait of some may have elapsed
 			c.mu.Unlock()
 		case <-ctx.Done():
-			c.paced(model, r)
+			c.releaseResume(model, r)
 			return ctx.Err()
 		}
 	}
 }
 
-// pacer needs c.mu.
+// pacer returns the pacer of a model, with its current number of engines. It needs
+// c.mu.
 func (c *recoverer) pacer(model string) *recovery.Pacer {
 	p := c.pacers[model]
 	if p == nil {
@@ -154,7 +155,7 @@
 	return p
 }
 
-// grant needs c.mu.
+// grant starts every resume that the pacer allows now. It needs c.mu.
 func (c *recoverer) grant(model string) {
 	p := c.pacer(model)
 	for r := p.Next(time.Now()); r != nil; r = p.Next(time.Now()) {
@@ -163,8 +164,8 @@
 	}
 }
 
-// paced ends a resume's part in the pace: its first token came, or it failed.
-func (c *recoverer) paced(model string, r *recovery.Resume) {
+// releaseResume removes a resume from the pacer after its first token or its failure.
+func (c *recoverer) releaseResume(model string, r *recovery.Resume) {
 	if r == nil {
 		return
 	}
@@ -175,44 +176,46 @@
 	c.grant(model)
 }
 
-// blameMessage tells other VMs of a death, or that a suspect was cleared.
-type blameMessage struct {
+// suspicionReport reports to other VMs that an engine died under a request, or that a
+// suspected request was cleared.
+type suspicionReport struct {
 	Death   recovery.Death `cbor:"1,keyasint"`
-	Passed  int            `cbor:"2,keyasint"`
+	Tokens  int            `cbor:"2,keyasint"`
 	Cleared bool           `cbor:"3,keyasint,omitempty"`
-	Pass    bool           `cbor:"4,keyasint,omitempty"` // to be passed on
+	Forward bool           `cbor:"4,keyasint,omitempty"` // the receiver forwards the report
 }
 
-// died blames a request for the death of its engine. A resend may come to any
-// VM under a new id, so all learn of it.
+// died records that an engine died under a request, which becomes a suspect. It
+// informs all VMs, because a resend may reach any of them under a new id.
 func (c *recoverer) died(engine string, digest uint64, passed int) recovery.Standing {
 	d := recovery.Death{Digest: digest, Engine: engine, At: time.Now()}
 	c.mu.Lock()
 	c.detector.ResetStats(engine)
-	standing := c.blame.EngineDied(d, passed)
+	standing := c.poison.EngineDied(d, passed)
 	c.mu.Unlock()
-	c.tell(blameMessage{Death: d, Passed: passed})
+	c.report(suspicionReport{Death: d, Tokens: passed})
 	return standing
 }
 
-// passed clears a suspect that ran past the point of its engine's death.
-func (c *recoverer) passed(digest uint64, tokens int) bool {
+// noteProgress clears a suspect that has run past the point at which its engine died. It
+// reports whether a suspect was cleared.
+func (c *recoverer) noteProgress(digest uint64, tokens int) bool {
 	c.mu.Lock()
-	cleared := c.blame.NoteProgress(digest, tokens)
+	cleared := c.poison.NoteProgress(digest, tokens)
 	c.mu.Unlock()
 	if cleared {
-		c.tell(blameMessage{Death: recovery.Death{Digest: digest}, Passed: tokens, Cleared: true})
+		c.report(suspicionReport{Death: recovery.Death{Digest: digest}, Tokens: tokens, Cleared: true})
 	}
 	return cleared
 }
 
-// tell sends blame to the VMs that this one tells. A message that is lost costs
-// at most one more engine.
-func (c *recoverer) tell(m blameMessage) {
-	vms, pass := neighbours(c.hub.cfg.VM, c.hub.members.Views()[0].Candidates)
-	m.Pass = pass
+// report sends a suspicion report to this VM's neighbours. A lost message costs at most
+// one more engine.
+func (c *recoverer) report(m suspicionReport) {
+	vms, forward := neighbours(c.hub.cfg.VM, c.hub.members.Views()[0].Candidates)
+	m.Forward = forward
 	c.mu.Lock()
-	c.heard.first(m, time.Now())
+	c.seen.first(m, time.Now())
 	c.mu.Unlock()
 	for _, vm := range vms {
 		if c.hub.members.Reachable(vm) {
@@ -221,35 +224,36 @@
 	}
 }
 
-func (c *recoverer) handleBlame(_ context.Context, _ string, body []byte) (any, error) {
-	var m blameMessage
+func (c *recoverer) handleReport(_ context.Context, _ string, body []byte) (any, error) {
+	var m suspicionReport
 	if err := codec.Unmarshal(body, &m); err != nil {
 		return nil, err
 	}
-	if c.hear(m) && m.Pass {
-		c.tell(m)
+	if c.receive(m) && m.Forward {
+		c.report(m)
 	}
 	return nil, nil
 }
 
-// hear applies blame that another VM tells, once, and reports whether it was
-// new.
-func (c *recoverer) hear(m blameMessage) bool {
+// receive applies another VM's suspicion report and reports whether it was new. A
+// report that is known already has no effect.
+func (c *recoverer) receive(m suspicionReport) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.heard.first(m, time.Now()) {
+	if !c.seen.first(m, time.Now()) {
 		return false
 	}
 	if m.Cleared {
-		c.blame.NoteProgress(m.Death.Digest, m.Passed)
+		c.poison.NoteProgress(m.Death.Digest, m.Tokens)
 		return true
 	}
 	m.Death.At = time.Now()
-	c.blame.EngineDied(m.Death, m.Passed)
+	c.poison.EngineDied(m.Death, m.Tokens)
 	return true
 }
 
-// deadlineOf is the time by which a request must have started; zero: never.
+// deadlineOf returns the time by which a request must have started, or the zero time
+// if it has no deadline.
 func deadlineOf(r *generation.Request, since time.Time) time.Time {
 	if r.DeadlineMS == 0 {
 		return time.Time{}
--- a/internal/relay/journals.go
+++ b/internal/relay/replicator.go
@@ -11,15 +11,15 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// Replication figures. One batch at a time is under way to each keeper: while
-// it travels, the tokens of all generations gather for the next, so the
-// messages per second are bounded by the round trip and not by the tokens.
+// Constants of replication. Each keeper has at most one batch in flight. Meanwhile the
+// tokens of all generations accumulate for the next batch, and the message rate is
+// bounded by the round trip time instead of the token rate.
 const (
 	writeTimeout   = 1 * time.Second
 	retryPause     = 50 * time.Millisecond
 	maxWriteTokens = 512
 	maxBatchWrites = 256
-	maxBatchBytes  = 1 << 20 // and one write more; installations carry whole prompts
+	maxBatchBytes  = 1 << 20 // exceeded by at most one write; an installation carries a complete prompt
 )
 
 // WriteBatch carries the writes of many journals to one keeper.
@@ -27,13 +27,13 @@
 	Writes []generation.Write `cbor:"1,keyasint"`
 }
 
-// WriteReplies answers a WriteBatch, in order.
+// WriteReplies holds the replies to the writes of a WriteBatch, in order.
 type WriteReplies struct {
 	Replies []generation.WriteReply `cbor:"1,keyasint"`
 }
 
-// journals replicates the owned journals of this VM.
-type journals struct {
+// replicator sends the writes of this VM's own journals to their keepers.
+type replicator struct {
 	transport peer.Transport
 	ctx       context.Context
 	self      string
@@ -43,50 +43,50 @@
 	links map[string]*link
 }
 
-// link carries the writes to one keeper, one batch at a time.
+// link sends writes to one keeper, one batch at a time.
 type link struct {
-	j    *journals
-	vm   string
-	mu   sync.Mutex
-	due  []*target
-	wake chan struct{}
+	replicator *replicator
+	vm         string
+	mu         sync.Mutex
+	due        []*target
+	wake       chan struct{}
 }
 
-// target is one run's place on one link. A run that is due already costs the
-// next token one atomic load.
+// target is a run on the link to one of its keepers. While the target is due, a
+// further token costs one atomic load.
 type target struct {
 	run  *Run
 	link *link
 	due  atomic.Bool
 }
 
-func newJournals(ctx context.Context, t peer.Transport, self string, local func(WriteBatch) WriteReplies) *journals {
-	return &journals{transport: t, ctx: ctx, self: self, local: local, links: map[string]*link{}}
+func newReplicator(ctx context.Context, t peer.Transport, self string, local func(WriteBatch) WriteReplies) *replicator {
+	return &replicator{transport: t, ctx: ctx, self: self, local: local, links: map[string]*link{}}
 }
 
-// targets are a run's places on the links to its keepers.
-func (j *journals) targets(r *Run, keepers []generation.KeeperID) *[]*target {
+// targets returns a run's targets on the links to its keepers.
+func (rep *replicator) targets(r *Run, keepers []generation.KeeperID) *[]*target {
 	out := make([]*target, 0, len(keepers))
 	for _, k := range keepers {
-		out = append(out, &target{run: r, link: j.link(k.VM)})
+		out = append(out, &target{run: r, link: rep.link(k.VM)})
 	}
 	return &out
 }
 
-// mark notes that a run may have something for its keepers.
-func (j *journals) mark(r *Run) {
+// mark schedules a run's links, because the run may have writes for its keepers.
+func (rep *replicator) mark(r *Run) {
 	for _, t := range *r.targets.Load() {
 		t.mark()
 	}
 }
 
-func (j *journals) link(vm string) *link {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	l := j.links[vm]
+func (rep *replicator) link(vm string) *link {
+	rep.mu.Lock()
+	defer rep.mu.Unlock()
+	l := rep.links[vm]
 	if l == nil {
-		l = &link{j: j, vm: vm, wake: make(chan struct{}, 1)}
-		j.links[vm] = l
+		l = &link{replicator: rep, vm: vm, wake: make(chan struct{}, 1)}
+		rep.links[vm] = l
 		go l.loop()
 	}
 	return l
@@ -110,18 +110,18 @@
 	for {
 		select {
 		case <-l.wake:
-		case <-l.j.ctx.Done():
+		case <-l.replicator.ctx.Done():
 			return
 		}
 		for l.flush() {
-			if l.j.ctx.Err() != nil {
+			if l.replicator.ctx.Err() != nil {
 				return
 			}
 		}
 	}
 }
 
-// flush sends one batch and reports whether there may be more.
+// flush sends one batch and reports whether more writes may be due.
 func (l *link) flush() bool {
 	marked := l.take()
 	targets, batch := collect(marked)
@@ -145,15 +145,16 @@
 	return true
 }
 
-// send spares the own keeper the codec: it copies what it keeps.
+// send calls this VM's own keeper without encoding the batch, because the keeper
+// copies what it keeps.
 func (l *link) send(batch WriteBatch) (WriteReplies, error) {
-	if l.vm == l.j.self {
-		return l.j.local(batch), nil
+	if l.vm == l.replicator.self {
+		return l.replicator.local(batch), nil
 	}
-	ctx, cancel := context.WithTimeout(l.j.ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(l.replicator.ctx, writeTimeout)
 	defer cancel()
 	var replies WriteReplies
-	err := l.j.transport.Call(ctx, l.vm, peer.KindJournal, batch, &replies)
+	err := l.replicator.transport.Call(ctx, l.vm, peer.KindJournal, batch, &replies)
 	return replies, err
 }
 
@@ -166,9 +167,9 @@
 	return out
 }
 
-// collect gathers the writes of one batch. What would make the frame too large
-// is marked again for the next one. A run is no longer due before its write is
-// made: a token that comes in between marks it again.
+// collect builds the writes of one batch. Targets that would make the frame too large
+// are marked again for the next batch. A target's due flag is cleared before its write
+// is built, and a token that arrives in between marks the target again.
 func collect(marked []*target) ([]*target, WriteBatch) {
 	var batch WriteBatch
 	targets := make([]*target, 0, len(marked))
@@ -195,7 +196,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-l.j.ctx.Done():
+	case <-l.replicator.ctx.Done():
 	}
 	for _, t := range targets {
 		t.mark()
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -18,8 +18,8 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Chunk is a run of released tokens, and the end once it is reached. Prefix is
-// the digest of the tokens before it.
+// Chunk is a span of released tokens. Prefix is the digest of the tokens before the
+// span. Finish and Usage are set once the chunk reaches the end of the answer.
 type Chunk struct {
 	Prefix uint64           `cbor:"4,keyasint"`
 	Span   generation.Span  `cbor:"1,keyasint"`
@@ -27,62 +27,63 @@
 	Usage  generation.Usage `cbor:"3,keyasint"`
 }
 
-// maxChunkTokens bounds what one read copies: a slow reader that comes back to a
-// long journal costs no more memory than a quick one.
+// maxChunkTokens bounds how much one read copies. A slow reader that returns to a long
+// journal costs no more memory than a fast one.
 const maxChunkTokens = 256
 
-// Stats counts what one generation cost beyond an unbroken run.
+// Stats counts the extra work of one generation, compared with a single uninterrupted
+// attempt.
 type Stats struct {
 	Attempts      int
-	ExtraPrefill  int // tokens computed again by resumed attempts
-	ExtraDecoded  int // tokens generated and thrown away
+	ExtraPrefill  int // tokens recomputed by resumed attempts and hedges
+	ExtraDecoded  int // tokens generated and discarded
 	ResumeLatency []time.Duration
 }
 
-// Run is a generation owned by this VM.
+// Run is a generation that this VM owns.
 type Run struct {
 	hub    *Hub
 	log    zerolog.Logger
 	cancel context.CancelFunc
 	ticket Ticket
-	settle func(ran bool, tokens int) // nil: nothing was reserved here
-	source *generation.Source         // stream that the former owner left; used by drive alone
-
-	targets atomic.Pointer[[]*target] // where its writes go
-
-	mu         sync.Mutex
-	owner      *generation.Owner
-	changed    chan struct{}
-	err        error
-	readers    int
-	vacant     time.Time // since when nobody reads
-	stats      Stats
-	failed     []string // engines that failed this request
-	current    int      // number of the attempt that appended last
-	rejected   int      // engines that found fault with the request
-	unserved   int      // engines without the request's adapter
-	lostAt     time.Time
-	resumeSpan trace.Span // from lostAt to the next token
-	digests    []uint64   // of the first 0, 1, 2... tokens
-
-	seenVersion uint64 // of the list of VMs, for which the keepers are right
+	settle func(ran bool, tokens int) // nil: nothing was reserved on this VM
+	source *generation.Source         // stream that the former owner left running; used only by drive
+
+	targets atomic.Pointer[[]*target] // the links to its keepers
+
+	mu              sync.Mutex
+	owner           *generation.Owner
+	changed         chan struct{}
+	err             error
+	readers         int
+	unreadSince     time.Time // when the last reader left
+	stats           Stats
+	failedEngines   []string // engines that failed this request
+	current         int      // number of the attempt that appended last
+	rejections      int      // engines that rejected the request as invalid
+	adapterRefusals int      // engines that do not serve the request's adapter
+	lostAt          time.Time
+	resumeSpan      trace.Span // from lostAt to the next token
+	digests         []uint64   // prefix digests of the first 0, 1, 2... tokens
+
+	seenVersion uint64 // version of the list of VMs for which the keepers were last checked
 	moving      bool
 }
 
 func newRun(h *Hub, owner *generation.Owner) *Run {
 	r := &Run{
-		hub: h, owner: owner, changed: make(chan struct{}), digests: []uint64{0}, vacant: time.Now(),
+		hub: h, owner: owner, changed: make(chan struct{}), digests: []uint64{0}, unreadSince: time.Now(),
 		seenVersion: owner.Epoch.Version,
 		log:         h.log.With().Str("request_id", owner.Request.ID.Key).Str("workspace", owner.Request.ID.Workspace).Logger(),
 	}
-	r.targets.Store(h.journals.targets(r, owner.Group().Keepers))
+	r.targets.Store(h.replicator.targets(r, owner.Group().Keepers))
 	return r
 }
 
-// Request is the request as it was accepted.
+// Request returns the request as it was accepted.
 func (r *Run) Request() *generation.Request { return &r.owner.Request }
 
-// keepers are the VMs of the journal's present keeper set.
+// keepers returns the VMs of the journal's current keeper set.
 func (r *Run) keepers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,8 +95,8 @@
 	return out
 }
 
-// ended reports whether the run was stopped; a finished one was not.
-func (r *Run) ended() bool {
+// stopped reports whether the run was stopped. A run that finished normally was not.
+func (r *Run) stopped() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.err != nil
@@ -108,27 +109,27 @@
 	return done
 }
 
-func (r *Run) leave() {
+func (r *Run) removeReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers--
 	if r.readers == 0 {
-		r.vacant = time.Now()
+		r.unreadSince = time.Now()
 	}
 }
 
-func (r *Run) join() {
+func (r *Run) addReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers++
 }
 
-// Wait returns tokens from index from on, blocking until there are some, the
-// answer has ended, or ctx is done.
+// Wait returns the released tokens that start at index from. It blocks until there is
+// at least one, the answer has ended, or ctx is done.
 func (r *Run) Wait(ctx context.Context, from int) (Chunk, error) {
 	touch := uint64(0)
 	for {
-		if touch == 0 && r.ahead(from) {
+		if touch == 0 && r.beyondJournal(from) {
 			touch = r.touch()
 		}
 		chunk, ready, changed, err := r.read(from, touch)
@@ -145,7 +146,7 @@
 	}
 }
 
-// digest returns the digest of the first n tokens. It needs r.mu.
+// digest returns the prefix digest of the first n tokens. It needs r.mu.
 func (r *Run) digest(n int) uint64 {
 	j := r.owner.Journal()
 	for i := len(r.digests); i <= n; i++ {
@@ -154,11 +155,11 @@
 	return r.digests[n]
 }
 
-// ahead reports whether a caller names an index beyond the journal. It may be
-// right: a VM that was paused or cut off does not know yet that another one has
-// taken over and gone on. So the answer waits until a majority of the keepers
-// has confirmed this owner.
-func (r *Run) ahead(from int) bool {
+// beyondJournal reports whether a caller's index is beyond the journal's end. The index
+// may be valid: a VM that was paused or partitioned does not know yet that another VM
+// has taken over and continued the answer. The index is therefore refused only after a
+// majority of the keepers has confirmed this owner.
+func (r *Run) beyondJournal(from int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return from > r.owner.Journal().Len()
@@ -192,13 +193,13 @@
 	return chunk, false, r.changed, r.err
 }
 
-// update runs f under the lock and wakes readers if there is more for them.
+// update runs f under the lock and wakes readers if the visible state has changed.
 func (r *Run) update(f func() error) error {
 	_, _, err := r.change(f)
 	return err
 }
 
-// change is update that also tells what readers could see before and after.
+// change does the same as update and returns the visible state before and after f.
 func (r *Run) change(f func() error) (before, after visible, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,7 +212,7 @@
 	return before, after, err
 }
 
-// visible is what a waiting reader or opener looks at.
+// visible is the state on which waiting readers and openers depend.
 type visible struct {
 	released           int
 	accepted, finished bool
@@ -224,7 +225,7 @@
 	return visible{r.owner.Released(), r.owner.Accepted(), finished, r.owner.Deposed(), r.owner.Touched()}
 }
 
-// wake needs r.mu.
+// wake wakes all waiting readers and openers. It needs r.mu.
 func (r *Run) wake() {
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -239,8 +240,8 @@
 	return r.owner.Next(vm, maxWriteTokens)
 }
 
-// ack takes a keeper's reply. It reports whether the keeper needs more now, and
-// whether it refused and should be tried again later.
+// ack applies a keeper's reply. It reports whether the keeper needs more writes now,
+// and whether it refused the write and should be retried later.
 func (r *Run) ack(vm string, reply generation.WriteReply) (more, later bool) {
 	before, after, err := r.change(func() error { return r.owner.Ack(vm, reply) })
 	var broken *generation.InvariantError
@@ -262,7 +263,7 @@
 		r.hub.note(r.Request().ID, explain.Finished, fmt.Sprintf("after %d tokens", after.released))
 	}
 	if reply.Reserved || after.accepted != before.accepted || after.touched != before.touched {
-		r.hub.journals.mark(r) // keepers that came late may go on
+		r.hub.replicator.mark(r) // writes that waited for this change may be due now
 	}
 	if !reply.OK() && reply.Refusal != generation.NeedsInstall {
 		return false, true
@@ -271,7 +272,7 @@
 	return more, false
 }
 
-// stop ends the run for its readers with err.
+// stop ends the run, and its readers receive err. The first error is kept.
 func (r *Run) stop(err error) {
 	r.mu.Lock()
 	if r.err == nil {
@@ -284,7 +285,7 @@
 	}
 }
 
-// accepted waits until a majority of keepers holds the request.
+// accepted waits until a majority of the keepers holds the request.
 func (r *Run) accepted(ctx context.Context) error {
 	for {
 		r.mu.Lock()
@@ -304,7 +305,7 @@
 	}
 }
 
-// Stats returns what the run has cost so far.
+// Stats returns the extra work of the run so far.
 func (r *Run) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -17,7 +17,7 @@
 	return h.write(batch), nil
 }
 
-// write hands writes to this VM's keeper.
+// write applies writes to this VM's keeper.
 func (h *Hub) write(batch WriteBatch) WriteReplies {
 	out := WriteReplies{Replies: make([]generation.WriteReply, 0, len(batch.Writes))}
 	now := time.Now()
--- a/internal/relay/system_test.go
+++ b/internal/relay/system_test.go
@@ -22,37 +22,37 @@
 )
 
 const (
-	testModel  = "m"
-	testPrompt = "unit 7 log: return flow cold"
-	testTokens = 400
-	callerKeep = 20 * time.Second
-	fullAt     = 12 // journals on one keeper
+	testModel   = "m"
+	testPrompt  = "unit 7 log: return flow cold"
+	testTokens  = 400
+	callerKeep  = 20 * time.Second
+	maxJournals = 12 // journals on one keeper
 )
 
-// system is some VMs in three zones before some engines, in memory, under
-// synctest. Engines sample differently in each attempt: tokens of two attempts
-// can't pass for one answer.
+// system is a set of VMs in three zones and a set of engines, in memory and under
+// synctest. Engines sample differently in each attempt, and a splice of two attempts is
+// therefore detected as a wrong answer.
 type system struct {
-	t       *testing.T
-	net     *peertest.Net
-	mu      sync.Mutex
-	views   []generation.Membership // newest first
-	hubs    map[string]*relay.Hub
-	metrics map[string]*expvar.Map
-	links   map[string]*peertest.Transport
-	engines []*standin.Engine
-	running map[int]int
-	charges charges
-	only    int // where Pick sends everything; below 0: anywhere
-	lives   int
+	t             *testing.T
+	net           *peertest.Net
+	mu            sync.Mutex
+	views         []generation.Membership // newest first
+	hubs          map[string]*relay.Hub
+	metrics       map[string]*expvar.Map
+	links         map[string]*peertest.Transport
+	engines       []*standin.Engine
+	running       map[int]int
+	quota         quotaRecorder
+	allowedEngine int // the only engine that Pick returns; below 0: any
+	incarnations  int
 }
 
-// inBubble runs a test on a system in virtual time.
+// inBubble runs a test on a system in a synctest bubble, in virtual time.
 func inBubble(t *testing.T, vms, engines int, test func(s *system)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &system{
-			t: t, net: peertest.New(1), hubs: map[string]*relay.Hub{}, metrics: map[string]*expvar.Map{}, links: map[string]*peertest.Transport{}, running: map[int]int{}, only: -1,
+			t: t, net: peertest.New(1), hubs: map[string]*relay.Hub{}, metrics: map[string]*expvar.Map{}, links: map[string]*peertest.Transport{}, running: map[int]int{}, allowedEngine: -1,
 		}
 		s.net.SetDelay(time.Millisecond, 2*time.Millisecond)
 		for i := range engines {
@@ -80,28 +80,28 @@
 }
 
 func (s *system) candidate(i int) generation.Candidate {
-	s.lives++
-	return generation.Candidate{VM: fmt.Sprint("vm", i), Zone: fmt.Sprint("z", i%3), Incarnation: fmt.Sprint("life", s.lives)}
+	s.incarnations++
+	return generation.Candidate{VM: fmt.Sprint("vm", i), Zone: fmt.Sprint("z", i%3), Incarnation: fmt.Sprint("life", s.incarnations)}
 }
 
 func (s *system) start(c generation.Candidate) {
 	m := new(expvar.Map).Init()
 	link := s.net.VM(c.VM)
 	limits := generation.DefaultLimits(callerKeep)
-	limits.Journals = fullAt
+	limits.Journals = maxJournals
 	h := relay.NewHub(relay.Config{
 		VM: c.VM, Epoch: c.VM + "#" + c.Incarnation, Incarnation: c.Incarnation, OpenTimeout: 4 * time.Second,
 		SilenceLimit: time.Second, CallerKeep: callerKeep, DetachKeep: 6 * time.Second,
 		Limits: limits,
 	}, relay.Deps{
-		Transport: link, Members: s, Engines: &wire{s, c.VM}, Router: s, Quota: &s.charges, Log: zerolog.Nop(), Metrics: m,
+		Transport: link, Members: s, Engines: &engineClient{s, c.VM}, Router: s, Quota: &s.quota, Log: zerolog.Nop(), Metrics: m,
 	})
 	s.mu.Lock()
 	s.hubs[c.VM], s.metrics[c.VM], s.links[c.VM] = h, m, link
 	s.mu.Unlock()
 }
 
-// kill ends VMs at once, as a crash does.
+// kill ends VMs immediately, as a crash does.
 func (s *system) kill(vms ...string) {
 	for _, vm := range vms {
 		s.net.Kill(vm)
@@ -113,8 +113,8 @@
 	}
 }
 
-// commit puts a new version of the list in force: without the VMs that are
-// dead, and with those that started again.
+// commit installs a new version of the list of VMs, without the dead VMs and with the
+// new incarnations of those in started.
 func (s *system) commit(started ...generation.Candidate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 	defer s.mu.Unlock()
 	best := -1
 	for i := range s.engines {
-		allowed := s.only < 0 || s.only == i
+		allowed := s.allowedEngine < 0 || s.allowedEngine == i
 		if allowed && !slices.Contains(q.Avoid, fmt.Sprint(i)) && (best < 0 || s.running[i] < s.running[best]) {
 			best = i
 		}
@@ -167,25 +167,25 @@
 func (s *system) onlyEngine(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.only = i
+	s.allowedEngine = i
 }
 
 // Usable implements relay.Router.
 func (s *system) Usable(string) (engines, routers int) { return len(s.engines), 1 }
 
-// wire is one VM's way to the engines. A paused VM reads nothing.
-type wire struct {
+// engineClient is one VM's client to the engines. A paused VM reads nothing.
+type engineClient struct {
 	s  *system
 	vm string
 }
 
-func (w *wire) engine(addr string) *standin.Engine {
+func (w *engineClient) engine(addr string) *standin.Engine {
 	var i int
 	_, _ = fmt.Sscan(addr, &i)
 	return w.s.engines[i]
 }
 
-func (w *wire) held(on func(engine.Event) error) func(engine.Event) error {
+func (w *engineClient) holdWhilePaused(on func(engine.Event) error) func(engine.Event) error {
 	return func(e engine.Event) error {
 		if paused := w.s.net.Paused(w.vm); paused != nil {
 			<-paused
@@ -195,21 +195,21 @@
 }
 
 // Generate implements relay.Engines.
-func (w *wire) Generate(ctx context.Context, addr string, c engine.Completion, on func(engine.Event) error) error {
-	return w.engine(addr).Generate(ctx, "", c, w.held(on))
+func (w *engineClient) Generate(ctx context.Context, addr string, c engine.Completion, on func(engine.Event) error) error {
+	return w.engine(addr).Generate(ctx, "", c, w.holdWhilePaused(on))
 }
 
 // Attach implements relay.Engines.
-func (w *wire) Attach(ctx context.Context, addr string, a engine.Attempt, from int, on func(engine.Event) error) error {
-	return w.engine(addr).Attach(ctx, "", a, from, w.held(on))
+func (w *engineClient) Attach(ctx context.Context, addr string, a engine.Attempt, from int, on func(engine.Event) error) error {
+	return w.engine(addr).Attach(ctx, "", a, from, w.holdWhilePaused(on))
 }
 
 // Cancel implements relay.Engines.
-func (w *wire) Cancel(ctx context.Context, addr string, a engine.Attempt) error {
+func (w *engineClient) Cancel(ctx context.Context, addr string, a engine.Attempt) error {
 	return w.engine(addr).Cancel(ctx, "", a)
 }
 
-// work is what all engines have computed: starts, prompt tokens, answer tokens.
+// work sums what all engines have computed: starts, prompt tokens and answer tokens.
 func (s *system) work() standin.EngineStats {
 	var sum standin.EngineStats
 	for _, e := range s.engines {
@@ -222,7 +222,7 @@
 	return sum
 }
 
-// extra is the engines' work beyond one unbroken answer, in tokens.
+// extra returns the engines' work beyond one uninterrupted answer, in tokens.
 func (s *system) extra() int {
 	w := s.work()
 	return w.PrefillTokens + w.GeneratedTotal - len(testPrompt) - testTokens
@@ -238,7 +238,7 @@
 	return sum
 }
 
-// owner is the VM that owns the test's generation.
+// owner returns the VM that owns the generation of a key.
 func (s *system) owner(key string) string {
 	s.t.Helper()
 	for vm, h := range s.hubs {
@@ -246,18 +246,18 @@
 			return vm
 		}
 	}
-	s.t.Fatal("no owner")
+	s.t.Fatal("no VM owns the generation, want one")
 	return ""
 }
 
-// other returns a VM that is none of those named.
+// other returns a live VM that is none of those named.
 func (s *system) other(not ...string) string {
 	for i := range 16 {
 		if vm := fmt.Sprint("vm", i); s.hubs[vm] != nil && !slices.Contains(not, vm) {
 			return vm
 		}
 	}
-	s.t.Fatal("no other VM")
+	s.t.Fatal("no other VM is alive, want one")
 	return ""
 }
 
@@ -267,7 +267,7 @@
 	return s.hubs[vm]
 }
 
-// caller reads one answer, as the gateway does for it.
+// caller reads one answer, as the gateway does on a caller's behalf.
 type caller struct {
 	s      *system
 	key    string
@@ -298,13 +298,13 @@
 	began := time.Now()
 	reader, err := hub.Open(ctx, c.request(), len(c.tokens) > 0)
 	if err != nil {
-		c.saw(began, relay.Chunk{}, err)
+		c.record(began, relay.Chunk{}, err)
 		return err
 	}
 	defer reader.Release()
 	for len(c.tokens) < n && c.finish == "" {
 		chunk, err := reader.Wait(ctx, len(c.tokens))
-		c.saw(began, chunk, err)
+		c.record(began, chunk, err)
 		if err != nil {
 			return err
 		}
@@ -322,7 +322,7 @@
 	return nil
 }
 
-func (c *caller) saw(began time.Time, chunk relay.Chunk, err error) {
+func (c *caller) record(began time.Time, chunk relay.Chunk, err error) {
 	if c.observe != nil {
 		c.observe(began, len(c.tokens), chunk, err)
 	}
@@ -338,7 +338,7 @@
 			return
 		}
 	}
-	c.s.t.Fatalf("%s: %d tokens, then: %v", c.key, len(c.tokens), err)
+	c.s.t.Fatalf("%s: got %d tokens and then error %v, want the complete answer", c.key, len(c.tokens), err)
 }
 
 func (c *caller) check() {
@@ -348,6 +348,6 @@
 		c.s.t.Errorf("%s: %v", c.key, err)
 	}
 	if c.finish != "length" {
-		c.s.t.Errorf("%s: finish %q", c.key, c.finish)
+		c.s.t.Errorf("%s: got finish %q, want length", c.key, c.finish)
 	}
 }
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -12,13 +12,13 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/telemetry"
 )
 
-// Tracer starts the span of one hop of a request. *telemetry.Tracer does.
+// Tracer starts the span of one hop of a request. *telemetry.Tracer implements it.
 type Tracer interface {
 	Start(ctx context.Context, hop, requestID string) (context.Context, trace.Span)
 }
 
-// span starts a hop's span in the request's own trace. The traceparent is kept
-// with the journal, so that the hops on a VM that takes over join the same trace.
+// span starts a hop's span in the request's own trace. The journal contains the
+// traceparent, and the hops on a VM that takes over join the same trace.
 func (h *Hub) span(req *generation.Request, hop string, attrs ...attribute.KeyValue) trace.Span {
 	if h.tracer == nil {
 		return noop.Span{}
--- a/internal/relay/version_test.go
+++ b/internal/relay/version_test.go
@@ -7,10 +7,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// A caller's answer runs on version 1 of the model. Its engine dies, and then its
-// VM; by then two of the three engines left serve version 2. The answer goes on
-// where version 1 is: tokens of version 2 behind it would be two generations in
-// one answer, which the check of each token against its prefix shows.
+// A caller's answer runs on version 1 of the model. Its engine dies and then its VM,
+// and by then two of the three remaining engines serve version 2. The answer must
+// continue on an engine with version 1. Tokens of version 2 would splice two generations
+// into one answer, which the check of each token against its prefix detects.
 func TestAnswerKeepsItsModelVersion(t *testing.T) {
 	inBubble(t, 5, 4, func(s *system) {
 		s.onlyEngine(0)
