--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -54,13 +54,13 @@
 	return err
 }
 
-// charge settles the reservation. offered reports whether the journal was
-// sent to keepers. A finished answer is charged by its usage. A request of which
+// charge settles the reservation. sentToKeepers reports whether the journal was sent to
+// keepers. A finished answer is charged by its usage. A request of which
 // nothing ran is not charged. Every answer that may still continue on another VM is
 // charged in full, because a takeover reserves nothing: the answer of a deposed owner,
 // a journal that some keepers may hold, and an unfinished answer for which the caller
 // may still come back.
-func (r *Run) charge(replicated bool) {
+func (r *Run) charge(sentToKeepers bool) {
 	if r.settle == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 		used += r.owner.Request.PromptTokens() // the engine reported no usage
 	}
 	adapterNotServed := errors.Is(r.err, result.New(result.AdapterNotServed)) // no engine started the request
-	ran := replicated && !adapterNotServed && (r.stats.Attempts > 0 || r.owner.Deposed() || !r.owner.Accepted())
+	ran := sentToKeepers && !adapterNotServed && (r.stats.Attempts > 0 || r.owner.Deposed() || !r.owner.Accepted())
 	r.mu.Unlock()
 	r.settle(ran, used)
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -115,10 +115,10 @@
 	}
 	q := r.query()
 	left := r.Request().MaxTokens - q.Tokens
-	return recovery.WorthMoving(slowness, left, q.Prefill()) && r.hub.recovery.spendMove(q.Prefill())
+	return recovery.WorthMoving(slowness, left, q.PrefillTokens()) && r.hub.recovery.spendMove(q.PrefillTokens())
 }
 
-// giveUp settles an attempt whose answer continues in the other attempt.
+// settleFailed settles an attempt whose answer continues in the other attempt.
 func (r *Run) settleFailed(ctx context.Context, a *attempt) {
 	if errors.Is(a.err, generation.ErrStaleAttempt) || r.superseded(a) {
 		r.discard(a)
@@ -154,7 +154,7 @@
 	q := r.query()
 	q.Resume = true
 	q.Avoid = append(q.Avoid, a.choice.Backend.Name)
-	if !r.hub.recovery.spendHedge(q.Prefill()) {
+	if !r.hub.recovery.spendHedge(q.PrefillTokens()) {
 		return nil
 	}
 	choice, err := r.hub.router.Pick(ctx, q)
@@ -167,7 +167,7 @@
 	}
 	r.mu.Lock()
 	hedge := r.newAttempt(choice, a.completion.Attempt+"-hedge")
-	r.stats.ExtraPrefill += q.Prefill()
+	r.stats.ExtraPrefill += q.PrefillTokens()
 	r.mu.Unlock()
 	r.hub.metrics.Add("hedges", 1)
 	r.hub.note(r.Request().ID, explain.Suspected, fmt.Sprintf("%s is silent; hedged on %s", a.choice.Backend.Name, choice.Backend.Name))
--- a/internal/relay/deps.go
+++ b/internal/relay/deps.go
@@ -62,7 +62,7 @@
 
 // PrefillTokens returns the number of tokens that an engine with an empty cache
 // computes before it can generate the next one.
-func (q *Query) Prefill() int { return q.Request.PromptTokens() + q.Tokens }
+func (q *Query) PrefillTokens() int { return q.Request.PromptTokens() + q.Tokens }
 
 // Choice is an engine on which an attempt has been placed. Done must be called
 // exactly once. Each function may be nil.
@@ -159,7 +159,7 @@
 // Config holds the identity and the timings of a Hub.
 type Config struct {
 	VM           string
-	Epoch        string        // this VM's name in epochs, as VM#suffix; unique to its incarnation
+	EpochVM      string        // this VM's name in epochs, as VM#suffix; unique to its incarnation
 	Incarnation  string        // of this VM's keeper, as in the list of VMs
 	OpenTimeout  time.Duration // bound on reaching a majority of keepers
 	Objective    recovery.Objective
--- a/internal/relay/gossip_test.go
+++ b/internal/relay/gossip_test.go
@@ -9,7 +9,7 @@
 
 // A VM reports a death to its neighbours, and each VM forwards the report when it first
 // receives it. The report must reach every VM over a bounded number of connections.
-func TestBlameReachesEveryVM(t *testing.T) {
+func TestSuspicionReportReachesEveryVM(t *testing.T) {
 	for _, n := range []int{1, 3, 11, 13, 14, 100, 330} {
 		var all []generation.Candidate
 		for i := range n {
--- a/internal/relay/owner_test.go
+++ b/internal/relay/owner_test.go
@@ -33,7 +33,7 @@
 // the pause, the first VM receives late tokens of its own stream. The keepers refuse
 // them, and a caller that is still connected to this VM reads the answer that the other
 // VM has continued.
-func TestOwnerPausedAndBack(t *testing.T) {
+func TestPausedOwnerLosesOwnership(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		stays, moves := s.caller("k"), s.caller("k")
 		if err := stays.read("vm0", 50); err != nil {
@@ -59,7 +59,7 @@
 // to the first VM as soon as it runs again. That VM still regards itself as the owner and
 // has fewer tokens than the caller. It must not refuse the caller's index before the
 // keepers have confirmed its ownership, which they do not.
-func TestStaleOwnerAsksBeforeItRefuses(t *testing.T) {
+func TestStaleOwnerConfirmsBeforeRefusal(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
 		if err := c.read("vm0", 100); err != nil {
@@ -78,7 +78,7 @@
 // The caller's VM can send but receives nothing, not even acknowledgements. It cannot
 // release any token, and must report an error to its caller in bounded time instead of
 // sending heartbeats forever. Any other VM can continue the answer.
-func TestOwnerCutOffOneWay(t *testing.T) {
+func TestOwnerInOneWayPartition(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
 		if err := c.read("vm0", 100); err != nil {
@@ -103,7 +103,7 @@
 // Callers of one key reach every VM at the same time, as after the loss of a VM or by a
 // caller's own retries. They must share one generation, with one attempt and the same
 // complete answer for each.
-func TestManyAtOnceShareOneGeneration(t *testing.T) {
+func TestConcurrentCallersShareOneGeneration(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		var wg sync.WaitGroup
 		answers := make([]*caller, 10)
@@ -125,7 +125,7 @@
 
 // A caller reconnects at every index, each time to another VM, while the owner is alive.
 // Each VM reads from the owner, and no engine does any work twice.
-func TestReconnectAnywhereCostsNothing(t *testing.T) {
+func TestReconnectOnAnyVMRepeatsNoWork(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
 		for i := 0; c.finish == ""; i++ {
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -40,7 +40,7 @@
 // A request is reserved exactly once, whatever faults occur. The reservation is settled
 // by the usage if its owner finished the answer, and in full if the answer continued on
 // another VM or still may, because a takeover reserves nothing.
-func TestReservedOnceAndSettled(t *testing.T) {
+func TestReservationIsSettledOnce(t *testing.T) {
 	full := len(testPrompt) + testTokens
 	for name, tc := range map[string]struct {
 		run  func(s *system, c *caller)
@@ -100,7 +100,7 @@
 
 // The plan refuses a request. The caller must receive the plan's result code and the
 // promise that nothing ran: no keeper has a journal, and no engine got the request.
-func TestRefusedByThePlanDidNotRun(t *testing.T) {
+func TestPlanRefusalRunsNothing(t *testing.T) {
 	inBubble(t, 3, 1, func(s *system) {
 		s.quota.refuse = result.New(result.TokensExhausted)
 		c := s.caller("k")
--- a/internal/relay/recover_test.go
+++ b/internal/relay/recover_test.go
@@ -143,7 +143,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.table.Pick(&routing.Query{
-		Pool: "m", PromptTokens: q.Prefill(), NewTokens: q.Request.MaxTokens, Avoid: q.Avoid, Resume: q.Resume, Suspect: q.Suspect,
+		Pool: "m", PromptTokens: q.PrefillTokens(), NewTokens: q.Request.MaxTokens, Avoid: q.Avoid, Resume: q.Resume, Suspect: q.Suspect,
 	}, time.Now())
 	if !ok {
 		return relay.Choice{}, result.New(result.NoBackendServer)
@@ -195,7 +195,7 @@
 		router := newTableRouter(len(f.engines))
 		router.slow = f.slow
 		out = append(out, relay.NewHub(relay.Config{
-			VM: id, Epoch: id + "#1", Incarnation: "1", Limits: generation.DefaultLimits(time.Minute), OpenTimeout: 4 * time.Second, CallerKeep: time.Minute, Objective: o,
+			VM: id, EpochVM: id + "#1", Incarnation: "1", Limits: generation.DefaultLimits(time.Minute), OpenTimeout: 4 * time.Second, CallerKeep: time.Minute, Objective: o,
 		}, relay.Deps{
 			Transport: network.VM(id), Members: members, Engines: f, Router: router,
 			Log: zerolog.Nop(), Metrics: new(expvar.Map).Init(),
@@ -269,7 +269,7 @@
 // resume-latency the answer resumes on another engine within 1.5 seconds. With
 // extra-work it resumes within 5 seconds, because the timeout is longer than most pauses.
 // The late tokens of the first engine differ and must not appear in the answer.
-func TestSilentEngineIsLeftByObjective(t *testing.T) {
+func TestSilentEngineTimeoutByObjective(t *testing.T) {
 	for _, c := range []struct {
 		objective recovery.Objective
 		within    time.Duration
@@ -331,7 +331,7 @@
 // A request crashes each engine that runs it, while 12 other requests run. Its caller
 // resends it under new ids to other VMs. It must crash exactly two engines and then be
 // refused with its own result code, and the other answers must be complete.
-func TestPoisonTakesDownTwoEnginesAndNoInnocents(t *testing.T) {
+func TestPoisonRequestKillsOnlyTwoEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(6, func(c *standin.EngineConfig) { c.PoisonWord, c.PoisonAt = "crash", 40 })
 		defer f.stop()
--- a/internal/relay/recoverer.go
+++ b/internal/relay/recoverer.go
@@ -187,13 +187,13 @@
 
 // died records that an engine died under a request, which becomes a suspect. It
 // informs all VMs, because a resend may reach any of them under a new id.
-func (c *recoverer) died(engine string, digest uint64, passed int) recovery.Standing {
+func (c *recoverer) died(engine string, digest uint64, tokens int) recovery.Standing {
 	d := recovery.Death{Digest: digest, Engine: engine, At: time.Now()}
 	c.mu.Lock()
 	c.detector.ResetStats(engine)
-	standing := c.poison.EngineDied(d, passed)
+	standing := c.poison.EngineDied(d, tokens)
 	c.mu.Unlock()
-	c.report(suspicionReport{Death: d, Tokens: passed})
+	c.report(suspicionReport{Death: d, Tokens: tokens})
 	return standing
 }
 
