--- a/internal/service/dispatch.go
+++ b/internal/service/dispatch.go
@@ -210,7 +210,7 @@
 func (d *Dispatcher) propose(ctx context.Context, limit time.Duration, cmd *call.Command) (call.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	return control.Propose[call.Reply](ctx, d.Control, control.PartCalls, cmd)
+	return control.Propose[call.Reply](ctx, d.Control, control.CallsStateMachine, cmd)
 }
 
 // target is a connected backend server.
