--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -17,15 +17,15 @@
 	for _, vm := range []string{"vm1", "vm2", "vm3", "vm4", "vm5"} {
 		id := KeeperID{vm, "life"}
 		k := NewKeeper(id.Incarnation, DefaultLimits(time.Minute))
-		replies.Add(id, k.Promise(Promise{ID: machineID, Epoch: epoch, To: id.Incarnation}, time.Time{}))
+		replies.Add(id, k.Promise(Promise{ID: journalID, Epoch: epoch, To: id.Incarnation}, time.Time{}))
 		group.Keepers = append(group.Keepers, id)
 		keepers = append(keepers, k)
 	}
-	return NewOwner(Request{ID: machineID, Prompt: "unit 7 log"}, epoch, group, replies, Journal{}), keepers, group
+	return NewOwner(Request{ID: journalID, Prompt: "unit 7 log"}, epoch, group, replies, Journal{}), keepers, group
 }
 
-// One token from the engine to its release: appended by the owner, written to
-// five keepers one by one, acknowledged by all.
+// BenchmarkAppendAndReplicate measures one token from the engine to its release:
+// the owner appends it, writes it to five keepers one by one, and all acknowledge.
 func BenchmarkAppendAndReplicate(b *testing.B) {
 	const length = 4096
 	now := time.Time{}
@@ -50,13 +50,13 @@
 			}
 		}
 		if o.Released() != i%length+1 {
-			b.Fatal("not released")
+			b.Fatal("an acknowledged token is not released")
 		}
 	}
 }
 
-// A batch of 64 journals with one token each, as it goes to one keeper: encoded
-// and decoded. The figure is per token.
+// BenchmarkBatchCodec encodes and decodes a batch of writes to one keeper: 64
+// journals with one token each. The result is per token.
 func BenchmarkBatchCodec(b *testing.B) {
 	const journals = 64
 	var batch []Write
@@ -82,7 +82,7 @@
 	b.ReportMetric(float64(bytes)/journals, "wire-B/token")
 }
 
-// The keepers of one journal among 330 VMs in five zones.
+// BenchmarkPlace measures the placement of one journal among 330 VMs in five zones.
 func BenchmarkPlace(b *testing.B) {
 	var vms []Candidate
 	for i := range 330 {
@@ -90,8 +90,8 @@
 	}
 	b.ReportAllocs()
 	for range b.N {
-		if len(Place(machineID, vms)) != KeepersMany {
-			b.Fatal("too few")
+		if len(Place(journalID, vms)) != KeepersMany {
+			b.Fatal("placement returned too few or too many keepers")
 		}
 	}
 }
--- a/internal/generation/generation.go
+++ b/internal/generation/generation.go
@@ -1,17 +1,17 @@
-// Package generation is the aggregate of one long model generation: its
-// request, its attempts on engines, and the journal of its tokens on keepers.
-// The package is pure: messages, time and randomness are inputs.
+// Package generation models one long model generation: its request, its
+// attempts on engines, and the journal of its tokens, which keepers replicate.
+// The package does no I/O: messages, time and randomness are inputs.
 //
-// Invariants, asserted by Owner and Keeper:
-//   - a token is released to a caller only once a majority of the journal's
-//     keepers holds it under the owner's epoch;
-//   - a keeper that promised an epoch refuses every write of a lower one, so an
-//     owner that was taken over can release nothing more;
-//   - within one epoch a journal only grows, and no index changes its token;
-//   - a keeper is a VM in one incarnation: a VM that lost its memory never counts
-//     as the one that promised.
+// Owner and Keeper assert these invariants:
+//   - A token is released to a caller only once a majority of the journal's
+//     keepers holds it under the owner's epoch.
+//   - A keeper that promised an epoch refuses every write of a lower epoch. An
+//     owner that was deposed can therefore release nothing more.
+//   - Within one epoch a journal only grows, and no index changes its token.
+//   - A keeper is a VM in one incarnation. A VM that lost its memory never counts
+//     as the keeper that promised.
 //
-// Without them a paused router that comes back would splice its own late
+// Without them, a router that resumes after a pause would splice its own late
 // tokens into an answer that another router has continued.
 package generation
 
@@ -22,17 +22,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Epoch orders the owners of one journal. Version, the membership version that
-// the owner placed the journal by, comes first: a keeper that promised an epoch
-// of one version so refuses every owner that still places by an older list.
-// VM, unique to an incarnation, breaks ties: two owners never share an epoch.
+// Epoch orders the owners of one journal. Version is the membership version by
+// which the owner placed the journal. It is compared first: a keeper that
+// promised an epoch of one version refuses every owner that still places
+// journals by an older list. VM is unique to an incarnation and breaks ties, so
+// two owners never share an epoch.
 type Epoch struct {
 	Version uint64 `cbor:"3,keyasint"`
 	Round   uint64 `cbor:"1,keyasint"`
 	VM      string `cbor:"2,keyasint"`
 }
 
-// Less reports whether e comes before o.
+// Less reports whether e orders before o.
 func (e Epoch) Less(o Epoch) bool {
 	if e.Version != o.Version {
 		return e.Version < o.Version
@@ -43,24 +44,24 @@
 	return e.VM < o.VM
 }
 
-// IsZero reports whether e is the epoch before any owner.
+// IsZero reports whether e is the zero epoch, which orders before that of any owner.
 func (e Epoch) IsZero() bool { return e.Round == 0 }
 
-// String gives "version.round@vm".
+// String returns "version.round@vm".
 func (e Epoch) String() string { return fmt.Sprintf("%d.%d@%s", e.Version, e.Round, e.VM) }
 
-// RequestID names a generation across the system. Key is the caller's
-// Idempotency-Key and means nothing outside its workspace.
+// RequestID identifies a generation across the system. Key is the caller's
+// Idempotency-Key, which is unique only within its workspace.
 type RequestID struct {
 	Workspace string `cbor:"1,keyasint"`
 	Key       string `cbor:"2,keyasint"`
 }
 
-// String gives "workspace/key"; neither part may hold a slash.
+// String returns "workspace/key". Neither part may contain a slash.
 func (id RequestID) String() string { return id.Workspace + "/" + id.Key }
 
-// Request is what the caller asked for. It is stored with the journal, so that
-// any router can go on with it.
+// Request is the caller's request. It is stored with the journal, and any router
+// can resume the generation from it.
 type Request struct {
 	ID         RequestID `cbor:"1,keyasint"`
 	Model      string    `cbor:"2,keyasint"`
@@ -75,9 +76,9 @@
 	TraceID    string    `cbor:"11,keyasint,omitempty"`
 }
 
-// ContentDigest identifies what the request asks for, whatever its id: equal
-// digests mean the same work. A resend must match it, and blame for a crashed
-// engine follows it.
+// ContentDigest identifies the content of the request, independent of its ID:
+// equal digests mean the same work. A resend must have the same digest, and
+// poison suspicion after an engine crash is tracked by digest.
 func (r *Request) ContentDigest() uint64 {
 	d := xxhash.New()
 	var n [8]byte
@@ -98,11 +99,11 @@
 	return d.Sum64()
 }
 
-// PromptTokens is an upper bound of the prompt's tokens: a token of text has at
-// least one byte.
+// PromptTokens returns an upper bound of the prompt's token count: a token of
+// text has at least one byte.
 func (r *Request) PromptTokens() int { return len(r.PromptIDs) + len(r.Prompt) }
 
-// Cost is the most tokens the request may use.
+// Cost returns the maximum number of tokens that the request may use.
 func (r *Request) Cost() int { return r.PromptTokens() + r.MaxTokens }
 
 // PrefixDigest extends the digest of a token prefix by one token. The empty
@@ -114,21 +115,21 @@
 	return xxhash.Sum64(b[:])
 }
 
-// AttemptID names one run of a request on one engine. Engines echo it on every
-// event; an event with another id is dropped and counted.
+// AttemptID identifies one run of a request on one engine. Engines echo it in
+// every event. An event with another ID is dropped and counted.
 type AttemptID struct {
 	Request RequestID
 	Epoch   Epoch
 	Number  int
 }
 
-// String gives the form that engines echo.
+// String returns the form that engines echo.
 func (a AttemptID) String() string {
 	return fmt.Sprintf("%s/%s/%d", a.Request, a.Epoch, a.Number)
 }
 
-// InvariantError reports a broken invariant of this package. In a test it is a
-// panic; in the daemon it ends the one answer concerned.
+// InvariantError reports a broken invariant of this package. Tests panic on it;
+// the daemon ends only the affected answer.
 type InvariantError struct{ What string }
 
 // Error implements error.
--- a/internal/generation/keeper.go
+++ b/internal/generation/keeper.go
@@ -2,30 +2,34 @@
 
 import "time"
 
-// Limits bound a keeper's memory. A full keeper refuses new journals; those it
-// holds may grow, and one that is taken over or re-placed may still come while
-// the reserve lasts: refusing it would lose an accepted answer.
+// Limits bound a keeper's memory. A full keeper refuses new journals, while the
+// journals that it holds may still grow. A journal that is taken over or moved to
+// this keeper may use a reserve on top, because refusing it would lose an
+// accepted answer.
 type Limits struct {
 	Journals int
 	Bytes    int64
 
-	PromiseUse   time.Duration // how long after its promise an installation is taken
-	PromiseKeep  time.Duration // of a promise that no journal followed
+	PromiseUse   time.Duration // age of a promise up to which an installation is accepted
+	PromiseKeep  time.Duration // of a promise without a journal
 	FinishedKeep time.Duration // of a finished journal
-	AbandonKeep  time.Duration // of an unfinished one that no owner touches
-	EpochKeep    time.Duration // of the epoch of what was forgotten
+	AbandonKeep  time.Duration // of an unfinished journal that no owner touches
+	EpochKeep    time.Duration // of the epoch of a forgotten journal
 }
 
-// DefaultLimits suit a small VM. 20,000 journals are far above the running
-// generations that 330 VMs hold for each other at 7,800 requests/s of 10 s, five
-// copies each (about 1,200 a VM); 128 MB hold them at 6 kB each. callerKeep is
-// how long a caller may stay away.
+// DefaultLimits returns limits for a small VM. callerKeep is how long a caller
+// may stay disconnected.
 //
-// PromiseKeep is well above PromiseUse: when the first of the keepers that
-// promised together forgets it, none may take the installation any more. Else a
-// router that was paused behind its promises would install on the one keeper
-// that still remembers, under an epoch above that of an answer which the others
-// have begun and released since. Three times leaves room for clocks that drift.
+// 330 VMs that serve 7,800 requests/s of 10 s each, with five replicas of each
+// journal, hold about 1,200 running generations per VM; 20,000 journals are far
+// above that. 128 MB hold 20,000 journals of 6 kB each.
+//
+// PromiseRetention is three times PromiseValidity, which leaves room for clock
+// drift. Once the first of the keepers that promised together forgets its
+// promise, none of them may accept the installation. Otherwise a router that was
+// paused after it collected its promises could install on the one keeper that
+// still remembers. Its epoch would be above that of an answer which the other
+// keepers have begun and released in the meantime.
 func DefaultLimits(callerKeep time.Duration) Limits {
 	return Limits{
 		Journals: 20_000, Bytes: 128 << 20,
@@ -34,69 +38,73 @@
 	}
 }
 
-// reserve is the part of the limits on top that only known journals may use.
-const reserve = 4 // a quarter
+// reserveDivisor sets the reserve, as a fraction of the limits, that only
+// existing journals may use on top of them.
+const reserveDivisor = 4 // a quarter
 
-// epochsPerJournal bounds the epochs kept of forgotten journals. Beyond it the
-// journals themselves stay, and new ones are refused in the end.
+// epochsPerJournal bounds the number of tombstones, as a multiple of the journal
+// limit. Beyond it, journals are no longer forgotten, and eventually new ones are
+// refused.
 const epochsPerJournal = 4
 
-// recordBytes is about what an empty record takes.
+// recordBytes is the approximate memory use of an empty record.
 const recordBytes = 400
 
-// remnant is what stays of a forgotten journal for a while: its keepers forget it
-// at different moments, so that one may still hold it when a new answer of the
-// same key begins on the others. That answer must have the higher epoch, or a
-// takeover would prefer the old one and mix the two.
-type remnant struct {
-	epoch Epoch
-	at    time.Time
+// tombstone keeps the epoch of a forgotten journal for a while. The keepers forget
+// a journal at different times: one may still hold it when a new answer with the
+// same key begins on the others. The new answer must have the higher epoch;
+// otherwise a takeover would prefer the old answer and mix the two.
+type tombstone struct {
+	epoch       Epoch
+	forgottenAt time.Time
 }
 
 type record struct {
-	promised Epoch
-	since    time.Time // of the promise
-	accepted Epoch
-	request  *Request
-	journal  packed
-	source   Source
-	touched  time.Time
-	bytes    int64
+	promised   Epoch
+	promisedAt time.Time
+	accepted   Epoch
+	request    *Request
+	journal    packedJournal
+	source     Source
+	touchedAt  time.Time
+	bytes      int64
 }
 
-// Keeper holds one VM's replicas of journals, in one incarnation. It is not
-// safe for concurrent use.
+// Keeper holds the journal replicas of one VM in one incarnation. It is not safe
+// for concurrent use.
 type Keeper struct {
 	incarnation string
 	limits      Limits
-	floor       uint64
+	minVersion  uint64
 	records     map[RequestID]*record
-	remnants    map[RequestID]remnant
+	tombstones  map[RequestID]tombstone
 	bytes       int64
 }
 
 // NewKeeper returns an empty Keeper.
 func NewKeeper(incarnation string, limits Limits) *Keeper {
-	return &Keeper{incarnation: incarnation, limits: limits, records: map[RequestID]*record{}, remnants: map[RequestID]remnant{}}
+	return &Keeper{incarnation: incarnation, limits: limits, records: map[RequestID]*record{}, tombstones: map[RequestID]tombstone{}}
 }
 
-// Len is the number of journals held, Bytes about what they take.
+// Len returns the number of journals held.
 func (k *Keeper) Len() int { return len(k.records) }
 
-// Bytes is about the memory that the journals take.
+// Bytes returns the approximate memory use of the journals.
 func (k *Keeper) Bytes() int64 { return k.bytes }
 
-// SetFloor makes the keeper refuse owners that place by a version older than
-// any that lookups still ask: nobody would find what they write.
-func (k *Keeper) SetFloor(version uint64) { k.floor = max(k.floor, version) }
+// SetMinVersion makes the keeper refuse owners that place journals by a membership
+// version below version. Lookups no longer consult older versions, so a journal
+// written by such an owner would never be found.
+func (k *Keeper) SetFloor(version uint64) { k.minVersion = max(k.minVersion, version) }
 
-// refuses checks what holds for every message. An answer given for another life
-// of this VM would count a memory that is gone.
-func (k *Keeper) refuses(to string, version uint64) Refusal {
+// check applies the conditions that hold for every message. A message for another
+// incarnation of this VM must be refused: the reply would vouch for memory that is
+// lost.
+func (k *Keeper) check(to string, version uint64) Refusal {
 	switch {
 	case to != "" && to != k.incarnation:
 		return OtherIncarnation
-	case version < k.floor:
+	case version < k.minVersion:
 		return TooOld
 	}
 	return Accepted
@@ -105,8 +113,8 @@
 func (k *Keeper) full(known bool) bool {
 	journals, bytes := k.limits.Journals, k.limits.Bytes
 	if known {
-		journals += journals / reserve
-		bytes += bytes / reserve
+		journals += journals / reserveDivisor
+		bytes += bytes / reserveDivisor
 	}
 	return len(k.records) >= journals || k.bytes >= bytes
 }
@@ -128,16 +136,16 @@
 	r.bytes = size
 }
 
-// Promise handles p.
+// Promise handles a Promise message.
 func (k *Keeper) Promise(p Promise, now time.Time) PromiseReply {
-	if refusal := k.refuses(p.To, p.Epoch.Version); refusal != Accepted {
+	if refusal := k.check(p.To, p.Epoch.Version); refusal != Accepted {
 		return PromiseReply{Refusal: refusal}
 	}
 	r := k.records[p.ID]
 	if r == nil && p.Peek {
 		return PromiseReply{OK: true}
 	}
-	if old := k.remnants[p.ID].epoch; r == nil && !old.Less(p.Epoch) && !old.IsZero() {
+	if old := k.tombstones[p.ID].epoch; r == nil && !old.Less(p.Epoch) && !old.IsZero() {
 		return PromiseReply{Refusal: Outbid, Promised: old}
 	}
 	if r == nil {
@@ -147,30 +155,31 @@
 		r = k.add(p.ID)
 	}
 	if p.Peek {
-		return r.show(true, Accepted)
+		return r.describe(true, Accepted)
 	}
 	if p.IfAbsent && !r.promised.IsZero() && r.promised != p.Epoch {
-		return r.show(false, Outbid)
+		return r.describe(false, Outbid)
 	}
 	if p.Epoch.Less(r.promised) {
-		return r.show(false, Outbid)
+		return r.describe(false, Outbid)
 	}
 	r.promise(p.Epoch, now)
-	reply := r.show(true, Accepted)
+	reply := r.describe(true, Accepted)
 	reply.Journal = r.journal.unpack()
 	return reply
 }
 
-// promise notes when a promise was first given: repeated, it is no younger.
+// promise records a promise. Repeating it for the same epoch does not extend its
+// validity.
 func (r *record) promise(epoch Epoch, now time.Time) {
 	if r.promised != epoch {
-		r.promised, r.since = epoch, now
+		r.promised, r.promisedAt = epoch, now
 	}
-	r.touched = now
+	r.touchedAt = now
 }
 
-// show describes a record without its tokens.
-func (r *record) show(ok bool, refusal Refusal) PromiseReply {
+// describe returns a reply that describes the record without its tokens.
+func (r *record) describe(ok bool, refusal Refusal) PromiseReply {
 	reply := PromiseReply{
 		OK: ok, Refusal: refusal, Promised: r.promised, Found: r.request != nil,
 		Accepted: r.accepted, Request: r.request, Journal: Journal{Finish: r.journal.finish},
@@ -182,19 +191,19 @@
 	return reply
 }
 
-// Write handles w.
+// Write handles a Write message.
 func (k *Keeper) Write(w Write, now time.Time) WriteReply {
 	refuse := func(why Refusal, promised Epoch) WriteReply {
 		return WriteReply{ID: w.ID, Epoch: w.Epoch, Refusal: why, Promised: promised}
 	}
-	if refusal := k.refuses(w.To, w.Epoch.Version); refusal != Accepted {
+	if refusal := k.check(w.To, w.Epoch.Version); refusal != Accepted {
 		return refuse(refusal, Epoch{})
 	}
 	r := k.records[w.ID]
 	if r == nil && !w.Reserve {
 		return refuse(Unpromised, Epoch{})
 	}
-	if old := k.remnants[w.ID].epoch; r == nil && !old.Less(w.Epoch) && !old.IsZero() {
+	if old := k.tombstones[w.ID].epoch; r == nil && !old.Less(w.Epoch) && !old.IsZero() {
 		return refuse(Outbid, old)
 	}
 	if r == nil {
@@ -209,7 +218,7 @@
 	case w.Reserve:
 		r.promise(w.Epoch, now)
 		return WriteReply{ID: w.ID, Epoch: w.Epoch, Promised: r.promised, Reserved: true}
-	case w.Install && !r.takes(w.Epoch, now, k.limits.PromiseUse):
+	case w.Install && !r.mayInstall(w.Epoch, now, k.limits.PromiseUse):
 		return refuse(Unpromised, r.promised)
 	case w.Install:
 		r.install(w)
@@ -224,35 +233,35 @@
 		r.bytes += grown
 		k.bytes += grown
 	}
-	r.promised, r.accepted, r.touched = w.Epoch, w.Epoch, now
+	r.promised, r.accepted, r.touchedAt = w.Epoch, w.Epoch, now
 	return WriteReply{
 		ID: w.ID, Epoch: w.Epoch, Held: r.journal.len(), Finished: r.journal.finish != "",
 		Promised: r.promised, Source: r.source.Number, Touch: w.Touch,
 	}
 }
 
-// takes reports whether an installation may be taken: there is a young promise
-// of its epoch, or the epoch's journal is here already.
-func (r *record) takes(epoch Epoch, now time.Time, use time.Duration) bool {
-	return r.accepted == epoch || (r.promised == epoch && now.Sub(r.since) < use)
+// mayInstall reports whether an installation may be accepted: there is a valid
+// promise for its epoch, or the record already holds the journal of that epoch.
+func (r *record) mayInstall(epoch Epoch, now time.Time, use time.Duration) bool {
+	return r.accepted == epoch || (r.promised == epoch && now.Sub(r.promisedAt) < use)
 }
 
-// install replaces the journal whole, unless the same epoch already brought
-// more: messages may arrive late or twice.
+// install replaces the complete journal, unless the same epoch has already
+// written more: messages may arrive late or twice.
 func (r *record) install(w Write) {
 	if r.accepted == w.Epoch && w.Span.End() <= r.journal.len() {
 		return
 	}
 	r.request = w.Request
-	r.journal = packed{finish: w.Finish, usage: w.Usage}
-	r.journal.add(w.Span.Tokens, w.Span.Texts)
+	r.journal = packedJournal{finish: w.Finish, usage: w.Usage}
+	r.journal.append(w.Span.Tokens, w.Span.Texts)
 	r.source = Source{}
 	if w.Source != nil {
 		r.source = *w.Source
 	}
 }
 
-// extend adds tokens and returns the bytes that they take.
+// extend appends tokens and returns the number of bytes that they take.
 func (r *record) extend(w Write) (int64, error) {
 	known := r.journal.len() - w.Span.From
 	for i := 0; i < known && i < len(w.Span.Tokens); i++ {
@@ -265,7 +274,7 @@
 	}
 	before := r.journal.bytes()
 	if known < len(w.Span.Tokens) {
-		r.journal.add(w.Span.Tokens[known:], w.Span.Texts[known:])
+		r.journal.append(w.Span.Tokens[known:], w.Span.Texts[known:])
 	}
 	if w.Finish != "" {
 		r.journal.finish = w.Finish
@@ -274,33 +283,33 @@
 	return r.journal.bytes() - before, nil
 }
 
-// Sweep forgets what nobody will ask for and returns how many unfinished
-// journals were among it. A journal with an owner is touched by it and stays.
+// Sweep forgets expired records and returns how many of them were unfinished
+// journals. A journal with an owner is touched regularly and does not expire.
 func (k *Keeper) Sweep(now time.Time) int {
 	abandoned := 0
 	for id, r := range k.records {
-		if now.Sub(r.touched) < k.keeps(r) {
+		if now.Sub(r.touchedAt) < k.retention(r) {
 			continue
 		}
 		if r.request != nil && r.journal.finish == "" {
 			abandoned++
 		}
-		if len(k.remnants) >= epochsPerJournal*k.limits.Journals {
+		if len(k.tombstones) >= epochsPerJournal*k.limits.Journals {
 			break
 		}
-		k.remnants[id] = remnant{r.promised, now}
+		k.tombstones[id] = tombstone{r.promised, now}
 		k.bytes -= r.bytes
 		delete(k.records, id)
 	}
-	for id, r := range k.remnants {
-		if now.Sub(r.at) >= k.limits.EpochKeep {
-			delete(k.remnants, id)
+	for id, r := range k.tombstones {
+		if now.Sub(r.forgottenAt) >= k.limits.EpochKeep {
+			delete(k.tombstones, id)
 		}
 	}
 	return abandoned
 }
 
-func (k *Keeper) keeps(r *record) time.Duration {
+func (k *Keeper) retention(r *record) time.Duration {
 	switch {
 	case r.request == nil:
 		return k.limits.PromiseKeep
--- a/internal/generation/messages.go
+++ b/internal/generation/messages.go
@@ -1,50 +1,51 @@
 package generation
 
-// Refusal says why a keeper refused a message.
+// Refusal is the reason why a keeper refused a message.
 type Refusal uint8
 
-// Refusals.
+// The refusals. The numbers are part of the messages between VMs.
 const (
 	Accepted         Refusal = iota
-	Outbid                   // it has promised a higher epoch, shown in Promised
-	Unpromised               // it holds no promise of this epoch, or too old a one
-	NeedsInstall             // it lacks the journal, or tokens before the span
-	OtherIncarnation         // the message is for an earlier or later life of this VM
-	Full                     // it takes no new journals
-	TooOld                   // the epoch's membership version is no longer kept
-	Broken                   // the write breaks an invariant
+	Outbid                   // the keeper has promised a higher epoch, given in Promised
+	Unpromised               // the keeper has no promise for this epoch, or it has expired
+	NeedsInstall             // the keeper lacks the journal or tokens before the span
+	OtherIncarnation         // the message is for another incarnation of this VM
+	Full                     // the keeper accepts no new journals
+	TooOld                   // the epoch's membership version is no longer retained
+	Broken                   // the write would break an invariant
 )
 
-// Source is the attempt whose tokens end the journal: a new owner may attach to
-// its stream instead of paying for the prompt and the journal again. From is
-// the journal's length when the attempt began.
+// Source is the attempt that generated the last tokens of the journal. A new
+// owner may attach to its stream, which saves a second prefill of the prompt and
+// the journal. From is the journal's length when the attempt began.
 type Source struct {
 	Backend string `cbor:"1,keyasint"`
 	Addr    string `cbor:"2,keyasint"`
 	Attempt string `cbor:"3,keyasint"`
 	From    int    `cbor:"4,keyasint"`
-	Number  int    `cbor:"5,keyasint"`           // grows within the owner's epochs
+	Number  int    `cbor:"5,keyasint"`           // increases within the owner's epochs
 	Version string `cbor:"6,keyasint,omitempty"` // of the model, once known
 }
 
-// Write asks a keeper to hold tokens of a journal. With Install it replaces the
-// journal whole and carries the request; every owner begins so, behind its
-// promises. A write without tokens keeps the journal from being forgotten.
+// Write asks a keeper to store tokens of a journal. With Install it replaces the
+// complete journal and carries the request; this is the first write of every
+// owner after it has collected its promises. A write without tokens keeps the
+// journal from expiring.
 type Write struct {
 	ID      RequestID `cbor:"1,keyasint"`
 	Epoch   Epoch     `cbor:"2,keyasint"`
 	Request *Request  `cbor:"3,keyasint,omitempty"`
-	To      string    `cbor:"4,keyasint,omitempty"` // incarnation of the keeper meant
+	To      string    `cbor:"4,keyasint,omitempty"` // incarnation of the addressed keeper
 	Install bool      `cbor:"5,keyasint,omitempty"`
 	Span    Span      `cbor:"6,keyasint"`
 	Finish  string    `cbor:"7,keyasint,omitempty"`
 	Usage   Usage     `cbor:"8,keyasint,omitzero"`
-	Reserve bool      `cbor:"9,keyasint,omitempty"` // asks for a promise, and writes nothing
+	Reserve bool      `cbor:"9,keyasint,omitempty"` // asks for a promise and writes nothing
 	Source  *Source   `cbor:"10,keyasint,omitempty"`
-	Touch   uint64    `cbor:"11,keyasint,omitempty"` // echoed
+	Touch   uint64    `cbor:"11,keyasint,omitempty"` // echoed in the reply
 }
 
-// Size is about the write's size in bytes when it is encoded.
+// Size returns the approximate size in bytes of the encoded write.
 func (w *Write) Size() int {
 	const head, perToken = 100, 10
 	size := head + perToken*len(w.Span.Tokens)
@@ -54,8 +55,8 @@
 	return size
 }
 
-// WriteReply answers a Write. Held, Finished and Source are what the keeper
-// holds under the write's epoch.
+// WriteReply is the reply to a Write. Held (a number of tokens), Finished and
+// Source describe what the keeper holds under the write's epoch.
 type WriteReply struct {
 	ID       RequestID `cbor:"1,keyasint"`
 	Refusal  Refusal   `cbor:"2,keyasint,omitempty"`
@@ -63,7 +64,7 @@
 	Finished bool      `cbor:"4,keyasint,omitempty"`
 	Promised Epoch     `cbor:"5,keyasint,omitzero"`
 	Epoch    Epoch     `cbor:"6,keyasint"`
-	Source   int       `cbor:"7,keyasint,omitempty"` // Number of the source
+	Source   int       `cbor:"7,keyasint,omitempty"` // Source.Number of the source held
 	Touch    uint64    `cbor:"8,keyasint,omitempty"`
 	Reserved bool      `cbor:"9,keyasint,omitempty"`
 }
@@ -71,21 +72,23 @@
 // OK reports whether the write was accepted.
 func (r *WriteReply) OK() bool { return r.Refusal == Accepted }
 
-// Promise asks a keeper to refuse every epoch below Epoch and to show what it
-// holds. With Peek it promises nothing and only shows who owns the journal; with
-// IfAbsent it promises only where the keeper knows nothing of the journal, and
-// is a Peek otherwise: a resend must not depose an owner that is well.
+// Promise asks a keeper to refuse every epoch below Epoch and to return what it
+// holds. With Peek the keeper promises nothing and only returns who owns the
+// journal. With IfAbsent the keeper promises only if it does not know the journal
+// and otherwise treats the message as a Peek: a resend must not depose a healthy
+// owner.
 type Promise struct {
 	ID    RequestID `cbor:"1,keyasint"`
 	Epoch Epoch     `cbor:"2,keyasint"`
 	Peek  bool      `cbor:"3,keyasint,omitempty"`
 
 	IfAbsent bool   `cbor:"4,keyasint,omitempty"`
-	To       string `cbor:"5,keyasint,omitempty"` // incarnation of the keeper meant
+	To       string `cbor:"5,keyasint,omitempty"` // incarnation of the addressed keeper
 }
 
-// PromiseReply answers a Promise. Accepted is the epoch of the last write; the
-// journal comes with a promise, not with a Peek or a refusal.
+// PromiseReply is the reply to a Promise. Accepted is the epoch of the last write.
+// The journal's tokens are included only with a promise, not with a Peek or a
+// refusal.
 type PromiseReply struct {
 	OK       bool     `cbor:"1,keyasint"`
 	Promised Epoch    `cbor:"2,keyasint"`
--- a/internal/generation/owner.go
+++ b/internal/generation/owner.go
@@ -5,49 +5,51 @@
 	"errors"
 )
 
-// ErrDeposed is returned once a higher epoch has taken the journal over.
+// ErrDeposed is returned once an owner with a higher epoch has taken over the
+// journal.
 var ErrDeposed = errors.New("generation: another owner has taken over")
 
-// ErrMoved is returned when a keeper knows a newer list of VMs than this owner.
-var ErrMoved = errors.New("generation: the journal's keepers have moved")
+// ErrKeepersMoved is returned when a keeper knows a newer list of VMs than this
+// owner. The owner must place the journal again by a newer list.
+var ErrMoved = errors.New("generation: the journal has been placed by an outdated list of VMs")
 
-// ErrStaleAttempt is returned for tokens of an attempt that is not the current
-// one, or that do not follow the journal's end.
+// ErrStaleAttempt is returned for tokens that come from another attempt than the
+// current one or that do not continue the journal at its end.
 var ErrStaleAttempt = errors.New("generation: event of a stale attempt")
 
-// Owner is the state of the router that runs a generation: the journal, how
-// much of it each keeper holds, and the one attempt that may append. It is not
+// Owner is the state of the router that runs a generation: the journal, the part
+// of it that each keeper holds, and the one attempt that may append. It is not
 // safe for concurrent use.
 type Owner struct {
 	Request Request
 	Epoch   Epoch
 
-	journal  Journal
-	group    Group
-	keepers  []replica // in the group's order
-	attempt  int
-	source   Source
-	version  string
-	deposed  bool
-	sealing  bool
-	released int
-	touch    uint64
-	Dropped  int // events of stale attempts
+	journal   Journal
+	keeperSet Group
+	keepers   []replica // in the order of keeperSet
+	attempt   int
+	source    Source
+	version   string
+	deposed   bool
+	sealing   bool
+	released  int
+	touch     uint64
+	Dropped   int // events of stale attempts
 }
 
 type replica struct {
-	id        KeeperID
-	promised  bool   // may be installed
-	confirm   uint64 // if above 0, once this touch has been answered
-	installed bool
-	held      int
-	source    int
-	finished  bool
-	touch     uint64
+	id           KeeperID
+	promised     bool   // accepts an installation
+	confirmTouch uint64 // promised becomes true once this touch is confirmed; 0: none pending
+	installed    bool
+	held         int
+	source       int
+	finished     bool
+	touch        uint64
 }
 
-// NewOwner returns the owner of a new journal, or of one taken over. replies
-// tells which keepers have promised its epoch.
+// NewOwner returns the owner of a new or taken-over journal. replies holds the
+// promises for its epoch.
 func NewOwner(req Request, epoch Epoch, group Group, replies *Replies, journal Journal) *Owner {
 	o := &Owner{Request: req, journal: journal}
 	o.place(epoch, group, replies)
@@ -55,7 +57,7 @@
 }
 
 func (o *Owner) place(epoch Epoch, group Group, replies *Replies) {
-	o.Epoch, o.group, o.keepers = epoch, group, make([]replica, 0, len(group.Keepers))
+	o.Epoch, o.keeperSet, o.keepers = epoch, group, make([]replica, 0, len(group.Keepers))
 	for _, k := range group.Keepers {
 		o.keepers = append(o.keepers, replica{id: k, promised: replies.Promised(k)})
 	}
@@ -70,16 +72,17 @@
 	return nil
 }
 
-// Group is the journal's present keeper set.
-func (o *Owner) Group() Group { return o.group }
+// KeeperSet returns the journal's current keeper set.
+func (o *Owner) Group() Group { return o.keeperSet }
 
-// BeginSeal stops the writes of the present epoch while the owner seals its
-// journal for another keeper set.
+// BeginSeal stops the writes of the current epoch while the owner seals its
+// journal to move it to another keeper set.
 func (o *Owner) BeginSeal() { o.sealing = true }
 
-// Replace moves the journal to another keeper set under a new epoch, once
-// replies are Ready. The attempt goes on. Where the keepers show a journal of a
-// higher epoch than this owner's, somebody else has taken over.
+// MoveTo moves the journal to another keeper set under a new epoch. replies must
+// be Ready. The current attempt continues. If a keeper holds the journal under a
+// higher epoch than this owner's, another owner has taken over, and MoveTo
+// returns ErrDeposed.
 func (o *Owner) Replace(epoch Epoch, group Group, replies *Replies) error {
 	if best, ok := replies.Best(); o.deposed || (ok && o.Epoch.Less(best.Accepted)) {
 		o.deposed = true
@@ -90,29 +93,31 @@
 	return nil
 }
 
-// BeginAttempt makes a new attempt the only one that may append, and returns
-// its id and the number of tokens it starts behind.
+// BeginAttempt starts a new attempt, which from now on is the only one that may
+// append. It returns the attempt's ID and the number of tokens already in the
+// journal.
 func (o *Owner) BeginAttempt() (AttemptID, int) {
 	o.attempt++
 	return AttemptID{Request: o.Request.ID, Epoch: o.Epoch, Number: o.attempt}, o.journal.Len()
 }
 
-// SetSource notes on which engine the present attempt runs. It comes before
-// the attempt's first token, so that no keeper holds tokens of an attempt
-// that it does not know.
+// SetSource records the engine on which the current attempt runs. It must be
+// called before the attempt's first token is appended: a keeper must not hold
+// tokens of an attempt that it does not know.
 func (o *Owner) SetSource(s Source) {
 	s.Number = 2 * o.attempt
 	o.source = s
 	o.Pin(o.Version())
 }
 
-// Version is the model version that the answer is made of; empty before its first
-// token, unless the request asked for one.
+// Version returns the model version that generates the answer. It is empty before
+// the first token unless the request specified a version.
 func (o *Owner) Version() string { return cmp.Or(o.version, o.Request.Version) }
 
-// Pin notes the model version that the answer is made of, once, with or before
-// its first token: every later attempt, also of another owner, runs that version.
-// Without it an answer begun by one version could go on with tokens of another.
+// PinVersion records the model version that generates the answer, with or before
+// its first token. Every later attempt, also that of another owner, runs this
+// version. Otherwise an answer could contain tokens of two model
+// versions.
 func (o *Owner) Pin(version string) {
 	if version == "" {
 		return
@@ -120,11 +125,11 @@
 	o.version = version
 	if o.source.Version == "" {
 		o.source.Version = version
-		o.source.Number++ // a keeper that knows the source without it learns it
+		o.source.Number++ // resends the source to keepers that know it without a version
 	}
 }
 
-// Append adds tokens of an attempt, or its end.
+// Append adds tokens of an attempt. A non-empty finish ends the generation.
 func (o *Owner) Append(attempt int, s Span, finish string, usage Usage) error {
 	if o.deposed {
 		return ErrDeposed
@@ -142,21 +147,22 @@
 	return nil
 }
 
-// Touch makes a write to each keeper due even without tokens: keepers forget a
-// journal that no owner touches. Once Touched reaches the number returned, this
-// owner was the owner after the call.
+// Touch makes a write to each keeper due even if there are no new tokens: keepers
+// forget a journal that no owner touches. Once ConfirmedTouch reaches the returned
+// number, a majority has confirmed that this owner still owned the journal after
+// the call.
 func (o *Owner) Touch() uint64 {
 	o.touch++
 	return o.touch
 }
 
-// Touched is the highest touch that a majority has answered.
+// ConfirmedTouch returns the highest touch that a majority has acknowledged.
 func (o *Owner) Touched() uint64 {
 	return majorityOf(o, func(r *replica) uint64 { return r.touch })
 }
 
-// majorityOf is the highest value that a majority of the keepers has reached.
-// Only those that hold the journal count.
+// majorityOf returns the highest value that a majority of the keepers has reached.
+// Only keepers that hold the journal count.
 func majorityOf[T int | uint64](o *Owner, value func(*replica) T) T {
 	var reached [KeepersMany]T
 	n := 0
@@ -172,15 +178,16 @@
 		reached[at] = value(r)
 		n++
 	}
-	if need := o.group.Majority(); n >= need {
+	if need := o.keeperSet.Majority(); n >= need {
 		return reached[need-1]
 	}
 	return 0
 }
 
-// Next returns the write that brings a keeper up to date, and false if it has
-// everything. maxTokens bounds the size of one write after the installation;
-// that one is whole, since a part of it would hide tokens that a keeper had.
+// NextWrite returns the next write for a keeper, and false if none is due.
+// maxTokens bounds the number of tokens in a write after the installation. The
+// installation itself always carries the complete journal: a partial one would
+// replace tokens that the keeper already holds.
 func (o *Owner) Next(vm string, maxTokens int) (Write, bool) {
 	r := o.replica(vm)
 	if r == nil || o.deposed || o.sealing {
@@ -193,11 +200,11 @@
 	case r.promised:
 		return o.installation(w), true
 	}
-	// A promise given behind the opening counts only after a majority has confirmed
-	// this epoch once more: they may have forgotten it by now, and another owner may
-	// have begun under a lower one.
+	// A promise given after the journal was opened counts only once a majority has
+	// confirmed this epoch again. The majority may have forgotten the epoch, and
+	// another owner may have begun under a lower one.
 	w.Reserve = true
-	return w, r.confirm == 0 && o.Accepted()
+	return w, r.confirmTouch == 0 && o.Accepted()
 }
 
 func (o *Owner) installation(w Write) Write {
@@ -223,7 +230,8 @@
 	return w, true
 }
 
-// newSource is the source for a keeper that knows the one of number known.
+// newSource returns the current source, or nil if the keeper already knows it.
+// known is the Number of the source that the keeper holds.
 func (o *Owner) newSource(known int) *Source {
 	if o.source.Number == known {
 		return nil
@@ -236,9 +244,9 @@
 	return Span{From: from, Tokens: o.journal.Tokens[from:to:to], Texts: o.journal.Texts[from:to:to]}
 }
 
-// Ack takes a keeper's reply to a write. ErrDeposed: another owner has taken
-// over. ErrMoved: the journal must be placed by a newer list. An
-// *InvariantError stops the answer.
+// Ack handles a keeper's reply to a write. It returns ErrDeposed if another owner
+// has taken over, and ErrKeepersMoved if the journal must be placed by a newer
+// list of VMs. The caller must end the answer on an *InvariantError.
 func (o *Owner) Ack(vm string, reply WriteReply) error {
 	r := o.replica(vm)
 	if r == nil || reply.Epoch != o.Epoch {
@@ -248,7 +256,7 @@
 		return o.refused(r, reply)
 	}
 	if reply.Reserved {
-		r.confirm = o.Touch()
+		r.confirmTouch = o.Touch()
 		return nil
 	}
 	r.installed = true
@@ -268,14 +276,14 @@
 	touched := uint64(0)
 	for i := range o.keepers {
 		r := &o.keepers[i]
-		if r.confirm == 0 {
+		if r.confirmTouch == 0 {
 			continue
 		}
 		if touched == 0 {
 			touched = o.Touched()
 		}
-		if touched >= r.confirm {
-			r.promised, r.confirm = true, 0
+		if touched >= r.confirmTouch {
+			r.promised, r.confirmTouch = true, 0
 		}
 	}
 }
@@ -284,7 +292,7 @@
 	switch reply.Refusal {
 	case Outbid:
 		if o.sealing && reply.Promised.VM == o.Epoch.VM {
-			return nil // this owner's own seal
+			return nil // promised to this owner's own seal
 		}
 		if reply.Promised == o.Epoch {
 			*r = replica{id: r.id} // the keeper has forgotten this owner's journal
@@ -304,24 +312,26 @@
 	return nil
 }
 
-// Accepted reports whether a majority holds the request itself.
+// Accepted reports whether a majority of keepers holds the request.
 func (o *Owner) Accepted() bool {
-	return o.count(func(r *replica) bool { return r.installed }) >= o.group.Majority()
+	return o.count(func(r *replica) bool { return r.installed }) >= o.keeperSet.Majority()
 }
 
-// Behind reports whether a majority of keepers still lacks something.
+// ReplicationPending reports whether the journal, its request or its end is not
+// yet held by a majority of keepers.
 func (o *Owner) Behind() bool {
 	_, _, finished := o.Finished()
 	return o.sealing || !o.Accepted() || o.released < o.journal.Len() || (o.journal.Finish != "" && !finished)
 }
 
-// Released is the number of tokens a caller may see.
+// Released returns the number of tokens that may be sent to callers.
 func (o *Owner) Released() int { return o.released }
 
-// Finished returns how the generation ended, and whether a majority holds that.
+// Finished returns the finish reason and usage, and whether a majority of keepers
+// holds them and the complete journal.
 func (o *Owner) Finished() (string, Usage, bool) {
 	done := o.journal.Finish != "" && o.released == o.journal.Len() &&
-		o.count(func(r *replica) bool { return r.finished }) >= o.group.Majority()
+		o.count(func(r *replica) bool { return r.finished }) >= o.keeperSet.Majority()
 	return o.journal.Finish, o.journal.Usage, done
 }
 
@@ -338,6 +348,6 @@
 // Deposed reports whether another owner has taken over.
 func (o *Owner) Deposed() bool { return o.deposed }
 
-// Journal is the answer so far, with tokens that may not be released yet. It is
-// valid until the next call of a method.
+// Journal returns the answer so far, including tokens that may not be released
+// yet. The result is valid until the next method call.
 func (o *Owner) Journal() *Journal { return &o.journal }
--- a/internal/generation/owner_test.go
+++ b/internal/generation/owner_test.go
@@ -9,16 +9,16 @@
 
 var testLimits = Limits{Journals: 4, Bytes: 1 << 20, PromiseUse: time.Second, PromiseKeep: 3 * time.Second, FinishedKeep: time.Minute, AbandonKeep: time.Hour, EpochKeep: time.Hour}
 
-// three keepers a, b, c of one journal, and owners that reach the named ones.
-type trio struct {
+// threeKeepers holds the keepers a, b and c of one journal.
+type threeKeepers struct {
 	t       *testing.T
 	keepers map[string]*Keeper
 	group   Group
 	now     time.Time
 }
 
-func newTrio(t *testing.T) *trio {
-	tr := &trio{t: t, keepers: map[string]*Keeper{}, group: Group{Newest: 1}, now: time.Unix(0, 0)}
+func newThreeKeepers(t *testing.T) *threeKeepers {
+	tr := &threeKeepers{t: t, keepers: map[string]*Keeper{}, group: Group{Newest: 1}, now: time.Unix(0, 0)}
 	for _, vm := range []string{"a", "b", "c"} {
 		tr.keepers[vm] = NewKeeper("1", testLimits)
 		tr.group.Keepers = append(tr.group.Keepers, KeeperID{vm, "1"})
@@ -26,21 +26,21 @@
 	return tr
 }
 
-func (tr *trio) open(round uint64, vms ...string) *Owner {
+func (tr *threeKeepers) open(round uint64, vms ...string) *Owner {
 	tr.t.Helper()
 	epoch := Epoch{Version: 1, Round: round, VM: fmt.Sprint("owner", round)}
 	replies := NewReplies([]Group{tr.group}, Membership{})
 	for _, vm := range vms {
-		replies.Add(KeeperID{vm, "1"}, tr.keepers[vm].Promise(Promise{ID: machineID, Epoch: epoch, To: "1"}, tr.now))
+		replies.Add(KeeperID{vm, "1"}, tr.keepers[vm].Promise(Promise{ID: journalID, Epoch: epoch, To: "1"}, tr.now))
 	}
 	if !replies.Ready() {
-		tr.t.Fatalf("round %d: no majority of promises", round)
+		tr.t.Fatalf("round %d: promises are not ready, want a majority", round)
 	}
 	best, _ := replies.Best()
-	return NewOwner(Request{ID: machineID}, epoch, tr.group, replies, best.Journal)
+	return NewOwner(Request{ID: journalID}, epoch, tr.group, replies, best.Journal)
 }
 
-func (tr *trio) write(o *Owner, vms ...string) error {
+func (tr *threeKeepers) write(o *Owner, vms ...string) error {
 	var errs []error
 	for _, vm := range vms {
 		for w, ok := o.Next(vm, 10); ok; w, ok = o.Next(vm, 10) {
@@ -59,13 +59,13 @@
 	_ = o.Append(n.Number, Span{From: from, Tokens: []int32{token}, Texts: []string{"t"}}, "", Usage{})
 }
 
-// A router is paused between its promises and its first write, for so long that
-// two of the three keepers have forgotten them. Another router begins the answer
-// there, under a lower epoch, and releases a token. Back again, the paused one
-// must not install on the keeper that still remembers: by its higher epoch that
-// journal would win the next takeover, and the caller's token would change.
+// A router is paused between its promises and its first write until two of the
+// three keepers have forgotten their promises. Another router begins the answer
+// on these two, under a lower epoch, and releases a token. The paused router must
+// not install on the keeper that still remembers: because of its higher epoch,
+// that journal would win the next takeover and change the caller's token.
 func TestForgottenPromiseIsNotUsed(t *testing.T) {
-	tr := newTrio(t)
+	tr := newThreeKeepers(t)
 	paused := tr.open(2, "a", "b", "c")
 	for _, passed := range []time.Duration{testLimits.PromiseKeep, testLimits.EpochKeep} {
 		tr.now = tr.now.Add(passed)
@@ -75,33 +75,33 @@
 	other := tr.open(1, "b", "c")
 	generateToken(other, 7)
 	if err := tr.write(other, "b", "c"); err != nil || other.Released() != 1 {
-		t.Fatalf("the other owner released %d, error %v", other.Released(), err)
+		t.Fatalf("the other owner released %d tokens with error %v, want 1 and no error", other.Released(), err)
 	}
 	generateToken(paused, 8)
 	_ = tr.write(paused, "a", "b", "c")
 	if paused.Released() != 0 || paused.Accepted() {
-		t.Errorf("the paused owner released %d tokens of another answer", paused.Released())
+		t.Errorf("the paused owner released %d tokens or was accepted, want 0 and not accepted", paused.Released())
 	}
 	if next := tr.open(3, "a", "b"); next.Journal().Len() != 1 || next.Journal().Tokens[0] != 7 {
-		t.Errorf("the next owner found %v, and 7 was released", next.Journal().Tokens)
+		t.Errorf("the next owner found tokens %v, want 7, which was released", next.Journal().Tokens)
 	}
 }
 
-// An owner is paused for so long that one of its two keepers forgets the journal
-// as abandoned, and a moment later a caller sends the key again. The new answer
-// begins on that keeper and the third one. Its epoch must be above the old one:
-// else a takeover that meets the keeper that still holds the old answer goes on
-// with that, and the caller's tokens change.
-func TestNewAnswerIsAboveAForgottenOne(t *testing.T) {
-	tr := newTrio(t)
+// An owner is paused until one of its two keepers forgets the journal as
+// abandoned. Then a caller resends the key, and the new answer begins on that
+// keeper and the third one. Its epoch must be above the old one. Otherwise a
+// takeover that reaches the keeper with the old answer would resume that answer,
+// and the caller's tokens would change.
+func TestNewAnswerHasHigherEpochThanForgottenOne(t *testing.T) {
+	tr := newThreeKeepers(t)
 	old := tr.open(5, "a", "b")
 	generateToken(old, 7)
 	_ = tr.write(old, "a", "b")
 	tr.now = tr.now.Add(testLimits.AbandonKeep)
 	tr.keepers["b"].Sweep(tr.now)
-	lower := Promise{ID: machineID, Epoch: Epoch{1, 4, "owner4"}, To: "1", IfAbsent: true}
+	lower := Promise{ID: journalID, Epoch: Epoch{1, 4, "owner4"}, To: "1", IfAbsent: true}
 	if reply := tr.keepers["b"].Promise(lower, tr.now); reply.OK || reply.Promised.Round != 5 {
-		t.Errorf("a keeper that forgot a journal takes a lower epoch: %+v", reply)
+		t.Errorf("promise of a lower epoch after a forgotten journal: got %+v, want refusal with round 5", reply)
 	}
 	again := tr.open(6, "b", "c")
 	generateToken(again, 8)
@@ -109,34 +109,35 @@
 	generateToken(old, 9)
 	_ = tr.write(old, "a", "b", "c")
 	if old.Released() != 1 || again.Released() != 1 {
-		t.Errorf("released %d of the old answer and %d of the new one", old.Released(), again.Released())
+		t.Errorf("got %d released tokens of the old answer and %d of the new one, want 1 and 1", old.Released(), again.Released())
 	}
 	if next := tr.open(7, "a", "c"); next.Journal().Tokens[0] != 8 {
-		t.Errorf("the next owner found %v, and 8 was released", next.Journal().Tokens)
+		t.Errorf("the next owner found tokens %v, want 8, which was released", next.Journal().Tokens)
 	}
 }
 
-// A keeper that was out of reach at the opening comes back. It gets the journal
-// by a promise that a majority of the others has confirmed since.
+// A keeper that was unreachable when the journal was opened comes back. It may get
+// the journal only by a promise after which a majority has confirmed the epoch.
 func TestLateKeeperIsReserved(t *testing.T) {
-	tr := newTrio(t)
+	tr := newThreeKeepers(t)
 	o := tr.open(1, "a", "b")
 	generateToken(o, 7)
 	if _, ok := o.Next("c", 10); ok {
-		t.Error("a keeper is asked for a promise before the owner has its majority")
+		t.Error("a keeper was asked for a promise before a majority accepted the owner")
 	}
 	_ = tr.write(o, "a", "b", "c")
-	if held := tr.keepers["c"].Promise(Promise{ID: machineID, Peek: true, Epoch: Epoch{Version: 1}}, tr.now).Found; held {
-		t.Error("the late keeper holds the journal before the others confirmed the epoch")
+	if held := tr.keepers["c"].Promise(Promise{ID: journalID, Peek: true, Epoch: Epoch{Version: 1}}, tr.now).Found; held {
+		t.Error("the late keeper holds the journal before a majority confirmed the epoch")
 	}
 	_ = tr.write(o, "a", "b", "c")
-	if held := tr.keepers["c"].Promise(Promise{ID: machineID, Peek: true, Epoch: Epoch{Version: 1}}, tr.now).Found; !held {
-		t.Error("the late keeper does not hold the journal")
+	if held := tr.keepers["c"].Promise(Promise{ID: journalID, Peek: true, Epoch: Epoch{Version: 1}}, tr.now).Found; !held {
+		t.Error("the late keeper does not hold the journal after a majority confirmed the epoch")
 	}
 }
 
-// A VM that holds its fill refuses new journals with a reason and keeps those it
-// has; what is finished, abandoned or was never written is forgotten in time.
+// Without bounds, a keeper's memory would grow until its VM fails. A full keeper
+// must refuse new journals with Full and keep those that it has. Finished and
+// abandoned journals and unused promises must expire.
 func TestKeeperMemoryIsBounded(t *testing.T) {
 	now := time.Unix(0, 0)
 	k := NewKeeper("1", testLimits)
@@ -147,20 +148,20 @@
 	install := func(i int, finish string) {
 		w := Write{ID: id(i), Epoch: Epoch{1, 1, "o"}, Request: &Request{}, Install: true, Finish: finish}
 		if reply := k.Write(w, now); !reply.OK() {
-			t.Fatalf("install %d refused: %d", i, reply.Refusal)
+			t.Fatalf("installation %d: got refusal %d, want Accepted", i, reply.Refusal)
 		}
 	}
 	for i := range testLimits.Journals {
 		promise(i, true)
 	}
 	if got := promise(9, true).Refusal; got != Full {
-		t.Errorf("a new journal beyond the limit: refusal %d, want Full", got)
+		t.Errorf("new journal beyond the limit: got refusal %d, want Full", got)
 	}
 	if got := promise(9, false).Refusal; got != Accepted {
-		t.Errorf("a known journal within the reserve: refusal %d", got)
+		t.Errorf("existing journal within the reserve: got refusal %d, want Accepted", got)
 	}
 	if got := promise(10, false).Refusal; got != Full {
-		t.Errorf("a known journal beyond the reserve: refusal %d, want Full", got)
+		t.Errorf("existing journal beyond the reserve: got refusal %d, want Full", got)
 	}
 	install(0, "length")
 	install(1, "")
@@ -170,29 +171,29 @@
 	}{{testLimits.PromiseKeep, 2}, {testLimits.FinishedKeep, 1}, {testLimits.AbandonKeep, 0}} {
 		k.Sweep(now.Add(c.after))
 		if k.Len() != c.left {
-			t.Errorf("after %v: %d journals, want %d", c.after, k.Len(), c.left)
+			t.Errorf("after %v: got %d journals, want %d", c.after, k.Len(), c.left)
 		}
 	}
 	if k.Bytes() != 0 {
-		t.Errorf("%d bytes are counted for no journal", k.Bytes())
+		t.Errorf("got %d bytes without a journal, want 0", k.Bytes())
 	}
 }
 
-// Two VMs of a journal's five are lost together; the owner re-places it; a third
-// of the first five is lost right after. The caller's answer must still be found,
-// though the first set has lost its majority: the repair had sealed it.
+// Two of a journal's five VMs are lost together, the owner moves the journal, and
+// then a third of the first five VMs is lost. The first set has lost its majority,
+// but the move had sealed it, so the caller's answer must still be found.
 func TestThirdLossAfterRepair(t *testing.T) {
 	var vms []Candidate
 	for i := range 8 {
 		vms = append(vms, Candidate{VM: fmt.Sprint("vm", i), Incarnation: "1", Zone: fmt.Sprint("z", i%4)})
 	}
 	before := Membership{Version: 1, Candidates: vms}
-	first := Place(machineID, vms)
+	first := Place(journalID, vms)
 	after := Membership{Version: 2, Candidates: without(vms, first[0], first[1])}
 	last := Membership{Version: 3, Candidates: without(after.Candidates, first[2])}
-	groups := Groups(machineID, []Membership{last, after, before})
+	groups := Groups(journalID, []Membership{last, after, before})
 	if len(groups) != 3 {
-		t.Fatalf("%d distinct sets, want 3", len(groups))
+		t.Fatalf("got %d distinct sets, want 3", len(groups))
 	}
 	found := PromiseReply{OK: true, Found: true, Accepted: Epoch{Version: 2, Round: 1, VM: "o"}}
 	repaired, lost := NewReplies(groups, last), NewReplies(groups, last)
@@ -201,14 +202,14 @@
 		repaired.Add(m.id(), found)
 	}
 	if !repaired.Ready() || repaired.Lost() {
-		t.Error("a journal that was re-placed counts as lost with its old set")
+		t.Error("a journal that was moved counts as lost with its old set, want ready and not lost")
 	}
 	if lost.Ready() || !lost.Lost() {
-		t.Error("a journal that nobody re-placed is lost with its set, and must not start anew")
+		t.Error("a journal that was not moved does not count as lost with its set, want lost and not ready")
 	}
 	lost.Fresh = true
 	if !lost.Ready() {
-		t.Error("a new request must not wait for a set that is gone")
+		t.Error("a new request waits for a lost set, want ready")
 	}
 }
 
@@ -226,8 +227,9 @@
 	return out
 }
 
-// A zone is lost with all its VMs. Wherever the zones allow it, each journal must
-// keep a majority of its keepers; with too few zones it must still have them all.
+// If a zone is lost with all its VMs, each journal must retain a majority of its
+// keepers, provided that there are enough zones. With too few zones a journal must
+// still have its full number of keepers.
 func TestPlacementSurvivesAZone(t *testing.T) {
 	for _, c := range []struct{ vms, zones, keepers, perZone int }{
 		{1, 1, 1, 1}, {2, 2, 1, 1}, {3, 3, 3, 1}, {4, 2, 3, 2}, {5, 3, 5, 2}, {9, 3, 5, 2}, {11, 3, 5, 2}, {8, 2, 5, 3}, {330, 5, 5, 2},
@@ -249,7 +251,7 @@
 				most = max(most, n)
 			}
 			if len(seen) != c.keepers || most > c.perZone {
-				t.Fatalf("%d VMs in %d zones: %d keepers, %d in one zone", c.vms, c.zones, len(seen), most)
+				t.Fatalf("%d VMs in %d zones: got %d keepers with %d in one zone, want the test table's numbers", c.vms, c.zones, len(seen), most)
 			}
 		}
 	}
--- a/internal/generation/placement.go
+++ b/internal/generation/placement.go
@@ -8,45 +8,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Replication factors of a journal (design section 4): five keepers survive any
-// two VMs at once, or a zone; a small system keeps three.
+// Replication factors of a journal (design section 4). Five keepers tolerate the
+// simultaneous loss of any two VMs, or of a zone. A system of fewer than five VMs
+// uses three.
 const (
 	KeepersMany = 5
 	KeepersFew  = 3
 )
 
-// KeeperID names a keeper: a VM in one incarnation. After a restart the same VM
-// is another keeper, because it has forgotten what it promised. An empty
-// incarnation stands for any; only a list that never changes may use it.
+// KeeperID identifies a keeper: a VM in one incarnation. After a restart the same
+// VM is a different keeper, because it has lost its promises. An empty
+// incarnation matches any; only a list that never changes may use it.
 type KeeperID struct {
 	VM          string
 	Incarnation string
 }
 
-// Candidate is a VM that may keep journals. One that is leaving gets no new
-// ones, but what it holds still counts.
+// Candidate is a VM that may keep journals. A VM that is leaving gets no new
+// journals, but the ones that it holds still count.
 type Candidate struct {
 	VM          string
 	Zone        string
 	Incarnation string
 	Leaving     bool
-	Dead        bool // it may come back with what it holds
+	Dead        bool // it may come back with its journals
 }
 
 func (c Candidate) id() KeeperID { return KeeperID{c.VM, c.Incarnation} }
 
 // Membership is one committed version of the list of VMs. A VM that is missing
-// from it has lost its memory or has stopped keeping for good.
+// from it has lost its memory or has permanently stopped keeping journals.
 //
-// Settled tells that it was superseded so long ago that every living owner has
-// moved its journals away from it.
+// Migrated is set once this version was superseded so long ago that every live
+// owner has moved its journals to a newer one.
 type Membership struct {
 	Version    uint64
 	Candidates []Candidate
 	Settled    bool
 }
 
-// Has reports whether the list names this keeper.
+// Has reports whether the list contains this keeper.
 func (m *Membership) Has(k KeeperID) bool {
 	return slices.ContainsFunc(m.Candidates, func(c Candidate) bool { return c.id() == k })
 }
@@ -55,19 +56,20 @@
 	return slices.ContainsFunc(m.Candidates, func(c Candidate) bool { return c.Dead && c.id() == k })
 }
 
-// Group is a set of keepers that a journal has, or had by an older version of
-// the list. Newest is the last version that gives this set.
+// KeeperSet is the set of keepers that a journal has by one or more versions of
+// the list. NewestVersion is the last of these versions.
 type Group struct {
 	Keepers []KeeperID
 	Newest  uint64
-	Settled bool // as that version
+	Settled bool // Membership.Migrated of that version
 }
 
-// Majority is the number of keepers that any other majority shares one with.
+// Majority returns the smallest number of keepers that shares at least one keeper
+// with every other such majority.
 func (g *Group) Majority() int { return len(g.Keepers)/2 + 1 }
 
-// Groups returns the distinct keeper sets of a journal over the versions,
-// newest first. The first is where the journal belongs now.
+// KeeperSets returns the distinct keeper sets of a journal over the versions in
+// views, which are ordered newest first. The first set is the current one.
 func Groups(id RequestID, views []Membership) []Group {
 	var out []Group
 	for _, v := range views {
@@ -80,7 +82,7 @@
 	return out
 }
 
-// SameKeepers reports whether two sets are equal, in whatever order.
+// SameKeepers reports whether two sets are equal, in any order.
 func SameKeepers(a, b []KeeperID) bool {
 	if len(a) != len(b) {
 		return false
@@ -93,7 +95,7 @@
 	return true
 }
 
-// Keepers returns how many keepers a journal has among n VMs.
+// KeeperCount returns the number of keepers that a journal has among n VMs.
 func Keepers(n int) int {
 	switch {
 	case n >= KeepersMany:
@@ -105,9 +107,9 @@
 	}
 }
 
-// Place returns the keepers of a journal: the highest by rendezvous hash, with
-// no zone holding a majority where the zones allow it. Without that bound the
-// loss of one zone could take a journal's majority with it.
+// Place returns the keepers of a journal: the VMs with the highest rendezvous
+// hashes, such that no zone holds a majority if there are enough zones. Without
+// that bound the loss of one zone could destroy a journal's majority.
 func Place(id RequestID, vms []Candidate) []KeeperID {
 	staying := vms
 	if slices.ContainsFunc(vms, func(c Candidate) bool { return c.Leaving }) {
@@ -118,7 +120,7 @@
 	}
 	n := Keepers(len(staying))
 	ranked := rank(id, staying)
-	chosen := bestOfZones(ranked, n)
+	chosen := bestByZone(ranked, n)
 	if len(chosen) < n {
 		chosen = fill(chosen, ranked, n)
 	}
@@ -134,11 +136,12 @@
 	score uint64
 }
 
-func better(a, b ranked) int {
+func compareRank(a, b ranked) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.VM, b.VM))
 }
 
-// rank leaves the incarnation out of the score: a restart moves no journal.
+// rank excludes the incarnation from the score, because a restart must not move
+// journals.
 func rank(id RequestID, vms []Candidate) []ranked {
 	var mixed [16]byte
 	binary.LittleEndian.PutUint64(mixed[:8], xxhash.Sum64String(id.String()))
@@ -150,15 +153,15 @@
 	return out
 }
 
-// bestOfZones returns the n best with at most (n-1)/2 of a zone, best first. It
-// sorts only those: at 330 VMs and 16 retained versions, sorting all for each
-// request would be felt.
-func bestOfZones(all []ranked, n int) []ranked {
+// bestByZone returns the n best candidates, best first, with at most (n-1)/2 of
+// each zone. It sorts only these: with 330 VMs and 16 retained versions, sorting
+// all candidates for each request would add noticeable latency.
+func bestByZone(all []ranked, n int) []ranked {
 	perZone := max(1, (n-1)/2)
 	zones := map[string][]ranked{}
 	for _, r := range all {
 		zone := zones[r.Zone]
-		at, _ := slices.BinarySearchFunc(zone, r, better)
+		at, _ := slices.BinarySearchFunc(zone, r, compareRank)
 		if at == perZone {
 			continue
 		}
@@ -171,13 +174,13 @@
 	for _, zone := range zones {
 		out = append(out, zone...)
 	}
-	slices.SortFunc(out, better)
+	slices.SortFunc(out, compareRank)
 	return out[:min(n, len(out))]
 }
 
-// fill adds the best of those left over, whatever their zone.
+// fill adds the best remaining candidates, regardless of their zone.
 func fill(chosen, all []ranked, n int) []ranked {
-	slices.SortFunc(all, better)
+	slices.SortFunc(all, compareRank)
 	for _, r := range all {
 		if len(chosen) == n {
 			break
--- a/internal/generation/replies.go
+++ b/internal/generation/replies.go
@@ -1,43 +1,45 @@
 package generation
 
-// Replies gathers the answers to one promise (or Peek) over the keeper sets of
-// the retained versions. Opening by version W needs a majority of every distinct
-// set up to W, because an owner that places by an older list may still release
-// through that list's set. Older sets drop out once a journal is found that was
-// accepted under a newer version: its owner had sealed them, so nothing was
-// released through them since, and what was released before is in that journal.
+// Replies collects the replies to one Promise (or Peek) from the keeper sets of the
+// retained versions. Opening a journal by version W needs a majority of every
+// distinct set up to W, because an owner that places by an older list may still
+// release tokens through that list's set. Older sets are no longer needed once a
+// journal is found that was accepted under a newer version. Its owner had sealed
+// the older sets: nothing was released through them afterwards, and that journal
+// contains what was released before.
 type Replies struct {
-	groups []Group
-	seen   map[KeeperID]bool // heard at all
-	ok     map[KeeperID]bool
-	best   PromiseReply
-	full   int
+	sets     []Group
+	answered map[KeeperID]bool // replied, whether OK or not
+	promised map[KeeperID]bool
+	best     PromiseReply
+	full     int
 
-	// Max is the highest epoch promised anywhere.
+	// MaxEpoch is the highest epoch that any keeper has promised.
 	Max Epoch
-	// Fresh is the opening of a request whose caller holds no token. It asks every
-	// set and uses what it hears, but does without those that are settled, or have
-	// lost their majority to dead VMs: else a few VMs lost within the history's
-	// minutes would refuse every new request. What may be missed is a generation
-	// whose owner died a while ago unread, or lives on the far side of a cut. A
-	// second one then starts; the two never mix, since a caller with tokens of the
-	// first is refused by their digest.
+	// CallerHasNoTokens marks a request whose caller has received no token yet. All
+	// sets are asked and their replies are used, but sets that are migrated, or that
+	// have lost their majority to dead VMs, are not required. Otherwise the loss of
+	// a few VMs within the minutes of the retained history would cause every new
+	// request to be refused. This may miss a generation whose owner died earlier
+	// without a reader, or that runs on the other side of a network partition. A
+	// second generation then starts. The two never mix, because a caller with tokens
+	// of the first one is refused by their prefix digest.
 	Fresh bool
-	// Newest is the list by which keepers count as gone.
+	// Membership is the newest list. It decides which keepers are lost.
 	Newest Membership
 }
 
 // NewReplies returns an empty set of replies.
 func NewReplies(groups []Group, newest Membership) *Replies {
-	return &Replies{groups: groups, Newest: newest, seen: map[KeeperID]bool{}, ok: map[KeeperID]bool{}}
+	return &Replies{sets: groups, Newest: newest, answered: map[KeeperID]bool{}, promised: map[KeeperID]bool{}}
 }
 
-// Add takes one keeper's reply.
+// Add records one keeper's reply.
 func (r *Replies) Add(k KeeperID, reply PromiseReply) {
 	if reply.Refusal == OtherIncarnation {
 		return
 	}
-	r.seen[k] = true
+	r.answered[k] = true
 	if r.Max.Less(reply.Promised) {
 		r.Max = reply.Promised
 	}
@@ -47,14 +49,14 @@
 	if !reply.OK {
 		return
 	}
-	r.ok[k] = true
+	r.promised[k] = true
 	if reply.Found && r.better(&reply) {
 		r.best = reply
 	}
 }
 
-// better prefers the higher epoch and only then the longer journal: a deposed
-// owner's journal may be longer by tokens that were never released, and that its
+// better prefers the higher epoch and only then the longer journal. A deposed
+// owner's journal may be longer by tokens that were never released and that its
 // successor has replaced by others.
 func (r *Replies) better(reply *PromiseReply) bool {
 	if !r.best.Found || r.best.Accepted != reply.Accepted {
@@ -76,15 +78,16 @@
 	return p.Source.Number
 }
 
-// Ready reports whether a majority of every needed set has answered OK.
-func (r *Replies) Ready() bool { return r.each(r.ok) }
+// Ready reports whether a majority of every needed set has replied OK.
+func (r *Replies) Ready() bool { return r.everyNeeded(r.promised) }
 
-// Heard reports whether a majority of every needed set has answered at all.
-func (r *Replies) Heard() bool { return r.each(r.seen) }
+// Answered reports whether a majority of every needed set has replied, whether OK
+// or not.
+func (r *Replies) Heard() bool { return r.everyNeeded(r.answered) }
 
-func (r *Replies) each(in map[KeeperID]bool) bool {
-	for i := range r.groups {
-		g := &r.groups[i]
+func (r *Replies) everyNeeded(in map[KeeperID]bool) bool {
+	for i := range r.sets {
+		g := &r.sets[i]
 		if r.needs(g) && count(g, in) < g.Majority() {
 			return false
 		}
@@ -99,18 +102,19 @@
 	return !r.Fresh || !g.Settled && !r.lost(g)
 }
 
-// Lost reports whether the journal is gone for good: a needed set has lost its
-// majority, and majorities of all others have answered without showing that the
-// journal was moved to them in time. Before they have, it may still be found.
+// Lost reports whether the journal is permanently lost: a needed set has lost its
+// majority, and majorities of all other needed sets have replied without showing
+// that the journal was moved to them in time. Until they have replied, the journal
+// may still be found.
 func (r *Replies) Lost() bool {
 	lost := false
-	for i := range r.groups {
-		g := &r.groups[i]
+	for i := range r.sets {
+		g := &r.sets[i]
 		switch {
 		case !r.needs(g):
 		case r.lost(g):
 			lost = true
-		case count(g, r.ok) < g.Majority():
+		case count(g, r.promised) < g.Majority():
 			return false
 		}
 	}
@@ -120,8 +124,8 @@
 func (r *Replies) lost(g *Group) bool {
 	left := 0
 	for _, k := range g.Keepers {
-		// A keeper of the settings' list has no incarnation and may not have joined
-		// yet: nothing tells that it is gone.
+		// A keeper from the list in the settings has no incarnation and may not have
+		// joined yet. There is no evidence that it is lost.
 		switch {
 		case r.Fresh && r.Newest.dead(k):
 		case k.Incarnation == "", r.Newest.Has(k):
@@ -131,13 +135,14 @@
 	return left < g.Majority()
 }
 
-// Full reports whether keepers refused because they take no new journals.
+// Full reports whether any keeper refused because it accepts no new journals.
 func (r *Replies) Full() bool { return r.full > 0 }
 
-// Promised reports whether a keeper gave its promise.
-func (r *Replies) Promised(k KeeperID) bool { return r.ok[k] }
+// Promised reports whether a keeper gave its promise, or replied OK to a Peek.
+func (r *Replies) Promised(k KeeperID) bool { return r.promised[k] }
 
-// Best returns the journal to go on with, and false where no keeper has one.
+// Best returns the reply with the journal to resume, and false if no keeper has
+// one.
 func (r *Replies) Best() (PromiseReply, bool) { return r.best, r.best.Found }
 
 func count(g *Group, in map[KeeperID]bool) int {
--- a/internal/generation/replies_test.go
+++ b/internal/generation/replies_test.go
@@ -6,10 +6,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/generation"
 )
 
-// Five VMs kept a journal's first set; three of them died one after another and
-// were replaced in the list. A caller without tokens is served as soon as the
-// present set has promised; one that holds tokens is not, since the journal may
-// be on the dead VMs alone.
+// Three of the five VMs of an old keeper set died one after another and were
+// replaced in the list. A caller without tokens must be served once the current
+// set has promised. A caller with tokens must not, because the journal may exist
+// only on the dead VMs.
 func TestOldSetsOfDeadVMsDoNotStopNewRequests(t *testing.T) {
 	present := []generation.KeeperID{{VM: "a"}, {VM: "b"}, {VM: "f"}, {VM: "g"}, {VM: "h"}}
 	old := []generation.KeeperID{{VM: "a"}, {VM: "b"}, {VM: "c"}, {VM: "d"}, {VM: "e"}}
@@ -47,7 +47,7 @@
 				r.Add(k, generation.PromiseReply{OK: true})
 			}
 			if got := r.Ready(); got != tc.want {
-				t.Errorf("ready %v, want %v", got, tc.want)
+				t.Errorf("got ready %v, want %v", got, tc.want)
 			}
 		})
 	}
