--- a/internal/call/bench_test.go
+++ b/internal/call/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/call"
 )
 
-// One call's two commands, with an answer of 200 bytes, and what the part holds
-// for it afterwards.
+// BenchmarkClaimAndFinish executes the two commands of one call, with an answer of
+// 200 bytes, and measures the memory that the state machine uses for it afterwards.
 func BenchmarkClaimAndFinish(b *testing.B) {
 	l := call.DefaultLimits()
 	l.MaxClaims, l.MaxKeys, l.TotalBytes = 1<<30, 1<<30, 1<<40
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,13 +1,13 @@
-// Package call is the aggregate of non-idempotent calls of plain services: who
-// may dispatch a call, and what became of it. The package is pure; its Part is
-// state of the control group.
+// Package call models non-idempotent calls of plain services: who may dispatch a
+// call, and its outcome. The package does no I/O; its StateMachine is part of the
+// control group's replicated state.
 //
-// One key of a workspace and service is granted to one claimant, once. What ends
-// a claim is final: the whole answer, "unknown", or "not run". Only the claimant
-// may say "not run", of bytes that it did not write: nobody else can tell whether
-// a paused claimant wrote after its last check. Everybody else can only seal a
-// claim as "unknown", which is true whatever the claimant did, and so needs no
-// agreement of clocks.
+// A key of a workspace and service is granted to one claimant, once. The outcome
+// of a claim is final: the complete answer, "unknown", or "not run". Only the
+// claimant may report "not run", if it wrote no byte: no other process can tell
+// whether a paused claimant wrote after its last check. All others can only seal a
+// claim as "unknown". That is true regardless of what the claimant did, and it
+// needs no agreement between clocks.
 package call
 
 import (
@@ -16,17 +16,17 @@
 	"io"
 )
 
-// Ref names a call: a key means nothing outside its workspace and service.
+// Ref identifies a call. A key is unique only within its workspace and service.
 type Ref struct {
 	Workspace string `cbor:"1,keyasint"`
 	Service   string `cbor:"2,keyasint"`
 	Key       string `cbor:"3,keyasint"` // Idempotency-Key
 }
 
-// Digest tells requests apart that carry the same key.
+// Digest distinguishes requests that carry the same key.
 type Digest [16]byte
 
-// DigestOf covers everything that the service would act on.
+// DigestOf returns the digest of all parts of a request that the service acts on.
 func DigestOf(method, path string, body []byte) Digest {
 	h := sha256.New()
 	for _, part := range []string{method, path} {
@@ -39,18 +39,18 @@
 	return Digest(h.Sum(nil)[:16])
 }
 
-// State is where a claim stands.
+// State is the state of a claim.
 type State uint8
 
-// The states. All but Granted are final. The numbers are on disk.
+// The states. All but Granted are final. The numbers are stored on disk.
 const (
-	Granted State = 1 // the claimant may dispatch, or has
-	Done    State = 2 // the service's whole answer is known
-	Unknown State = 3 // a byte may have reached a service and no whole answer came
-	NotRun  State = 4 // the claimant wrote no byte and never will
+	Granted State = 1 // the claimant may dispatch, or has dispatched
+	Done    State = 2 // the service's complete answer is known
+	Unknown State = 3 // a byte may have reached a service, and no complete answer arrived
+	NotRun  State = 4 // the claimant wrote no byte and never will write one
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state is final.
 func (s State) Final() bool { return s > Granted }
 
 // Header is one header line of an answer.
@@ -59,8 +59,8 @@
 	Value string `cbor:"2,keyasint"`
 }
 
-// Answer is a service's whole answer. A body above the bound is not kept; Status
-// and Headers are.
+// Answer is a service's complete answer. A body above the size limit is not kept;
+// Status and Headers are.
 type Answer struct {
 	Status  int      `cbor:"1,keyasint"`
 	Headers []Header `cbor:"2,keyasint,omitempty"`
@@ -68,7 +68,7 @@
 	NoBody  bool     `cbor:"4,keyasint,omitempty"` // the body was too large to be kept
 }
 
-// size is what the answer costs of the budget, in bytes.
+// size returns the number of bytes that the answer uses of the memory limits.
 func (a *Answer) size() int {
 	if a == nil {
 		return 0
@@ -80,29 +80,29 @@
 	return n
 }
 
-// Claim asks for the right to dispatch. Claimant is unique to the incarnation of
-// a VM and to the one request there; it is never granted twice.
+// Claim asks for the permission to dispatch a call. Claimant is unique to one
+// request at one incarnation of a VM; it is never granted twice.
 type Claim struct {
 	Ref      Ref    `cbor:"1,keyasint"`
 	Request  Digest `cbor:"2,keyasint"`
 	Claimant string `cbor:"3,keyasint"`
 }
 
-// Look asks what became of a call, and claims nothing.
+// Lookup asks for the outcome of a call without claiming it.
 type Look struct {
 	Ref     Ref    `cbor:"1,keyasint"`
 	Request Digest `cbor:"2,keyasint"`
 }
 
-// Renew asks for another permission to dispatch: the claimant says that it wrote
-// no byte under the permission Attempt and will not use it any more.
+// Renew asks for another permission to dispatch. The claimant thereby confirms that
+// it wrote no byte under permission Attempt and will not use that one any more.
 type Renew struct {
 	Ref      Ref    `cbor:"1,keyasint"`
 	Claimant string `cbor:"2,keyasint"`
 	Attempt  int    `cbor:"3,keyasint"`
 }
 
-// Finish ends a claim by its claimant.
+// Finish reports the outcome of a claim. Only the claimant may send it.
 type Finish struct {
 	Ref      Ref     `cbor:"1,keyasint"`
 	Claimant string  `cbor:"2,keyasint"`
@@ -110,16 +110,16 @@
 	Answer   *Answer `cbor:"4,keyasint,omitempty"`
 }
 
-// Seal ends the claim of a vanished claimant as Unknown. Gone is the observer's
-// evidence that the claimant's incarnation has ended; without it the group's own
-// clock must show that the claim is old.
+// Seal ends the claim of a lost claimant as Unknown. ClaimantGone states that the
+// sender knows that the claimant's incarnation has ended. Without it, the claim
+// must be older than Limits.SealAfter by the control group's clock.
 type Seal struct {
 	Ref      Ref    `cbor:"1,keyasint"`
 	Claimant string `cbor:"2,keyasint"`
 	Gone     bool   `cbor:"3,keyasint"`
 }
 
-// Command is one command of the part; exactly one field is set.
+// Command is one command of the state machine. Exactly one field is set.
 type Command struct {
 	Claim  *Claim  `cbor:"1,keyasint,omitempty"`
 	Look   *Look   `cbor:"2,keyasint,omitempty"`
@@ -128,27 +128,27 @@
 	Seal   *Seal   `cbor:"5,keyasint,omitempty"`
 }
 
-// Verdict is the part's answer to a command.
+// Verdict is the state machine's result of a command.
 type Verdict uint8
 
-// The verdicts. The numbers are in replies between VMs.
+// The verdicts. The numbers are part of the replies between VMs.
 const (
-	Malformed  Verdict = 0 // not a command of this part
+	Malformed  Verdict = 0 // not a command of this state machine
 	Permitted  Verdict = 1 // the sender may dispatch, once
-	Standing   Verdict = 2 // see State: running elsewhere, or final
-	Unclaimed  Verdict = 3 // Look: the key is free
+	Standing   Verdict = 2 // the key has a claim: see State
+	Unclaimed  Verdict = 3 // Lookup: the key is free
 	KeyReused  Verdict = 4 // the key belongs to a different request
-	KeyExpired Verdict = 5 // the key's claim is no longer kept, or its own time is too old
-	KeyAhead   Verdict = 6 // the key's own time is in the future
+	KeyExpired Verdict = 5 // the key's claim is no longer kept, or its UUIDv7 time is too old
+	KeyAhead   Verdict = 6 // the key's UUIDv7 time is in the future
 	Full       Verdict = 7 // no room for a new claim
 )
 
-// Reply answers a command.
+// Reply is the reply to a Command.
 type Reply struct {
 	Verdict  Verdict `cbor:"1,keyasint"`
 	State    State   `cbor:"2,keyasint,omitempty"`
 	Claimant string  `cbor:"3,keyasint,omitempty"`
-	Attempt  int     `cbor:"4,keyasint,omitempty"` // of the permission
+	Attempt  int     `cbor:"4,keyasint,omitempty"` // number of the permission
 	AgeMS    int64   `cbor:"5,keyasint,omitempty"` // since the last permission
 	Answer   *Answer `cbor:"6,keyasint,omitempty"`
 }
--- a/internal/call/fuzz_test.go
+++ b/internal/call/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// Commands come from other VMs and snapshots from disk: whatever the bytes, the
-// part neither panics nor loses what it knows of a claim that has ended.
+// Commands come from other VMs, and snapshots come from disk. With any bytes, the
+// state machine must neither panic nor lose the outcome of a finished claim.
 func FuzzPart(f *testing.F) {
 	ref := call.Ref{Workspace: "coop", Service: "dispatch", Key: "k"}
 	for _, cmd := range []*call.Command{
@@ -29,7 +29,7 @@
 		g.claim("coop", "k", "vm1")
 		g.finish("k", "vm1", call.Done, &call.Answer{Status: 201})
 		g.part.Apply(g.now, data)
-		g.want("after any command", g.claim("coop", "k", "vm2"), call.Standing, call.Done)
+		g.want("claim after an arbitrary command", g.claim("coop", "k", "vm2"), call.Standing, call.Done)
 		_ = call.NewPart(call.DefaultLimits()).Restore(data)
 	})
 }
--- a/internal/call/marking.go
+++ b/internal/call/idempotency.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// Marking overrides for one service whether a method of some paths is
-// idempotent.
+// IdempotencyRule overrides, for one service, whether a method is idempotent on some
+// paths.
 type Marking struct {
 	Method     string
-	Path       string // a path, or a prefix that ends in *
+	Path       string // a path, or a prefix followed by *
 	Idempotent bool
 }
 
-// ErrMarking describes the allowed form.
-var ErrMarking = errors.New(`a marking is "METHOD /path idempotent" or "METHOD /path once"; a path may end in *`)
+// ErrIdempotencyRule is returned for text that is not an idempotency rule.
+var ErrMarking = errors.New(`an idempotency rule has the form "METHOD /path idempotent" or "METHOD /path once"; a path may end in *`)
 
-// ParseMarking reads "POST /search idempotent" or "PUT /counter once".
+// ParseIdempotencyRule parses a rule such as "POST /search idempotent" or
+// "PUT /counter once".
 func ParseMarking(s string) (Marking, error) {
 	f := strings.Fields(s)
 	if len(f) != 3 || !strings.HasPrefix(f[1], "/") || f[0] != strings.ToUpper(f[0]) {
@@ -38,8 +39,8 @@
 	return m.Path == path
 }
 
-// Idempotent reports whether a call may be repeated: the first marking that
-// matches decides, then RFC 9110 section 9.2.2.
+// Idempotent reports whether a call may be repeated. The first matching rule
+// decides; without one, RFC 9110 section 9.2.2 applies.
 func Idempotent(markings []Marking, method, path string) bool {
 	for i := range markings {
 		if markings[i].matches(method, path) {
--- a/internal/call/keys.go
+++ b/internal/call/keys.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// keyMemory remembers used keys as 8-byte digests, in one sorted run for each
-// hour. It never takes a used key for a new one within its span; two keys with
-// one digest (one pair in 2^64) make the later one refused, which is safe.
+// usedKeys stores used keys as 8-byte digests, in one sorted list for each hour. It
+// never treats a used key as a new one within its span. If two keys share a digest
+// (one pair in 2^64), the later one is refused, which is safe.
 //
-// An arbitrary key cannot be remembered for ever in bounded memory. A UUIDv7
-// holds its own time, so that it needs no memory beyond the span: see stamp.
-type keyMemory struct {
-	span  time.Duration
-	hours []hour
-	total int
-	of    map[string]int // by workspace
+// Bounded memory cannot store arbitrary keys forever. A UUIDv7 contains its own
+// time and therefore needs no memory beyond the span: see uuidV7Time.
+type usedKeys struct {
+	span        time.Duration
+	hours       []hour
+	total       int
+	byWorkspace map[string]int // number of keys
 }
 
 type hour struct {
-	startMS int64
-	sorted  []uint64
-	recent  map[uint64]struct{} // of the hour that still grows
-	of      map[string]int
+	startMS     int64
+	sorted      []uint64
+	recent      map[uint64]struct{} // unsorted digests of the current hour
+	byWorkspace map[string]int
 }
 
-func newKeyMemory(span time.Duration) *keyMemory {
-	return &keyMemory{span: span, of: map[string]int{}}
+func newUsedKeys(span time.Duration) *usedKeys {
+	return &usedKeys{span: span, byWorkspace: map[string]int{}}
 }
 
 func keyDigest(r Ref) uint64 {
@@ -39,7 +39,7 @@
 	return binary.BigEndian.Uint64(h[:8])
 }
 
-func (m *keyMemory) has(d uint64) bool {
+func (m *usedKeys) has(d uint64) bool {
 	for i := len(m.hours) - 1; i >= 0; i-- {
 		if m.hours[i].has(d) {
 			return true
@@ -58,22 +58,22 @@
 
 const hourMS = int64(time.Hour / time.Millisecond)
 
-func (m *keyMemory) add(nowMS int64, workspace string, d uint64) {
+func (m *usedKeys) add(nowMS int64, workspace string, d uint64) {
 	start := nowMS - nowMS%hourMS
 	if n := len(m.hours); n == 0 || m.hours[n-1].startMS != start {
 		if n > 0 {
 			m.hours[n-1].close()
 		}
-		m.hours = append(m.hours, hour{startMS: start, recent: map[uint64]struct{}{}, of: map[string]int{}})
+		m.hours = append(m.hours, hour{startMS: start, recent: map[uint64]struct{}{}, byWorkspace: map[string]int{}})
 	}
 	h := &m.hours[len(m.hours)-1]
 	h.recent[d] = struct{}{}
-	h.of[workspace]++
-	m.of[workspace]++
+	h.byWorkspace[workspace]++
+	m.byWorkspace[workspace]++
 	m.total++
 }
 
-// close sorts the hour's keys: 8 bytes each from then on.
+// close sorts the hour's keys, which from then on take 8 bytes each.
 func (h *hour) close() {
 	h.sorted = h.digests()
 	h.recent = nil
@@ -85,16 +85,16 @@
 	return all
 }
 
-// expire forgets the hours that ended longer ago than the span.
-func (m *keyMemory) expire(nowMS int64) {
+// expire removes the hours that ended longer than the span ago.
+func (m *usedKeys) expire(nowMS int64) {
 	for len(m.hours) > 0 {
 		h := &m.hours[0]
 		if nowMS-(h.startMS+hourMS) < m.span.Milliseconds() {
 			return
 		}
-		for w, n := range h.of {
-			if m.of[w] -= n; m.of[w] == 0 {
-				delete(m.of, w)
+		for w, n := range h.byWorkspace {
+			if m.byWorkspace[w] -= n; m.byWorkspace[w] == 0 {
+				delete(m.byWorkspace, w)
 			}
 			m.total -= n
 		}
@@ -102,9 +102,9 @@
 	}
 }
 
-// stamp returns the time within a UUIDv7. Only this form counts as stamped: its
-// version digit keeps random keys from being read as a time by chance.
-func stamp(key string) (ms int64, ok bool) {
+// uuidV7Time returns the time in a UUIDv7. Other forms are not accepted: the
+// version digit prevents a random key from being read as a time by chance.
+func uuidV7Time(key string) (ms int64, ok bool) {
 	if len(key) != 36 || key[8] != '-' || key[13] != '-' || key[14] != '7' || key[18] != '-' || key[23] != '-' {
 		return 0, false
 	}
--- a/internal/call/limits.go
+++ b/internal/call/limits.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Limits bound the part's memory. A claim takes 270 bytes besides its texts and
-// its answer (BenchmarkClaimAndFinish); with every bound of DefaultLimits reached
-// the part holds about 75 MB on each control VM.
+// Limits bound the state machine's memory. A claim takes 270 bytes in addition to
+// its strings and its answer (BenchmarkClaimAndFinish). With every bound of
+// DefaultLimits reached, the state machine takes about 75 MB on each control VM.
 type Limits struct {
-	Retention   time.Duration // a claim and its answer are kept this long after the claim
-	KeyMemory   time.Duration // a used key is refused, not run, at least this long
-	SealAfter   time.Duration // age after which a claim without news may be sealed
-	MaxClaims   int           // kept at once
-	MaxKeys     int           // digests of used keys
-	AnswerBytes int           // of one answer; larger ones are kept without their body
-	TotalBytes  int           // of all answers, running claims counted at AnswerBytes
+	Retention   time.Duration // of a claim and its answer, from the claim on
+	KeyMemory   time.Duration // minimum time for which a used key is refused
+	SealAfter   time.Duration // age of the last permission after which a claim may be sealed
+	MaxClaims   int           // number of claims kept
+	MaxKeys     int           // number of digests of used keys
+	AnswerBytes int           // of one answer; a larger one is kept without its body
+	TotalBytes  int           // of all answers; running claims count MaxAnswerBytes each
 	MaxAttempts int           // permissions of one claim
 }
 
 // DefaultLimits returns the limits of a control VM.
 //
-// Retention: callers resend within seconds; ten minutes cover one that lost its
-// network for a while. KeyMemory: a day covers devices that send their backlog
-// the next morning. SealAfter: above the longest call (30 s) with its commit.
-// MaxKeys: 24 new calls a second for a whole day, at 8 bytes each.
+// ClaimRetention: callers resend within seconds; ten minutes cover a caller that
+// lost its network for a while. KeyRetention: a day covers devices that send their
+// backlog the next morning. SealAfter is above the longest call (30 s) with its
+// commit. MaxKeys allows 24 new calls per second for a day, at 8 bytes each.
 func DefaultLimits() Limits {
 	return Limits{
 		Retention: 10 * time.Minute, KeyMemory: 24 * time.Hour, SealAfter: 70 * time.Second,
@@ -30,9 +30,10 @@
 	}
 }
 
-// workspaceShare is the part of each bound that one workspace may fill: a hot
-// workspace must not close the service to all others.
-const workspaceShare = 2
+// workspaceDivisor bounds the share of each limit that one workspace may use: half
+// of it. Otherwise a busy workspace could block the service for all others.
+const workspaceDivisor = 2
 
-// clockSlack is how far a key's own time may lie ahead of the group's clock.
-const clockSlack = 5 * time.Minute
+// maxKeyClockSkew is how far the time of a UUIDv7 key may be ahead of the control
+// group's clock.
+const maxKeyClockSkew = 5 * time.Minute
--- a/internal/call/snapshot.go
+++ b/internal/call/snapshot.go
@@ -30,15 +30,15 @@
 	Keys      int    `cbor:"2,keyasint"`
 }
 
-type partRecord struct {
+type stateMachineRecord struct {
 	Claims []claimRecord `cbor:"1,keyasint"`
 	Hours  []hourRecord  `cbor:"2,keyasint"`
 	Clock  clock         `cbor:"3,keyasint"`
 }
 
-// Snapshot implements control.Part. Equal states give equal bytes.
+// Snapshot implements control.StateMachine. Equal states have equal snapshots.
 func (p *Part) Snapshot() ([]byte, error) {
-	out := partRecord{Clock: p.clock}
+	out := stateMachineRecord{Clock: p.clock}
 	for _, c := range p.order {
 		out.Claims = append(out.Claims, claimRecord{
 			c.ref, c.request, c.claimant, c.state, c.attempt, c.claimedMS, c.grantedMS, c.answer,
@@ -55,7 +55,7 @@
 	for _, d := range h.digests() {
 		out.Digests = binary.BigEndian.AppendUint64(out.Digests, d)
 	}
-	for w, n := range h.of {
+	for w, n := range h.byWorkspace {
 		out.Of = append(out.Of, countRecord{w, n})
 	}
 	slices.SortFunc(out.Of, func(a, b countRecord) int {
@@ -67,9 +67,9 @@
 	return out
 }
 
-// Restore implements control.Part.
+// Restore implements control.StateMachine.
 func (p *Part) Restore(data []byte) error {
-	var in partRecord
+	var in stateMachineRecord
 	if err := codec.Unmarshal(data, &in); err != nil {
 		return fmt.Errorf("call: snapshot: %w", err)
 	}
@@ -87,17 +87,17 @@
 	return nil
 }
 
-func (m *keyMemory) restore(r hourRecord) error {
+func (m *usedKeys) restore(r hourRecord) error {
 	if len(r.Digests)%8 != 0 {
-		return fmt.Errorf("call: snapshot: %d bytes of key digests", len(r.Digests))
+		return fmt.Errorf("call: snapshot: key digests take %d bytes, which is not a multiple of 8", len(r.Digests))
 	}
-	h := hour{startMS: r.StartMS, recent: map[uint64]struct{}{}, of: map[string]int{}}
+	h := hour{startMS: r.StartMS, recent: map[uint64]struct{}{}, byWorkspace: map[string]int{}}
 	for b := r.Digests; len(b) > 0; b = b[8:] {
 		h.sorted = append(h.sorted, binary.BigEndian.Uint64(b))
 	}
 	for _, c := range r.Of {
-		h.of[c.Workspace] = c.Keys
-		m.of[c.Workspace] += c.Keys
+		h.byWorkspace[c.Workspace] = c.Keys
+		m.byWorkspace[c.Workspace] += c.Keys
 		m.total += c.Keys
 	}
 	m.hours = append(m.hours, h)
--- a/internal/call/part.go
+++ b/internal/call/state_machine.go
@@ -6,54 +6,54 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// InvariantError reports a broken promise of this package: the command that
+// InvariantError reports a broken invariant of this package. The command that
 // caused it is refused.
 type InvariantError struct{ What string }
 
 // Error implements error.
 func (e *InvariantError) Error() string { return "call: invariant broken: " + e.What }
 
-// claim is one granted key.
+// claim is the claim of one key.
 type claim struct {
 	ref       Ref
 	request   Digest
 	claimant  string
 	state     State
 	attempt   int
-	claimedMS int64 // the part's clock
-	grantedMS int64 // the group's clock, at the last permission
+	claimedMS int64 // by the state machine's clock
+	grantedMS int64 // by the control group's clock, at the last permission
 	answer    *Answer
 }
 
-// Part holds the claims. It implements control.Part and is not safe for
-// concurrent use; the control group's machine serialises commands.
+// StateMachine holds the claims. It implements control.StateMachine and is not safe
+// for concurrent use: the control group serializes its commands.
 type Part struct {
 	limits Limits
 	claims map[Ref]*claim
 	order  []*claim // by claim time
-	keys   *keyMemory
+	keys   *usedKeys
 	clock  clock
 	bytes  map[string]int // of answers and reservations, by workspace
 	counts map[string]int // of claims, by workspace
 	total  int            // sum of bytes
 }
 
-// NewPart returns an empty Part.
+// NewStateMachine returns an empty StateMachine.
 func NewPart(l Limits) *Part {
 	return &Part{
-		limits: l, claims: map[Ref]*claim{}, keys: newKeyMemory(l.KeyMemory + clockSlack),
+		limits: l, claims: map[Ref]*claim{}, keys: newUsedKeys(l.KeyMemory + maxKeyClockSkew),
 		bytes: map[string]int{}, counts: map[string]int{},
 	}
 }
 
-// Version is constant: claims are asked for and not watched, so that a call on
-// one VM costs the others nothing.
+// Version returns a constant 0. Claims are looked up and not watched, so a call on
+// one VM causes no work on the others.
 func (p *Part) Version() uint64 { return 0 }
 
-// Changes implements control.Part; see Version.
+// Changes implements control.StateMachine. It returns nil; see Version.
 func (p *Part) Changes(uint64) []byte { return nil }
 
-// Apply executes an encoded Command.
+// Apply executes an encoded Command and returns an encoded Reply.
 func (p *Part) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	reply := Reply{Verdict: Malformed}
@@ -62,12 +62,12 @@
 	}
 	out, err := codec.Marshal(&reply)
 	if err != nil {
-		panic(err) // a struct of numbers, texts and bytes always encodes
+		panic(err) // cannot happen: a struct of numbers, strings and bytes always encodes
 	}
 	return out
 }
 
-// Execute executes a command at the group's time.
+// Execute executes a command. nowMS is the control group's time.
 func (p *Part) Execute(nowMS int64, cmd *Command) Reply {
 	p.clock.advance(nowMS)
 	p.expire()
@@ -75,7 +75,7 @@
 	case cmd.Claim != nil:
 		return p.claim(nowMS, cmd.Claim)
 	case cmd.Look != nil:
-		return p.look(nowMS, cmd.Look)
+		return p.lookup(nowMS, cmd.Look)
 	case cmd.Renew != nil:
 		return p.renew(nowMS, cmd.Renew)
 	case cmd.Finish != nil:
@@ -88,8 +88,8 @@
 }
 
 func (p *Part) claim(nowMS int64, c *Claim) Reply {
-	if standing := p.look(nowMS, &Look{Ref: c.Ref, Request: c.Request}); standing.Verdict != Unclaimed {
-		return standing
+	if reply := p.lookup(nowMS, &Look{Ref: c.Ref, Request: c.Request}); reply.Verdict != Unclaimed {
+		return reply
 	}
 	if p.full(c.Ref.Workspace) {
 		return Reply{Verdict: Full}
@@ -106,30 +106,30 @@
 	return Reply{Verdict: Permitted, State: Granted, Claimant: cl.claimant, Attempt: 1}
 }
 
-func (p *Part) look(nowMS int64, l *Look) Reply {
+func (p *Part) lookup(nowMS int64, l *Look) Reply {
 	if cl := p.claims[l.Ref]; cl != nil {
 		if cl.request != l.Request {
 			return Reply{Verdict: KeyReused}
 		}
-		return cl.standing(nowMS)
+		return cl.reply(nowMS)
 	}
-	// A key that was used and whose claim is gone must not run again, and a key
-	// older than the memory might have been used: both are refused.
+	// A used key whose claim has expired must not run again, and a key older than
+	// the retention may have been used before. Both are refused.
 	if p.keys.has(keyDigest(l.Ref)) {
 		return Reply{Verdict: KeyExpired}
 	}
-	if ms, ok := stamp(l.Ref.Key); ok {
+	if ms, ok := uuidV7Time(l.Ref.Key); ok {
 		switch {
 		case ms <= nowMS-p.limits.KeyMemory.Milliseconds():
 			return Reply{Verdict: KeyExpired}
-		case ms > nowMS+clockSlack.Milliseconds():
+		case ms > nowMS+maxKeyClockSkew.Milliseconds():
 			return Reply{Verdict: KeyAhead}
 		}
 	}
 	return Reply{Verdict: Unclaimed}
 }
 
-func (cl *claim) standing(nowMS int64) Reply {
+func (cl *claim) reply(nowMS int64) Reply {
 	return Reply{
 		Verdict: Standing, State: cl.state, Claimant: cl.claimant, Attempt: cl.attempt,
 		AgeMS: nowMS - cl.grantedMS, Answer: cl.answer,
@@ -143,7 +143,7 @@
 	}
 	own := cl.claimant == r.Claimant && cl.attempt == r.Attempt
 	if cl.state != Granted || !own || cl.attempt >= p.limits.MaxAttempts {
-		return cl.standing(nowMS)
+		return cl.reply(nowMS)
 	}
 	cl.attempt++
 	cl.grantedMS = nowMS
@@ -156,10 +156,10 @@
 		return Reply{Verdict: KeyExpired}
 	}
 	if cl.state != Granted || cl.claimant != f.Claimant || !f.State.Final() {
-		return cl.standing(nowMS)
+		return cl.reply(nowMS)
 	}
-	p.end(cl, f.State, f.Answer)
-	return cl.standing(nowMS)
+	p.finalize(cl, f.State, f.Answer)
+	return cl.reply(nowMS)
 }
 
 func (p *Part) seal(nowMS int64, s *Seal) Reply {
@@ -169,13 +169,14 @@
 	}
 	old := nowMS-cl.grantedMS >= p.limits.SealAfter.Milliseconds()
 	if cl.state == Granted && cl.claimant == s.Claimant && (old || s.Gone) {
-		p.end(cl, Unknown, nil)
+		p.finalize(cl, Unknown, nil)
 	}
-	return cl.standing(nowMS)
+	return cl.reply(nowMS)
 }
 
-// end makes a claim final and swaps its reservation for the answer's size.
-func (p *Part) end(cl *claim, s State, a *Answer) {
+// finalize makes a claim final and replaces its memory reservation by the answer's
+// size.
+func (p *Part) finalize(cl *claim, s State, a *Answer) {
 	cl.state = s
 	if s == Done {
 		cl.answer = a.bounded(p.limits.AnswerBytes)
@@ -183,7 +184,7 @@
 	p.charge(cl.ref.Workspace, cl.answer.size()-p.limits.AnswerBytes)
 }
 
-// bounded returns the answer without a body that is too large to be kept.
+// bounded returns the answer, without its body if that is too large to be kept.
 func (a *Answer) bounded(limit int) *Answer {
 	if a == nil {
 		return &Answer{NoBody: true}
@@ -205,22 +206,22 @@
 	}
 }
 
-// full reports whether a new claim of the workspace would pass a bound.
+// full reports whether a new claim of the workspace would exceed a limit.
 func (p *Part) full(workspace string) bool {
 	l := &p.limits
 	need := l.AnswerBytes
-	return len(p.claims) >= l.MaxClaims || p.counts[workspace] >= l.MaxClaims/workspaceShare ||
-		p.total+need > l.TotalBytes || p.bytes[workspace]+need > l.TotalBytes/workspaceShare ||
-		p.keys.total >= l.MaxKeys || p.keys.of[workspace] >= l.MaxKeys/workspaceShare
+	return len(p.claims) >= l.MaxClaims || p.counts[workspace] >= l.MaxClaims/workspaceDivisor ||
+		p.total+need > l.TotalBytes || p.bytes[workspace]+need > l.TotalBytes/workspaceDivisor ||
+		p.keys.total >= l.MaxKeys || p.keys.byWorkspace[workspace] >= l.MaxKeys/workspaceDivisor
 }
 
-// maxExpired bounds the work that one command does for expired claims.
-const maxExpired = 256
+// maxExpiredPerCommand bounds the work that one command does for expired claims.
+const maxExpiredPerCommand = 256
 
 func (p *Part) expire() {
 	n := 0
 	for n < len(p.order) && p.clock.MS-p.order[n].claimedMS >= p.limits.Retention.Milliseconds() {
-		if n == maxExpired {
+		if n == maxExpiredPerCommand {
 			break
 		}
 		p.forget(p.order[n])
@@ -228,17 +229,17 @@
 		n++
 	}
 	p.order = p.order[n:]
-	// A key must outlive its claim, also where many claims are due at once.
-	if n < maxExpired {
+	// A key must outlive its claim, also if many claims expire at once.
+	if n < maxExpiredPerCommand {
 		p.keys.expire(p.clock.MS)
 	}
 }
 
-// forget drops a claim; its key stays in the key memory, so that a late resend
-// is refused.
+// forget removes a claim. Its key remains in usedKeys, and a late resend is
+// refused.
 func (p *Part) forget(cl *claim) {
 	if !p.keys.has(keyDigest(cl.ref)) {
-		panic(&InvariantError{fmt.Sprintf("key %q forgotten before its claim", cl.ref.Key)})
+		panic(&InvariantError{fmt.Sprintf("used key %q was removed before its claim", cl.ref.Key)})
 	}
 	held := cl.answer.size()
 	if cl.state == Granted {
--- a/internal/call/part_test.go
+++ b/internal/call/state_machine_test.go
@@ -33,7 +33,7 @@
 	}})
 }
 
-// pass lets time go by in steps, as the group's other commands do.
+// pass advances the time in steps, as the control group's other commands do.
 func (g *group) pass(d time.Duration) {
 	for end := g.now + d.Milliseconds(); g.now < end; {
 		g.now = min(end, g.now+50_000)
@@ -44,13 +44,13 @@
 func (g *group) want(what string, r call.Reply, v call.Verdict, s call.State) {
 	g.t.Helper()
 	if r.Verdict != v || r.State != s {
-		g.t.Fatalf("%s: verdict %d, state %d; want %d, %d", what, r.Verdict, r.State, v, s)
+		g.t.Fatalf("%s: got verdict %d and state %d, want %d and %d", what, r.Verdict, r.State, v, s)
 	}
 }
 
-// The caller resends its booking later and later: it gets its first answer while
-// that is kept, then a refusal, and never a second run. A restart in between
-// changes nothing.
+// A late resend of a booking must never run a second time. While the answer is
+// kept, the caller gets it; afterwards the key is refused, also after a restart
+// from a snapshot.
 func TestLateResendIsRefusedNotRun(t *testing.T) {
 	l := call.DefaultLimits()
 	g := newGroup(t, l)
@@ -81,13 +81,13 @@
 	}
 	third, _ := g.part.Snapshot()
 	if !bytes.Equal(again, third) {
-		t.Error("a restored part has another snapshot")
+		t.Error("the snapshot of a restored state machine differs from the one that it was restored from")
 	}
 }
 
-// A key that holds its own time stays refused for ever, beyond the memory: its
-// time is too old by then. One from a clock far ahead is refused at once, since
-// it would outlive the memory.
+// A UUIDv7 key that has expired from the used keys must still be refused: its own
+// time is too old by then. A key from a clock far ahead must be refused at once,
+// because its time would still be accepted after the key has expired.
 func TestStampedKeyStaysRefusedForEver(t *testing.T) {
 	l := call.DefaultLimits()
 	g := newGroup(t, l)
@@ -104,8 +104,8 @@
 	g.want("from the future", g.claim("coop", stamped(g.now+3_600_000), "vm1"), call.KeyAhead, 0)
 }
 
-// A new leader's wall clock is two days ahead. The resend must still be refused
-// or answered, not run: keys are not forgotten by one leap.
+// The wall clock of a new leader is two days ahead. This must not expire the used
+// keys at once: a resend must be refused or answered and must not run.
 func TestLeapOfTheGroupsClockForgetsNothing(t *testing.T) {
 	g := newGroup(t, call.DefaultLimits())
 	g.claim("coop", "k", "vm1")
@@ -113,8 +113,8 @@
 	g.want("resend", g.claim("coop", "k", "vm2"), call.Standing, call.Granted)
 }
 
-// What each party may still do once a claim has ended: nothing. The claimant
-// that comes back late gets what was sealed and cannot dispatch again.
+// A sealed claim must never change. A claimant that resumes late gets the sealed
+// outcome and must not be permitted to dispatch again.
 func TestSealedClaimIsFinal(t *testing.T) {
 	l := call.DefaultLimits()
 	g := newGroup(t, l)
@@ -133,8 +133,9 @@
 	g.want("late not-run", g.finish("k", "vm1", call.NotRun, nil), call.Standing, call.Unknown)
 }
 
-// A hot workspace fills its share of each bound: it is refused new claims, all
-// others still book, and what was answered stays kept in full.
+// A busy workspace uses up its share of each limit. Only its new claims may be
+// refused: other workspaces must still get claims, and kept answers must stay
+// complete.
 func TestFullRefusesNewClaimsOnly(t *testing.T) {
 	base := call.DefaultLimits()
 	for name, limit := range map[string]func(*call.Limits){
@@ -154,14 +155,14 @@
 		g.want(name+" other workspace", g.claim("society", "k9", "vm1"), call.Permitted, call.Granted)
 		r := g.claim("coop", "k0", "vm2")
 		if r.State != call.Done || len(r.Answer.Body) != l.AnswerBytes {
-			t.Errorf("%s: an answer was dropped: %+v", name, r)
+			t.Errorf("%s: got %+v, want the complete answer", name, r)
 		}
 		g.pass(l.KeyMemory + 2*time.Hour)
 		g.want(name+" room again", g.claim("coop", "k9", "vm1"), call.Permitted, call.Granted)
 	}
 }
 
-func TestMarkings(t *testing.T) {
+func TestIdempotencyRules(t *testing.T) {
 	var ms []call.Marking
 	for _, s := range []string{"POST /search* idempotent", "PUT /counter once"} {
 		m, err := call.ParseMarking(s)
@@ -184,12 +185,12 @@
 		{"CONNECT", "/jobs", false},
 	} {
 		if got := call.Idempotent(ms, c.method, c.path); got != c.want {
-			t.Errorf("%s %s: got %v", c.method, c.path, got)
+			t.Errorf("%s %s: got idempotent %v, want the opposite", c.method, c.path, got)
 		}
 	}
 	for _, s := range []string{"", "POST /x", "post /x once", "POST x once", "POST /x twice"} {
 		if _, err := call.ParseMarking(s); err == nil {
-			t.Errorf("%q was accepted", s)
+			t.Errorf("%q was accepted, want an error", s)
 		}
 	}
 }
