--- a/internal/generation/journal.go
+++ b/internal/generation/journal.go
@@ -53,7 +53,7 @@
 
 func (p *packedJournal) len() int { return len(p.tokens) }
 
-func (p *packedJournal) append(tokens []int32, texts []string) {
+func (p *packedJournal) add(tokens []int32, texts []string) {
 	p.tokens = append(p.tokens, tokens...)
 	for _, t := range texts {
 		p.text = append(p.text, t...)
--- a/internal/generation/keeper.go
+++ b/internal/generation/keeper.go
@@ -17,7 +17,7 @@
 	EpochKeep    time.Duration // of the epoch of a forgotten journal
 }
 
-// DefaultLimits returns limits for a small VM. callerKeep is how long a caller
+// DefaultLimits returns limits for a small VM. maxDisconnect is how long a caller
 // may stay disconnected.
 //
 // 330 VMs that serve 7,800 requests/s of 10 s each, with five replicas of each
@@ -30,11 +30,11 @@
 // paused after it collected its promises could install on the one keeper that
 // still remembers. Its epoch would be above that of an answer which the other
 // keepers have begun and released in the meantime.
-func DefaultLimits(callerKeep time.Duration) Limits {
+func DefaultLimits(maxDisconnect time.Duration) Limits {
 	return Limits{
 		Journals: 20_000, Bytes: 128 << 20,
-		PromiseUse: 20 * time.Second, PromiseKeep: time.Minute, FinishedKeep: callerKeep, AbandonKeep: callerKeep + 30*time.Second,
-		EpochKeep: callerKeep + 5*time.Minute,
+		PromiseUse: 20 * time.Second, PromiseKeep: time.Minute, FinishedKeep: maxDisconnect, AbandonKeep: maxDisconnect + 30*time.Second,
+		EpochKeep: maxDisconnect + 5*time.Minute,
 	}
 }
 
@@ -254,7 +254,7 @@
 	}
 	r.request = w.Request
 	r.journal = packedJournal{finish: w.Finish, usage: w.Usage}
-	r.journal.append(w.Span.Tokens, w.Span.Texts)
+	r.journal.add(w.Span.Tokens, w.Span.Texts)
 	r.source = Source{}
 	if w.Source != nil {
 		r.source = *w.Source
@@ -274,7 +274,7 @@
 	}
 	before := r.journal.bytes()
 	if known < len(w.Span.Tokens) {
-		r.journal.append(w.Span.Tokens[known:], w.Span.Texts[known:])
+		r.journal.add(w.Span.Tokens[known:], w.Span.Texts[known:])
 	}
 	if w.Finish != "" {
 		r.journal.finish = w.Finish
--- a/internal/generation/owner.go
+++ b/internal/generation/owner.go
@@ -50,15 +50,15 @@
 
 // NewOwner returns the owner of a new or taken-over journal. replies holds the
 // promises for its epoch.
-func NewOwner(req Request, epoch Epoch, group Group, replies *Replies, journal Journal) *Owner {
+func NewOwner(req Request, epoch Epoch, keeperSet Group, replies *Replies, journal Journal) *Owner {
 	o := &Owner{Request: req, journal: journal}
-	o.place(epoch, group, replies)
+	o.place(epoch, keeperSet, replies)
 	return o
 }
 
-func (o *Owner) place(epoch Epoch, group Group, replies *Replies) {
-	o.Epoch, o.keeperSet, o.keepers = epoch, group, make([]replica, 0, len(group.Keepers))
-	for _, k := range group.Keepers {
+func (o *Owner) place(epoch Epoch, keeperSet Group, replies *Replies) {
+	o.Epoch, o.keeperSet, o.keepers = epoch, keeperSet, make([]replica, 0, len(keeperSet.Keepers))
+	for _, k := range keeperSet.Keepers {
 		o.keepers = append(o.keepers, replica{id: k, promised: replies.Promised(k)})
 	}
 }
@@ -83,13 +83,13 @@
 // be Ready. The current attempt continues. If a keeper holds the journal under a
 // higher epoch than this owner's, another owner has taken over, and MoveTo
 // returns ErrDeposed.
-func (o *Owner) Replace(epoch Epoch, group Group, replies *Replies) error {
+func (o *Owner) Replace(epoch Epoch, keeperSet Group, replies *Replies) error {
 	if best, ok := replies.Best(); o.deposed || (ok && o.Epoch.Less(best.Accepted)) {
 		o.deposed = true
 		return ErrDeposed
 	}
 	o.sealing = false
-	o.place(epoch, group, replies)
+	o.place(epoch, keeperSet, replies)
 	return nil
 }
 
--- a/internal/generation/replies.go
+++ b/internal/generation/replies.go
@@ -30,8 +30,8 @@
 }
 
 // NewReplies returns an empty set of replies.
-func NewReplies(groups []Group, newest Membership) *Replies {
-	return &Replies{sets: groups, Newest: newest, answered: map[KeeperID]bool{}, promised: map[KeeperID]bool{}}
+func NewReplies(sets []Group, newest Membership) *Replies {
+	return &Replies{sets: sets, Newest: newest, answered: map[KeeperID]bool{}, promised: map[KeeperID]bool{}}
 }
 
 // Add records one keeper's reply.
--- a/internal/service/budget.go
+++ b/internal/service/budget.go
@@ -2,31 +2,32 @@
 
 import "sync"
 
-// Retry budget: the load pattern it answers is a service that fails for all its
-// callers at once. Without a bound each call is tried on every backend server,
-// and the last healthy one gets a multiple of its normal load just when its
-// peers are gone. Retries may add a tenth to fresh calls; a reserve of ten lets
-// a quiet service retry its rare failures.
+// The retry budget limits the load of retries when a service fails for all its
+// callers at once. Without a limit each call would be tried on every backend
+// server, and the last healthy one would get a multiple of its normal load while
+// its peers are down. Retries may add a tenth to new calls. A burst of ten retries
+// lets a service with few calls retry its rare failures.
 const (
-	retryShare   = 0.1
-	retryReserve = 10.0
+	retryRatio = 0.1
+	retryBurst = 10.0
 )
 
-// budget is a token bucket that fresh calls fill. Safe for concurrent use.
-type budget struct {
+// retryBudget is a token bucket that new calls refill. It is safe for concurrent
+// use.
+type retryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-func newBudget() *budget { return &budget{tokens: retryReserve} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: retryBurst} }
 
-func (b *budget) fresh() {
+func (b *retryBudget) addCall() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(retryReserve, b.tokens+retryShare)
+	b.tokens = min(retryBurst, b.tokens+retryRatio)
 }
 
-func (b *budget) retry() bool {
+func (b *retryBudget) takeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/service/claim.go
+++ b/internal/service/claim.go
@@ -11,16 +11,16 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// claimed is a claim of this VM's from its proposal on.
-type claimed struct {
+// ownClaim is a claim that this VM has proposed.
+type ownClaim struct {
 	d        *Dispatcher
 	c        *Call
 	claimant string
-	began    time.Time // before the last permission was proposed
+	began    time.Time // time before the last permission was proposed
 	attempt  int
 }
 
-func (cl *claimed) propose(ctx context.Context) (call.Reply, error) {
+func (cl *ownClaim) propose(ctx context.Context) (call.Reply, error) {
 	ctx, end := cl.d.span(ctx, "claim", cl.c)
 	defer end()
 	return cl.d.propose(ctx, claimTimeout, &call.Command{Claim: &call.Claim{
@@ -28,26 +28,27 @@
 	}})
 }
 
-func (cl *claimed) send(ctx context.Context, t *target) (*call.Answer, bool, error) {
+func (cl *ownClaim) send(ctx context.Context, t *target) (*call.Answer, bool, error) {
 	ctx, end := cl.d.span(ctx, "dispatch", cl.c)
 	defer end()
-	return t.conn.Send(ctx, &cl.c.Request, cl.permit)
+	return t.conn.Send(ctx, &cl.c.Request, cl.checkPermit)
 }
 
-// permit is asked immediately before the first byte. A claimant that was paused
-// since its claim may find it sealed by now; it must not run a call of which
-// somebody else has already answered. A pause between this check and the write
-// remains possible, which is why a seal says "unknown" and never "not run".
-func (cl *claimed) permit() error {
+// checkPermit is called immediately before the first byte is written. If the
+// claimant was paused after its claim, the claim may be sealed by now, and a call
+// that another VM has already answered must not run. A pause between this check and
+// the write remains possible, which is why a seal reports "unknown" and never "not
+// run".
+func (cl *ownClaim) checkPermit() error {
 	if time.Since(cl.began) >= dispatchWindow {
-		return errLate
+		return errPermitExpired
 	}
 	return nil
 }
 
-// run dispatches under the claim. used reports whether the service may have run
-// the call.
-func (cl *claimed) run(ctx context.Context, t *target) (a *call.Answer, used bool, err error) {
+// run dispatches the call under the claim. used reports whether the service may
+// have run the call.
+func (cl *ownClaim) run(ctx context.Context, t *target) (a *call.Answer, used bool, err error) {
 	d := cl.d
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -56,19 +57,19 @@
 	for {
 		answer, wrote, err := cl.send(ctx, t)
 		if err == nil {
-			d.note(cl.c, explain.Finished, "answered by "+t.backend.Name)
+			d.recordExplain(cl.c, explain.Finished, "answered by "+t.backend.Name)
 			a, err = cl.finish(ctx, call.Done, answer)
 			return a, true, err
 		}
 		t.failed = true
 		d.Log.Warn().Err(err).Str("request_id", cl.c.Key).Str("backend", t.backend.Name).Bool("wrote", wrote).
-			Msg("call without a whole answer")
+			Msg("call ended without a complete answer")
 		if wrote {
 			a, err = cl.finish(ctx, call.Unknown, nil)
 			return a, true, err
 		}
 		tried[t.backend.Name] = true
-		if t = cl.another(ctx, tried); t == nil {
+		if t = cl.reconnect(ctx, tried); t == nil {
 			a, err = cl.finish(ctx, call.NotRun, nil)
 			return a, false, err
 		}
@@ -76,9 +77,10 @@
 	}
 }
 
-// another connects elsewhere and gets a new permission, since no byte was
-// written under the last one.
-func (cl *claimed) another(ctx context.Context, tried map[string]bool) *target {
+// reconnect connects to another backend server and gets a new permission, which is
+// allowed because no byte was written under the last one. It returns nil if either
+// fails.
+func (cl *ownClaim) reconnect(ctx context.Context, tried map[string]bool) *target {
 	t, err := cl.d.connect(ctx, cl.c.Service, tried)
 	if err != nil {
 		return nil
@@ -96,9 +98,9 @@
 	return t
 }
 
-// finish commits the outcome and answers by what was committed: where the claim
-// was sealed meanwhile, every caller must hear the same.
-func (cl *claimed) finish(ctx context.Context, s call.State, a *call.Answer) (*call.Answer, error) {
+// finish commits the outcome and returns what was committed. If the claim was
+// sealed in the meantime, this caller must get the same outcome as all others.
+func (cl *ownClaim) finish(ctx context.Context, s call.State, a *call.Answer) (*call.Answer, error) {
 	ctx = context.WithoutCancel(ctx)
 	reply, err := cl.commit(ctx, s, a)
 	if err != nil {
@@ -106,14 +108,14 @@
 		return nil, result.New(result.OutcomeUnknown)
 	}
 	if reply.State == call.Done && s == call.Done && reply.Answer != nil && reply.Answer.NoBody && !a.NoBody {
-		return a, nil // too large to be kept: only this first caller gets it
+		return a, nil // too large to be kept: only this caller gets the body
 	}
 	return cl.d.final(cl.c, &reply)
 }
 
-// commit goes on until the outcome is committed: without it a resend would be
-// told "unknown" though the answer is known.
-func (cl *claimed) commit(ctx context.Context, s call.State, a *call.Answer) (call.Reply, error) {
+// commit retries until the outcome is committed or finishTimeout expires. Without
+// the retries a resend could get "unknown" although the answer is known.
+func (cl *ownClaim) commit(ctx context.Context, s call.State, a *call.Answer) (call.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	kept := a
@@ -121,7 +123,7 @@
 		kept = &call.Answer{Status: a.Status, Headers: a.Headers, NoBody: true}
 	}
 	cmd := &call.Command{Finish: &call.Finish{Ref: cl.c.ref(), Claimant: cl.claimant, State: s, Answer: kept}}
-	for pause := pollFirst; ; pause = min(2*pause, pollMost) {
+	for pause := minPollInterval; ; pause = min(2*pause, maxPollInterval) {
 		reply, err := cl.d.propose(ctx, claimTimeout, cmd)
 		if err == nil {
 			return reply, nil
@@ -132,20 +134,20 @@
 	}
 }
 
-// release ends a claim whose proposal got no answer: it may be committed yet,
-// and this VM will never dispatch under it.
-func (cl *claimed) release() {
+// release ends a claim whose proposal got no reply. The claim may still be
+// committed, and this VM will never dispatch under it.
+func (cl *ownClaim) release() {
 	go func() {
 		_, _ = cl.commit(context.Background(), call.NotRun, nil)
 	}()
 }
 
-// await answers by a claim that is not this request's own.
+// await waits for the outcome of another request's claim and returns it.
 func (d *Dispatcher) await(ctx context.Context, c *Call, r call.Reply) (*call.Answer, error) {
 	d.Metrics.Add("calls_resent", 1)
-	ctx, cancel := context.WithTimeout(ctx, waitFor)
+	ctx, cancel := context.WithTimeout(ctx, resendWait)
 	defer cancel()
-	for pause := pollFirst; ; pause = min(2*pause, pollMost) {
+	for pause := minPollInterval; ; pause = min(2*pause, maxPollInterval) {
 		if r.Verdict != call.Standing || r.State.Final() {
 			return d.final(c, &r)
 		}
@@ -155,7 +157,7 @@
 		if timer.Sleep(ctx, pause) != nil {
 			return nil, result.New(result.CallRunning).WithRetryAfter(retryAfter)
 		}
-		next, err := d.look(ctx, c)
+		next, err := d.lookup(ctx, c)
 		if err != nil {
 			return nil, result.New(result.CallRunning).WithRetryAfter(retryAfter)
 		}
@@ -163,7 +165,8 @@
 	}
 }
 
-// trySeal ends the claim of a claimant that has vanished.
+// trySeal seals a claim if its claimant's incarnation has ended or the claim is
+// old enough.
 func (d *Dispatcher) trySeal(ctx context.Context, c *Call, r *call.Reply) (call.Reply, bool) {
 	vm, rest, _ := strings.Cut(r.Claimant, "#")
 	incarnation, _, _ := strings.Cut(rest, "/")
@@ -181,13 +184,13 @@
 	return reply, true
 }
 
-// final turns a verdict into what the caller gets.
+// final converts a reply to the result for the caller.
 func (d *Dispatcher) final(c *Call, r *call.Reply) (*call.Answer, error) {
 	err := verdictError(r)
 	if err == nil {
 		return r.Answer, nil
 	}
-	d.note(c, explain.Refused, err.Error())
+	d.recordExplain(c, explain.Refused, err.Error())
 	d.Metrics.Add("calls_"+result.Lookup(err.Code).Name, 1)
 	return nil, err
 }
@@ -203,9 +206,9 @@
 	case call.KeyAhead:
 		return result.Newf(result.InvalidKey, "the time within this UUIDv7 lies in the future")
 	case call.Full:
-		return result.New(result.ClaimsFull).WithRetryAfter(fullPause)
+		return result.New(result.ClaimsFull).WithRetryAfter(fullRetryAfter)
 	default:
-		return result.Newf(result.Internal, "unexpected verdict %d of a claim", r.Verdict)
+		return result.Newf(result.Internal, "control group returned unexpected verdict %d for a claim", r.Verdict)
 	}
 }
 
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -1,6 +1,6 @@
-// Package service calls plain services: over HTTP/1.1 with no replay of its own
-// for non-idempotent calls, and through the claims of the control group so that
-// each of those runs at most once.
+// Package service calls plain services over HTTP/1.1. It sends a non-idempotent call
+// without transparent replay and under a claim of the control group, so each of
+// these calls runs at most once.
 package service
 
 import (
@@ -17,26 +17,27 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/call"
 )
 
-// Timings and sizes of the client. Services are a few milliseconds away.
+// Timeouts and size limits of the client. Services are a few milliseconds away.
 const (
 	dialTimeout    = 500 * time.Millisecond
-	idlePerHost    = 64
+	maxIdlePerHost = 64
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 64 << 10
-	// MaxAnswerBytes is the largest body that is relayed.
+	// MaxAnswerBytes is the size of the largest answer body that is relayed.
 	MaxAnswerBytes = 4 << 20
 )
 
-// Errors of a call that brought no whole answer.
+// Errors of a call without a complete answer.
 var (
-	// ErrNotDelimited: neither a length nor chunks, so that a broken connection
-	// would look like the answer's end.
+	// ErrNotDelimited is returned for an answer with neither a length nor chunks. A
+	// broken connection could not be distinguished from its end.
 	ErrNotDelimited = errors.New("service: answer without Content-Length or chunked encoding")
-	ErrTooLarge     = errors.New("service: answer too large")
-	errUpgrade      = errors.New("service: switched protocols")
+	// ErrTooLarge is returned for an answer above the size limit.
+	ErrTooLarge = errors.New("service: answer too large")
+	errUpgrade  = errors.New("service: backend server switched protocols")
 )
 
-// Request is a call as it goes to a backend server.
+// Request is a call in the form that is sent to a backend server.
 type Request struct {
 	Method string
 	Path   string // escaped, with the query
@@ -44,24 +45,25 @@
 	Body   []byte
 }
 
-// Sender reaches backend servers by address.
+// Sender sends calls to backend servers by address.
 type Sender interface {
-	// Dial connects for one non-idempotent call.
+	// Dial opens a connection for one non-idempotent call.
 	Dial(ctx context.Context, addr string) (Connection, error)
-	// Relay sends an idempotent call; it may be repeated on its way.
+	// Relay sends an idempotent call, which lower layers may repeat.
 	Relay(ctx context.Context, addr string, r *Request) (*call.Answer, error)
 }
 
 // Connection carries one call.
 type Connection interface {
-	// Send writes the request once. permit is asked immediately before the first
-	// byte; its error stops the call with nothing written. wrote reports whether
-	// any byte may have left: false is certain, now and later.
+	// Send writes the request once. It calls permit immediately before the first
+	// byte; an error from permit stops the call with nothing written. wrote reports
+	// whether any byte may have been sent. If it is false, none was sent and none
+	// will be.
 	Send(ctx context.Context, r *Request, permit func() error) (a *call.Answer, wrote bool, err error)
 	Close()
 }
 
-// Client is the Sender over TCP. Safe for concurrent use.
+// Client implements Sender over TCP. It is safe for concurrent use.
 type Client struct {
 	pool *http.Transport
 	dial net.Dialer
@@ -71,7 +73,7 @@
 func NewClient() *Client {
 	c := &Client{dial: net.Dialer{Timeout: dialTimeout}}
 	c.pool = &http.Transport{
-		DialContext: c.dial.DialContext, DisableCompression: true, MaxIdleConnsPerHost: idlePerHost,
+		DialContext: c.dial.DialContext, DisableCompression: true, MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout: idleTimeout, MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	return c
@@ -90,8 +92,8 @@
 	return readAnswer(resp)
 }
 
-// newRequest leaves GetBody unset, so that no layer below can rewind the body
-// and send it again.
+// newRequest leaves GetBody unset. No lower layer can then rewind the body and send
+// it again.
 func newRequest(ctx context.Context, addr string, r *Request) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+addr+r.Path, http.NoBody)
 	if err != nil {
@@ -104,12 +106,12 @@
 	}
 	req.GetBody = nil
 	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = []string{""} // add none of our own
+		req.Header["User-Agent"] = []string{""} // prevents net/http from adding its default
 	}
 	return req, nil
 }
 
-// readAnswer reads a whole answer, or fails.
+// readAnswer reads a complete answer. A body above MaxAnswerBytes is dropped.
 func readAnswer(resp *http.Response) (*call.Answer, error) {
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusSwitchingProtocols {
@@ -120,7 +122,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("service: answer cut off: %w", err)
+		return nil, fmt.Errorf("service: answer is incomplete: %w", err)
 	}
 	a := &call.Answer{Status: resp.StatusCode, Headers: headers(resp.Header), Body: body}
 	if len(body) > MaxAnswerBytes {
@@ -135,8 +137,8 @@
 	return bodyless || resp.ContentLength >= 0 || slices.Contains(resp.TransferEncoding, "chunked")
 }
 
-// answerHeaders may be passed to the caller and kept with an answer. Redirects
-// are the caller's to follow: Location is among them.
+// answerHeaders are the headers that may be forwarded to the caller and kept with an
+// answer. Location is among them because the caller follows redirects itself.
 var answerHeaders = []string{
 	"Allow", "Cache-Control", "Content-Disposition", "Content-Encoding", "Content-Language", "Content-Type",
 	"Etag", "Expires", "Last-Modified", "Link", "Location", "Retry-After", "Vary", "Warning", "X-Total-Count",
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -21,15 +21,15 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/service"
 )
 
-// rawService is a plain service on a bare socket: it breaks a connection after
-// an exact number of bytes, and counts the requests it has read whole.
+// rawService is a plain service on a TCP socket. It breaks a connection after an
+// exact number of bytes and counts the requests that it has read completely.
 type rawService struct {
 	addr string
 
 	mu         sync.Mutex
 	runs       map[string]int
-	readLimit  int // of a non-idempotent request; -1: none
-	writeLimit int // of its answer; -1: none
+	readLimit  int // bytes of a non-idempotent request; -1: no limit
+	writeLimit int // bytes of its answer; -1: no limit
 	reset      bool
 	answer     string
 }
@@ -68,10 +68,10 @@
 	return s.runs[key]
 }
 
-// serve keeps connections open between requests, so that a client's pool has
-// reused ones. GET is answered whole; the limits are for the others.
+// serve keeps connections open between requests, which lets a client's pool reuse
+// them. GET requests are answered completely; the limits apply to all others.
 func (s *rawService) serve(c *net.TCPConn) {
-	defer s.hangUp(c)
+	defer s.closeConn(c)
 	in := &limitedReader{c: c, s: s}
 	r := bufio.NewReader(in)
 	for {
@@ -97,7 +97,7 @@
 	}
 }
 
-func (s *rawService) hangUp(c *net.TCPConn) {
+func (s *rawService) closeConn(c *net.TCPConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reset {
@@ -106,7 +106,7 @@
 	_ = c.Close()
 }
 
-// limitedReader ends a request after the limit that is set when it is read.
+// limitedReader ends a request at the read limit in force when it is read.
 type limitedReader struct {
 	c     net.Conn
 	s     *rawService
@@ -128,25 +128,25 @@
 	return n, err
 }
 
-type static []service.Backend
+type staticBackends []service.Backend
 
-func (s static) Service(string) []service.Backend { return s }
+func (s staticBackends) Service(string) []service.Backend { return s }
 
-func dispatchers(machine *control.Machine, n int, backends service.Backends) []*service.Dispatcher {
+func newDispatchers(state *control.Machine, n int, backends service.Backends) []*service.Dispatcher {
 	sender := service.NewClient()
 	var out []*service.Dispatcher
 	for i := range n {
 		out = append(out, service.NewDispatcher(
 			service.Config{VM: fmt.Sprintf("vm%d", i+1), Incarnation: "i1"},
 			service.Deps{
-				Control: control.NewSolo(machine), Sender: sender, Backends: backends,
+				Control: control.NewSolo(state), Sender: sender, Backends: backends,
 				Explain: explain.NewRing(64), Metrics: new(expvar.Map).Init(), Log: zerolog.Nop(),
 			}))
 	}
 	return out
 }
 
-func newMachine() *control.Machine {
+func newState() *control.Machine {
 	m := control.NewMachine()
 	m.Register(control.PartCalls, call.NewPart(call.DefaultLimits()))
 	return m
@@ -159,7 +159,7 @@
 	}}
 }
 
-// outcome is what a caller can tell from an answer.
+// outcome returns the part of a result that a caller can distinguish.
 func outcome(a *call.Answer, err error) string {
 	if err != nil {
 		e := result.From(err)
@@ -168,11 +168,11 @@
 	return fmt.Sprintf("%d %s", a.Status, a.Body)
 }
 
-// The caller books a job and its resend goes to another VM. The service breaks
-// the connection after each byte of the request and of the answer in turn, by a
-// reset or a plain close, while pooled connections of earlier lookups stand
-// ready for reuse. net/http's Transport would send the booking again on such a
-// break; here the service must see it once at most, and the answer must be true.
+// The service breaks the connection of a booking after each byte of the request and
+// of the answer in turn, by a reset or a close, while pooled connections of earlier
+// lookups are available for reuse. On such a break net/http's Transport would send
+// the booking again. The service must run it at most once, the result must be true,
+// and a resend through another VM must get the same result.
 func TestBrokenAtEveryByteRunsAtMostOnce(t *testing.T) {
 	for _, body := range [][]byte{nil, []byte(`{"job":7}`), bytes.Repeat([]byte("x"), 256<<10)} {
 		for _, reset := range []bool{false, true} {
@@ -186,7 +186,7 @@
 
 func breakEverywhere(t *testing.T, body []byte, reset bool) {
 	s, spare := newRawService(t), newRawService(t)
-	ds := dispatchers(newMachine(), 2, static{{Name: "a", Addr: s.addr}, {Name: "b", Addr: spare.addr}})
+	ds := newDispatchers(newState(), 2, staticBackends{{Name: "a", Addr: s.addr}, {Name: "b", Addr: spare.addr}})
 	requestBytes := 200 + len(body)
 	seen := map[string]int{}
 	check := func(key string, read, write int) {
@@ -215,12 +215,12 @@
 	}
 	check("whole", -1, -1)
 	if seen["201 booked"] == 0 || seen["4003 unknown"] < len(okAnswer) {
-		t.Errorf("the faults were not brought about: %v", seen)
+		t.Errorf("the faults did not occur: got outcomes %v", seen)
 	}
 }
 
-// step visits every byte of the head and of the last ones, and samples a large
-// body in between.
+// step returns the distance to the next tested byte: every byte at the start and at
+// the end, and samples of a large body in between.
 func step(n, all int) int {
 	if n < 400 || n >= all-64 {
 		return 1
@@ -232,18 +232,19 @@
 	t.Helper()
 	switch {
 	case runs > 1:
-		t.Fatalf("%s ran %d times", key, runs)
+		t.Fatalf("%s: got %d runs, want at most 1", key, runs)
 	case strings.HasSuffix(outcome, " no") && runs != 0:
-		t.Fatalf("%s: answered %q, but it ran", key, outcome)
+		t.Fatalf("%s: got outcome %q, but the call ran", key, outcome)
 	case outcome == "201 booked" && runs != 1:
-		t.Fatalf("%s: answered %q, but it did not run", key, outcome)
+		t.Fatalf("%s: got outcome %q, but the call did not run", key, outcome)
 	}
 }
 
-// The caller sees the service's redirect as it is, and one run: a client that
-// follows a 307 or 308 sends the body again. An answer that ends with the
-// connection cannot be told from a broken one, so it is "unknown".
-func TestAnswersThatMustNotBeTakenFurther(t *testing.T) {
+// A client that follows a 307 or 308 redirect would send the body again. Redirects
+// and errors must be returned to the caller unchanged after one run. An answer that
+// ends with the connection cannot be distinguished from an incomplete one and must
+// be "unknown".
+func TestRedirectsAndUndelimitedAnswers(t *testing.T) {
 	for _, c := range []struct{ answer, want string }{
 		{"HTTP/1.1 307 Temporary Redirect\r\nLocation: /bookings\r\nContent-Length: 0\r\n\r\n", "307 "},
 		{"HTTP/1.1 308 Permanent Redirect\r\nLocation: /bookings\r\nContent-Length: 0\r\n\r\n", "308 "},
@@ -253,7 +254,7 @@
 		s := newRawService(t)
 		s.answer = c.answer
 		s.set(-1, len(c.answer), false)
-		ds := dispatchers(newMachine(), 2, static{{Name: "a", Addr: s.addr}})
+		ds := newDispatchers(newState(), 2, staticBackends{{Name: "a", Addr: s.addr}})
 		for _, d := range ds {
 			if got := outcome(d.Once(t.Context(), booking("k", []byte("{}")))); got != c.want || s.count("k") != 1 {
 				t.Errorf("%.30q: got %q and %d runs, want %q and 1", c.answer, got, s.count("k"), c.want)
@@ -262,16 +263,17 @@
 	}
 }
 
-// A service that fails for everybody gets its fresh calls and a tenth on top,
-// not a multiple: the last healthy backend server would go down by the retries.
+// Without a retry budget, a service that fails for all callers would get a multiple
+// of its load, and the retries would overload the last healthy backend server. It
+// must get its calls plus about a tenth.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	bad := newRawService(t)
 	bad.answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-	var all static
+	var all staticBackends
 	for i := range 4 {
 		all = append(all, service.Backend{Name: fmt.Sprint(i), Addr: bad.addr})
 	}
-	d := dispatchers(newMachine(), 1, all)[0]
+	d := newDispatchers(newState(), 1, all)[0]
 	const calls = 300
 	for range calls {
 		lookup := booking("lookup", nil)
@@ -279,24 +281,24 @@
 		_, _ = d.Relay(t.Context(), lookup)
 	}
 	if got, most := bad.count("lookup"), calls+calls/10+10; got < calls || got > most {
-		t.Errorf("%d calls reached the service, want %d to %d", got, calls, most)
+		t.Errorf("got %d calls at the service, want %d to %d", got, calls, most)
 	}
 }
 
-// The caller's key stays free while no backend server can be reached: nothing
-// was claimed, and the same key books once a backend server is back.
+// While no backend server can be reached, a call must not claim its key. The same
+// key must be able to book once a backend server is reachable again.
 func TestUnreachableServiceLeavesTheKeyFree(t *testing.T) {
 	s := newRawService(t)
-	machine := newMachine()
-	down := dispatchers(machine, 1, static{{Name: "a", Addr: "127.0.0.1:1"}})[0]
+	state := newState()
+	down := newDispatchers(state, 1, staticBackends{{Name: "a", Addr: "127.0.0.1:1"}})[0]
 	if got := outcome(down.Once(t.Context(), booking("k", nil))); got != "3005 no" {
-		t.Fatalf("got %q", got)
+		t.Fatalf("unreachable service: got %q, want 3005 no", got)
 	}
-	up := dispatchers(machine, 1, static{{Name: "a", Addr: s.addr}})[0]
+	up := newDispatchers(state, 1, staticBackends{{Name: "a", Addr: s.addr}})[0]
 	if got := outcome(up.Once(t.Context(), booking("k", nil))); got != "201 booked" {
-		t.Fatalf("got %q", got)
+		t.Fatalf("reachable service: got %q, want 201 booked", got)
 	}
 	if got := outcome(down.Once(t.Context(), booking("k", nil))); got != "201 booked" {
-		t.Errorf("resend while the service is down: got %q", got)
+		t.Errorf("resend while the service is down: got %q, want the kept answer", got)
 	}
 }
--- a/internal/service/conn.go
+++ b/internal/service/conn.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	errAbandoned  = errors.New("service: call given up before its first byte")
-	errSecondDial = errors.New("service: a non-idempotent call has one connection")
+	errAbandoned  = errors.New("service: call abandoned before its first byte")
+	errSecondDial = errors.New("service: second connection refused for a non-idempotent call")
 )
 
 // Dial implements Sender.
@@ -21,18 +21,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return &connection{addr: addr, conn: &watchedConn{Conn: raw}}, nil
+	return &connection{addr: addr, conn: &trackedConn{Conn: raw}}, nil
 }
 
-// connection carries one request over one fresh TCP connection.
+// connection carries one request over one new TCP connection.
 //
-// http.Transport by itself replays a request that has an Idempotency-Key, or no
-// body, when a reused connection breaks: the booking would run twice. Here the
-// connection is fresh, the Transport lives for this one request, and its second
-// dial fails, so that nothing is left to replay on.
+// When a reused connection breaks, http.Transport replays a request that has an
+// Idempotency-Key or no body, and a booking would run twice. Here the connection is
+// new, the Transport is used for this one request only, and its second dial fails.
+// There is no connection on which it could replay the request.
 type connection struct {
 	addr string
-	conn *watchedConn
+	conn *trackedConn
 }
 
 // Send implements Connection.
@@ -43,7 +43,7 @@
 		return nil, c.conn.abandon(), err
 	}
 	t := &http.Transport{
-		DialContext: c.handOver(), DisableKeepAlives: true, DisableCompression: true,
+		DialContext: c.dialOnce(), DisableKeepAlives: true, DisableCompression: true,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	resp, err := t.RoundTrip(req)
@@ -54,7 +54,7 @@
 	return a, c.conn.abandon(), err
 }
 
-func (c *connection) handOver() func(context.Context, string, string) (net.Conn, error) {
+func (c *connection) dialOnce() func(context.Context, string, string) (net.Conn, error) {
 	first := make(chan net.Conn, 1)
 	first <- c.conn
 	return func(context.Context, string, string) (net.Conn, error) {
@@ -73,8 +73,8 @@
 	_ = c.conn.Close()
 }
 
-// watchedConn knows whether a byte of the request may have left.
-type watchedConn struct {
+// trackedConn tracks whether a byte of the request may have been sent.
+type trackedConn struct {
 	net.Conn
 	permit func() error
 
@@ -84,7 +84,7 @@
 }
 
 // Write implements net.Conn.
-func (w *watchedConn) Write(p []byte) (int, error) {
+func (w *trackedConn) Write(p []byte) (int, error) {
 	first, err := w.begin()
 	if err != nil {
 		return 0, err
@@ -98,9 +98,9 @@
 	return n, err
 }
 
-// begin asks for the permission before the first byte. wrote is set before the
-// bytes go, so that abandon never says "nothing left" while a write is under way.
-func (w *watchedConn) begin() (first bool, err error) {
+// begin calls permit before the first byte. It sets wrote before the bytes are
+// written; abandon then never reports "nothing sent" while a write is in progress.
+func (w *trackedConn) begin() (first bool, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.abandoned {
@@ -119,10 +119,10 @@
 	return true, nil
 }
 
-// abandon forbids a first byte from now on and reports whether any may have
-// left. Without it, a Transport that gave up on a deadline could still write
-// from its own goroutine after the call was declared not sent.
-func (w *watchedConn) abandon() bool {
+// abandon forbids a first byte from now on and reports whether any byte may have
+// been sent. Without it, a Transport whose deadline has passed could still write
+// from its own goroutine after the call was reported as not sent.
+func (w *trackedConn) abandon() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.abandoned = true
--- a/internal/service/dispatch.go
+++ b/internal/service/dispatch.go
@@ -17,38 +17,40 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/telemetry"
 )
 
-// Timings of calls.
+// Timeouts and intervals of calls.
 const (
-	// callTimeout bounds one call on a backend server, answer included.
+	// callTimeout bounds one call on a backend server, including its answer.
 	callTimeout = 30 * time.Second
-	// claimTimeout: a caller waits a few seconds at most; a group without a
-	// leader for longer is an error that says "not run".
+	// claimTimeout bounds one proposal to the control group. Callers wait a few
+	// seconds at most. If the group has no leader for longer, the call fails as "not
+	// run".
 	claimTimeout = 3 * time.Second
-	// finishTimeout bounds the commit of an outcome. callTimeout, this and a few
-	// seconds stay below call.Limits.SealAfter.
+	// finishTimeout bounds the commit of an outcome. The sum of callTimeout,
+	// finishTimeout and a few seconds must stay below call.Limits.SealAfter.
 	finishTimeout = 30 * time.Second
-	// dispatchWindow ends the permission to write the first byte, on the
-	// claimant's monotonic clock from before it proposed its claim. It is a
-	// thirtieth of SealAfter: no drift of a clock makes it the longer of the two.
+	// dispatchWindow is how long the permission to write the first byte is valid. It
+	// is measured by the claimant's monotonic clock from before the claim was
+	// proposed. It is about a thirtieth of SealAfter; clock drift cannot make it the
+	// longer of the two.
 	dispatchWindow = 2 * time.Second
-	// waitFor is how long a resend waits for a call that runs elsewhere.
-	waitFor    = 4 * time.Second
-	pollFirst  = 20 * time.Millisecond
-	pollMost   = 500 * time.Millisecond
-	retryAfter = 1 * time.Second
-	fullPause  = 30 * time.Second // claims expire by the minute
+	// resendWait is how long a resend waits for a call that runs elsewhere.
+	resendWait      = 4 * time.Second
+	minPollInterval = 20 * time.Millisecond
+	maxPollInterval = 500 * time.Millisecond
+	retryAfter      = 1 * time.Second
+	fullRetryAfter  = 30 * time.Second // long enough for some claims to expire
 )
 
-var errLate = errors.New("service: the permission to dispatch has run out")
+var errPermitExpired = errors.New("service: the permission to dispatch has expired")
 
-// Call is one call of a workspace.
+// Call is one call from a workspace to a plain service.
 type Call struct {
 	Workspace string
 	Service   string
 	Key       string // Idempotency-Key
 	Request   Request
-	// Reserve takes a request out of the plan before it runs; its settle is told
-	// whether the call used it. Nil: nothing to reserve.
+	// Reserve reserves a request of the workspace's plan before the call runs. settle
+	// is called with whether the call used it. Nil: nothing is reserved.
 	Reserve func(ctx context.Context) (settle func(used bool), err error)
 }
 
@@ -67,12 +69,12 @@
 	return c.Reserve(ctx)
 }
 
-// Incarnations tells whether a VM's incarnation has certainly ended.
+// Incarnations reports whether an incarnation of a VM has ended.
 type Incarnations interface {
 	Gone(vm, incarnation string) bool
 }
 
-// Config names a Dispatcher's VM.
+// Config holds the settings of a Dispatcher and identifies its VM.
 type Config struct {
 	VM          string
 	Incarnation string
@@ -80,7 +82,7 @@
 	Markings    map[string][]call.Marking // by service
 }
 
-// Deps are what a Dispatcher uses.
+// Deps are the dependencies of a Dispatcher.
 type Deps struct {
 	Control      control.Client
 	Sender       Sender
@@ -92,17 +94,17 @@
 	Log          zerolog.Logger
 }
 
-// Dispatcher runs calls: idempotent ones with retries, others through a claim.
+// Dispatcher runs calls: idempotent ones with retries, others under a claim.
 type Dispatcher struct {
 	Config
 	Deps
 	picker *picker
-	budget *budget
+	budget *retryBudget
 }
 
 // NewDispatcher returns a Dispatcher.
 func NewDispatcher(c Config, d Deps) *Dispatcher {
-	return &Dispatcher{Config: c, Deps: d, picker: newPicker(c.Zone), budget: newBudget()}
+	return &Dispatcher{Config: c, Deps: d, picker: newPicker(c.Zone), budget: newRetryBudget()}
 }
 
 // Idempotent reports whether a call may be repeated.
@@ -110,8 +112,8 @@
 	return call.Idempotent(d.Markings[service], method, path)
 }
 
-// Relay runs an idempotent call, on another backend server again where the
-// first fails and the retry budget allows.
+// Relay runs an idempotent call. If a backend server fails, Relay retries on
+// another one as far as the retry budget allows.
 func (d *Dispatcher) Relay(ctx context.Context, c *Call) (*call.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -119,11 +121,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d.budget.fresh()
+	d.budget.addCall()
 	var answer *call.Answer
 	err = result.New(result.NoBackendServer).WithRetryAfter(retryAfter)
 	for i, b := range d.picker.order(d.Backends.Service(c.Service), time.Now()) {
-		if i > 0 && !d.budget.retry() {
+		if i > 0 && !d.budget.takeRetry() {
 			d.Metrics.Add("service_retries_refused", 1)
 			break
 		}
@@ -160,25 +162,25 @@
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// Once runs a non-idempotent call at most once, or returns what became of it.
-// It goes on when the caller hangs up: the outcome must be committed for the
-// caller's resend.
+// Once runs a non-idempotent call at most once, or returns the outcome of an earlier
+// run. It continues after the caller has disconnected, because the outcome must be
+// committed for the caller's resend.
 func (d *Dispatcher) Once(ctx context.Context, c *Call) (*call.Answer, error) {
 	work := context.WithoutCancel(ctx)
 	settle, err := c.reserve(work)
 	if err != nil {
-		return d.standingOr(work, c, err)
+		return d.earlierOutcomeOr(work, c, err)
 	}
 	used := false
 	defer func() { settle(used) }()
-	// Connecting before claiming keeps a dead backend server from costing the
-	// caller its key: until the claim, a refusal leaves the key free.
+	// The connection is made before the claim: if no backend server can be reached,
+	// the call is refused and its key remains free.
 	target, err := d.connect(work, c.Service, nil)
 	if err != nil {
-		return d.standingOr(work, c, err)
+		return d.earlierOutcomeOr(work, c, err)
 	}
 	defer target.close()
-	own := &claimed{d: d, c: c, claimant: d.VM + "#" + d.Incarnation + "/" + rand.Text(), began: time.Now()}
+	own := &ownClaim{d: d, c: c, claimant: d.VM + "#" + d.Incarnation + "/" + rand.Text(), began: time.Now()}
 	reply, err := own.propose(work)
 	if err != nil {
 		d.Metrics.Add("calls_control_unavailable", 1)
@@ -188,22 +190,22 @@
 	if reply.Verdict != call.Permitted {
 		return d.await(ctx, c, reply)
 	}
-	d.note(c, explain.Claimed, own.claimant)
+	d.recordExplain(c, explain.Claimed, own.claimant)
 	answer, used, err := own.run(work, target)
 	return answer, err
 }
 
-// standingOr answers a call that cannot start now: with what became of it
-// earlier, or with the reason.
-func (d *Dispatcher) standingOr(ctx context.Context, c *Call, reason error) (*call.Answer, error) {
-	reply, err := d.look(ctx, c)
+// earlierOutcomeOr handles a call that cannot start now. It returns the outcome of
+// an earlier run, or reason if there was none.
+func (d *Dispatcher) earlierOutcomeOr(ctx context.Context, c *Call, reason error) (*call.Answer, error) {
+	reply, err := d.lookup(ctx, c)
 	if err != nil || reply.Verdict == call.Unclaimed {
 		return nil, reason
 	}
 	return d.await(ctx, c, reply)
 }
 
-func (d *Dispatcher) look(ctx context.Context, c *Call) (call.Reply, error) {
+func (d *Dispatcher) lookup(ctx context.Context, c *Call) (call.Reply, error) {
 	return d.propose(ctx, claimTimeout, &call.Command{Look: &call.Look{Ref: c.ref(), Request: c.digest()}})
 }
 
@@ -213,7 +215,7 @@
 	return control.Propose[call.Reply](ctx, d.Control, control.PartCalls, cmd)
 }
 
-// target is a connected backend server.
+// target is a backend server with an open connection.
 type target struct {
 	backend Backend
 	conn    Connection
@@ -226,7 +228,7 @@
 	t.done(t.failed)
 }
 
-// connect reaches the first backend server that answers and is not in avoid.
+// connect connects to the first backend server that is reachable and not in avoid.
 func (d *Dispatcher) connect(ctx context.Context, service string, avoid map[string]bool) (*target, error) {
 	for _, b := range d.picker.order(d.Backends.Service(service), time.Now()) {
 		if avoid[b.Name] {
@@ -243,7 +245,7 @@
 	return nil, result.New(result.NoBackendServer).WithRetryAfter(retryAfter)
 }
 
-// span begins the span of one hop of a call; the returned function ends it.
+// span starts a trace span for one step of a call. The returned function ends it.
 func (d *Dispatcher) span(ctx context.Context, hop string, c *Call) (context.Context, func()) {
 	if d.Tracer == nil {
 		return ctx, func() {}
@@ -252,7 +254,7 @@
 	return ctx, func() { span.End() }
 }
 
-func (d *Dispatcher) note(c *Call, what, why string) {
+func (d *Dispatcher) recordExplain(c *Call, what, why string) {
 	d.Explain.Note(explain.Key{Workspace: c.Workspace, Request: c.Key},
 		explain.Note{At: time.Now(), VM: d.VM, What: what, Why: why})
 }
--- a/internal/service/history_test.go
+++ b/internal/service/history_test.go
@@ -23,13 +23,13 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/service"
 )
 
-// The pinned values give CI the same schedules every run; flags override them.
+// The pinned values make CI run the same schedules each time. Flags override them.
 const (
 	pinnedSeed   = "20261202"
 	pinnedChecks = "2000"
 )
 
-func pin(name, value string) {
+func setDefault(name, value string) {
 	if f := flag.Lookup(name); f.Value.String() == f.DefValue {
 		_ = f.Value.Set(value)
 	}
@@ -37,42 +37,42 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	pin("rapid.seed", pinnedSeed)
-	pin("rapid.checks", pinnedChecks)
+	setDefault("rapid.seed", pinnedSeed)
+	setDefault("rapid.checks", pinnedChecks)
 	os.Exit(m.Run())
 }
 
-// plannedCall is one request of a caller with the faults that it meets.
+// plannedCall is one request of a caller with the faults that are injected into it.
 type plannedCall struct {
-	Start   time.Duration
-	VM      int
-	Key     int
-	Control []controlFault // one for each proposal in turn; none after the last
-	Before  time.Duration  // the claimant pauses before it asks for its permission
-	After   time.Duration  // and between the permission and the first byte
-	Dies    bool           // the VM is killed at the first pause
-	Service serviceFault
+	Start             time.Duration
+	VM                int
+	Key               int
+	Control           []controlFault // one for each proposal in order; later proposals have no fault
+	PauseBeforePermit time.Duration  // before the claimant checks its permission
+	PauseAfterPermit  time.Duration  // between the permission and the first byte
+	Killed            bool           // the VM is killed at the first pause
+	Service           serviceFault
 }
 
 type controlFault int
 
 const (
-	controlGood controlFault = iota
-	controlLost              // executed, the reply is lost
-	controlDown              // not executed
-	controlLate              // reported as failed, executed seconds later
+	controlOK          controlFault = iota
+	controlReplyLost                // executed, the reply is lost
+	controlUnavailable              // not executed
+	controlLate                     // reported as failed, executed seconds later
 )
 
 type serviceFault int
 
 const (
-	serviceGood     serviceFault = iota
-	serviceUnsent                // the connection breaks before the first byte
-	serviceNotRun                // bytes were written, the call did not run
-	serviceRunNoAns              // it ran, the answer was lost
+	serviceOK         serviceFault = iota
+	serviceUnsent                  // the connection breaks before the first byte
+	serviceNotRun                  // bytes were written, the call did not run
+	serviceAnswerLost              // it ran, the answer was lost
 )
 
-func drawCall(t *rapid.T) plannedCall {
+func drawPlannedCall(t *rapid.T) plannedCall {
 	ms := func(most int, name string) time.Duration {
 		return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 	}
@@ -84,21 +84,21 @@
 		Control: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) controlFault {
 			return controlFault(rapid.IntRange(0, int(controlLate)).Draw(t, "fault"))
 		}), 0, 3).Draw(t, "control"),
-		Before: pause("before"), After: pause("after"), Dies: rapid.IntRange(0, 5).Draw(t, "dies") == 0,
-		Service: serviceFault(rapid.IntRange(0, int(serviceRunNoAns)).Draw(t, "service")),
+		PauseBeforePermit: pause("before"), PauseAfterPermit: pause("after"), Killed: rapid.IntRange(0, 5).Draw(t, "dies") == 0,
+		Service: serviceFault(rapid.IntRange(0, int(serviceAnswerLost)).Draw(t, "service")),
 	}
 }
 
-// world is the control group, the service and the callers' history.
-type world struct {
-	machine *control.Machine
+// simulation holds the control group, the service's runs and the callers' history.
+type simulation struct {
+	state *control.Machine
 
 	mu      sync.Mutex
 	runs    map[string]int
 	history []porcupine.Operation
 }
 
-// faultyControl is one request's way to the control group.
+// faultyControl is one request's client of the control group, with injected faults.
 type faultyControl struct {
 	*control.Solo
 	plan *plannedCall
@@ -107,14 +107,14 @@
 	next int
 }
 
-var errControl = errors.New("no answer from the control group")
+var errControl = errors.New("no reply from the control group")
 
 func (f *faultyControl) fault() controlFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next++
 	if f.next > len(f.plan.Control) {
-		return controlGood
+		return controlOK
 	}
 	return f.plan.Control[f.next-1]
 }
@@ -122,10 +122,10 @@
 func (f *faultyControl) Propose(ctx context.Context, part control.PartID, cmd []byte) ([]byte, error) {
 	time.Sleep(2 * time.Millisecond)
 	switch f.fault() {
-	case controlLost:
+	case controlReplyLost:
 		_, _ = f.Solo.Propose(ctx, part, cmd)
 		return nil, errControl
-	case controlDown:
+	case controlUnavailable:
 		return nil, errControl
 	case controlLate:
 		time.AfterFunc(3*time.Second, func() { _, _ = f.Solo.Propose(ctx, part, cmd) })
@@ -135,10 +135,10 @@
 	}
 }
 
-// fakeSender is the service behind one request.
+// fakeSender is the service as seen by one request.
 type fakeSender struct {
 	service.Sender
-	w    *world
+	w    *simulation
 	plan *plannedCall
 }
 
@@ -147,18 +147,18 @@
 
 var errBroken = errors.New("connection broken")
 
-// errKilled unwinds a request whose VM dies: nothing more is done or said.
+// errKilled is the panic value that stops a request whose VM is killed.
 var errKilled = errors.New("killed")
 
 func (f *fakeSender) Send(_ context.Context, r *service.Request, permit func() error) (*call.Answer, bool, error) {
-	time.Sleep(f.plan.Before)
-	if f.plan.Dies {
+	time.Sleep(f.plan.PauseBeforePermit)
+	if f.plan.Killed {
 		panic(errKilled)
 	}
 	if err := permit(); err != nil {
 		return nil, false, err
 	}
-	time.Sleep(f.plan.After)
+	time.Sleep(f.plan.PauseAfterPermit)
 	if f.plan.Service == serviceUnsent {
 		return nil, false, errBroken
 	}
@@ -171,7 +171,7 @@
 	f.w.runs[key]++
 	run := f.w.runs[key]
 	f.w.mu.Unlock()
-	if f.plan.Service == serviceRunNoAns {
+	if f.plan.Service == serviceAnswerLost {
 		return nil, true, errBroken
 	}
 	return &call.Answer{Status: 201, Body: fmt.Appendf(nil, "run %d", run)}, true, nil
@@ -181,12 +181,12 @@
 
 func (g goneVMs) Gone(vm, _ string) bool { return g[vm] }
 
-// run sends one planned call and records what its caller got.
-func (w *world) run(client int, p *plannedCall, gone goneVMs) {
+// run sends one planned call and records its caller's outcome.
+func (w *simulation) run(client int, p *plannedCall, gone goneVMs) {
 	time.Sleep(p.Start)
 	d := service.NewDispatcher(service.Config{VM: fmt.Sprint("vm", p.VM), Incarnation: fmt.Sprint("i", client)}, service.Deps{
-		Control: &faultyControl{Solo: control.NewSolo(w.machine), plan: p}, Sender: &fakeSender{w: w, plan: p},
-		Backends: static{{Name: "a"}}, Incarnations: gone, Explain: explain.NewRing(8),
+		Control: &faultyControl{Solo: control.NewSolo(w.state), plan: p}, Sender: &fakeSender{w: w, plan: p},
+		Backends: staticBackends{{Name: "a"}}, Incarnations: gone, Explain: explain.NewRing(8),
 		Metrics: new(expvar.Map).Init(), Log: zerolog.Nop(),
 	})
 	key := fmt.Sprint("key", p.Key)
@@ -207,8 +207,9 @@
 	})
 }
 
-// answerModel is one write-once register a key: the first final answer is the
-// answer of all. "Still running" and refusals that claimed nothing say nothing.
+// answerModel models each key as a write-once register: the first final outcome is
+// the outcome of all calls. "Still running" and refusals without a claim do not
+// constrain it.
 var answerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -231,38 +232,38 @@
 	},
 }
 
-// Two callers' keys are sent to three VMs, often at once. Claimants pause before
-// and after their last check, are killed, or are taken for dead while they live;
-// the control group's answers are lost, or come after the claimant gave up. Each
-// key runs at most once, all its final answers are equal, an answer means one
-// run, and "not run" none.
+// Each key must run at most once, all its final outcomes must be equal, an answer
+// must mean one run, and "not run" none. Two keys are sent to three VMs, often
+// concurrently. Claimants pause before and after their last check, are killed, or
+// are considered dead while they run. Replies of the control group are lost, or
+// its commands execute after the claimant has given up.
 func TestHistoriesOfClaims(t *testing.T) {
 	finals := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		plans := rapid.SliceOfN(rapid.Custom(drawCall), 2, 8).Draw(rt, "calls")
+		plans := rapid.SliceOfN(rapid.Custom(drawPlannedCall), 2, 8).Draw(rt, "calls")
 		gone := goneVMs{fmt.Sprint("vm", rapid.IntRange(0, 3).Draw(rt, "gone")): true}
-		var w *world
+		var w *simulation
 		synctest.Test(t, func(*testing.T) {
-			w = &world{machine: newMachine(), runs: map[string]int{}}
+			w = &simulation{state: newState(), runs: map[string]int{}}
 			var all sync.WaitGroup
 			for i := range plans {
 				all.Go(func() { w.run(i, &plans[i], gone) })
 			}
 			all.Wait()
-			time.Sleep(2 * time.Minute) // releases and late proposals end
+			time.Sleep(2 * time.Minute) // lets releases and late proposals end
 		})
 		w.check(rt, finals)
 	})
 	for _, want := range []string{"201 run 1", "4003 unknown", "4009 no", "3007 no", "3011 unknown"} {
 		if finals[want] == 0 {
-			t.Errorf("no schedule ended in %q: %v", want, finals)
+			t.Errorf("no schedule ended in %q: got %v", want, finals)
 		}
 	}
 }
 
-// The claimant is paused between its claim and its last check, for longer than
-// its permission: another VM may have told a caller "unknown" by then, and the
-// call must not run after that.
+// The claimant is paused between its claim and its last check for longer than its
+// permission is valid. Another VM may have reported "unknown" to a caller by then,
+// and the call must not run afterwards.
 func TestPausedClaimantDoesNotDispatchLate(t *testing.T) {
 	for _, c := range []struct {
 		pause time.Duration
@@ -273,28 +274,28 @@
 		{3 * time.Second, "4009 no", 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			w := &world{machine: newMachine(), runs: map[string]int{}}
-			w.run(0, &plannedCall{Before: c.pause}, goneVMs{})
+			w := &simulation{state: newState(), runs: map[string]int{}}
+			w.run(0, &plannedCall{PauseBeforePermit: c.pause}, goneVMs{})
 			if got := w.history[0].Output; got != c.want || w.runs["key0"] != c.runs {
-				t.Errorf("paused for %s: %v and %d runs, want %s and %d", c.pause, got, w.runs["key0"], c.want, c.runs)
+				t.Errorf("paused for %s: got %v and %d runs, want %s and %d", c.pause, got, w.runs["key0"], c.want, c.runs)
 			}
 		})
 	}
 }
 
-func (w *world) check(t *rapid.T, finals map[string]int) {
+func (w *simulation) check(t *rapid.T, finals map[string]int) {
 	for _, op := range w.history {
 		key, got := op.Input.(string), op.Output.(string)
 		finals[got]++
 		runs := w.runs[key]
 		switch {
 		case runs > 1:
-			t.Fatalf("%s ran %d times", key, runs)
+			t.Fatalf("%s: got %d runs, want at most 1", key, runs)
 		case strings.HasPrefix(got, "201") && runs != 1, got == "4009 no" && runs != 0:
-			t.Fatalf("%s ran %d times, answered %q", key, runs, got)
+			t.Fatalf("%s: got %d runs with outcome %q, which contradict each other", key, runs, got)
 		}
 	}
 	if !porcupine.CheckOperations(answerModel, w.history) {
-		t.Fatalf("answers to one key differ: %v", w.history)
+		t.Fatalf("got different final outcomes of one key: %v", w.history)
 	}
 }
--- a/internal/service/picker.go
+++ b/internal/service/picker.go
@@ -14,18 +14,19 @@
 	Zone string
 }
 
-// Backends names the backend servers that may get new work now: none that is
-// leaving.
+// Backends returns the backend servers of a service that may get new calls, which
+// excludes those that are leaving.
 type Backends interface {
 	Service(name string) []Backend
 }
 
-// failedFor is how long a backend server that failed is tried last. Ejecting it
-// would leave nothing where all fail at once.
-const failedFor = 2 * time.Second
+// failurePenalty is how long a backend server that failed is tried last. Ejecting
+// it instead would leave no server if all fail at once.
+const failurePenalty = 2 * time.Second
 
-// picker orders backend servers: those that failed lately last, then the own
-// zone, then the fewest calls from this VM.
+// picker orders backend servers. Servers that failed recently come last; among the
+// others, servers in this VM's zone come first, then those with the fewest calls
+// in flight from this VM.
 type picker struct {
 	zone string
 
@@ -44,29 +45,29 @@
 	out := slices.Clone(all)
 	slices.SortStableFunc(out, func(a, b Backend) int {
 		return cmp.Or(
-			cmp.Compare(p.failed(a, now), p.failed(b, now)),
-			cmp.Compare(p.far(a), p.far(b)),
+			cmp.Compare(p.failedRecently(a, now), p.failedRecently(b, now)),
+			cmp.Compare(p.otherZone(a), p.otherZone(b)),
 			cmp.Compare(p.running[a.Name], p.running[b.Name]),
 		)
 	})
 	return out
 }
 
-func (p *picker) failed(b Backend, now time.Time) int {
-	if at, ok := p.failedAt[b.Name]; ok && now.Sub(at) < failedFor {
+func (p *picker) failedRecently(b Backend, now time.Time) int {
+	if at, ok := p.failedAt[b.Name]; ok && now.Sub(at) < failurePenalty {
 		return 1
 	}
 	return 0
 }
 
-func (p *picker) far(b Backend) int {
+func (p *picker) otherZone(b Backend) int {
 	if b.Zone == p.zone || b.Zone == "" {
 		return 0
 	}
 	return 1
 }
 
-// begin counts a call; the returned function ends it.
+// begin counts a call in flight. The returned function must be called at its end.
 func (p *picker) begin(b Backend) func(failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
