--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -89,7 +89,7 @@
 }
 
 // Lookup asks for the outcome of a call without claiming it.
-type Look struct {
+type Lookup struct {
 	Ref     Ref    `cbor:"1,keyasint"`
 	Request Digest `cbor:"2,keyasint"`
 }
@@ -114,15 +114,15 @@
 // sender knows that the claimant's incarnation has ended. Without it, the claim
 // must be older than Limits.SealAfter by the control group's clock.
 type Seal struct {
-	Ref      Ref    `cbor:"1,keyasint"`
-	Claimant string `cbor:"2,keyasint"`
-	Gone     bool   `cbor:"3,keyasint"`
+	Ref          Ref    `cbor:"1,keyasint"`
+	Claimant     string `cbor:"2,keyasint"`
+	ClaimantGone bool   `cbor:"3,keyasint"`
 }
 
 // Command is one command of the state machine. Exactly one field is set.
 type Command struct {
 	Claim  *Claim  `cbor:"1,keyasint,omitempty"`
-	Look   *Look   `cbor:"2,keyasint,omitempty"`
+	Lookup *Lookup `cbor:"2,keyasint,omitempty"`
 	Renew  *Renew  `cbor:"3,keyasint,omitempty"`
 	Finish *Finish `cbor:"4,keyasint,omitempty"`
 	Seal   *Seal   `cbor:"5,keyasint,omitempty"`
@@ -133,14 +133,14 @@
 
 // The verdicts. The numbers are part of the replies between VMs.
 const (
-	Malformed  Verdict = 0 // not a command of this state machine
-	Permitted  Verdict = 1 // the sender may dispatch, once
-	Standing   Verdict = 2 // the key has a claim: see State
-	Unclaimed  Verdict = 3 // Lookup: the key is free
-	KeyReused  Verdict = 4 // the key belongs to a different request
-	KeyExpired Verdict = 5 // the key's claim is no longer kept, or its UUIDv7 time is too old
-	KeyAhead   Verdict = 6 // the key's UUIDv7 time is in the future
-	Full       Verdict = 7 // no room for a new claim
+	Malformed   Verdict = 0 // not a command of this state machine
+	Permitted   Verdict = 1 // the sender may dispatch, once
+	Claimed     Verdict = 2 // the key has a claim: see State
+	Unclaimed   Verdict = 3 // Lookup: the key is free
+	KeyReused   Verdict = 4 // the key belongs to a different request
+	KeyExpired  Verdict = 5 // the key's claim is no longer kept, or its UUIDv7 time is too old
+	KeyInFuture Verdict = 6 // the key's UUIDv7 time is in the future
+	Full        Verdict = 7 // no room for a new claim
 )
 
 // Reply is the reply to a Command.
--- a/internal/call/limits.go
+++ b/internal/call/limits.go
@@ -6,14 +6,14 @@
 // its strings and its answer (BenchmarkClaimAndFinish). With every bound of
 // DefaultLimits reached, the state machine takes about 75 MB on each control VM.
 type Limits struct {
-	Retention   time.Duration // of a claim and its answer, from the claim on
-	KeyMemory   time.Duration // minimum time for which a used key is refused
-	SealAfter   time.Duration // age of the last permission after which a claim may be sealed
-	MaxClaims   int           // number of claims kept
-	MaxKeys     int           // number of digests of used keys
-	AnswerBytes int           // of one answer; a larger one is kept without its body
-	TotalBytes  int           // of all answers; running claims count MaxAnswerBytes each
-	MaxAttempts int           // permissions of one claim
+	ClaimRetention time.Duration // of a claim and its answer, from the claim on
+	KeyRetention   time.Duration // minimum time for which a used key is refused
+	SealAfter      time.Duration // age of the last permission after which a claim may be sealed
+	MaxClaims      int           // number of claims kept
+	MaxKeys        int           // number of digests of used keys
+	MaxAnswerBytes int           // of one answer; a larger one is kept without its body
+	MaxTotalBytes  int           // of all answers; running claims count MaxAnswerBytes each
+	MaxAttempts    int           // permissions of one claim
 }
 
 // DefaultLimits returns the limits of a control VM.
@@ -24,8 +24,8 @@
 // commit. MaxKeys allows 24 new calls per second for a day, at 8 bytes each.
 func DefaultLimits() Limits {
 	return Limits{
-		Retention: 10 * time.Minute, KeyMemory: 24 * time.Hour, SealAfter: 70 * time.Second,
-		MaxClaims: 1 << 16, MaxKeys: 1 << 21, AnswerBytes: 16 << 10, TotalBytes: 32 << 20,
+		ClaimRetention: 10 * time.Minute, KeyRetention: 24 * time.Hour, SealAfter: 70 * time.Second,
+		MaxClaims: 1 << 16, MaxKeys: 1 << 21, MaxAnswerBytes: 16 << 10, MaxTotalBytes: 32 << 20,
 		MaxAttempts: 3,
 	}
 }
--- a/internal/generation/keeper.go
+++ b/internal/generation/keeper.go
@@ -7,14 +7,14 @@
 // this keeper may use a reserve on top, because refusing it would lose an
 // accepted answer.
 type Limits struct {
-	Journals int
-	Bytes    int64
+	MaxJournals int
+	MaxBytes    int64
 
-	PromiseUse   time.Duration // age of a promise up to which an installation is accepted
-	PromiseKeep  time.Duration // of a promise without a journal
-	FinishedKeep time.Duration // of a finished journal
-	AbandonKeep  time.Duration // of an unfinished journal that no owner touches
-	EpochKeep    time.Duration // of the epoch of a forgotten journal
+	PromiseValidity    time.Duration // age of a promise up to which an installation is accepted
+	PromiseRetention   time.Duration // of a promise without a journal
+	FinishedRetention  time.Duration // of a finished journal
+	AbandonedRetention time.Duration // of an unfinished journal that no owner touches
+	EpochRetention     time.Duration // of the epoch of a forgotten journal
 }
 
 // DefaultLimits returns limits for a small VM. maxDisconnect is how long a caller
@@ -32,9 +32,9 @@
 // keepers have begun and released in the meantime.
 func DefaultLimits(maxDisconnect time.Duration) Limits {
 	return Limits{
-		Journals: 20_000, Bytes: 128 << 20,
-		PromiseUse: 20 * time.Second, PromiseKeep: time.Minute, FinishedKeep: maxDisconnect, AbandonKeep: maxDisconnect + 30*time.Second,
-		EpochKeep: maxDisconnect + 5*time.Minute,
+		MaxJournals: 20_000, MaxBytes: 128 << 20,
+		PromiseValidity: 20 * time.Second, PromiseRetention: time.Minute, FinishedRetention: maxDisconnect, AbandonedRetention: maxDisconnect + 30*time.Second,
+		EpochRetention: maxDisconnect + 5*time.Minute,
 	}
 }
 
@@ -95,7 +95,7 @@
 // SetMinVersion makes the keeper refuse owners that place journals by a membership
 // version below version. Lookups no longer consult older versions, so a journal
 // written by such an owner would never be found.
-func (k *Keeper) SetFloor(version uint64) { k.minVersion = max(k.minVersion, version) }
+func (k *Keeper) SetMinVersion(version uint64) { k.minVersion = max(k.minVersion, version) }
 
 // check applies the conditions that hold for every message. A message for another
 // incarnation of this VM must be refused: the reply would vouch for memory that is
@@ -105,13 +105,13 @@
 	case to != "" && to != k.incarnation:
 		return OtherIncarnation
 	case version < k.minVersion:
-		return TooOld
+		return VersionTooOld
 	}
 	return Accepted
 }
 
 func (k *Keeper) full(known bool) bool {
-	journals, bytes := k.limits.Journals, k.limits.Bytes
+	journals, bytes := k.limits.MaxJournals, k.limits.MaxBytes
 	if known {
 		journals += journals / reserveDivisor
 		bytes += bytes / reserveDivisor
@@ -138,7 +138,7 @@
 
 // Promise handles a Promise message.
 func (k *Keeper) Promise(p Promise, now time.Time) PromiseReply {
-	if refusal := k.check(p.To, p.Epoch.Version); refusal != Accepted {
+	if refusal := k.check(p.Incarnation, p.Epoch.Version); refusal != Accepted {
 		return PromiseReply{Refusal: refusal}
 	}
 	r := k.records[p.ID]
@@ -146,7 +146,7 @@
 		return PromiseReply{OK: true}
 	}
 	if old := k.tombstones[p.ID].epoch; r == nil && !old.Less(p.Epoch) && !old.IsZero() {
-		return PromiseReply{Refusal: Outbid, Promised: old}
+		return PromiseReply{Refusal: HigherEpochPromised, Promised: old}
 	}
 	if r == nil {
 		if k.full(!p.IfAbsent) {
@@ -158,10 +158,10 @@
 		return r.describe(true, Accepted)
 	}
 	if p.IfAbsent && !r.promised.IsZero() && r.promised != p.Epoch {
-		return r.describe(false, Outbid)
+		return r.describe(false, HigherEpochPromised)
 	}
 	if p.Epoch.Less(r.promised) {
-		return r.describe(false, Outbid)
+		return r.describe(false, HigherEpochPromised)
 	}
 	r.promise(p.Epoch, now)
 	reply := r.describe(true, Accepted)
@@ -196,15 +196,15 @@
 	refuse := func(why Refusal, promised Epoch) WriteReply {
 		return WriteReply{ID: w.ID, Epoch: w.Epoch, Refusal: why, Promised: promised}
 	}
-	if refusal := k.check(w.To, w.Epoch.Version); refusal != Accepted {
+	if refusal := k.check(w.Incarnation, w.Epoch.Version); refusal != Accepted {
 		return refuse(refusal, Epoch{})
 	}
 	r := k.records[w.ID]
 	if r == nil && !w.Reserve {
-		return refuse(Unpromised, Epoch{})
+		return refuse(NoPromise, Epoch{})
 	}
 	if old := k.tombstones[w.ID].epoch; r == nil && !old.Less(w.Epoch) && !old.IsZero() {
-		return refuse(Outbid, old)
+		return refuse(HigherEpochPromised, old)
 	}
 	if r == nil {
 		if k.full(true) {
@@ -214,12 +214,12 @@
 	}
 	switch {
 	case w.Epoch.Less(r.promised):
-		return refuse(Outbid, r.promised)
+		return refuse(HigherEpochPromised, r.promised)
 	case w.Reserve:
 		r.promise(w.Epoch, now)
 		return WriteReply{ID: w.ID, Epoch: w.Epoch, Promised: r.promised, Reserved: true}
-	case w.Install && !r.mayInstall(w.Epoch, now, k.limits.PromiseUse):
-		return refuse(Unpromised, r.promised)
+	case w.Install && !r.mayInstall(w.Epoch, now, k.limits.PromiseValidity):
+		return refuse(NoPromise, r.promised)
 	case w.Install:
 		r.install(w)
 		k.resize(r)
@@ -228,7 +228,7 @@
 	default:
 		grown, err := r.extend(w)
 		if err != nil {
-			return refuse(Broken, r.promised)
+			return refuse(BreaksInvariant, r.promised)
 		}
 		r.bytes += grown
 		k.bytes += grown
@@ -294,7 +294,7 @@
 		if r.request != nil && r.journal.finish == "" {
 			abandoned++
 		}
-		if len(k.tombstones) >= epochsPerJournal*k.limits.Journals {
+		if len(k.tombstones) >= epochsPerJournal*k.limits.MaxJournals {
 			break
 		}
 		k.tombstones[id] = tombstone{r.promised, now}
@@ -302,7 +302,7 @@
 		delete(k.records, id)
 	}
 	for id, r := range k.tombstones {
-		if now.Sub(r.forgottenAt) >= k.limits.EpochKeep {
+		if now.Sub(r.forgottenAt) >= k.limits.EpochRetention {
 			delete(k.tombstones, id)
 		}
 	}
@@ -312,10 +312,10 @@
 func (k *Keeper) retention(r *record) time.Duration {
 	switch {
 	case r.request == nil:
-		return k.limits.PromiseKeep
+		return k.limits.PromiseRetention
 	case r.journal.finish != "":
-		return k.limits.FinishedKeep
+		return k.limits.FinishedRetention
 	default:
-		return k.limits.AbandonKeep
+		return k.limits.AbandonedRetention
 	}
 }
--- a/internal/generation/messages.go
+++ b/internal/generation/messages.go
@@ -5,14 +5,14 @@
 
 // The refusals. The numbers are part of the messages between VMs.
 const (
-	Accepted         Refusal = iota
-	Outbid                   // the keeper has promised a higher epoch, given in Promised
-	Unpromised               // the keeper has no promise for this epoch, or it has expired
-	NeedsInstall             // the keeper lacks the journal or tokens before the span
-	OtherIncarnation         // the message is for another incarnation of this VM
-	Full                     // the keeper accepts no new journals
-	TooOld                   // the epoch's membership version is no longer retained
-	Broken                   // the write would break an invariant
+	Accepted            Refusal = iota
+	HigherEpochPromised         // the keeper has promised a higher epoch, given in Promised
+	NoPromise                   // the keeper has no promise for this epoch, or it has expired
+	NeedsInstall                // the keeper lacks the journal or tokens before the span
+	OtherIncarnation            // the message is for another incarnation of this VM
+	Full                        // the keeper accepts no new journals
+	VersionTooOld               // the epoch's membership version is no longer retained
+	BreaksInvariant             // the write would break an invariant
 )
 
 // Source is the attempt that generated the last tokens of the journal. A new
@@ -32,17 +32,17 @@
 // owner after it has collected its promises. A write without tokens keeps the
 // journal from expiring.
 type Write struct {
-	ID      RequestID `cbor:"1,keyasint"`
-	Epoch   Epoch     `cbor:"2,keyasint"`
-	Request *Request  `cbor:"3,keyasint,omitempty"`
-	To      string    `cbor:"4,keyasint,omitempty"` // incarnation of the addressed keeper
-	Install bool      `cbor:"5,keyasint,omitempty"`
-	Span    Span      `cbor:"6,keyasint"`
-	Finish  string    `cbor:"7,keyasint,omitempty"`
-	Usage   Usage     `cbor:"8,keyasint,omitzero"`
-	Reserve bool      `cbor:"9,keyasint,omitempty"` // asks for a promise and writes nothing
-	Source  *Source   `cbor:"10,keyasint,omitempty"`
-	Touch   uint64    `cbor:"11,keyasint,omitempty"` // echoed in the reply
+	ID          RequestID `cbor:"1,keyasint"`
+	Epoch       Epoch     `cbor:"2,keyasint"`
+	Request     *Request  `cbor:"3,keyasint,omitempty"`
+	Incarnation string    `cbor:"4,keyasint,omitempty"` // incarnation of the addressed keeper
+	Install     bool      `cbor:"5,keyasint,omitempty"`
+	Span        Span      `cbor:"6,keyasint"`
+	Finish      string    `cbor:"7,keyasint,omitempty"`
+	Usage       Usage     `cbor:"8,keyasint,omitzero"`
+	Reserve     bool      `cbor:"9,keyasint,omitempty"` // asks for a promise and writes nothing
+	Source      *Source   `cbor:"10,keyasint,omitempty"`
+	Touch       uint64    `cbor:"11,keyasint,omitempty"` // echoed in the reply
 }
 
 // Size returns the approximate size in bytes of the encoded write.
@@ -82,8 +82,8 @@
 	Epoch Epoch     `cbor:"2,keyasint"`
 	Peek  bool      `cbor:"3,keyasint,omitempty"`
 
-	IfAbsent bool   `cbor:"4,keyasint,omitempty"`
-	To       string `cbor:"5,keyasint,omitempty"` // incarnation of the addressed keeper
+	IfAbsent    bool   `cbor:"4,keyasint,omitempty"`
+	Incarnation string `cbor:"5,keyasint,omitempty"` // incarnation of the addressed keeper
 }
 
 // PromiseReply is the reply to a Promise. Accepted is the epoch of the last write.
--- a/internal/generation/model_test.go
+++ b/internal/generation/model_test.go
@@ -41,7 +41,7 @@
 	p           *process
 	epoch       Epoch
 	requestedAt time.Time
-	groups      []Group
+	groups      []KeeperSet
 	replies     *Replies
 	owner       *Owner
 }
@@ -91,7 +91,7 @@
 	c.starts++
 	id := KeeperID{fmt.Sprint("vm", i), fmt.Sprint("life", c.starts)}
 	limits := DefaultLimits(time.Hour)
-	limits.AbandonKeep = 1000 * time.Hour // every journal has an owner that will resume
+	limits.AbandonedRetention = 1000 * time.Hour // every journal has an owner that will resume
 	return &process{KeeperID: id, keeper: NewKeeper(id.Incarnation, limits), version: len(c.views) - 1}
 }
 
@@ -132,7 +132,7 @@
 // requestPromises asks every keeper of every retained set for a promise.
 func (c *modelCluster) requestPromises(h *modelRouter) {
 	views := c.knownViews(h.p)
-	h.groups = Groups(journalID, views)
+	h.groups = KeeperSets(journalID, views)
 	h.replies = NewReplies(h.groups, views[0])
 	h.requestedAt = c.now
 	h.p.round++
@@ -147,7 +147,7 @@
 			asked[k] = true
 			m := &message{to: k, sent: c.now}
 			m.handle = func(p *process) {
-				reply := p.keeper.Promise(Promise{ID: journalID, Epoch: epoch, To: k.Incarnation}, c.now)
+				reply := p.keeper.Promise(Promise{ID: journalID, Epoch: epoch, Incarnation: k.Incarnation}, c.now)
 				m.onReply = func() {
 					h.p.round = max(h.p.round, reply.Promised.Round)
 					if replies == h.replies && c.now.Sub(h.requestedAt) < replyTimeout {
@@ -171,7 +171,7 @@
 	h.replies = nil
 	best, _ := replies.Best()
 	if h.owner != nil {
-		if h.owner.Replace(h.epoch, h.groups[0], replies) != nil {
+		if h.owner.MoveTo(h.epoch, h.groups[0], replies) != nil {
 			return
 		}
 		best.Journal = *h.owner.Journal()
@@ -201,8 +201,8 @@
 	if h.owner == nil {
 		return
 	}
-	for _, k := range h.owner.Group().Keepers {
-		w, ok := h.owner.Next(k.VM, 2)
+	for _, k := range h.owner.KeeperSet().Keepers {
+		w, ok := h.owner.NextWrite(k.VM, 2)
 		if !ok {
 			continue
 		}
--- a/internal/generation/owner.go
+++ b/internal/generation/owner.go
@@ -11,7 +11,7 @@
 
 // ErrKeepersMoved is returned when a keeper knows a newer list of VMs than this
 // owner. The owner must place the journal again by a newer list.
-var ErrMoved = errors.New("generation: the journal has been placed by an outdated list of VMs")
+var ErrKeepersMoved = errors.New("generation: the journal has been placed by an outdated list of VMs")
 
 // ErrStaleAttempt is returned for tokens that come from another attempt than the
 // current one or that do not continue the journal at its end.
@@ -25,7 +25,7 @@
 	Epoch   Epoch
 
 	journal   Journal
-	keeperSet Group
+	keeperSet KeeperSet
 	keepers   []replica // in the order of keeperSet
 	attempt   int
 	source    Source
@@ -50,13 +50,13 @@
 
 // NewOwner returns the owner of a new or taken-over journal. replies holds the
 // promises for its epoch.
-func NewOwner(req Request, epoch Epoch, keeperSet Group, replies *Replies, journal Journal) *Owner {
+func NewOwner(req Request, epoch Epoch, keeperSet KeeperSet, replies *Replies, journal Journal) *Owner {
 	o := &Owner{Request: req, journal: journal}
 	o.place(epoch, keeperSet, replies)
 	return o
 }
 
-func (o *Owner) place(epoch Epoch, keeperSet Group, replies *Replies) {
+func (o *Owner) place(epoch Epoch, keeperSet KeeperSet, replies *Replies) {
 	o.Epoch, o.keeperSet, o.keepers = epoch, keeperSet, make([]replica, 0, len(keeperSet.Keepers))
 	for _, k := range keeperSet.Keepers {
 		o.keepers = append(o.keepers, replica{id: k, promised: replies.Promised(k)})
@@ -73,7 +73,7 @@
 }
 
 // KeeperSet returns the journal's current keeper set.
-func (o *Owner) Group() Group { return o.keeperSet }
+func (o *Owner) KeeperSet() KeeperSet { return o.keeperSet }
 
 // BeginSeal stops the writes of the current epoch while the owner seals its
 // journal to move it to another keeper set.
@@ -83,7 +83,7 @@
 // be Ready. The current attempt continues. If a keeper holds the journal under a
 // higher epoch than this owner's, another owner has taken over, and MoveTo
 // returns ErrDeposed.
-func (o *Owner) Replace(epoch Epoch, keeperSet Group, replies *Replies) error {
+func (o *Owner) MoveTo(epoch Epoch, keeperSet KeeperSet, replies *Replies) error {
 	if best, ok := replies.Best(); o.deposed || (ok && o.Epoch.Less(best.Accepted)) {
 		o.deposed = true
 		return ErrDeposed
@@ -107,7 +107,7 @@
 func (o *Owner) SetSource(s Source) {
 	s.Number = 2 * o.attempt
 	o.source = s
-	o.Pin(o.Version())
+	o.PinVersion(o.Version())
 }
 
 // Version returns the model version that generates the answer. It is empty before
@@ -118,7 +118,7 @@
 // its first token. Every later attempt, also that of another owner, runs this
 // version. Otherwise an answer could contain tokens of two model
 // versions.
-func (o *Owner) Pin(version string) {
+func (o *Owner) PinVersion(version string) {
 	if version == "" {
 		return
 	}
@@ -157,14 +157,14 @@
 }
 
 // ConfirmedTouch returns the highest touch that a majority has acknowledged.
-func (o *Owner) Touched() uint64 {
+func (o *Owner) ConfirmedTouch() uint64 {
 	return majorityOf(o, func(r *replica) uint64 { return r.touch })
 }
 
 // majorityOf returns the highest value that a majority of the keepers has reached.
 // Only keepers that hold the journal count.
 func majorityOf[T int | uint64](o *Owner, value func(*replica) T) T {
-	var reached [KeepersMany]T
+	var reached [MaxKeepers]T
 	n := 0
 	for i := range o.keepers {
 		r := &o.keepers[i]
@@ -188,12 +188,12 @@
 // maxTokens bounds the number of tokens in a write after the installation. The
 // installation itself always carries the complete journal: a partial one would
 // replace tokens that the keeper already holds.
-func (o *Owner) Next(vm string, maxTokens int) (Write, bool) {
+func (o *Owner) NextWrite(vm string, maxTokens int) (Write, bool) {
 	r := o.replica(vm)
 	if r == nil || o.deposed || o.sealing {
 		return Write{}, false
 	}
-	w := Write{ID: o.Request.ID, Epoch: o.Epoch, To: r.id.Incarnation, Touch: o.touch}
+	w := Write{ID: o.Request.ID, Epoch: o.Epoch, Incarnation: r.id.Incarnation, Touch: o.touch}
 	switch {
 	case r.installed:
 		return o.extension(w, r, maxTokens)
@@ -280,7 +280,7 @@
 			continue
 		}
 		if touched == 0 {
-			touched = o.Touched()
+			touched = o.ConfirmedTouch()
 		}
 		if touched >= r.confirmTouch {
 			r.promised, r.confirmTouch = true, 0
@@ -290,7 +290,7 @@
 
 func (o *Owner) refused(r *replica, reply WriteReply) error {
 	switch reply.Refusal {
-	case Outbid:
+	case HigherEpochPromised:
 		if o.sealing && reply.Promised.VM == o.Epoch.VM {
 			return nil // promised to this owner's own seal
 		}
@@ -302,9 +302,9 @@
 		return ErrDeposed
 	case NeedsInstall:
 		*r = replica{id: r.id, promised: r.promised}
-	case TooOld:
-		return ErrMoved
-	case Broken:
+	case VersionTooOld:
+		return ErrKeepersMoved
+	case BreaksInvariant:
 		return &InvariantError{"a keeper refused a write that breaks an invariant"}
 	default:
 		*r = replica{id: r.id}
@@ -319,7 +319,7 @@
 
 // ReplicationPending reports whether the journal, its request or its end is not
 // yet held by a majority of keepers.
-func (o *Owner) Behind() bool {
+func (o *Owner) ReplicationPending() bool {
 	_, _, finished := o.Finished()
 	return o.sealing || !o.Accepted() || o.released < o.journal.Len() || (o.journal.Finish != "" && !finished)
 }
--- a/internal/generation/owner_test.go
+++ b/internal/generation/owner_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-var testLimits = Limits{Journals: 4, Bytes: 1 << 20, PromiseUse: time.Second, PromiseKeep: 3 * time.Second, FinishedKeep: time.Minute, AbandonKeep: time.Hour, EpochKeep: time.Hour}
+var testLimits = Limits{MaxJournals: 4, MaxBytes: 1 << 20, PromiseValidity: time.Second, PromiseRetention: 3 * time.Second, FinishedRetention: time.Minute, AbandonedRetention: time.Hour, EpochRetention: time.Hour}
 
 // threeKeepers holds the keepers a, b and c of one journal.
 type threeKeepers struct {
 	t       *testing.T
 	keepers map[string]*Keeper
-	group   Group
+	group   KeeperSet
 	now     time.Time
 }
 
 func newThreeKeepers(t *testing.T) *threeKeepers {
-	tr := &threeKeepers{t: t, keepers: map[string]*Keeper{}, group: Group{Newest: 1}, now: time.Unix(0, 0)}
+	tr := &threeKeepers{t: t, keepers: map[string]*Keeper{}, group: KeeperSet{NewestVersion: 1}, now: time.Unix(0, 0)}
 	for _, vm := range []string{"a", "b", "c"} {
 		tr.keepers[vm] = NewKeeper("1", testLimits)
 		tr.group.Keepers = append(tr.group.Keepers, KeeperID{vm, "1"})
@@ -29,9 +29,9 @@
 func (tr *threeKeepers) open(round uint64, vms ...string) *Owner {
 	tr.t.Helper()
 	epoch := Epoch{Version: 1, Round: round, VM: fmt.Sprint("owner", round)}
-	replies := NewReplies([]Group{tr.group}, Membership{})
+	replies := NewReplies([]KeeperSet{tr.group}, Membership{})
 	for _, vm := range vms {
-		replies.Add(KeeperID{vm, "1"}, tr.keepers[vm].Promise(Promise{ID: journalID, Epoch: epoch, To: "1"}, tr.now))
+		replies.Add(KeeperID{vm, "1"}, tr.keepers[vm].Promise(Promise{ID: journalID, Epoch: epoch, Incarnation: "1"}, tr.now))
 	}
 	if !replies.Ready() {
 		tr.t.Fatalf("round %d: promises are not ready, want a majority", round)
@@ -43,7 +43,7 @@
 func (tr *threeKeepers) write(o *Owner, vms ...string) error {
 	var errs []error
 	for _, vm := range vms {
-		for w, ok := o.Next(vm, 10); ok; w, ok = o.Next(vm, 10) {
+		for w, ok := o.NextWrite(vm, 10); ok; w, ok = o.NextWrite(vm, 10) {
 			reply := tr.keepers[vm].Write(w, tr.now)
 			errs = append(errs, o.Ack(vm, reply))
 			if !reply.OK() {
@@ -67,7 +67,7 @@
 func TestForgottenPromiseIsNotUsed(t *testing.T) {
 	tr := newThreeKeepers(t)
 	paused := tr.open(2, "a", "b", "c")
-	for _, passed := range []time.Duration{testLimits.PromiseKeep, testLimits.EpochKeep} {
+	for _, passed := range []time.Duration{testLimits.PromiseRetention, testLimits.EpochRetention} {
 		tr.now = tr.now.Add(passed)
 		tr.keepers["b"].Sweep(tr.now)
 		tr.keepers["c"].Sweep(tr.now)
@@ -97,9 +97,9 @@
 	old := tr.open(5, "a", "b")
 	generateToken(old, 7)
 	_ = tr.write(old, "a", "b")
-	tr.now = tr.now.Add(testLimits.AbandonKeep)
+	tr.now = tr.now.Add(testLimits.AbandonedRetention)
 	tr.keepers["b"].Sweep(tr.now)
-	lower := Promise{ID: journalID, Epoch: Epoch{1, 4, "owner4"}, To: "1", IfAbsent: true}
+	lower := Promise{ID: journalID, Epoch: Epoch{1, 4, "owner4"}, Incarnation: "1", IfAbsent: true}
 	if reply := tr.keepers["b"].Promise(lower, tr.now); reply.OK || reply.Promised.Round != 5 {
 		t.Errorf("promise of a lower epoch after a forgotten journal: got %+v, want refusal with round 5", reply)
 	}
@@ -122,7 +122,7 @@
 	tr := newThreeKeepers(t)
 	o := tr.open(1, "a", "b")
 	generateToken(o, 7)
-	if _, ok := o.Next("c", 10); ok {
+	if _, ok := o.NextWrite("c", 10); ok {
 		t.Error("a keeper was asked for a promise before a majority accepted the owner")
 	}
 	_ = tr.write(o, "a", "b", "c")
@@ -151,7 +151,7 @@
 			t.Fatalf("installation %d: got refusal %d, want Accepted", i, reply.Refusal)
 		}
 	}
-	for i := range testLimits.Journals {
+	for i := range testLimits.MaxJournals {
 		promise(i, true)
 	}
 	if got := promise(9, true).Refusal; got != Full {
@@ -168,7 +168,7 @@
 	for _, c := range []struct {
 		after time.Duration
 		left  int
-	}{{testLimits.PromiseKeep, 2}, {testLimits.FinishedKeep, 1}, {testLimits.AbandonKeep, 0}} {
+	}{{testLimits.PromiseRetention, 2}, {testLimits.FinishedRetention, 1}, {testLimits.AbandonedRetention, 0}} {
 		k.Sweep(now.Add(c.after))
 		if k.Len() != c.left {
 			t.Errorf("after %v: got %d journals, want %d", c.after, k.Len(), c.left)
@@ -191,7 +191,7 @@
 	first := Place(journalID, vms)
 	after := Membership{Version: 2, Candidates: without(vms, first[0], first[1])}
 	last := Membership{Version: 3, Candidates: without(after.Candidates, first[2])}
-	groups := Groups(journalID, []Membership{last, after, before})
+	groups := KeeperSets(journalID, []Membership{last, after, before})
 	if len(groups) != 3 {
 		t.Fatalf("got %d distinct sets, want 3", len(groups))
 	}
@@ -207,7 +207,7 @@
 	if lost.Ready() || !lost.Lost() {
 		t.Error("a journal that was not moved does not count as lost with its set, want lost and not ready")
 	}
-	lost.Fresh = true
+	lost.CallerHasNoTokens = true
 	if !lost.Ready() {
 		t.Error("a new request waits for a lost set, want ready")
 	}
--- a/internal/generation/placement.go
+++ b/internal/generation/placement.go
@@ -12,8 +12,8 @@
 // simultaneous loss of any two VMs, or of a zone. A system of fewer than five VMs
 // uses three.
 const (
-	KeepersMany = 5
-	KeepersFew  = 3
+	MaxKeepers           = 5
+	MinReplicatedKeepers = 3
 )
 
 // KeeperID identifies a keeper: a VM in one incarnation. After a restart the same
@@ -44,7 +44,7 @@
 type Membership struct {
 	Version    uint64
 	Candidates []Candidate
-	Settled    bool
+	Migrated   bool
 }
 
 // Has reports whether the list contains this keeper.
@@ -58,25 +58,25 @@
 
 // KeeperSet is the set of keepers that a journal has by one or more versions of
 // the list. NewestVersion is the last of these versions.
-type Group struct {
-	Keepers []KeeperID
-	Newest  uint64
-	Settled bool // Membership.Migrated of that version
+type KeeperSet struct {
+	Keepers       []KeeperID
+	NewestVersion uint64
+	Migrated      bool // Membership.Migrated of that version
 }
 
 // Majority returns the smallest number of keepers that shares at least one keeper
 // with every other such majority.
-func (g *Group) Majority() int { return len(g.Keepers)/2 + 1 }
+func (g *KeeperSet) Majority() int { return len(g.Keepers)/2 + 1 }
 
 // KeeperSets returns the distinct keeper sets of a journal over the versions in
 // views, which are ordered newest first. The first set is the current one.
-func Groups(id RequestID, views []Membership) []Group {
-	var out []Group
+func KeeperSets(id RequestID, views []Membership) []KeeperSet {
+	var out []KeeperSet
 	for _, v := range views {
 		keepers := Place(id, v.Candidates)
-		same := func(g Group) bool { return SameKeepers(g.Keepers, keepers) }
+		same := func(g KeeperSet) bool { return SameKeepers(g.Keepers, keepers) }
 		if !slices.ContainsFunc(out, same) {
-			out = append(out, Group{Keepers: keepers, Newest: v.Version, Settled: v.Settled})
+			out = append(out, KeeperSet{Keepers: keepers, NewestVersion: v.Version, Migrated: v.Migrated})
 		}
 	}
 	return out
@@ -96,12 +96,12 @@
 }
 
 // KeeperCount returns the number of keepers that a journal has among n VMs.
-func Keepers(n int) int {
+func KeeperCount(n int) int {
 	switch {
-	case n >= KeepersMany:
-		return KeepersMany
-	case n >= KeepersFew:
-		return KeepersFew
+	case n >= MaxKeepers:
+		return MaxKeepers
+	case n >= MinReplicatedKeepers:
+		return MinReplicatedKeepers
 	default:
 		return 1
 	}
@@ -118,7 +118,7 @@
 	if len(staying) == 0 {
 		staying = vms
 	}
-	n := Keepers(len(staying))
+	n := KeeperCount(len(staying))
 	ranked := rank(id, staying)
 	chosen := bestByZone(ranked, n)
 	if len(chosen) < n {
--- a/internal/generation/replies.go
+++ b/internal/generation/replies.go
@@ -8,14 +8,14 @@
 // the older sets: nothing was released through them afterwards, and that journal
 // contains what was released before.
 type Replies struct {
-	sets     []Group
+	sets     []KeeperSet
 	answered map[KeeperID]bool // replied, whether OK or not
 	promised map[KeeperID]bool
 	best     PromiseReply
 	full     int
 
 	// MaxEpoch is the highest epoch that any keeper has promised.
-	Max Epoch
+	MaxEpoch Epoch
 	// CallerHasNoTokens marks a request whose caller has received no token yet. All
 	// sets are asked and their replies are used, but sets that are migrated, or that
 	// have lost their majority to dead VMs, are not required. Otherwise the loss of
@@ -24,14 +24,14 @@
 	// without a reader, or that runs on the other side of a network partition. A
 	// second generation then starts. The two never mix, because a caller with tokens
 	// of the first one is refused by their prefix digest.
-	Fresh bool
+	CallerHasNoTokens bool
 	// Membership is the newest list. It decides which keepers are lost.
-	Newest Membership
+	Membership Membership
 }
 
 // NewReplies returns an empty set of replies.
-func NewReplies(sets []Group, newest Membership) *Replies {
-	return &Replies{sets: sets, Newest: newest, answered: map[KeeperID]bool{}, promised: map[KeeperID]bool{}}
+func NewReplies(sets []KeeperSet, newest Membership) *Replies {
+	return &Replies{sets: sets, Membership: newest, answered: map[KeeperID]bool{}, promised: map[KeeperID]bool{}}
 }
 
 // Add records one keeper's reply.
@@ -40,8 +40,8 @@
 		return
 	}
 	r.answered[k] = true
-	if r.Max.Less(reply.Promised) {
-		r.Max = reply.Promised
+	if r.MaxEpoch.Less(reply.Promised) {
+		r.MaxEpoch = reply.Promised
 	}
 	if reply.Refusal == Full {
 		r.full++
@@ -83,7 +83,7 @@
 
 // Answered reports whether a majority of every needed set has replied, whether OK
 // or not.
-func (r *Replies) Heard() bool { return r.everyNeeded(r.answered) }
+func (r *Replies) Answered() bool { return r.everyNeeded(r.answered) }
 
 func (r *Replies) everyNeeded(in map[KeeperID]bool) bool {
 	for i := range r.sets {
@@ -95,11 +95,11 @@
 	return true
 }
 
-func (r *Replies) needs(g *Group) bool {
-	if r.best.Found && g.Newest < r.best.Accepted.Version {
+func (r *Replies) needs(g *KeeperSet) bool {
+	if r.best.Found && g.NewestVersion < r.best.Accepted.Version {
 		return false
 	}
-	return !r.Fresh || !g.Settled && !r.lost(g)
+	return !r.CallerHasNoTokens || !g.Migrated && !r.lost(g)
 }
 
 // Lost reports whether the journal is permanently lost: a needed set has lost its
@@ -121,14 +121,14 @@
 	return lost
 }
 
-func (r *Replies) lost(g *Group) bool {
+func (r *Replies) lost(g *KeeperSet) bool {
 	left := 0
 	for _, k := range g.Keepers {
 		// A keeper from the list in the settings has no incarnation and may not have
 		// joined yet. There is no evidence that it is lost.
 		switch {
-		case r.Fresh && r.Newest.dead(k):
-		case k.Incarnation == "", r.Newest.Has(k):
+		case r.CallerHasNoTokens && r.Membership.dead(k):
+		case k.Incarnation == "", r.Membership.Has(k):
 			left++
 		}
 	}
@@ -145,7 +145,7 @@
 // one.
 func (r *Replies) Best() (PromiseReply, bool) { return r.best, r.best.Found }
 
-func count(g *Group, in map[KeeperID]bool) int {
+func count(g *KeeperSet, in map[KeeperID]bool) int {
 	n := 0
 	for _, k := range g.Keepers {
 		if in[k] {
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -148,7 +148,7 @@
 
 func newState() *control.Machine {
 	m := control.NewMachine()
-	m.Register(control.PartCalls, call.NewPart(call.DefaultLimits()))
+	m.Register(control.PartCalls, call.NewStateMachine(call.DefaultLimits()))
 	return m
 }
 
--- a/internal/service/dispatch.go
+++ b/internal/service/dispatch.go
@@ -76,10 +76,10 @@
 
 // Config holds the settings of a Dispatcher and identifies its VM.
 type Config struct {
-	VM          string
-	Incarnation string
-	Zone        string
-	Markings    map[string][]call.Marking // by service
+	VM               string
+	Incarnation      string
+	Zone             string
+	IdempotencyRules map[string][]call.IdempotencyRule // by service
 }
 
 // Deps are the dependencies of a Dispatcher.
@@ -109,7 +109,7 @@
 
 // Idempotent reports whether a call may be repeated.
 func (d *Dispatcher) Idempotent(service, method, path string) bool {
-	return call.Idempotent(d.Markings[service], method, path)
+	return call.Idempotent(d.IdempotencyRules[service], method, path)
 }
 
 // Relay runs an idempotent call. If a backend server fails, Relay retries on
@@ -206,7 +206,7 @@
 }
 
 func (d *Dispatcher) lookup(ctx context.Context, c *Call) (call.Reply, error) {
-	return d.propose(ctx, claimTimeout, &call.Command{Look: &call.Look{Ref: c.ref(), Request: c.digest()}})
+	return d.propose(ctx, claimTimeout, &call.Command{Lookup: &call.Lookup{Ref: c.ref(), Request: c.digest()}})
 }
 
 func (d *Dispatcher) propose(ctx context.Context, limit time.Duration, cmd *call.Command) (call.Reply, error) {
