--- a/internal/call/bench_test.go
+++ b/internal/call/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkClaimAndFinish(b *testing.B) {
 	l := call.DefaultLimits()
 	l.MaxClaims, l.MaxKeys, l.MaxTotalBytes = 1<<30, 1<<30, 1<<40
-	part := call.NewStateMachine(l)
+	stateMachine := call.NewStateMachine(l)
 	answer := &call.Answer{Status: 201, Body: make([]byte, 200)}
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -21,12 +21,12 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		ref := call.Ref{Workspace: "coop", Service: "dispatch", Key: fmt.Sprint("key-of-some-length-", i)}
-		part.Execute(startMS, &call.Command{Claim: &call.Claim{Ref: ref, Claimant: "vm1#incarnation/request"}})
-		part.Execute(startMS, &call.Command{Finish: &call.Finish{Ref: ref, Claimant: "vm1#incarnation/request", State: call.Done, Answer: answer}})
+		stateMachine.Execute(startMS, &call.Command{Claim: &call.Claim{Ref: ref, Claimant: "vm1#incarnation/request"}})
+		stateMachine.Execute(startMS, &call.Command{Finish: &call.Finish{Ref: ref, Claimant: "vm1#incarnation/request", State: call.Done, Answer: answer}})
 	}
 	b.StopTimer()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(b.N), "heap-B/claim")
-	runtime.KeepAlive(part)
+	runtime.KeepAlive(stateMachine)
 }
--- a/internal/call/fuzz_test.go
+++ b/internal/call/fuzz_test.go
@@ -28,7 +28,7 @@
 		g := newGroup(t, call.DefaultLimits())
 		g.claim("coop", "k", "vm1")
 		g.finish("k", "vm1", call.Done, &call.Answer{Status: 201})
-		g.part.Apply(g.now, data)
+		g.stateMachine.Apply(g.now, data)
 		g.want("claim after an arbitrary command", g.claim("coop", "k", "vm2"), call.Claimed, call.Done)
 		_ = call.NewStateMachine(call.DefaultLimits()).Restore(data)
 	})
--- a/internal/call/idempotency.go
+++ b/internal/call/idempotency.go
@@ -41,10 +41,10 @@
 
 // Idempotent reports whether a call may be repeated. The first matching rule
 // decides; without one, RFC 9110 section 9.2.2 applies.
-func Idempotent(markings []IdempotencyRule, method, path string) bool {
-	for i := range markings {
-		if markings[i].matches(method, path) {
-			return markings[i].Idempotent
+func Idempotent(rules []IdempotencyRule, method, path string) bool {
+	for i := range rules {
+		if rules[i].matches(method, path) {
+			return rules[i].Idempotent
 		}
 	}
 	switch method {
--- a/internal/call/state_machine_test.go
+++ b/internal/call/state_machine_test.go
@@ -12,9 +12,9 @@
 const startMS = int64(1_800_000_000_000)
 
 type group struct {
-	t    *testing.T
-	part *call.StateMachine
-	now  int64
+	t            *testing.T
+	stateMachine *call.StateMachine
+	now          int64
 }
 
 func newGroup(t *testing.T, l call.Limits) *group {
@@ -22,13 +22,13 @@
 }
 
 func (g *group) claim(workspace, key, claimant string) call.Reply {
-	return g.part.Execute(g.now, &call.Command{Claim: &call.Claim{
+	return g.stateMachine.Execute(g.now, &call.Command{Claim: &call.Claim{
 		Ref: call.Ref{Workspace: workspace, Service: "dispatch", Key: key}, Claimant: claimant,
 	}})
 }
 
 func (g *group) finish(key, claimant string, s call.State, a *call.Answer) call.Reply {
-	return g.part.Execute(g.now, &call.Command{Finish: &call.Finish{
+	return g.stateMachine.Execute(g.now, &call.Command{Finish: &call.Finish{
 		Ref: call.Ref{Workspace: "coop", Service: "dispatch", Key: key}, Claimant: claimant, State: s, Answer: a,
 	}})
 }
@@ -37,7 +37,7 @@
 func (g *group) pass(d time.Duration) {
 	for end := g.now + d.Milliseconds(); g.now < end; {
 		g.now = min(end, g.now+50_000)
-		g.part.Execute(g.now, &call.Command{Lookup: &call.Lookup{}})
+		g.stateMachine.Execute(g.now, &call.Command{Lookup: &call.Lookup{}})
 	}
 }
 
@@ -59,27 +59,27 @@
 	g.pass(l.ClaimRetention - time.Minute)
 	g.want("kept", g.claim("coop", "k", "vm2"), call.Claimed, call.Done)
 	g.pass(2 * time.Minute)
-	snapshot, err := g.part.Snapshot()
+	snapshot, err := g.stateMachine.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.part = call.NewStateMachine(l)
-	if err := g.part.Restore(snapshot); err != nil {
+	g.stateMachine = call.NewStateMachine(l)
+	if err := g.stateMachine.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	g.want("expired", g.claim("coop", "k", "vm2"), call.KeyExpired, 0)
 	g.want("another workspace", g.claim("society", "k", "vm2"), call.Permitted, call.Granted)
 	g.pass(l.KeyRetention - l.ClaimRetention - 2*time.Minute)
 	g.want("a day later", g.claim("coop", "k", "vm3"), call.KeyExpired, 0)
-	again, err := g.part.Snapshot()
+	again, err := g.stateMachine.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.part = call.NewStateMachine(l)
-	if err := g.part.Restore(again); err != nil {
+	g.stateMachine = call.NewStateMachine(l)
+	if err := g.stateMachine.Restore(again); err != nil {
 		t.Fatal(err)
 	}
-	third, _ := g.part.Snapshot()
+	third, _ := g.stateMachine.Snapshot()
 	if !bytes.Equal(again, third) {
 		t.Error("the snapshot of a restored state machine differs from the one that it was restored from")
 	}
@@ -121,13 +121,13 @@
 	ref := call.Ref{Workspace: "coop", Service: "dispatch", Key: "k"}
 	g.claim("coop", "k", "vm1")
 	seal := func(gone bool) call.Reply {
-		return g.part.Execute(g.now, &call.Command{Seal: &call.Seal{Ref: ref, Claimant: "vm1", ClaimantGone: gone}})
+		return g.stateMachine.Execute(g.now, &call.Command{Seal: &call.Seal{Ref: ref, Claimant: "vm1", ClaimantGone: gone}})
 	}
 	g.want("too early", seal(false), call.Claimed, call.Granted)
 	g.want("own claim again", g.claim("coop", "k", "vm1"), call.Claimed, call.Granted)
 	g.now += l.SealAfter.Milliseconds()
 	g.want("seal", seal(false), call.Claimed, call.Unknown)
-	renew := g.part.Execute(g.now, &call.Command{Renew: &call.Renew{Ref: ref, Claimant: "vm1", Attempt: 1}})
+	renew := g.stateMachine.Execute(g.now, &call.Command{Renew: &call.Renew{Ref: ref, Claimant: "vm1", Attempt: 1}})
 	g.want("renew", renew, call.Claimed, call.Unknown)
 	g.want("late finish", g.finish("k", "vm1", call.Done, &call.Answer{Status: 201}), call.Claimed, call.Unknown)
 	g.want("late not-run", g.finish("k", "vm1", call.NotRun, nil), call.Claimed, call.Unknown)
@@ -163,13 +163,13 @@
 }
 
 func TestIdempotencyRules(t *testing.T) {
-	var ms []call.IdempotencyRule
+	var rules []call.IdempotencyRule
 	for _, s := range []string{"POST /search* idempotent", "PUT /counter once"} {
 		m, err := call.ParseIdempotencyRule(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ms = append(ms, m)
+		rules = append(rules, m)
 	}
 	for _, c := range []struct {
 		method, path string
@@ -184,7 +184,7 @@
 		{"PUT", "/counter/2", true},
 		{"CONNECT", "/jobs", false},
 	} {
-		if got := call.Idempotent(ms, c.method, c.path); got != c.want {
+		if got := call.Idempotent(rules, c.method, c.path); got != c.want {
 			t.Errorf("%s %s: got idempotent %v, want the opposite", c.method, c.path, got)
 		}
 	}
--- a/internal/generation/keeper.go
+++ b/internal/generation/keeper.go
@@ -47,8 +47,8 @@
 // refused.
 const epochsPerJournal = 4
 
-// recordBytes is the approximate memory use of an empty record.
-const recordBytes = 400
+// emptyRecordBytes is the approximate memory use of an empty record.
+const emptyRecordBytes = 400
 
 // tombstone keeps the epoch of a forgotten journal for a while. The keepers forget
 // a journal at different times: one may still hold it when a new answer with the
@@ -127,7 +127,7 @@
 }
 
 func (k *Keeper) resize(r *record) {
-	size := int64(recordBytes)
+	size := int64(emptyRecordBytes)
 	if r.request != nil {
 		size += int64(len(r.request.Prompt) + 4*len(r.request.PromptIDs))
 	}
--- a/internal/generation/model_test.go
+++ b/internal/generation/model_test.go
@@ -41,7 +41,7 @@
 	p           *process
 	epoch       Epoch
 	requestedAt time.Time
-	groups      []KeeperSet
+	sets        []KeeperSet
 	replies     *Replies
 	owner       *Owner
 }
@@ -132,14 +132,14 @@
 // requestPromises asks every keeper of every retained set for a promise.
 func (c *modelCluster) requestPromises(h *modelRouter) {
 	views := c.knownViews(h.p)
-	h.groups = KeeperSets(journalID, views)
-	h.replies = NewReplies(h.groups, views[0])
+	h.sets = KeeperSets(journalID, views)
+	h.replies = NewReplies(h.sets, views[0])
 	h.requestedAt = c.now
 	h.p.round++
 	h.epoch = Epoch{Version: views[0].Version, Round: h.p.round, VM: h.p.VM + "#" + h.p.Incarnation}
 	asked := map[KeeperID]bool{}
 	replies, epoch := h.replies, h.epoch
-	for _, g := range h.groups {
+	for _, g := range h.sets {
 		for _, k := range g.Keepers {
 			if asked[k] {
 				continue
@@ -171,7 +171,7 @@
 	h.replies = nil
 	best, _ := replies.Best()
 	if h.owner != nil {
-		if h.owner.MoveTo(h.epoch, h.groups[0], replies) != nil {
+		if h.owner.MoveTo(h.epoch, h.sets[0], replies) != nil {
 			return
 		}
 		best.Journal = *h.owner.Journal()
@@ -180,7 +180,7 @@
 		c.t.Fatalf("epoch %v: journal found has tokens %v, want prefix %v, which was released", h.epoch, best.Journal.Tokens, c.released)
 	}
 	if h.owner == nil {
-		h.owner = NewOwner(Request{ID: journalID}, h.epoch, h.groups[0], replies, best.Journal)
+		h.owner = NewOwner(Request{ID: journalID}, h.epoch, h.sets[0], replies, best.Journal)
 	}
 }
 
--- a/internal/generation/owner_test.go
+++ b/internal/generation/owner_test.go
@@ -11,17 +11,17 @@
 
 // threeKeepers holds the keepers a, b and c of one journal.
 type threeKeepers struct {
-	t       *testing.T
-	keepers map[string]*Keeper
-	group   KeeperSet
-	now     time.Time
+	t         *testing.T
+	keepers   map[string]*Keeper
+	keeperSet KeeperSet
+	now       time.Time
 }
 
 func newThreeKeepers(t *testing.T) *threeKeepers {
-	tr := &threeKeepers{t: t, keepers: map[string]*Keeper{}, group: KeeperSet{NewestVersion: 1}, now: time.Unix(0, 0)}
+	tr := &threeKeepers{t: t, keepers: map[string]*Keeper{}, keeperSet: KeeperSet{NewestVersion: 1}, now: time.Unix(0, 0)}
 	for _, vm := range []string{"a", "b", "c"} {
 		tr.keepers[vm] = NewKeeper("1", testLimits)
-		tr.group.Keepers = append(tr.group.Keepers, KeeperID{vm, "1"})
+		tr.keeperSet.Keepers = append(tr.keeperSet.Keepers, KeeperID{vm, "1"})
 	}
 	return tr
 }
@@ -29,7 +29,7 @@
 func (tr *threeKeepers) open(round uint64, vms ...string) *Owner {
 	tr.t.Helper()
 	epoch := Epoch{Version: 1, Round: round, VM: fmt.Sprint("owner", round)}
-	replies := NewReplies([]KeeperSet{tr.group}, Membership{})
+	replies := NewReplies([]KeeperSet{tr.keeperSet}, Membership{})
 	for _, vm := range vms {
 		replies.Add(KeeperID{vm, "1"}, tr.keepers[vm].Promise(Promise{ID: journalID, Epoch: epoch, Incarnation: "1"}, tr.now))
 	}
@@ -37,7 +37,7 @@
 		tr.t.Fatalf("round %d: promises are not ready, want a majority", round)
 	}
 	best, _ := replies.Best()
-	return NewOwner(Request{ID: journalID}, epoch, tr.group, replies, best.Journal)
+	return NewOwner(Request{ID: journalID}, epoch, tr.keeperSet, replies, best.Journal)
 }
 
 func (tr *threeKeepers) write(o *Owner, vms ...string) error {
@@ -191,12 +191,12 @@
 	first := Place(journalID, vms)
 	after := Membership{Version: 2, Candidates: without(vms, first[0], first[1])}
 	last := Membership{Version: 3, Candidates: without(after.Candidates, first[2])}
-	groups := KeeperSets(journalID, []Membership{last, after, before})
-	if len(groups) != 3 {
-		t.Fatalf("got %d distinct sets, want 3", len(groups))
+	sets := KeeperSets(journalID, []Membership{last, after, before})
+	if len(sets) != 3 {
+		t.Fatalf("got %d distinct sets, want 3", len(sets))
 	}
 	found := PromiseReply{OK: true, Found: true, Accepted: Epoch{Version: 2, Round: 1, VM: "o"}}
-	repaired, lost := NewReplies(groups, last), NewReplies(groups, last)
+	repaired, lost := NewReplies(sets, last), NewReplies(sets, last)
 	for _, m := range last.Candidates {
 		lost.Add(m.id(), PromiseReply{OK: true})
 		repaired.Add(m.id(), found)
--- a/internal/service/dispatch.go
+++ b/internal/service/dispatch.go
@@ -98,13 +98,13 @@
 type Dispatcher struct {
 	Config
 	Deps
-	picker *picker
-	budget *retryBudget
+	picker      *picker
+	retryBudget *retryBudget
 }
 
 // NewDispatcher returns a Dispatcher.
 func NewDispatcher(c Config, d Deps) *Dispatcher {
-	return &Dispatcher{Config: c, Deps: d, picker: newPicker(c.Zone), budget: newRetryBudget()}
+	return &Dispatcher{Config: c, Deps: d, picker: newPicker(c.Zone), retryBudget: newRetryBudget()}
 }
 
 // Idempotent reports whether a call may be repeated.
@@ -121,11 +121,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d.budget.addCall()
+	d.retryBudget.addCall()
 	var answer *call.Answer
 	err = result.New(result.NoBackendServer).WithRetryAfter(retryAfter)
 	for i, b := range d.picker.order(d.Backends.Service(c.Service), time.Now()) {
-		if i > 0 && !d.budget.takeRetry() {
+		if i > 0 && !d.retryBudget.takeRetry() {
 			d.Metrics.Add("service_retries_refused", 1)
 			break
 		}
