--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -152,10 +152,10 @@
 
 // startFleet registers the orders' state and follows what engines serve.
 func (n *Node) startFleet() {
-	n.machine.Register(control.PartFleet, fleet.NewPart())
+	n.machine.Register(control.FleetStateMachine, fleet.NewPart())
 	n.backends = &backends{configured: n.s.Backends, platform: n.members.platform, log: n.log}
 	n.backends.index(n.s.Backends)
-	n.feed.OnChange(control.PartFleet, n.backends.take)
+	n.feed.OnChange(control.FleetStateMachine, n.backends.take)
 }
 
 // runFleet keeps routing up to date and, on the group's leader, gives orders.
@@ -173,7 +173,7 @@
 }
 
 func (n *Node) ordersUnderWay() (out []fleet.Order) {
-	n.machine.Read(control.PartFleet, func(p control.Part) {
+	n.machine.Read(control.FleetStateMachine, func(p control.StateMachine) {
 		if part, ok := p.(*fleet.Part); ok {
 			out = part.Orders()
 		}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -217,8 +217,8 @@
 // followMembers registers the list with the control group's state and follows
 // it, once the control parts are made.
 func (n *Node) followMembers() {
-	n.machine.Register(control.PartMembers, membership.NewPart())
-	n.feed.OnChange(control.PartMembers, n.members.take)
+	n.machine.Register(control.MembersStateMachine, membership.NewPart())
+	n.feed.OnChange(control.MembersStateMachine, n.members.take)
 	n.metrics.Set("members", expvar.Func(func() any { return n.members.status() }))
 }
 
@@ -287,7 +287,7 @@
 func (n *Node) proposeMember(ctx context.Context, cmd *membership.Command) (membership.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	return control.Propose[membership.Reply](ctx, n.control, control.PartMembers, cmd)
+	return control.Propose[membership.Reply](ctx, n.control, control.MembersStateMachine, cmd)
 }
 
 // leaveMembers tells the others that this VM is leaving or, at the end, has left.
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -30,7 +30,7 @@
 // startServices registers the claims with the control group's state and makes
 // the dispatcher of calls.
 func (n *Node) startServices() {
-	n.machine.Register(control.PartCalls, call.NewStateMachine(call.DefaultLimits()))
+	n.machine.Register(control.CallsStateMachine, call.NewStateMachine(call.DefaultLimits()))
 	n.services = service.NewDispatcher(
 		service.Config{
 			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, IdempotencyRules: markings(n.s.Backends),
--- a/internal/relay/open.go
+++ b/internal/relay/open.go
@@ -85,7 +85,7 @@
 		last := o.h.round.Load()
 		next := max(last, seen.Round) + 1
 		if o.h.round.CompareAndSwap(last, next) {
-			return generation.Epoch{Version: o.newest.Version, Round: next, VM: o.h.cfg.Epoch}
+			return generation.Epoch{Version: o.newest.Version, Round: next, VM: o.h.cfg.EpochVM}
 		}
 	}
 }
--- a/internal/relay/system_test.go
+++ b/internal/relay/system_test.go
@@ -90,7 +90,7 @@
 	limits := generation.DefaultLimits(callerKeep)
 	limits.MaxJournals = fullAt
 	h := relay.NewHub(relay.Config{
-		VM: c.VM, Epoch: c.VM + "#" + c.Incarnation, Incarnation: c.Incarnation, OpenTimeout: 4 * time.Second,
+		VM: c.VM, EpochVM: c.VM + "#" + c.Incarnation, Incarnation: c.Incarnation, OpenTimeout: 4 * time.Second,
 		SilenceLimit: time.Second, CallerKeep: callerKeep, DetachKeep: 6 * time.Second,
 		Limits: limits,
 	}, relay.Deps{
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -24,10 +24,10 @@
 
 // membership is one opening of the group's log with the state read from it.
 type membership struct {
-	machine *control.Machine
+	machine *control.ReplicatedState
 	part    *routes.StateMachine
 	group   *control.Group
-	client  *control.Remote
+	client  *control.RemoteClient
 
 	rollouts *rollout.StateMachine
 }
@@ -55,12 +55,12 @@
 
 // openMember returns how c opens its member.
 func (c *Control) openMember(failed func(error)) (*membership, error) {
-	s := &membership{machine: control.NewMachine(), part: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
-	s.machine.Register(control.PartRoutes, s.part)
-	s.machine.Register(control.PartRollouts, s.rollouts)
+	s := &membership{machine: control.NewReplicatedState(), part: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
+	s.machine.Register(control.RoutesStateMachine, s.part)
+	s.machine.Register(control.RolloutsStateMachine, s.rollouts)
 	s.group = control.NewGroup(control.GroupOptions{
-		VM: c.o.ID, Voters: c.o.Seeds, Known: c.member.Controls, JoinOnly: !c.o.FirstStart, Target: c.o.Voters,
-		Dir: filepath.Join(c.o.Dir, "control"), Transport: c.network, Values: c.values, Machine: s.machine, Lease: Lease, Log: c.o.Log, Failed: failed,
+		VM: c.o.ID, Voters: c.o.Seeds, KnownVMs: c.member.Controls, JoinOnly: !c.o.FirstStart, TargetVoters: c.o.Voters,
+		Dir: filepath.Join(c.o.Dir, "control"), Transport: c.network, Values: c.values, State: s.machine, Lease: Lease, Log: c.o.Log, OnFailure: failed,
 	})
 	s.client = control.NewGroupClient(s.group)
 	return s, s.group.Start()
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -61,8 +61,8 @@
 	r.feed = control.NewFeed(control.FeedOptions{
 		Self: o.ID, Voters: r.member.Controls, Transport: r.network, Lease: Lease, Log: o.Log,
 	})
-	r.feed.OnChange(control.PartRoutes, r.take)
-	r.feed.OnChange(control.PartRollouts, r.takeRollouts)
+	r.feed.OnChange(control.RoutesStateMachine, r.take)
+	r.feed.OnChange(control.RolloutsStateMachine, r.takeRollouts)
 	r.handler = forward.NewHandler(forward.Options{
 		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.prepared,
 		RetryAllowance: o.Allowance, Log: o.Log, RoutineLog: o.Ordinary, Metrics: o.Metrics, SuspectContents: r.blame, Closing: r.drain.started,
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -132,23 +132,23 @@
 
 func (s staticBackends) Service(string) []service.Backend { return s }
 
-func newDispatchers(state *control.Machine, n int, backends service.Backends) []*service.Dispatcher {
+func newDispatchers(state *control.ReplicatedState, n int, backends service.Backends) []*service.Dispatcher {
 	sender := service.NewClient()
 	var out []*service.Dispatcher
 	for i := range n {
 		out = append(out, service.NewDispatcher(
 			service.Config{VM: fmt.Sprintf("vm%d", i+1), Incarnation: "i1"},
 			service.Deps{
-				Control: control.NewSolo(state), Sender: sender, Backends: backends,
+				Control: control.NewLocalClient(state), Sender: sender, Backends: backends,
 				Explain: explain.NewRing(64), Metrics: new(expvar.Map).Init(), Log: zerolog.Nop(),
 			}))
 	}
 	return out
 }
 
-func newState() *control.Machine {
-	m := control.NewMachine()
-	m.Register(control.PartCalls, call.NewStateMachine(call.DefaultLimits()))
+func newState() *control.ReplicatedState {
+	m := control.NewReplicatedState()
+	m.Register(control.CallsStateMachine, call.NewStateMachine(call.DefaultLimits()))
 	return m
 }
 
--- a/internal/service/dispatch.go
+++ b/internal/service/dispatch.go
@@ -212,7 +212,7 @@
 func (d *Dispatcher) propose(ctx context.Context, limit time.Duration, cmd *call.Command) (call.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	return control.Propose[call.Reply](ctx, d.Control, control.PartCalls, cmd)
+	return control.Propose[call.Reply](ctx, d.Control, control.CallsStateMachine, cmd)
 }
 
 // target is a backend server with an open connection.
