--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -8,31 +8,31 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func benchOwner(b *testing.B) (*Owner, []*Keeper, Group) {
+func benchOwner(b *testing.B) (*Owner, []*Keeper, KeeperSet) {
 	b.Helper()
-	group := Group{Newest: 1}
+	group := KeeperSet{NewestVersion: 1}
 	replies := NewReplies(nil, Membership{})
 	epoch := Epoch{Version: 1, Round: 1, VM: "vm1#abcdefgh"}
 	var keepers []*Keeper
 	for _, vm := range []string{"vm1", "vm2", "vm3", "vm4", "vm5"} {
 		id := KeeperID{vm, "life"}
 		k := NewKeeper(id.Incarnation, DefaultLimits(time.Minute))
-		replies.Add(id, k.Promise(Promise{ID: machineID, Epoch: epoch, To: id.Incarnation}, time.Time{}))
+		replies.Add(id, k.Promise(Promise{ID: journalID, Epoch: epoch, Incarnation: id.Incarnation}, time.Time{}))
 		group.Keepers = append(group.Keepers, id)
 		keepers = append(keepers, k)
 	}
-	return NewOwner(Request{ID: machineID, Prompt: "unit 7 log"}, epoch, group, replies, Journal{}), keepers, group
+	return NewOwner(Request{ID: journalID, Prompt: "unit 7 log"}, epoch, group, replies, Journal{}), keepers, group
 }
 
-// One token from the engine to its release: appended by the owner, written to
-// five keepers one by one, acknowledged by all.
+// BenchmarkAppendAndReplicate measures one token from the engine to its release:
+// the owner appends it, writes it to five keepers one by one, and all acknowledge.
 func BenchmarkAppendAndReplicate(b *testing.B) {
 	const length = 4096
 	now := time.Time{}
 	b.ReportAllocs()
 	var o *Owner
 	var keepers []*Keeper
-	var group Group
+	var group KeeperSet
 	var attempt AttemptID
 	tokens, texts := []int32{7}, []string{" t7"}
 	for i := range b.N {
@@ -44,25 +44,25 @@
 			b.Fatal(err)
 		}
 		for k, id := range group.Keepers {
-			w, _ := o.Next(id.VM, 512)
+			w, _ := o.NextWrite(id.VM, 512)
 			if err := o.Ack(id.VM, keepers[k].Write(w, now)); err != nil {
 				b.Fatal(err)
 			}
 		}
 		if o.Released() != i%length+1 {
-			b.Fatal("not released")
+			b.Fatal("an acknowledged token is not released")
 		}
 	}
 }
 
-// A batch of 64 journals with one token each, as it goes to one keeper: encoded
-// and decoded. The figure is per token.
+// BenchmarkBatchCodec encodes and decodes a batch of writes to one keeper: 64
+// journals with one token each. The result is per token.
 func BenchmarkBatchCodec(b *testing.B) {
 	const journals = 64
 	var batch []Write
 	for range journals {
 		batch = append(batch, Write{
-			ID: RequestID{"coop", "5f0c4e7a-diag"}, Epoch: Epoch{3, 17, "vm1#abcdefgh"}, To: "abcdefgh",
+			ID: RequestID{"coop", "5f0c4e7a-diag"}, Epoch: Epoch{3, 17, "vm1#abcdefgh"}, Incarnation: "abcdefgh",
 			Span: Span{From: 512, Tokens: []int32{70123}, Texts: []string{" boiler"}},
 		})
 	}
@@ -82,7 +82,7 @@
 	b.ReportMetric(float64(bytes)/journals, "wire-B/token")
 }
 
-// The keepers of one journal among 330 VMs in five zones.
+// BenchmarkPlace measures the placement of one journal among 330 VMs in five zones.
 func BenchmarkPlace(b *testing.B) {
 	var vms []Candidate
 	for i := range 330 {
@@ -90,8 +90,8 @@
 	}
 	b.ReportAllocs()
 	for range b.N {
-		if len(Place(machineID, vms)) != KeepersMany {
-			b.Fatal("too few")
+		if len(Place(journalID, vms)) != MaxKeepers {
+			b.Fatal("placement returned too few or too many keepers")
 		}
 	}
 }
