--- a/internal/routed/control.go
+++ b/internal/routed/control.go
@@ -20,33 +20,33 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal"
 )
 
-// Operable is what serves operators, and callers who ask where to connect: a Control,
-// or an Observer where the VM has no disk.
+// ControlProcess serves operators, and tells callers which routers they may use. It is
+// a Control, or an Observer on a VM without a disk.
 type Operable interface {
 	Process
-	// PutRoutes puts a list that has been validated in force. An error with code
-	// ControlUnavail is a promise that nothing changed.
+	// PutRoutes puts a validated list in force. An error with code ControlUnavail
+	// guarantees that nothing has changed.
 	PutRoutes(ctx context.Context, l *routes.List) (routes.Reply, error)
-	// Routes returns the operator's text of the newest list, confirmed by a majority
-	// of the group. nil: there is none yet.
+	// Routes returns the text of the newest list as the operator sent it, confirmed by
+	// a majority of the group. It is nil while there is no list.
 	Routes(ctx context.Context) ([]byte, error)
-	// PutRollout orders a roll-out that is in the log once it returns. The same order again
-	// is acknowledged again.
+	// PutRollout orders a roll-out, and returns once the order is committed to the
+	// log. A repeated order is acknowledged again.
 	PutRollout(ctx context.Context, o rollout.Order) (rollout.Record, error)
 	// Rollout returns the newest roll-out of a service, confirmed by a majority of the group.
 	Rollout(ctx context.Context, service string) (rollout.Record, error)
-	// Entrances are the addresses of routers that callers may use, at most limit.
+	// Endpoints returns the addresses of routers that callers may use, at most limit.
 	Entrances(limit int) []string
-	// Failure carries the fault that ends the process, if one comes.
+	// Failure delivers the fault that ends the process. It may be nil.
 	Failure() <-chan error
-	// Close ends everything at once.
+	// Close stops the process at once, without draining.
 	Close()
 }
 
 var _, _ Operable = (*Control)(nil), (*Observer)(nil)
 
-// StartOperable starts a Control where there is a data folder, and an Observer where
-// there is none.
+// StartControlProcess starts a Control if the options name a data folder, and an
+// Observer if they do not.
 func StartOperable(o ControlOptions) (Operable, error) {
 	if o.Dir == "" {
 		return StartObserver(o.Common)
@@ -54,21 +54,21 @@
 	return StartControl(o)
 }
 
-// Control is a process of the control group.
+// Control is a control process that is a member of the control group.
 type Control struct {
-	o       ControlOptions
-	network *peer.Network
-	members *members
-	member  *cluster.Member
-	hub     *cluster.Hub
-	held    *cluster.ListReplica
-	values  *bulk.Store // what other VMs fetch here
-	text    sharedText
-	peers   *http.Server
-	failure chan error
-	ctx     context.Context
-	cancel  context.CancelFunc
-	work    sync.WaitGroup
+	o               ControlOptions
+	network         *peer.Network
+	memberRunner    *memberRunner
+	member          *cluster.Member
+	hub             *cluster.Hub
+	backendList     *cluster.ListReplica
+	values          *bulk.Store // values that other VMs fetch from this one
+	routeListServer routeListServer
+	peerServer      *http.Server
+	failure         chan error
+	ctx             context.Context
+	cancel          context.CancelFunc
+	wg              sync.WaitGroup
 }
 
 // StartControl opens the data folder, binds the peer address and joins or forms
@@ -80,23 +80,23 @@
 	c := &Control{o: o, failure: make(chan error, 1), values: bulk.NewStore()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.network = newNetwork(&o.Common)
-	c.held = cluster.NewListReplica(func(l upstream.List) { c.hub.SetBackends(l) })
-	c.member = cluster.NewMember(o.ID, c.network, o.Seeds, c.held, cluster.Local{Zone: o.Zone, Control: true}, o.Log)
-	c.hub = cluster.NewHub(c.network, c.held, c.controls, o.Log)
-	c.text.values = c.values
+	c.backendList = cluster.NewListReplica(func(l upstream.List) { c.hub.SetBackends(l) })
+	c.member = cluster.NewMember(o.ID, c.network, o.Seeds, c.backendList, cluster.Local{Zone: o.Zone, Control: true}, o.Log)
+	c.hub = cluster.NewHub(c.network, c.backendList, c.controlVMs, o.Log)
+	c.routeListServer.values = c.values
 	c.network.Handle(peer.KindPiece, c.values.Serve)
-	c.network.Handle(peer.KindRoutes, func(ctx context.Context, _ string, _ []byte) (any, error) { return c.serveText(ctx) })
+	c.network.Handle(peer.KindRoutes, func(ctx context.Context, _ string, _ []byte) (any, error) { return c.serveRouteList(ctx) })
 	c.network.Handle(peer.KindRollout, func(ctx context.Context, _ string, body []byte) (any, error) { return c.serveRollout(ctx, body) })
-	c.members = &members{open: c.openMember}
-	c.gauges()
+	c.memberRunner = &memberRunner{open: c.openMember}
+	c.registerGauges()
 	var err error
-	if c.peers, err = listenPeers(c.network, &o.Common); err != nil {
+	if c.peerServer, err = listenPeers(c.network, &o.Common); err != nil {
 		c.cancel()
 		return nil, err
 	}
 	c.hub.LoadRuns(wal.OS{}, o.Dir)
-	c.work.Go(c.runMember)
-	c.work.Go(func() { c.hub.RunSaver(c.ctx, wal.OS{}, o.Dir) })
+	c.wg.Go(c.runMember)
+	c.wg.Go(func() { c.hub.RunSaver(c.ctx, wal.OS{}, o.Dir) })
 	go c.member.Run(c.ctx)
 	go c.hub.Run(c.ctx)
 	go c.readBackends()
@@ -104,8 +104,8 @@
 	return c, nil
 }
 
-// gauges registers what is read when the metrics are.
-func (c *Control) gauges() {
+// registerGauges registers the metrics that are computed when they are read.
+func (c *Control) registerGauges() {
 	set := c.o.Metrics
 	set.NewGauge("shelf_control_leads", func() float64 {
 		if c.Leads() {
@@ -125,16 +125,16 @@
 	set.NewGauge("shelf_streams_refused_total", func() float64 { return float64(c.hub.Totals().Refused) })
 	set.NewGauge("shelf_ready_routers", func() float64 { return float64(len(c.hub.Endpoints(maxRouters))) })
 	set.NewGauge("shelf_backend_list_age_seconds", func() float64 {
-		_, _, age, _ := c.held.Current()
+		_, _, age, _ := c.backendList.Current()
 		return age.Seconds()
 	})
 }
 
-// maxRouters is more than any deployment has.
+// maxRouters exceeds the number of routers of any deployment.
 const maxRouters = 1 << 16
 
 func (c *Control) runMember() {
-	err := c.members.run(c.ctx, func(err error) {
+	err := c.memberRunner.run(c.ctx, func(err error) {
 		c.o.Log.Error().Err(err).Msg("member of the control group failed; it is opened again")
 	})
 	if err != nil {
@@ -142,25 +142,25 @@
 	}
 }
 
-// group is the member's present opening, or nil.
+// group returns the group of the member's current session, or nil.
 func (c *Control) group() *control.Group {
-	if s := c.members.current(); s != nil {
+	if s := c.memberRunner.current(); s != nil {
 		return s.group
 	}
 	return nil
 }
 
-// Leads reports whether this process leads the group, as far as it knows.
+// IsLeader reports whether this process leads the group, as far as it knows.
 func (c *Control) Leads() bool {
 	g := c.group()
 	return g != nil && g.IsLeader()
 }
 
-// Failure carries the fault that ends this process, if one comes.
+// Failure implements ControlProcess.
 func (c *Control) Failure() <-chan error { return c.failure }
 
-// controls are the voters, and this VM, which answers as one.
-func (c *Control) controls() []string {
+// controlVMs returns the voters and this VM, which answers routers like a voter.
+func (c *Control) controlVMs() []string {
 	out := []string{c.o.ID}
 	if g := c.group(); g != nil {
 		if st, ok := g.Status(); ok {
@@ -173,24 +173,24 @@
 	return slices.Compact(out)
 }
 
-// SetSeeds takes other control addresses.
+// SetSeeds replaces the control addresses.
 func (c *Control) SetSeeds(seeds []string) { c.member.SetSeeds(seeds) }
 
-// Entrances are the addresses of routers that callers may use, at most limit.
+// Endpoints implements ControlProcess.
 func (c *Control) Entrances(limit int) []string { return c.hub.Endpoints(limit) }
 
-// PutRoutes implements Operable.
+// PutRoutes implements ControlProcess.
 func (c *Control) PutRoutes(ctx context.Context, l *routes.List) (routes.Reply, error) {
-	s := c.members.current()
+	s := c.memberRunner.current()
 	if s == nil {
 		return routes.Reply{}, result.New(result.ControlUnavail)
 	}
-	return propose(ctx, s.client, l, c.o.Log)
+	return proposeRoutes(ctx, s.client, l, c.o.Log)
 }
 
-// propose puts a list in force through a client of the group. An operator without an
-// answer sends the list to several VMs: it is the same command from each.
-func propose(ctx context.Context, client *control.Remote, l *routes.List, log zerolog.Logger) (routes.Reply, error) {
+// proposeRoutes puts a list in force through a client of the group. An operator that
+// gets no answer sends the list to several VMs, and the group deduplicates the command.
+func proposeRoutes(ctx context.Context, client *control.Remote, l *routes.List, log zerolog.Logger) (routes.Reply, error) {
 	reply, err := control.ProposeSame[routes.Reply](ctx, client, control.PartRoutes, l)
 	log.Info().Uint64("version", l.Version).Int("outcome", int(reply.Outcome)).
 		Uint64("in_force", reply.Version).AnErr("error", err).Msg("route list proposed")
@@ -205,9 +205,9 @@
 	return reply, nil
 }
 
-// Routes implements Operable.
+// Routes implements ControlProcess.
 func (c *Control) Routes(ctx context.Context) ([]byte, error) {
-	s := c.members.current()
+	s := c.memberRunner.current()
 	if s == nil {
 		return nil, result.New(result.ControlUnavail)
 	}
@@ -215,20 +215,20 @@
 		return nil, err
 	}
 	var source []byte
-	s.machine.Read(control.PartRoutes, func(control.Part) { source = s.part.List().Source })
+	s.machine.Read(control.PartRoutes, func(control.Part) { source = s.routes.List().Source })
 	return source, nil
 }
 
-// serveText tells another control VM which text is in force.
-func (c *Control) serveText(ctx context.Context) (any, error) {
+// serveRouteList answers another control VM with the text in force.
+func (c *Control) serveRouteList(ctx context.Context) (any, error) {
 	text, err := c.Routes(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return c.text.answer(text)
+	return c.routeListServer.answer(text)
 }
 
-// Shutdown hands the leadership over and ends.
+// Shutdown transfers the leadership to another voter and stops the process.
 func (c *Control) Shutdown() {
 	if g := c.group(); g != nil {
 		g.HandOver(c.ctx)
@@ -236,28 +236,29 @@
 	c.Close()
 }
 
-// Close ends everything at once.
+// Close implements ControlProcess.
 func (c *Control) Close() {
 	c.cancel()
-	_ = c.peers.Close()
-	c.work.Wait()
+	_ = c.peerServer.Close()
+	c.wg.Wait()
 	if g := c.group(); g != nil {
 		g.Close()
 	}
 	c.network.Close()
 }
 
-// Timings of the reader of backend servers.
+// Timings of reading the list of backend servers.
 const (
-	readLook = 100 * time.Millisecond
-	// readTimeout bounds one reading of all pages, which may have to wait for the
-	// platform's rate.
+	readCheckInterval = 100 * time.Millisecond
+	// readTimeout bounds one read of all pages, which may have to wait for the
+	// platform's rate limit.
 	readTimeout = 4 * time.Second
 )
 
-// readBackends reads the list on one control VM at a time.
+// readBackends reads the list of backend servers whenever the schedule is due. The
+// schedule makes one control VM read at a time.
 func (c *Control) readBackends() {
-	tick := time.NewTicker(readLook)
+	tick := time.NewTicker(readCheckInterval)
 	defer tick.Stop()
 	began := time.Now()
 	var last time.Time
@@ -269,10 +270,10 @@
 		case <-c.ctx.Done():
 			return
 		}
-		leader = c.noteLeader(leader)
-		rows, _, age, ok := c.held.Current()
+		leader = c.logLeaderChange(leader)
+		rows, _, age, ok := c.backendList.Current()
 		r := cluster.ReadSchedule{
-			Leader: c.Leads(), Rank: slices.Index(c.controls(), c.o.ID), HasList: ok, Rows: len(rows), Age: age,
+			Leader: c.Leads(), Rank: slices.Index(c.controlVMs(), c.o.ID), HasList: ok, Rows: len(rows), Age: age,
 			Uptime: time.Since(began), SinceLastRead: time.Since(last), LastReadDuration: took,
 		}
 		if r.Due() {
@@ -283,8 +284,9 @@
 	}
 }
 
-// noteLeader logs a change of the group's leader as this VM knows it.
-func (c *Control) noteLeader(before string) string {
+// logLeaderChange logs a change of the leader that this VM knows, and returns the
+// current one.
+func (c *Control) logLeaderChange(before string) string {
 	now := ""
 	if g := c.group(); g != nil {
 		if st, ok := g.Status(); ok {
@@ -303,8 +305,8 @@
 	began := time.Now()
 	rows, err := c.o.ReadBackends(ctx)
 	if err != nil {
-		c.o.Log.Warn().Err(err).Dur("took", time.Since(began)).Msg("list of backend servers not read")
+		c.o.Log.Warn().Err(err).Dur("took", time.Since(began)).Msg("list of backend servers could not be read; keeping the previous list")
 		return
 	}
-	c.held.Update(rows, time.Since(began))
+	c.backendList.Update(rows, time.Since(began))
 }
--- a/internal/routed/drain.go
+++ b/internal/routed/drain.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// Figures of a planned end, of a process that is killed when its grace is over.
+// Constants of a planned shutdown. The process is killed when its grace period ends.
 const (
-	// streamShare of the grace is for new streams of which it is not known how long they
-	// last: callers keep entry answers for some seconds. One that is cut goes on elsewhere
-	// from its copy, if its caller comes back; one that is refused runs there whole.
-	streamShare = 0.3
-	// callShare is the same for calls, which last a second at most.
-	callShare = 0.7
-	// endMargin is what is left of the grace when the last answers are cut: the
-	// process ends by itself and says so.
-	endMargin = 400 * time.Millisecond
-	// drainLook is how often it is looked whether anything still runs.
-	drainLook = 50 * time.Millisecond
+	// streamAdmissionShare is the fraction of the grace period during which new streams
+	// of unknown length are admitted, since callers keep entry answers for some seconds.
+	// A stream that is cut off resumes elsewhere from its backup copy, if its caller
+	// reconnects. A stream that is refused runs completely elsewhere.
+	streamAdmissionShare = 0.3
+	// callAdmissionShare is the same for calls, which take a second at most.
+	callAdmissionShare = 0.7
+	// closeMargin is the time left of the grace period when the last answers are cut
+	// off. The process exits by itself and logs it.
+	closeMargin = 400 * time.Millisecond
+	// drainCheckInterval is how often the router checks whether requests still run.
+	drainCheckInterval = 50 * time.Millisecond
 )
 
-// drain is a router's planned end. Safe for concurrent use.
+// drain tracks a router's planned shutdown. It is safe for concurrent use.
 type drain struct {
-	times DrainTimes
-	mu    sync.Mutex
-	begun time.Time
-	open  int       // requests under way
-	last  time.Time // when the last one came or ended
+	times        DrainTimes
+	mu           sync.Mutex
+	startedAt    time.Time
+	inFlight     int       // requests being served
+	lastActivity time.Time // when a request last arrived or ended
 }
 
 func newDrain(t DrainTimes) *drain { return &drain{times: t} }
@@ -35,49 +36,49 @@
 func (d *drain) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.begun.IsZero() {
-		d.begun, d.last = time.Now(), time.Now()
+	if d.startedAt.IsZero() {
+		d.startedAt, d.lastActivity = time.Now(), time.Now()
 	}
 }
 
 func (d *drain) started() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.begun.IsZero()
+	return !d.startedAt.IsZero()
 }
 
-// tooLate reports whether a request that comes now could not be finished. takes is how
-// long it is expected to last; 0: not known.
-func (d *drain) tooLate(stream bool, takes time.Duration) bool {
+// cannotFinish reports whether a request that arrives now could not finish within the
+// grace period. takes is its expected duration, or 0 if that is unknown.
+func (d *drain) cannotFinish(stream bool, takes time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.begun.IsZero() {
+	if d.startedAt.IsZero() {
 		return false
 	}
-	share := callShare
+	share := callAdmissionShare
 	if stream {
-		share = streamShare
+		share = streamAdmissionShare
 	}
-	elapsed := time.Since(d.begun)
-	return elapsed > time.Duration(share*float64(d.times.Grace)) || elapsed+takes > d.times.Grace-endMargin
+	elapsed := time.Since(d.startedAt)
+	return elapsed > time.Duration(share*float64(d.times.Grace)) || elapsed+takes > d.times.Grace-closeMargin
 }
 
 func (d *drain) enter() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.open++
-	d.last = time.Now()
+	d.inFlight++
+	d.lastActivity = time.Now()
 }
 
 func (d *drain) leave() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.open--
-	d.last = time.Now()
+	d.inFlight--
+	d.lastActivity = time.Now()
 }
 
-// wrap counts the requests of a handler.
-func (d *drain) wrap(next http.Handler) http.Handler {
+// countRequests counts the requests that next is serving.
+func (d *drain) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.enter()
 		defer d.leave()
@@ -85,19 +86,20 @@
 	})
 }
 
-// wait returns once nothing runs and no caller has come for as long as entry
-// answers are kept, or when the grace is nearly over.
+// wait returns when the drain is complete: the entry answers that name this router have
+// expired, no request runs and none has ended or arrived for half an entry TTL. It
+// returns at the latest when only closeMargin of the grace period is left.
 func (d *drain) wait() {
-	for !d.over() {
-		time.Sleep(drainLook)
+	for !d.complete() {
+		time.Sleep(drainCheckInterval)
 	}
 }
 
-func (d *drain) over() bool {
+func (d *drain) complete() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if time.Since(d.begun) >= d.times.Grace-endMargin {
+	if time.Since(d.startedAt) >= d.times.Grace-closeMargin {
 		return true
 	}
-	return d.open == 0 && time.Since(d.begun) >= d.times.EntryTTL && time.Since(d.last) >= d.times.EntryTTL/2
+	return d.inFlight == 0 && time.Since(d.startedAt) >= d.times.EntryTTL && time.Since(d.lastActivity) >= d.times.EntryTTL/2
 }
--- a/internal/routed/drain_test.go
+++ b/internal/routed/drain_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// testGrace is a usual grace of a process.
+// testGrace is a typical grace period.
 var testGrace = DrainTimes{Grace: 8 * time.Second, EntryTTL: 2 * time.Second}
 
-// slow answers after a time.
-func slow(d time.Duration) http.Handler {
+// delayedHandler answers after d.
+func delayedHandler(d time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(d)
 		w.WriteHeader(http.StatusOK)
@@ -25,14 +25,13 @@
 	return w.Code
 }
 
-// Callers who still hold this VM's address are served, and long answers finish.
-// In order: an answer is under way when the end begins; another caller comes a
-// second later; the process ends once both have their answers and no entry answer
-// names it any more.
+// Guards against a shutdown that cuts off answers. One answer is under way when the
+// shutdown begins. Another caller, which still holds this VM's address, arrives a second
+// later. The process must end once both have their answers and no entry answer names it.
 func TestDrainFinishesWhatRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
-		h := d.wrap(slow(5 * time.Second))
+		h := d.countRequests(delayedHandler(5 * time.Second))
 		codes := make(chan int, 2)
 		go func() { codes <- ask(h) }()
 		time.Sleep(time.Second)
@@ -43,17 +42,18 @@
 		d.wait()
 		took := time.Since(began)
 		if took < 6*time.Second || took > testGrace.Grace {
-			t.Errorf("ended after %v", took)
+			t.Errorf("drain took %v, want 6s to 8s", took)
 		}
 		for range 2 {
 			if code := <-codes; code != http.StatusOK {
-				t.Errorf("status %d", code)
+				t.Errorf("got status %d, want 200", code)
 			}
 		}
 	})
 }
 
-// An idle VM ends as soon as entry answers have expired.
+// Guards against an idle VM that waits for the whole grace period. It must end as soon
+// as the entry answers that name it have expired.
 func TestDrainOfAnIdleVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
@@ -61,20 +61,21 @@
 		began := time.Now()
 		d.wait()
 		if took := time.Since(began); took < testGrace.EntryTTL || took > 3*time.Second {
-			t.Errorf("ended after %v", took)
+			t.Errorf("drain took %v, want 2s to 3s", took)
 		}
 	})
 }
 
-// A request that cannot be finished any more is refused: a stream sooner than a
-// call. The end comes before the process is killed, whatever still runs.
+// Guards against requests that are admitted late and then cut off. They must be refused
+// when they could not finish, streams earlier than calls. The drain must end before the
+// process is killed, even if a request still runs.
 func TestDrainTakesNothingLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
-		go ask(d.wrap(slow(time.Minute)))
+		go ask(d.countRequests(delayedHandler(time.Minute)))
 		time.Sleep(time.Second)
-		if d.tooLate(true, time.Hour) {
-			t.Error("too late before the end began")
+		if d.cannotFinish(true, time.Hour) {
+			t.Error("stream refused before the shutdown began")
 		}
 		d.start()
 		began := time.Now()
@@ -83,32 +84,33 @@
 			stream, call bool
 		}{{time.Second, false, false}, {2900 * time.Millisecond, true, false}, {6 * time.Second, true, true}} {
 			time.Sleep(tt.at - time.Since(began))
-			if d.tooLate(true, 0) != tt.stream || d.tooLate(false, 0) != tt.call {
-				t.Errorf("after %v: stream too late %t, call too late %t", tt.at, d.tooLate(true, 0), d.tooLate(false, 0))
+			if d.cannotFinish(true, 0) != tt.stream || d.cannotFinish(false, 0) != tt.call {
+				t.Errorf("after %v: stream refused %t, call refused %t", tt.at, d.cannotFinish(true, 0), d.cannotFinish(false, 0))
 			}
 		}
 		d.wait()
 		if took := time.Since(began); took >= testGrace.Grace {
-			t.Errorf("ended after %v, killed by then", took)
+			t.Errorf("drain took %v, want less than the grace period of 8s", took)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// A caller gets half of an answer. In order: a router begins to shut down; a caller
-// whose entry answer still names it sends a long stream at once; the grace is over
-// before its last event. It is refused, and runs whole elsewhere; a short one is taken.
+// Guards against a stream that is cut off by a shutdown. A router begins to shut down,
+// and a caller whose entry answer still names it sends a stream. A stream that would
+// outlast the grace period must be refused, since it runs completely elsewhere. A stream
+// that can finish must be admitted.
 func TestDrainTakesWhatItCanFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
 		d.start()
 		time.Sleep(time.Second)
-		left := testGrace.Grace - time.Second - endMargin
-		if d.tooLate(true, left) {
-			t.Error("a stream that can be finished is refused")
+		left := testGrace.Grace - time.Second - closeMargin
+		if d.cannotFinish(true, left) {
+			t.Error("stream that can finish was refused")
 		}
-		if !d.tooLate(true, left+time.Millisecond) {
-			t.Error("a stream is taken that cannot be finished")
+		if !d.cannotFinish(true, left+time.Millisecond) {
+			t.Error("stream that cannot finish was admitted")
 		}
 	})
 }
--- a/internal/routed/limits.go
+++ b/internal/routed/limits.go
@@ -12,35 +12,36 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/routes"
 )
 
-// ServerLimits bound callers' connections.
+// ServerLimits bounds the connections of callers.
 type ServerLimits struct {
 	MaxHeaderBytes int
 	HeaderTimeout  time.Duration // from a connection's or a request's first byte to the end of its header
 	IdleTimeout    time.Duration // between two requests
 }
 
-// DefaultLimits hold where the route list states none, and for the listeners between
-// VMs. They are generous to callers that reuse connections: one that is closed under
-// a request costs that request.
+// DefaultLimits applies where the route list states no limits, and to the listeners
+// for VMs and operators. The idle timeout is long because callers reuse connections:
+// closing a connection just as a request arrives fails that request.
 var DefaultLimits = ServerLimits{MaxHeaderBytes: 16 << 10, HeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second}
 
-// mostHeaderBytes is the most that a route list can allow: a header is read into
-// memory before anything is known of its sender.
-const mostHeaderBytes = 256 << 10
+// maxConfigurableHeaderBytes is the largest header limit that a route list can set. A
+// header is read into memory before its sender is authenticated.
+const maxConfigurableHeaderBytes = 256 << 10
 
-// limitsOf are a route list's limits. One below zero counts as not stated.
-func limitsOf(l routes.Limits) ServerLimits {
+// serverLimits returns the limits of a route list. A negative value counts as not set.
+func serverLimits(l routes.Limits) ServerLimits {
 	return ServerLimits{
-		MaxHeaderBytes: min(cmp.Or(max(0, l.MaxHeaderBytes), DefaultLimits.MaxHeaderBytes), mostHeaderBytes),
+		MaxHeaderBytes: min(cmp.Or(max(0, l.MaxHeaderBytes), DefaultLimits.MaxHeaderBytes), maxConfigurableHeaderBytes),
 		HeaderTimeout:  cmp.Or(max(0, l.HeaderTimeout), DefaultLimits.HeaderTimeout),
 		IdleTimeout:    cmp.Or(max(0, l.IdleTimeout), DefaultLimits.IdleTimeout),
 	}
 }
 
-// callerConns holds callers' connections to the limits in force, which change with
-// the route list while connections are open. The HTTP server's own limits are fixed
-// when it starts: with them a connection would be closed under a caller who reuses it
-// within a limit that was raised since. Safe for concurrent use.
+// callerConns enforces the limits in force on the connections of callers. The limits
+// change with the route list while connections are open. The HTTP server's own limits
+// are fixed when it starts: after the idle timeout is raised, they would still close a
+// connection that its caller reuses within the new timeout. It is safe for concurrent
+// use.
 type callerConns struct {
 	mu     sync.Mutex
 	limits ServerLimits
@@ -51,27 +52,28 @@
 	return &callerConns{limits: l, conns: map[*callerConn]bool{}}
 }
 
-// phase is what a connection waits for.
-type phase uint8
+// connPhase is what a connection waits for.
+type connPhase uint8
 
 const (
-	awaitsHeader phase = iota // a request's header, which has begun or is the first
+	readingHeader connPhase = iota // for a request's header, which is the first or has begun to arrive
 	idle
-	busy // nothing: a request is under way
+	busy // for nothing: a request is being served
 )
 
-// callerConn is one caller's connection. Its fields belong to the callerConns.
+// callerConn is one caller's connection. The mutex of its owner guards its fields.
 type callerConn struct {
 	net.Conn
-	all   *callerConns
-	phase phase
-	since time.Time
-	timer *time.Timer // nil: none
+	owner      *callerConns
+	phase      connPhase
+	phaseStart time.Time
+	timer      *time.Timer // nil if none runs
 }
 
-// set takes other limits. Time that a connection was idle before does not count:
-// its caller may reuse it by the limit that held then.
-func (a *callerConns) set(l ServerLimits) {
+// setLimits replaces the limits and restarts the timers of all connections. The time
+// that a connection was idle before is not counted, because its caller may rely on the
+// limit that was in force then.
+func (a *callerConns) setLimits(l ServerLimits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if l == a.limits {
@@ -79,7 +81,7 @@
 	}
 	a.limits = l
 	for c := range a.conns {
-		a.enter(c, c.phase)
+		a.setPhase(c, c.phase)
 	}
 }
 
@@ -89,42 +91,42 @@
 	return a.limits.MaxHeaderBytes
 }
 
-// enter begins a phase. It needs a.mu.
-func (a *callerConns) enter(c *callerConn, p phase) {
-	a.disarm(c)
-	c.phase, c.since = p, time.Now()
+// setPhase starts a phase and its timer. The caller must hold a.mu.
+func (a *callerConns) setPhase(c *callerConn, p connPhase) {
+	a.stopTimer(c)
+	c.phase, c.phaseStart = p, time.Now()
 	var limit time.Duration
 	switch p {
-	case awaitsHeader:
+	case readingHeader:
 		limit = a.limits.HeaderTimeout
 	case idle:
 		limit = a.limits.IdleTimeout
 	case busy:
 		return
 	}
-	began := c.since
+	began := c.phaseStart
 	c.timer = time.AfterFunc(limit, func() { a.expire(c, began) })
 }
 
-// disarm needs a.mu.
-func (a *callerConns) disarm(c *callerConn) {
+// stopTimer stops the timer of c's phase. The caller must hold a.mu.
+func (a *callerConns) stopTimer(c *callerConn) {
 	if c.timer != nil {
 		c.timer.Stop()
 		c.timer = nil
 	}
 }
 
-// expire closes a connection that is still in the phase that began then.
+// expire closes a connection that is still in the phase that began at began.
 func (a *callerConns) expire(c *callerConn, began time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.conns[c] && c.phase != busy && c.since.Equal(began) {
-		_ = c.Conn.Close() // its reader sees it, and ends
+	if a.conns[c] && c.phase != busy && c.phaseStart.Equal(began) {
+		_ = c.Conn.Close() // the goroutine that reads from it gets an error and ends
 	}
 }
 
-// note follows a connection's state as the HTTP server sees it.
-func (a *callerConns) note(conn net.Conn, s http.ConnState) {
+// onStateChange is the ConnState callback of the HTTP server.
+func (a *callerConns) onStateChange(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*callerConn)
 	if !ok {
 		return
@@ -134,38 +136,38 @@
 	switch s {
 	case http.StateNew:
 		a.conns[c] = true
-		a.enter(c, awaitsHeader)
+		a.setPhase(c, readingHeader)
 	case http.StateActive:
-		a.enter(c, busy)
+		a.setPhase(c, busy)
 	case http.StateIdle:
-		a.enter(c, idle)
+		a.setPhase(c, idle)
 	case http.StateClosed, http.StateHijacked:
-		a.disarm(c)
+		a.stopTimer(c)
 		delete(a.conns, c)
 	}
 }
 
-// Read implements net.Conn. The first bytes after an idle time begin a header.
+// Read implements net.Conn. The first bytes after an idle phase begin a header.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.all.begun(c)
+		c.owner.headerBegun(c)
 	}
 	return n, err
 }
 
-func (a *callerConns) begun(c *callerConn) {
+func (a *callerConns) headerBegun(c *callerConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if c.phase == idle {
-		a.enter(c, awaitsHeader)
+		a.setPhase(c, readingHeader)
 	}
 }
 
-// callerListener hands callers' connections to their limits.
+// callerListener puts the connections that it accepts under the limits of owner.
 type callerListener struct {
 	net.Listener
-	all *callerConns
+	owner *callerConns
 }
 
 // Accept implements net.Listener.
@@ -174,11 +176,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{Conn: c, all: l.all}, nil
+	return &callerConn{Conn: c, owner: l.owner}, nil
 }
 
-// bound refuses requests whose header is larger than the list allows.
-func (a *callerConns) bound(next http.Handler) http.Handler {
+// limitHeader refuses requests whose header exceeds the limit in force.
+func (a *callerConns) limitHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if headerBytes(r) > a.maxHeaderBytes() {
 			w.Header().Set("Connection", "close") // the body is not read
@@ -189,7 +191,7 @@
 	})
 }
 
-// headerBytes is the size of a request's line and header as they were sent.
+// headerBytes returns the size on the wire of the request line and header.
 func headerBytes(r *http.Request) int {
 	const lineEnd = 2
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + 2 + lineEnd
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -14,49 +14,50 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal"
 )
 
-// Pauses before a member whose disk failed it is opened again. A full disk
-// refuses every write for seconds; a process that ended each time would also lose
-// the directory and the list of backend servers, which need no disk.
+// Delays before a member is opened again after a disk failure. A full disk rejects
+// every write for seconds. A process that exited each time would also lose the
+// directory and the list of backend servers, which need no disk.
 const (
-	reopenFirst = 300 * time.Millisecond
-	reopenMost  = 2 * time.Second
+	reopenMinDelay = 300 * time.Millisecond
+	reopenMaxDelay = 2 * time.Second
 )
 
-// membership is one opening of the group's log with the state read from it.
-type membership struct {
+// memberSession is the group's member from one opening of its log to the next, with the
+// state replayed from the log.
+type memberSession struct {
 	machine *control.Machine
-	part    *routes.StateMachine
+	routes  *routes.StateMachine
 	group   *control.Group
 	client  *control.Remote
 
 	rollouts *rollout.StateMachine
 }
 
-// members opens the group's member, and again after a failed disk. What a member
-// promised is on its disk, so that a new opening knows it.
-type members struct {
-	open func(failed func(error)) (*membership, error)
+// memberRunner opens the group's member, and opens it again after a disk failure. The
+// log holds every vote and acknowledgement of the member, so a new session honours them.
+type memberRunner struct {
+	open func(failed func(error)) (*memberSession, error)
 
-	mu  sync.Mutex
-	now *membership
+	mu      sync.Mutex
+	session *memberSession
 }
 
-func (m *members) current() *membership {
+func (m *memberRunner) current() *memberSession {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.now
+	return m.session
 }
 
-func (m *members) set(s *membership) {
+func (m *memberRunner) set(s *memberSession) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now = s
+	m.session = s
 }
 
-// openMember returns how c opens its member.
-func (c *Control) openMember(failed func(error)) (*membership, error) {
-	s := &membership{machine: control.NewMachine(), part: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
-	s.machine.Register(control.PartRoutes, s.part)
+// openMember opens c's member. failed receives a later failure of its log.
+func (c *Control) openMember(failed func(error)) (*memberSession, error) {
+	s := &memberSession{machine: control.NewMachine(), routes: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
+	s.machine.Register(control.PartRoutes, s.routes)
 	s.machine.Register(control.PartRollouts, s.rollouts)
 	s.group = control.NewGroup(control.GroupOptions{
 		VM: c.o.ID, Voters: c.o.Seeds, Known: c.member.Controls, JoinOnly: !c.o.FirstStart, Target: c.o.Voters,
@@ -66,10 +67,10 @@
 	return s, s.group.Start()
 }
 
-// run opens the member until ctx ends. It returns the fault that no new opening
-// can mend: a damaged log.
-func (m *members) run(ctx context.Context, note func(error)) error {
-	pause := reopenFirst
+// run opens the member, and opens it again after each failure, until ctx ends. It
+// returns an error only for a damaged log, which opening it again cannot repair.
+func (m *memberRunner) run(ctx context.Context, note func(error)) error {
+	pause := reopenMinDelay
 	for ctx.Err() == nil {
 		failed := make(chan error, 1)
 		s, err := m.open(func(err error) {
@@ -80,7 +81,7 @@
 		})
 		if err == nil {
 			m.set(s)
-			pause = reopenFirst
+			pause = reopenMinDelay
 			select {
 			case err = <-failed:
 			case <-ctx.Done():
@@ -98,7 +99,7 @@
 		if timer.Sleep(ctx, pause) != nil {
 			return nil
 		}
-		pause = min(2*pause, reopenMost)
+		pause = min(2*pause, reopenMaxDelay)
 	}
 	return nil
 }
--- a/internal/routed/member_test.go
+++ b/internal/routed/member_test.go
@@ -10,27 +10,27 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/wal"
 )
 
-// A control VM whose disk refuses writes for some seconds goes on serving what
-// needs no disk, and its member comes back by itself. In order: each opening fails
-// until the disk has room again.
+// Guards against a control process that exits when its disk is full for some seconds, and
+// with it stops serving what needs no disk. Each opening of the member fails until the
+// disk has room again; then the member must be back by itself.
 func TestMemberIsOpenedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		full := time.Now().Add(4 * time.Second)
+		freeAt := time.Now().Add(4 * time.Second)
 		opened := 0
-		m := &members{open: func(func(error)) (*membership, error) {
+		m := &memberRunner{open: func(func(error)) (*memberSession, error) {
 			opened++
-			if time.Now().Before(full) {
+			if time.Now().Before(freeAt) {
 				return nil, errors.New("no space left on device")
 			}
-			return &membership{}, nil
+			return &memberSession{}, nil
 		}}
 		noted := 0
 		done := make(chan error, 1)
 		go func() { done <- m.run(ctx, func(error) { noted++ }) }()
 		time.Sleep(7 * time.Second)
 		if m.current() == nil || noted != opened-1 || opened > 6 {
-			t.Errorf("opened %d times, %d failures noted, a member: %t", opened, noted, m.current() != nil)
+			t.Errorf("opened %d times, %d failures noted, member open %t; want at most 6, one less, true", opened, noted, m.current() != nil)
 		}
 		cancel()
 		if err := <-done; err != nil {
@@ -39,13 +39,14 @@
 	})
 }
 
-// A damaged log is not opened again and again: the process ends and says why.
+// Guards against a damaged log that is opened again and again. The process must end with
+// the error that names the damage.
 func TestDamagedLogEndsTheProcess(t *testing.T) {
-	m := &members{open: func(func(error)) (*membership, error) {
+	m := &memberRunner{open: func(func(error)) (*memberSession, error) {
 		return nil, &wal.DamageError{File: "log", Reason: "test"}
 	}}
 	var damaged *wal.DamageError
 	if err := m.run(t.Context(), func(error) {}); !errors.As(err, &damaged) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("run returned %v, want a *wal.DamageError", err)
 	}
 }
--- a/internal/routed/observer.go
+++ b/internal/routed/observer.go
@@ -17,19 +17,19 @@
 )
 
 // Observer is a control process on a VM without a disk. It answers operators and
-// callers by what the voters tell it, and holds nothing itself.
+// callers by asking the voters, and stores no state itself.
 type Observer struct {
-	o        Common
-	network  *peer.Network
-	member   *cluster.Member
-	observer *cluster.Observer
-	client   *control.Remote
-	text     *textReader
-	peers    *http.Server
-	cancel   context.CancelFunc
+	o               Common
+	network         *peer.Network
+	member          *cluster.Member
+	observer        *cluster.Observer
+	client          *control.Remote
+	routeListReader *routeListReader
+	peerServer      *http.Server
+	cancel          context.CancelFunc
 }
 
-// StartObserver binds the peer address and begins to follow.
+// StartObserver binds the peer address and starts to follow the control group.
 func StartObserver(o Common) (*Observer, error) {
 	v := &Observer{o: o, network: newNetwork(&o)}
 	var ctx context.Context
@@ -40,10 +40,10 @@
 	v.observer = cluster.NewObserver(v.network, o.ID, v.member.Controls)
 	consensus.ServeObserver(v.network, o.ID)
 	v.client = control.NewRemote(v.network, o.ID, v.observer.Controls)
-	v.text = &textReader{t: v.network, voters: v.observer.Controls, log: o.Log}
+	v.routeListReader = &routeListReader{t: v.network, voters: v.observer.Controls, log: o.Log}
 	o.Metrics.NewGauge("shelf_ready_routers", func() float64 { return float64(len(v.Entrances(maxRouters))) })
 	var err error
-	if v.peers, err = listenPeers(v.network, &o); err != nil {
+	if v.peerServer, err = listenPeers(v.network, &o); err != nil {
 		v.cancel()
 		return nil, err
 	}
@@ -52,40 +52,40 @@
 	return v, nil
 }
 
-// SetSeeds takes other control addresses.
+// SetSeeds replaces the control addresses.
 func (v *Observer) SetSeeds(seeds []string) { v.member.SetSeeds(seeds) }
 
-// Entrances implements Operable.
+// Endpoints implements ControlProcess.
 func (v *Observer) Entrances(limit int) []string { return v.observer.Endpoints(limit) }
 
-// PutRoutes implements Operable.
+// PutRoutes implements ControlProcess.
 func (v *Observer) PutRoutes(ctx context.Context, l *routes.List) (routes.Reply, error) {
-	return propose(ctx, v.client, l, v.o.Log)
+	return proposeRoutes(ctx, v.client, l, v.o.Log)
 }
 
-// Routes implements Operable. The voter that is asked confirms with a majority after
-// it was asked.
-func (v *Observer) Routes(ctx context.Context) ([]byte, error) { return v.text.read(ctx) }
+// Routes implements ControlProcess. The voter confirms with a majority after it has
+// received the call.
+func (v *Observer) Routes(ctx context.Context) ([]byte, error) { return v.routeListReader.read(ctx) }
 
-// PutRollout implements Operable. A voter that did not answer may have taken the order:
-// the next one then acknowledges it as the same.
+// PutRollout implements ControlProcess. A voter that did not answer may have committed
+// the order. The next voter then acknowledges it as a repeated order.
 func (v *Observer) PutRollout(ctx context.Context, o rollout.Order) (rollout.Record, error) {
-	return v.askRollout(ctx, rolloutAsk{Order: &o})
+	return v.requestRollout(ctx, rolloutRequest{Order: &o})
 }
 
-// Rollout implements Operable.
+// Rollout implements ControlProcess.
 func (v *Observer) Rollout(ctx context.Context, service string) (rollout.Record, error) {
-	return v.askRollout(ctx, rolloutAsk{Service: service})
+	return v.requestRollout(ctx, rolloutRequest{Service: service})
 }
 
-// askRolloutTimeout covers a commit at a voter.
-const askRolloutTimeout = 700 * time.Millisecond
+// rolloutRequestTimeout bounds a call to one voter, which may have to commit.
+const rolloutRequestTimeout = 700 * time.Millisecond
 
-// askRollout asks the voters in turn until one decides.
-func (v *Observer) askRollout(ctx context.Context, q rolloutAsk) (rollout.Record, error) {
+// requestRollout sends a request to the voters in turn until one gives a final answer.
+func (v *Observer) requestRollout(ctx context.Context, q rolloutRequest) (rollout.Record, error) {
 	for _, vm := range v.observer.Controls() {
 		var out rollout.Record
-		asking, cancel := context.WithTimeout(ctx, askRolloutTimeout)
+		asking, cancel := context.WithTimeout(ctx, rolloutRequestTimeout)
 		err := v.network.Call(asking, vm, peer.KindRollout, q, &out)
 		cancel()
 		if err == nil {
@@ -95,12 +95,12 @@
 		if errors.As(err, &remote) && isFinal(result.Code(remote.Code)) {
 			return out, result.New(result.Code(remote.Code))
 		}
-		v.o.Log.Debug().Err(err).Str("control", vm).Msg("voter not asked about a roll-out")
+		v.o.Log.Debug().Err(err).Str("control", vm).Msg("roll-out request to a voter failed; trying the next one")
 	}
 	return rollout.Record{}, result.New(result.ControlUnavail)
 }
 
-// isFinal reports whether another voter would say the same.
+// isFinal reports whether every other voter would give the same answer.
 func isFinal(c result.Code) bool {
 	switch c {
 	case result.InvalidRollout, result.RolloutUnderWay, result.UnknownService, result.NoRollout:
@@ -109,15 +109,16 @@
 	return false
 }
 
-// Failure implements Operable: an Observer has nothing that could fail it.
+// Failure implements ControlProcess. It returns nil, since an Observer has no disk that
+// could fail.
 func (v *Observer) Failure() <-chan error { return nil }
 
-// Shutdown ends the process as planned.
+// Shutdown implements Process. An Observer has nothing to drain.
 func (v *Observer) Shutdown() { v.Close() }
 
-// Close ends everything at once.
+// Close implements ControlProcess.
 func (v *Observer) Close() {
 	v.cancel()
-	_ = v.peers.Close()
+	_ = v.peerServer.Close()
 	v.network.Close()
 }
--- a/internal/routed/operators.go
+++ b/internal/routed/operators.go
@@ -19,18 +19,18 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/routes"
 )
 
-// Bounds of an operator's call.
+// Bounds of an operator's request.
 const (
-	// MaxListText is the most bytes of a route list's text.
-	MaxListText   = 16 << 20
-	changeTimeout = 5 * time.Second // covers a change of leader
+	// MaxRouteListBytes is the maximum size of a route list's text.
+	MaxListText         = 16 << 20
+	operatorCallTimeout = 5 * time.Second // includes a change of the control group's leader
 )
 
-// entryLimit is how many addresses an entry answer holds.
-const entryLimit = 64
+// maxEntryAddresses is the maximum number of addresses in an entry answer.
+const maxEntryAddresses = 64
 
-// OperatorRoutes serve operators, and callers who ask where to connect, in the
-// project's own form. c is nil on a router, r on a control process.
+// OperatorHandler serves operators, and callers that look up router addresses, with
+// this project's own HTTP API. c is nil on a router, and r is nil on a control process.
 func OperatorRoutes(c Operable, r *Router, token string, set *metrics.Set) http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
@@ -39,10 +39,10 @@
 	m.Handle("/debug/vars", expvar.Handler())
 	if c != nil {
 		m.HandleFunc("/v1/entry", func(w http.ResponseWriter, _ *http.Request) { writeEntry(w, c) }).Methods(http.MethodGet)
-		m.Handle("/v1/routes", guard(token, func(w http.ResponseWriter, q *http.Request) error { return putRoutes(w, q, c) })).Methods(http.MethodPut)
-		m.Handle("/v1/routes", guard(token, func(w http.ResponseWriter, q *http.Request) error { return getRoutes(w, q, c) })).Methods(http.MethodGet)
-		m.Handle("/v1/rollouts", guard(token, func(w http.ResponseWriter, q *http.Request) error { return postRollout(w, q, c) })).Methods(http.MethodPost)
-		m.Handle("/v1/rollouts/{service}", guard(token, func(w http.ResponseWriter, q *http.Request) error { return getRollout(w, q, c) })).Methods(http.MethodGet)
+		m.Handle("/v1/routes", requireToken(token, func(w http.ResponseWriter, q *http.Request) error { return putRoutes(w, q, c) })).Methods(http.MethodPut)
+		m.Handle("/v1/routes", requireToken(token, func(w http.ResponseWriter, q *http.Request) error { return getRoutes(w, q, c) })).Methods(http.MethodGet)
+		m.Handle("/v1/rollouts", requireToken(token, func(w http.ResponseWriter, q *http.Request) error { return postRollout(w, q, c) })).Methods(http.MethodPost)
+		m.Handle("/v1/rollouts/{service}", requireToken(token, func(w http.ResponseWriter, q *http.Request) error { return getRollout(w, q, c) })).Methods(http.MethodGet)
 	}
 	return m
 }
@@ -56,7 +56,7 @@
 }
 
 func writeEntry(w http.ResponseWriter, c Operable) {
-	addrs := c.Entrances(entryLimit)
+	addrs := c.Entrances(maxEntryAddresses)
 	if len(addrs) == 0 {
 		resulthttp.Write(w, "", result.New(result.NoBackendServer))
 		return
@@ -64,13 +64,13 @@
 	resulthttp.WriteJSON(w, map[string]any{"addresses": addrs, "ttl_ms": EntryTTL.Milliseconds()})
 }
 
-// EntryTTL is how long a caller may keep an entry answer: a VM that leaves is
-// forgotten within this time.
+// EntryTTL is how long a caller may keep an entry answer. A VM that leaves gets no new
+// callers after this time.
 const EntryTTL = 1 * time.Second
 
-// guard asks for the operators' token; an empty one is for loopback alone, which
-// the settings see to.
-func guard(token string, h func(http.ResponseWriter, *http.Request) error) http.Handler {
+// requireToken rejects requests without the operators' token. An empty token admits every
+// request; the settings allow it on a loopback address only.
+func requireToken(token string, h func(http.ResponseWriter, *http.Request) error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if token != "" && subtle.ConstantTimeCompare([]byte(got), []byte(token)) != 1 {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), operatorCallTimeout)
 	defer cancel()
 	reply, err := c.PutRoutes(ctx, list)
 	if err != nil {
@@ -103,7 +103,7 @@
 }
 
 func getRoutes(w http.ResponseWriter, r *http.Request, c Operable) error {
-	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), operatorCallTimeout)
 	defer cancel()
 	source, err := c.Routes(ctx)
 	if err != nil {
@@ -113,28 +113,28 @@
 		return result.New(result.NoRouteList)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The reader is gone if this fails; it asks again.
+	// A write fails if the client has disconnected; it repeats the request.
 	_, _ = w.Write(source)
 	return nil
 }
 
-// rolloutOrder is an operator's order, in JSON.
+// rolloutOrder is the JSON body of an operator's order.
 type rolloutOrder struct {
 	Service    string `json:"service"`
 	To         string `json:"to"`
 	DurationMS int64  `json:"duration_ms"`
 }
 
-// rolloutAnswer is the state of a roll-out.
+// rolloutAnswer is the JSON form of the state of a roll-out.
 type rolloutAnswer struct {
 	Service string             `json:"service"`
 	To      string             `json:"to"`
 	Number  uint64             `json:"number"`
 	Phase   string             `json:"phase"` // trial, switching, moving, completed or reverted
 	Over    bool               `json:"over"`
-	Reason  string             `json:"reason,omitempty"` // of the last step
-	Share   float64            `json:"share"`            // of all requests, in the trial
-	Shares  map[string]float64 `json:"shares,omitempty"` // by route
+	Reason  string             `json:"reason,omitempty"` // of the latest step
+	Share   float64            `json:"share"`            // fraction of all requests during the trial
+	Shares  map[string]float64 `json:"shares,omitempty"` // the same by route
 }
 
 func writeRollout(w http.ResponseWriter, r *rollout.Record) {
@@ -144,11 +144,11 @@
 	})
 }
 
-// maxOrderText is the most bytes of an order.
-const maxOrderText = 16 << 10
+// maxOrderBytes is the maximum size of an order's body.
+const maxOrderBytes = 16 << 10
 
 func postRollout(w http.ResponseWriter, r *http.Request, c Operable) error {
-	data, err := resulthttp.ReadBody(w, r, maxOrderText)
+	data, err := resulthttp.ReadBody(w, r, maxOrderBytes)
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 	if err := order.Validate(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), operatorCallTimeout)
 	defer cancel()
 	record, err := c.PutRollout(ctx, order)
 	if err != nil {
@@ -173,7 +173,7 @@
 }
 
 func getRollout(w http.ResponseWriter, r *http.Request, c Operable) error {
-	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), operatorCallTimeout)
 	defer cancel()
 	record, err := c.Rollout(ctx, mux.Vars(r)["service"])
 	if err != nil {
--- a/internal/routed/options.go
+++ b/internal/routed/options.go
@@ -1,9 +1,10 @@
-// Package routed assembles the two kinds of processes that serve routed requests:
-// a router, which takes callers, and a control member, which holds the route list,
-// reads the list of backend servers and knows which routers are ready.
+// Package routed assembles the two kinds of processes that serve routed requests.
+// A router serves callers. A control process holds the route list, reads the list of
+// backend servers and knows which routers are ready.
 //
-// Both are told a few control addresses and nothing else about the system. A VM's
-// id is its peer address, so that no further list is needed to reach it.
+// Both are configured with a few control addresses (seeds) and discover the rest of
+// the system through them. A VM's id is its peer address, which makes an address
+// list unnecessary.
 package routed
 
 import (
@@ -22,20 +23,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Lease is the freshness lease of the route list: how long after its last
-// confirmation a router may rely on it, and four times the longest poll.
+// Lease is the freshness lease of the route list. A router may rely on the list for
+// this long after its last confirmation. It is four times the longest poll.
 const Lease = 3 * time.Second
 
-// Common are the options of both kinds.
+// Common holds the options that routers and control processes share.
 type Common struct {
 	ID    string // peer address, ip:port
 	Zone  string
-	Token string // shared by all VMs
-	Seeds []string
+	Token string   // shared by all VMs
+	Seeds []string // addresses of control VMs
 	Log   zerolog.Logger
-	// Ordinary takes the lines about what went well.
+	// RoutineLog receives the lines about requests that succeeded.
 	Ordinary zerolog.Logger
-	// Metrics is the process's set of counters.
+	// Metrics is the process's metric set.
 	Metrics *metrics.Set
 }
 
@@ -53,23 +54,23 @@
 	Common
 	Dir        string // data folder
 	FirstStart bool   // the whole system starts for the first time
-	Voters     int    // how many the group keeps
-	// Rollouts bounds what a new version may get before it is known to be good; zero: the
-	// default.
+	Voters     int    // number of voters that the control group maintains
+	// Rollouts bounds the traffic that a new version gets until it has proved good. The
+	// zero value selects rollout.DefaultLimits.
 	Rollouts rollout.Limits
 	// ReadBackends reads the platform's list of backend servers.
 	ReadBackends func(ctx context.Context) ([]upstream.Backend, error)
 }
 
-// DrainTimes shape a router's planned end.
+// DrainTimes bounds a router's planned shutdown.
 type DrainTimes struct {
 	Grace time.Duration // from the signal until the process is killed
-	// EntryTTL is how long callers keep an entry answer at most.
+	// EntryTTL is the longest time for which callers keep an entry answer.
 	EntryTTL time.Duration
 }
 
-// listen binds an address for VMs and operators and serves it until the server is
-// closed.
+// listen binds an address for VMs and operators, and serves it in the background
+// until the returned server is closed.
 func listen(addr string, h http.Handler, log zerolog.Logger) (*http.Server, error) {
 	s := &http.Server{
 		Handler: h, MaxHeaderBytes: DefaultLimits.MaxHeaderBytes,
@@ -78,9 +79,9 @@
 	return s, serve(s, addr, func(l net.Listener) net.Listener { return l }, log)
 }
 
-// listenCallers is the same for callers, with limits that may change.
+// listenCallers does the same for callers, with limits that follow the route list.
 func listenCallers(addr string, h http.Handler, conns *callerConns, log zerolog.Logger) (*http.Server, error) {
-	s := &http.Server{Handler: conns.bound(h), MaxHeaderBytes: mostHeaderBytes, ConnState: conns.note}
+	s := &http.Server{Handler: conns.limitHeader(h), MaxHeaderBytes: maxConfigurableHeaderBytes, ConnState: conns.onStateChange}
 	return s, serve(s, addr, func(l net.Listener) net.Listener { return callerListener{l, conns} }, log)
 }
 
@@ -91,19 +92,19 @@
 	}
 	go func() {
 		if err := s.Serve(wrap(l)); err != http.ErrServerClosed {
-			log.Error().Err(err).Str("address", addr).Msg("listener ended")
+			log.Error().Err(err).Str("address", addr).Msg("listener failed")
 		}
 	}()
 	return nil
 }
 
-// peerLines a second are logged about peer connections: a VM that wakes refuses
-// the frames of all its old connections at once.
-const peerLines = 5
+// peerLogLinesPerSecond bounds the log lines about peer connections. A VM that resumes
+// after a pause refuses the frames of all its old connections at once.
+const peerLogLinesPerSecond = 5
 
-// newNetwork returns the transport of a VM whose id is its address.
+// newNetwork returns the peer transport of a VM. The id of each VM is its address.
 func newNetwork(o *Common) *peer.Network {
-	log := o.Log.Sample(&zerolog.BurstSampler{Burst: peerLines, Period: time.Second})
+	log := o.Log.Sample(&zerolog.BurstSampler{Burst: peerLogLinesPerSecond, Period: time.Second})
 	return peer.NewNetwork(o.ID, o.Token, func(vm string) (string, bool) { return vm, vm != "" }, log)
 }
 
@@ -114,7 +115,8 @@
 	return listen(o.ID, m, o.Log)
 }
 
-// Listen is listen for the adapter's own listeners.
+// Listen binds addr for VMs and operators, and serves h in the background until the
+// returned server is closed. Platform adapters use it for their own listeners.
 func Listen(addr string, h http.Handler, log zerolog.Logger) (*http.Server, error) {
 	return listen(addr, h, log)
 }
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// lookEvery is how often a control VM looks at the roll-outs under way.
-	lookEvery = 150 * time.Millisecond
-	// stepTimeout bounds the proposal of a step: it is proposed again with a later look.
+	// rolloutCheckInterval is how often a control VM evaluates the active roll-outs.
+	rolloutCheckInterval = 150 * time.Millisecond
+	// stepTimeout bounds the proposal of a step. A later check proposes it again.
 	stepTimeout = 1 * time.Second
 )
 
 // rolloutOf reads a service's roll-out from the member's state.
-func (s *membership) rolloutOf(service string) (r rollout.Record, ok bool) {
+func (s *memberSession) rolloutOf(service string) (r rollout.Record, ok bool) {
 	s.machine.Read(control.PartRollouts, func(control.Part) { r, ok = s.rollouts.Record(service) })
 	return r, ok
 }
 
-// names reports whether the route list names a service.
-func (s *membership) names(service string) bool {
+// hasService reports whether the route list names a service.
+func (s *memberSession) hasService(service string) bool {
 	found := false
 	s.machine.Read(control.PartRoutes, func(control.Part) {
-		for i := range s.part.List().Services {
-			found = found || s.part.List().Services[i].Name == service
+		for i := range s.routes.List().Services {
+			found = found || s.routes.List().Services[i].Name == service
 		}
 	})
 	return found
 }
 
-// PutRollout implements Operable.
+// PutRollout implements ControlProcess.
 func (c *Control) PutRollout(ctx context.Context, o rollout.Order) (rollout.Record, error) {
 	r, err := c.putRollout(ctx, &o)
 	c.o.Log.Info().Str("service", o.Service).Str("to", o.To).Dur("duration", o.Duration).Uint64("rollout", r.Number).
@@ -44,19 +44,19 @@
 }
 
 func (c *Control) putRollout(ctx context.Context, o *rollout.Order) (rollout.Record, error) {
-	s := c.members.current()
+	s := c.memberRunner.current()
 	if s == nil {
 		return rollout.Record{}, result.New(result.ControlUnavail)
 	}
 	if err := o.Validate(); err != nil {
 		return rollout.Record{}, err
 	}
-	if !s.names(o.Service) {
-		// This VM may be behind the list that names it.
+	if !s.hasService(o.Service) {
+		// This VM may not have applied the list that names the service yet.
 		if err := s.client.Barrier(ctx); err != nil {
 			return rollout.Record{}, result.New(result.ControlUnavail)
 		}
-		if !s.names(o.Service) {
+		if !s.hasService(o.Service) {
 			return rollout.Record{}, result.New(result.UnknownService)
 		}
 	}
@@ -72,9 +72,9 @@
 	return reply.Record, nil
 }
 
-// Rollout implements Operable.
+// Rollout implements ControlProcess.
 func (c *Control) Rollout(ctx context.Context, service string) (rollout.Record, error) {
-	s := c.members.current()
+	s := c.memberRunner.current()
 	if s == nil {
 		return rollout.Record{}, result.New(result.ControlUnavail)
 	}
@@ -88,15 +88,16 @@
 	return r, nil
 }
 
-// rolloutAsk is an observer's question: an order, or the state of a service's roll-out.
-type rolloutAsk struct {
+// rolloutRequest is an observer's request to a voter: an order or, if Order is nil, a
+// query for the newest roll-out of Service.
+type rolloutRequest struct {
 	Order   *rollout.Order `cbor:"1,keyasint,omitempty"`
 	Service string         `cbor:"2,keyasint,omitempty"`
 }
 
-// serveRollout answers an observer.
+// serveRollout answers the rolloutRequest of an observer.
 func (c *Control) serveRollout(ctx context.Context, body []byte) (any, error) {
-	var q rolloutAsk
+	var q rolloutRequest
 	if err := codec.Unmarshal(body, &q); err != nil {
 		return nil, err
 	}
@@ -106,31 +107,32 @@
 	return c.Rollout(ctx, q.Service)
 }
 
-// rolloutWatch is what a control VM keeps of the roll-outs under way.
-type rolloutWatch struct {
-	c      *Control
-	looked bool // it has looked before: what is new since was ordered just now
+// rolloutWatcher evaluates the active roll-outs on a control VM.
+type rolloutWatcher struct {
+	c          *Control
+	hasChecked bool // after the first check, an unknown roll-out or step is new in the log
 
 	mu      sync.Mutex
 	watched map[string]*watchedRollout // by service
 }
 
-// watchedRollout is one roll-out under way. Its times are on this VM's steady clock: the
-// time of day may be stepped.
+// watchedRollout is one active roll-out. Its times are on this VM's monotonic clock,
+// since the wall clock may be stepped.
 type watchedRollout struct {
-	judge   *rollout.Judge
-	ordered time.Time
-	step    time.Time
-	stepMS  int64 // of the record when step was noted
-	inForce bool
-	asking  bool // whether the step is in force
+	judge      *rollout.Judge
+	orderedAt  time.Time
+	stepAt     time.Time
+	stepMS     int64 // StepMS of the record for which stepAt holds
+	inForce    bool
+	confirming bool // confirmInForce is running
 }
 
-// runRollouts looks at the roll-outs until ctx ends. Every control VM does, so that a new
-// leader knows since when each is under way; the leader alone takes steps.
+// runRollouts evaluates the active roll-outs until c's context ends. Every control VM
+// does so, because a new leader needs to know when each of them began. Only the leader
+// proposes steps.
 func (c *Control) runRollouts() {
-	w := &rolloutWatch{c: c, watched: map[string]*watchedRollout{}}
-	tick := time.NewTicker(lookEvery)
+	w := &rolloutWatcher{c: c, watched: map[string]*watchedRollout{}}
+	tick := time.NewTicker(rolloutCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -138,13 +140,13 @@
 		case <-c.ctx.Done():
 			return
 		}
-		if s := c.members.current(); s != nil {
-			w.look(s, time.Now())
+		if s := c.memberRunner.current(); s != nil {
+			w.check(s, time.Now())
 		}
 	}
 }
 
-func (w *rolloutWatch) look(s *membership, now time.Time) {
+func (w *rolloutWatcher) check(s *memberSession, now time.Time) {
 	var records []rollout.Record
 	s.machine.Read(control.PartRollouts, func(control.Part) { records = s.rollouts.UnderWay() })
 	numbers := map[string]uint64{}
@@ -161,54 +163,55 @@
 	w.mu.Unlock()
 	for i := range records {
 		r := &records[i]
-		v := w.note(s, r, now)
+		v := w.observe(s, r, now)
 		e := w.c.hub.Evidence(r.Service, r.Number)
 		step, ok := w.judgeOf(r).Evaluate(r, &e, v)
 		if ok && w.c.Leads() {
-			w.take(s, &step, &e, &v)
+			w.proposeStep(s, &step, &e, &v)
 		}
 	}
-	w.looked = true
+	w.hasChecked = true
 }
 
-func (w *rolloutWatch) judgeOf(r *rollout.Record) *rollout.Judge {
+func (w *rolloutWatcher) judgeOf(r *rollout.Record) *rollout.Judge {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.watched[r.Service].judge
 }
 
-// note keeps the times of a roll-out, and returns what is known of it.
-func (w *rolloutWatch) note(s *membership, r *rollout.Record, now time.Time) rollout.View {
+// observe updates the times of a roll-out, and returns its view for the judge.
+func (w *rolloutWatcher) observe(s *memberSession, r *rollout.Record, now time.Time) rollout.View {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k := w.watched[r.Service]
 	if k == nil || k.judge.Number() != r.Number {
-		k = &watchedRollout{judge: rollout.NewJudge(w.c.o.Rollouts, r.Number), ordered: w.since(r.OrderedMS, now), stepMS: -1}
+		k = &watchedRollout{judge: rollout.NewJudge(w.c.o.Rollouts, r.Number), orderedAt: w.eventTime(r.OrderedMS, now), stepMS: -1}
 		w.watched[r.Service] = k
 	}
 	if k.stepMS != r.StepMS {
-		k.step, k.stepMS, k.inForce = w.since(r.StepMS, now), r.StepMS, false
+		k.stepAt, k.stepMS, k.inForce = w.eventTime(r.StepMS, now), r.StepMS, false
 	}
-	if r.Phase == rollout.Moving && !k.inForce && !k.asking && w.c.Leads() {
-		k.asking = true
-		go w.askInForce(s, k, k.stepMS)
+	if r.Phase == rollout.Moving && !k.inForce && !k.confirming && w.c.Leads() {
+		k.confirming = true
+		go w.confirmInForce(s, k, k.stepMS)
 	}
-	v := rollout.View{Elapsed: now.Sub(k.ordered), Step: now.Sub(k.step), InForce: k.inForce}
+	v := rollout.View{Elapsed: now.Sub(k.orderedAt), Step: now.Sub(k.stepAt), InForce: k.inForce}
 	v.TargetServers, v.FormerServers = w.c.countVersions(r)
 	return v
 }
 
-// since is when something happened that the log dates. A process that has run since has
-// just seen it; one that has started since goes by the time of day.
-func (w *rolloutWatch) since(atMS int64, now time.Time) time.Time {
-	if w.looked {
+// eventTime returns when an event happened that the log dates with atMS. After the first
+// check the event is one that this process has just seen happen. On the first check it
+// may precede the start of the process, and the wall clock gives its age.
+func (w *rolloutWatcher) eventTime(atMS int64, now time.Time) time.Time {
+	if w.hasChecked {
 		return now
 	}
 	return now.Add(-max(0, now.Sub(time.UnixMilli(atMS))))
 }
 
-// askInForce waits until every router applies the step.
-func (w *rolloutWatch) askInForce(s *membership, k *watchedRollout, stepMS int64) {
+// confirmInForce waits until the step is in force on every router.
+func (w *rolloutWatcher) confirmInForce(s *memberSession, k *watchedRollout, stepMS int64) {
 	ctx, cancel := context.WithTimeout(w.c.ctx, 2*Lease)
 	defer cancel()
 	version := uint64(0)
@@ -216,14 +219,14 @@
 	err := control.InForce(ctx, s.client, control.PartRollouts, version)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k.asking = false
+	k.confirming = false
 	k.inForce = err == nil && k.stepMS == stepMS
 }
 
-// countVersions counts the servers of a roll-out's service that are listed, of the new
-// version and of others.
+// countVersions counts the listed servers of a roll-out's service that are not draining:
+// those of the new version, and those of other versions.
 func (c *Control) countVersions(r *rollout.Record) (target, former int) {
-	rows, _, _, _ := c.held.Current()
+	rows, _, _, _ := c.backendList.Current()
 	for i := range rows {
 		b := &rows[i]
 		switch {
@@ -237,8 +240,8 @@
 	return target, former
 }
 
-// take proposes a step.
-func (w *rolloutWatch) take(s *membership, step *rollout.Step, e *rollout.Evidence, v *rollout.View) {
+// proposeStep proposes a step to the group and logs the outcome.
+func (w *rolloutWatcher) proposeStep(s *memberSession, step *rollout.Step, e *rollout.Evidence, v *rollout.View) {
 	ctx, cancel := context.WithTimeout(w.c.ctx, stepTimeout)
 	defer cancel()
 	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.PartRollouts, rollout.Command{Step: step})
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -18,56 +18,56 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Router is a process that takes callers' requests.
+// Router is a process that serves the requests of callers.
 type Router struct {
-	o       RouterOptions
-	network *peer.Network
-	feed    *control.Feed
-	member  *cluster.Member
-	held    *cluster.ListReplica
-	fleet   *upstream.Fleet
-	handler *forward.Handler
-	blame   *forward.SuspectContents
-	table   atomic.Pointer[routes.Table]
-	state   atomic.Pointer[rollout.State]
-	book    *rollout.Recorder
-	drain   *drain
-	conns   *callerConns
-	// prepared is closed once both lists are held.
-	prepared chan struct{}
-	prepare  sync.Once
-
-	peers, front *http.Server
-	ctx          context.Context
-	cancel       context.CancelFunc
+	o               RouterOptions
+	network         *peer.Network
+	feed            *control.Feed
+	member          *cluster.Member
+	backendList     *cluster.ListReplica
+	fleet           *upstream.Fleet
+	handler         *forward.Handler
+	suspectContents *forward.SuspectContents
+	table           atomic.Pointer[routes.Table]
+	rollouts        atomic.Pointer[rollout.State]
+	recorder        *rollout.Recorder
+	drain           *drain
+	conns           *callerConns
+	// listsReady is closed once the route list and the list of backend servers are held.
+	listsReady     chan struct{}
+	listsReadyOnce sync.Once
+
+	peerServer, callerServer *http.Server
+	ctx                      context.Context
+	cancel                   context.CancelFunc
 }
 
-// StartRouter binds the addresses and serves.
+// StartRouter binds the addresses and starts to serve.
 func StartRouter(o RouterOptions) (*Router, error) {
-	r := &Router{o: o, blame: forward.NewSuspectContents(), prepared: make(chan struct{}), conns: newCallerConns(DefaultLimits), book: rollout.NewRecorder(time.Now)}
-	r.state.Store(&rollout.State{})
+	r := &Router{o: o, suspectContents: forward.NewSuspectContents(), listsReady: make(chan struct{}), conns: newCallerConns(DefaultLimits), recorder: rollout.NewRecorder(time.Now)}
+	r.rollouts.Store(&rollout.State{})
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.drain = newDrain(o.Drain)
 	pool := upstream.NewPool()
 	r.fleet = upstream.NewFleet(pool, o.Log)
-	r.gauges(pool)
-	r.held = cluster.NewListReplica(r.takeList)
+	r.registerGauges(pool)
+	r.backendList = cluster.NewListReplica(r.applyBackends)
 	r.network = newNetwork(&o.Common)
-	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.held, cluster.Local{
-		Zone: o.Zone, Endpoint: o.Callers, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.blame.TakeNewDeaths,
-		Dead: r.fleet.RecentlyDead, Runs: r.kept, Spent: r.spent, Learn: r.learn, LearnSpent: r.learnSpent,
-		Opinion: r.fleet.Report, Paces: r.paces, Rollouts: r.book.Reports, Urgent: func() bool { return r.state.Load().Urgent() },
+	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.backendList, cluster.Local{
+		Zone: o.Zone, Endpoint: o.Callers, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.suspectContents.TakeNewDeaths,
+		Dead: r.fleet.RecentlyDead, Runs: r.resumableRuns, Spent: r.retryUsage, Learn: r.applyPeerReports, LearnSpent: r.applyPeerRetryUsage,
+		Opinion: r.fleet.Report, Paces: r.paces, Rollouts: r.recorder.Reports, Urgent: func() bool { return r.rollouts.Load().Urgent() },
 	}, o.Log)
 	r.feed = control.NewFeed(control.FeedOptions{
 		Self: o.ID, Voters: r.member.Controls, Transport: r.network, Lease: Lease, Log: o.Log,
 	})
-	r.feed.OnChange(control.PartRoutes, r.take)
-	r.feed.OnChange(control.PartRollouts, r.takeRollouts)
+	r.feed.OnChange(control.PartRoutes, r.applyRoutes)
+	r.feed.OnChange(control.PartRollouts, r.applyRollouts)
 	r.handler = forward.NewHandler(forward.Options{
-		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.prepared,
-		RetryAllowance: o.Allowance, Log: o.Log, RoutineLog: o.Ordinary, Metrics: o.Metrics, SuspectContents: r.blame, Closing: r.drain.started,
-		Placer: r.member, FindOrphan: r.member.FindOrphan, ReportRetries: r.member.NotifyRetry, CannotFinish: r.drain.tooLate,
-		Rollouts: &forward.Rollouts{State: r.state.Load, Book: r.book},
+		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.listsReady,
+		RetryAllowance: o.Allowance, Log: o.Log, RoutineLog: o.Ordinary, Metrics: o.Metrics, SuspectContents: r.suspectContents, Closing: r.drain.started,
+		Placer: r.member, FindOrphan: r.member.FindOrphan, ReportRetries: r.member.NotifyRetry, CannotFinish: r.drain.cannotFinish,
+		Rollouts: &forward.Rollouts{State: r.rollouts.Load, Book: r.recorder},
 	})
 	if err := r.serve(); err != nil {
 		r.cancel()
@@ -82,15 +82,15 @@
 
 func (r *Router) serve() error {
 	var err error
-	if r.peers, err = listenPeers(r.network, &r.o.Common); err != nil {
+	if r.peerServer, err = listenPeers(r.network, &r.o.Common); err != nil {
 		return err
 	}
-	r.front, err = listenCallers(r.o.Callers, r.drain.wrap(r.handler), r.conns, r.o.Log)
+	r.callerServer, err = listenCallers(r.o.Callers, r.drain.countRequests(r.handler), r.conns, r.o.Log)
 	return err
 }
 
-// gauges registers what is read when the metrics are.
-func (r *Router) gauges(pool *upstream.Pool) {
+// registerGauges registers the metrics that are computed when they are read.
+func (r *Router) registerGauges(pool *upstream.Pool) {
 	set := r.o.Metrics
 	set.NewGauge("shelf_route_list_version", func() float64 {
 		if t := r.table.Load(); t != nil {
@@ -99,7 +99,7 @@
 		return 0
 	})
 	set.NewGauge("shelf_backend_list_age_seconds", func() float64 {
-		_, _, age, _ := r.held.Current()
+		_, _, age, _ := r.backendList.Current()
 		return age.Seconds()
 	})
 	set.NewGauge("shelf_feed_polls_total", func() float64 { return float64(r.feed.Stats().Polls) })
@@ -111,106 +111,107 @@
 	set.NewGauge("shelf_connections_opened_total", func() float64 { return float64(pool.Dials()) })
 }
 
-// take applies a route list. The feed calls it with growing versions only.
-func (r *Router) take(data []byte) {
+// applyRoutes applies a route list. The feed calls it with increasing versions only.
+func (r *Router) applyRoutes(data []byte) {
 	var l routes.List
 	if err := codec.Unmarshal(data, &l); err != nil {
-		r.o.Log.Error().Err(err).Msg("route list not readable")
+		r.o.Log.Error().Err(err).Msg("route list could not be decoded; keeping the list in force")
 		return
 	}
 	wasReady := r.Ready()
 	r.table.Store(routes.NewTable(&l))
-	r.conns.set(limitsOf(l.Limits))
+	r.conns.setLimits(serverLimits(l.Limits))
 	if !wasReady {
-		r.notePrepared()
+		r.signalListsReady()
 	}
 	r.o.Log.Info().Uint64("version", l.Version).Int("routes", len(l.Routes)).Int("workspaces", len(l.Workspaces)).Msg("route list applied")
 }
 
-// takeRollouts applies the state of all roll-outs.
-func (r *Router) takeRollouts(data []byte) {
+// applyRollouts applies the state of all roll-outs.
+func (r *Router) applyRollouts(data []byte) {
 	var s rollout.State
 	if err := codec.Unmarshal(data, &s); err != nil {
-		r.o.Log.Error().Err(err).Msg("roll-outs not readable")
+		r.o.Log.Error().Err(err).Msg("state of the roll-outs could not be decoded; keeping the state in force")
 		return
 	}
-	r.state.Store(&s)
-	r.book.Watch(s.UnderWay())
+	r.rollouts.Store(&s)
+	r.recorder.Watch(s.UnderWay())
 	for service, record := range s.Records {
 		r.o.Log.Info().Str("service", service).Uint64("rollout", record.Number).Str("to", record.To).Stringer("phase", record.Phase).
 			Float64("share", record.DefaultShare).Msg("roll-out applied")
 	}
 }
 
-// takeList applies a list of backend servers.
-func (r *Router) takeList(l upstream.List) {
+// applyBackends applies a list of backend servers.
+func (r *Router) applyBackends(l upstream.List) {
 	first := r.fleet.AsOf().IsZero()
 	r.fleet.Apply(l)
 	if first {
-		r.notePrepared()
+		r.signalListsReady()
 	}
 }
 
-// notePrepared lets held requests go, and tells the control processes, once both
-// lists are there.
-func (r *Router) notePrepared() {
+// signalListsReady releases the requests that wait for the lists and notifies the
+// control processes, if both lists are held.
+func (r *Router) signalListsReady() {
 	if r.table.Load() == nil || r.fleet.AsOf().IsZero() {
 		return
 	}
-	r.prepare.Do(func() { close(r.prepared) })
+	r.listsReadyOnce.Do(func() { close(r.listsReady) })
 	r.member.NotifyNow()
 }
 
-func (r *Router) learn(k cluster.PeerReports) {
+func (r *Router) applyPeerReports(k cluster.PeerReports) {
 	r.fleet.SetPeerUse(k.Use)
 	r.fleet.PeerReportedDead(k.Dead)
-	r.blame.AddPeerDeaths(k.Deaths)
+	r.suspectContents.AddPeerDeaths(k.Deaths)
 	r.handler.SetVMs(len(k.Routers))
 	r.handler.SetCopiesDisabled(k.LowMemory)
 	r.handler.SetPaces(k.Paces)
 	r.fleet.SetRouters(r.o.ID, k.Routers)
 }
 
-// kept are the streams here with a copy. The member starts after the handler.
-func (r *Router) kept() []forward.ResumableRun { return r.handler.ResumableRuns() }
+// resumableRuns returns the streams of this router that have a backup copy. The member,
+// which calls it, starts after the handler is set.
+func (r *Router) resumableRuns() []forward.ResumableRun { return r.handler.ResumableRuns() }
 
-func (r *Router) learnSpent(others map[string]forward.RetryUsage) {
+func (r *Router) applyPeerRetryUsage(others map[string]forward.RetryUsage) {
 	r.handler.SetPeerRetryUsage(others)
 }
 
 func (r *Router) paces() map[string]scheduler.EngineTiming { return r.handler.Paces() }
 
-func (r *Router) spent() map[string]forward.RetryUsage { return r.handler.RetryUsage() }
+func (r *Router) retryUsage() map[string]forward.RetryUsage { return r.handler.RetryUsage() }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether the entry answers may name this router.
 func (r *Router) Ready() bool {
-	_, _, _, listed := r.held.Current()
+	_, _, _, listed := r.backendList.Current()
 	return listed && r.table.Load() != nil && !r.drain.started()
 }
 
-// SetSeeds takes other control addresses.
+// SetSeeds replaces the control addresses.
 func (r *Router) SetSeeds(seeds []string) { r.member.SetSeeds(seeds) }
 
-// tellTimeout bounds the notices at the begin of a planned end.
-const tellTimeout = 300 * time.Millisecond
+// leaveNoticeTimeout bounds the heartbeats that announce a planned shutdown.
+const leaveNoticeTimeout = 300 * time.Millisecond
 
-// Shutdown ends the router as planned: it is out of the directory at once, goes
-// on serving callers whose entry answers still name it, and returns when nothing
-// runs any more or the grace is nearly over.
+// Shutdown drains the router. It leaves the directory at once and keeps serving callers
+// whose entry answers still name it. Shutdown returns when no request runs any more, or
+// when the grace period is nearly over.
 func (r *Router) Shutdown() {
 	r.drain.start()
-	ctx, cancel := context.WithTimeout(r.ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(r.ctx, leaveNoticeTimeout)
 	r.member.SendNow(ctx)
 	cancel()
 	r.drain.wait()
 	r.Close()
 }
 
-// Close ends everything at once.
+// Close stops the router at once, without draining.
 func (r *Router) Close() {
 	r.cancel()
-	_ = r.front.Close()
-	_ = r.peers.Close()
+	_ = r.callerServer.Close()
+	_ = r.peerServer.Close()
 	r.feed.Close()
 	r.network.Close()
 }
--- a/internal/routed/supervise.go
+++ b/internal/routed/supervise.go
@@ -9,39 +9,41 @@
 	"github.com/rs/zerolog"
 )
 
-// settingsLook is how often the settings file is looked at: it may change without
-// a signal.
-const settingsLook = 1 * time.Second
+// settingsCheckInterval is how often the settings file is checked for a change, which
+// may come without a signal.
+const settingsCheckInterval = 1 * time.Second
 
-// Process is a Router or a Control.
+// Process is a Router or a ControlProcess.
 type Process interface {
 	SetSeeds(seeds []string)
 	Shutdown()
 }
 
-// Supervision is what a process is run under.
+// Supervisor runs a process: it handles signals, changes of the settings file and
+// fatal faults.
 type Supervision struct {
 	Path string // of the settings file
-	// Seeds reads the file and returns the seeds. An error leaves all as it is: the
-	// file may be half written, and is read again when it changes.
+	// ReadSeeds reads the file and returns the seeds. After an error the settings in
+	// force stay. The file may be half written, and is read again when it changes.
 	Seeds   func() ([]string, error)
-	Failure <-chan error // ends the process; nil: never
+	Failure <-chan error // a fault from it ends the process; nil if there can be none
 	Log     zerolog.Logger
 }
 
-// Signals catches the signals that a process heeds. It is called before the
-// process starts: one that comes meanwhile would end it.
+// Signals subscribes to the signals that Run handles. It must be called before the
+// process starts, because a signal that arrives earlier would kill it.
 func Signals() <-chan os.Signal {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	return signals
 }
 
-// Run follows signals, the settings file and faults until the process ends.
+// Run handles signals, changes of the settings file and faults until the process ends.
+// It returns the fault that ended the process, or nil after a planned shutdown.
 func (s *Supervision) Run(p Process, signals <-chan os.Signal) error {
-	look := time.NewTicker(settingsLook)
-	defer look.Stop()
-	changed := newFileWatch(s.Path)
+	ticker := time.NewTicker(settingsCheckInterval)
+	defer ticker.Stop()
+	file := newFileWatcher(s.Path)
 	for {
 		select {
 		case sig := <-signals:
@@ -52,12 +54,12 @@
 				return nil
 			}
 			s.reload(p)
-		case <-look.C:
-			if changed.look() {
+		case <-ticker.C:
+			if file.changed() {
 				s.reload(p)
 			}
 		case err := <-s.Failure:
-			s.Log.Error().Err(err).Msg("this process stops")
+			s.Log.Error().Err(err).Msg("fatal fault; this process stops")
 			return err
 		}
 	}
@@ -66,32 +68,32 @@
 func (s *Supervision) reload(p Process) {
 	seeds, err := s.Seeds()
 	if err != nil {
-		s.Log.Warn().Err(err).Msg("settings not taken")
+		s.Log.Warn().Err(err).Msg("settings file could not be read; keeping the settings in force")
 		return
 	}
 	p.SetSeeds(seeds)
 	s.Log.Info().Strs("seeds", seeds).Msg("settings read")
 }
 
-// fileWatch tells when a file has changed.
-type fileWatch struct {
-	path  string
-	size  int64
-	stamp time.Time
+// fileWatcher detects changes of a file by its size and modification time.
+type fileWatcher struct {
+	path    string
+	size    int64
+	modTime time.Time
 }
 
-func newFileWatch(path string) *fileWatch {
-	f := &fileWatch{path: path}
-	f.look()
+func newFileWatcher(path string) *fileWatcher {
+	f := &fileWatcher{path: path}
+	f.changed()
 	return f
 }
 
-func (f *fileWatch) look() bool {
+func (f *fileWatcher) changed() bool {
 	info, err := os.Stat(f.path)
 	if err != nil {
-		return false // replaced just now; the next look sees it
+		return false // being replaced; the next check sees the new file
 	}
-	changed := info.Size() != f.size || !info.ModTime().Equal(f.stamp)
-	f.size, f.stamp = info.Size(), info.ModTime()
+	changed := info.Size() != f.size || !info.ModTime().Equal(f.modTime)
+	f.size, f.modTime = info.Size(), info.ModTime()
 	return changed
 }
