--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -20,8 +20,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// admitter queues requests by package admission, one queue for each model, and
-// starts them as the engines have room. Safe for concurrent use.
+// admitter queues requests with package admission, in one queue for each model, and
+// starts them when the engines have capacity. It is safe for concurrent use.
 type admitter struct {
 	capacity func(model string) int
 	share    func(workspace string) int
@@ -29,10 +29,10 @@
 	metrics  *expvar.Map
 	log      zerolog.Logger
 
-	mu      sync.Mutex
-	queues  map[string]*admission.Queue
-	tickets map[*admission.Item]*ticket
-	again   int // numbers the keys of items that stand twice
+	mu         sync.Mutex
+	queues     map[string]*admission.Queue
+	tickets    map[*admission.Item]*ticket
+	duplicates int // number of items queued under a duplicate key; makes their keys unique
 }
 
 func newAdmitter(capacity func(string) int, share func(string) int, note relay.NoteFunc, metrics *expvar.Map, log zerolog.Logger) *admitter {
@@ -50,7 +50,7 @@
 	id    generation.RequestID
 	model string
 	item  admission.Item
-	ready chan struct{} // closed when it has started, or is found expired
+	ready chan struct{} // closed when the request may start, or when the queue has found it expired
 }
 
 // Enter implements relay.Admission.
@@ -71,12 +71,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	q := a.queue(req.Model)
-	q.SetCapacity(a.capacity(req.Model)) // the first request's estimate needs it, too
+	q.SetCapacity(a.capacity(req.Model)) // the first request's wait estimate needs it, too
 	d := q.Enter(&t.item, now)
 	if d.Verdict == admission.Attached {
-		// The run before this one has not left yet: both belong to one caller.
-		a.again++
-		t.item.Key = fmt.Sprintf("%s#%d", t.item.Key, a.again)
+		// The previous run of this request has not been released yet. Both belong to
+		// the same caller.
+		a.duplicates++
+		t.item.Key = fmt.Sprintf("%s#%d", t.item.Key, a.duplicates)
 		d = q.Enter(&t.item, now)
 	}
 	if d.Refused() {
@@ -84,7 +85,7 @@
 	}
 	a.tickets[&t.item] = t
 	a.metrics.Add("admission_entered", 1)
-	a.start(req.Model, q)
+	a.startWaiting(req.Model, q)
 	if t.item.State() == admission.Waiting {
 		a.metrics.Add("admission_queued", 1)
 		a.note(t.id, explain.Queued, fmt.Sprintf("%s class, %d before it, about %s", t.item.Class, q.Len()-1, d.Wait.Round(10*time.Millisecond)))
@@ -104,30 +105,33 @@
 	a.metrics.Add("admission_refused_"+name, 1)
 	a.note(t.id, explain.Refused, fmt.Sprintf("%s: expected wait %s, come back in %s", name, d.Wait.Round(time.Millisecond), d.RetryAfter.Round(time.Millisecond)))
 	a.log.Debug().Str("request_id", t.id.Key).Str("workspace", t.id.Workspace).Str("reason", name).
-		Dur("wait", d.Wait).Dur("retry_after", d.RetryAfter).Msg("refused")
+		Dur("wait", d.Wait).Dur("retry_after", d.RetryAfter).Msg("request refused at admission")
 	return result.New(code).WithRetryAfter(d.RetryAfter)
 }
 
-// queue needs a.mu.
+// queue returns the queue of a model and creates it if necessary. The caller must
+// hold a.mu.
 func (a *admitter) queue(model string) *admission.Queue {
 	q := a.queues[model]
 	if q == nil {
 		rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		q = admission.NewQueue(admission.DefaultBounds, rng, a.expired)
+		q = admission.NewQueue(admission.DefaultBounds, rng, a.onExpired)
 		a.queues[model] = q
 	}
 	return q
 }
 
-// expired is called by a queue, under a.mu.
-func (a *admitter) expired(it *admission.Item) {
+// onExpired is the queues' callback for an expired item. Queues call it while a.mu is
+// held.
+func (a *admitter) onExpired(it *admission.Item) {
 	if t := a.tickets[it]; t != nil {
 		close(t.ready)
 	}
 }
 
-// start lets waiting requests start as far as there is room. It needs a.mu.
-func (a *admitter) start(model string, q *admission.Queue) {
+// startWaiting starts waiting requests as far as the capacity allows. The caller must
+// hold a.mu.
+func (a *admitter) startWaiting(model string, q *admission.Queue) {
 	q.SetCapacity(a.capacity(model))
 	now := time.Now()
 	for it := q.Next(now); it != nil; it = q.Next(now) {
@@ -137,19 +141,19 @@
 	}
 }
 
-// freed is called when engines may have room.
-func (a *admitter) freed() {
+// capacityFreed starts waiting requests when the engines may have capacity again.
+func (a *admitter) capacityFreed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for model, q := range a.queues {
 		if q.Len() > 0 {
-			a.start(model, q)
+			a.startWaiting(model, q)
 		}
 	}
 }
 
-// waiting reports whether any request waits for a slot.
-func (a *admitter) waiting() bool {
+// hasWaiting reports whether any request waits for a slot.
+func (a *admitter) hasWaiting() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, q := range a.queues {
@@ -160,18 +164,18 @@
 	return false
 }
 
-// Wait implements relay.Ticket. A request whose deadline passes here is given
-// its final answer at once; it has not run.
+// Wait implements relay.Ticket. A request whose deadline passes in the queue is refused
+// at that moment. It has not run.
 func (t *ticket) Wait(ctx context.Context) error {
-	var passed <-chan time.Time
+	var deadlinePassed <-chan time.Time
 	if !t.item.Deadline.IsZero() {
 		timer := time.NewTimer(time.Until(t.item.Deadline))
 		defer timer.Stop()
-		passed = timer.C
+		deadlinePassed = timer.C
 	}
 	select {
 	case <-t.ready:
-	case <-passed:
+	case <-deadlinePassed:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -180,11 +184,12 @@
 	if t.item.State() == admission.Running {
 		return nil
 	}
-	return t.a.giveUp(t)
+	return t.a.expireTicket(t)
 }
 
-// giveUp needs a.mu.
-func (a *admitter) giveUp(t *ticket) error {
+// expireTicket removes an expired request from its queue, and returns the error for its
+// caller. The caller must hold a.mu.
+func (a *admitter) expireTicket(t *ticket) error {
 	q := a.queues[t.model]
 	q.Leave(&t.item, false, time.Now())
 	a.metrics.Add("admission_expired", 1)
@@ -210,10 +215,10 @@
 	delete(a.tickets, &t.item)
 	q := a.queues[t.model]
 	q.Leave(&t.item, true, time.Now())
-	a.start(t.model, q)
+	a.startWaiting(t.model, q)
 }
 
-// QueueStatus is the state of one model's queue, for operators.
+// QueueStatus is the state of one model's queue as operators see it.
 type QueueStatus struct {
 	Model    string `json:"model"`
 	Waiting  int    `json:"waiting"`
@@ -233,20 +238,20 @@
 
 func (n *Node) startAdmission() {
 	n.admission = newAdmitter(n.router.Capacity, n.shareOf, n.note, n.metrics, n.log)
-	n.router.freed = n.admission.freed
+	n.router.onCapacityFreed = n.admission.capacityFreed
 }
 
-// shareOf is the weight of a workspace in fair queueing.
+// shareOf returns the weight of a workspace in fair queueing.
 func (n *Node) shareOf(workspace string) int {
 	d, err := n.plans.Directory()
 	if err != nil {
-		return 1 // not fresh: running answers go on, whatever their share
+		return 1 // not fresh: answers in progress continue, whatever their share
 	}
 	_, allowance, _ := d.Workspace(workspace)
 	return allowance.Share
 }
 
-// note records a decision about a request for explain.
+// note records a decision about a request in the explain ring.
 func (n *Node) note(id generation.RequestID, what, why string) {
 	n.explain.Note(explain.Key{Workspace: id.Workspace, Request: id.Key},
 		explain.Note{At: time.Now(), VM: n.s.Self.ID, What: what, Why: why})
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -14,7 +14,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-func waiting(slots *int) *admitter {
+func newTestAdmitter(slots *int) *admitter {
 	capacity := func(string) int { return *slots }
 	share := func(string) int { return 1 }
 	note := func(generation.RequestID, string, string) {}
@@ -28,14 +28,15 @@
 	}
 }
 
-// One slot is taken. The next caller waits; its deadline of a minute passes in
-// the queue, and it hears so at that moment: not later, and as "not run". What
-// cannot start in time is refused at entry with a time to come back. A request
-// that another VM had accepted is taken whatever the queue, and starts first.
+// Guards against callers that learn too late that their request will not run. The only
+// slot is taken. The next request's deadline of a minute passes in the queue, and it must
+// be refused as "not run" at that moment. A request that cannot start in time must be
+// refused on arrival with a Retry-After. A request that another VM had accepted must be
+// admitted even if the queue is full, and start first.
 func TestQueueTellsCallersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slots := 1
-		a := waiting(&slots)
+		a := newTestAdmitter(&slots)
 		first, err := a.Enter(generationOf("first", 0), false)
 		if err != nil || first.Wait(t.Context()) != nil {
 			t.Fatalf("the first request did not start: %v", err)
@@ -47,12 +48,12 @@
 		_, err = a.Enter(generationOf("soon", 100*time.Millisecond), false)
 		var refused *result.Error
 		if !errors.As(err, &refused) || refused.Code != result.DeadlineTooSoon || refused.RetryAfter <= 0 || refused.Ran != result.RanNo {
-			t.Errorf("too soon a deadline got %+v", err)
+			t.Errorf("request with a deadline of 100ms got %+v, want DeadlineTooSoon with a Retry-After, not run", err)
 		}
 		began := time.Now()
 		err = late.Wait(t.Context())
 		if !errors.Is(err, result.New(result.DeadlinePassed)) || time.Since(began) != time.Minute {
-			t.Errorf("after %s: %v", time.Since(began), err)
+			t.Errorf("after %s got %v, want DeadlinePassed after 1m", time.Since(began), err)
 		}
 		late.Release()
 		for i := range 50 {
@@ -72,11 +73,12 @@
 	})
 }
 
-// A caller that is gone gives its place back at once, and its slot to the next.
+// Guards against queue places that leak. A caller that has disconnected must free its place
+// at once, and the next request must get the slot.
 func TestGivenUpPlacesAreFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slots := 0
-		a := waiting(&slots)
+		a := newTestAdmitter(&slots)
 		gone, err := a.Enter(generationOf("gone", 0), false)
 		if err != nil {
 			t.Fatal(err)
@@ -87,12 +89,12 @@
 		}
 		gone.Release()
 		slots = 1
-		a.freed()
+		a.capacityFreed()
 		if err := next.Wait(t.Context()); err != nil {
 			t.Error(err)
 		}
 		if s := a.status(); s[0].Waiting != 0 || s[0].Running != 1 {
-			t.Errorf("queue %+v", s[0])
+			t.Errorf("queue is %+v, want 0 waiting and 1 running", s[0])
 		}
 	})
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -11,11 +11,11 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// startControl makes the VM's control parts: the replicated state, the client
-// of the control group and the feed of what every VM follows. Nothing runs yet:
-// the start functions that come after it register their parts on n.machine and
-// their callbacks on n.feed, and may start work that waits on n.control. Then
-// runControl replays the log into the registered parts and joins the group.
+// startControl creates the VM's control components: the replicated state, the client of
+// the control group and the feed of state changes that every VM follows. None of them
+// runs yet. The start functions that follow register their state machines on n.machine
+// and their callbacks on n.feed, and may start work that waits on n.control. After that
+// runControl replays the log into the registered state machines and joins the group.
 func (n *Node) startControl() {
 	var voters []string
 	for _, vm := range n.s.VMs {
@@ -38,7 +38,7 @@
 	n.controlMetrics()
 }
 
-// controlMetrics publishes what docs/operating/control.md describes.
+// controlMetrics publishes the metrics that docs/operating/control.md describes.
 func (n *Node) controlMetrics() {
 	n.metrics.Set("control_fresh", expvar.Func(func() any { return n.feed.Fresh() }))
 	n.metrics.Set("control_leader", expvar.Func(func() any { return n.leader() }))
@@ -48,7 +48,7 @@
 	}
 }
 
-// leader is the VM that leads the control group as this VM knows, or "".
+// leader returns the VM that leads the control group as far as this VM knows, or "".
 func (n *Node) leader() string {
 	if n.group != nil {
 		st, _ := n.group.Status()
@@ -57,10 +57,10 @@
 	return n.remote.Leader()
 }
 
-// runControl joins the control group, once all parts are registered.
+// runControl joins the control group. All state machines must be registered before.
 func (n *Node) runControl() {
 	if !slices.ContainsFunc(n.s.VMs, func(vm settings.VM) bool { return vm.Has(settings.RoleControl) }) {
-		n.fail(errors.New("no VM in the settings has the control role: nothing could ever be admitted"))
+		n.fail(errors.New("no VM in the settings has the control role, so no request could be admitted"))
 		return
 	}
 	if n.group != nil {
@@ -72,7 +72,8 @@
 	n.feed.Start()
 }
 
-// leaveControl is for a planned end: the group has its next leader before.
+// leaveControl transfers the leadership before a planned shutdown, so the group does
+// not have to wait for an election timeout.
 func (n *Node) leaveControl(ctx context.Context) {
 	if n.group != nil {
 		n.group.HandOver(ctx)
@@ -86,15 +87,15 @@
 	}
 }
 
-// fail reports a fault after which the VM must not go on: its log is damaged or
-// cannot be synced. The process ends; a started one reads the log anew.
+// fail reports a fault after which the VM must stop: its log is damaged or cannot be
+// synced. The process exits, and replays the log when it is started again.
 func (n *Node) fail(err error) {
-	n.log.Error().Err(err).Msg("this VM stops")
+	n.log.Error().Err(err).Msg("fatal fault; this VM stops")
 	select {
 	case n.failure <- err:
 	default:
 	}
 }
 
-// Failure carries the fault that ends this VM, if one comes.
+// Failure delivers the fault that ends this VM.
 func (n *Node) Failure() <-chan error { return n.failure }
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -9,9 +9,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/control"
 )
 
-// Each VM in turn leads the control group or not; one of them is killed. An
-// operator's change on another VM is accepted after the change of leader, and in
-// force on every VM that is left: none may admit by the old lists.
+// Guards against VMs that admit requests by old lists after a control VM was lost. One of
+// three control VMs, which may be the leader, is killed. An operator's change must then be
+// accepted by another VM and be in force on every remaining VM.
 func TestListsChangeAfterOneControlVMDied(t *testing.T) {
 	s := start(t)
 	operators := client.NewOperator([]string{s.Nodes[1].OperatorAddr(), s.Nodes[2].OperatorAddr()}, "", "test")
@@ -28,23 +28,23 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("in force after %v", took)
+		t.Errorf("change in force after %v, want at most 5s", took)
 	}
 	for _, n := range s.Nodes[1:] {
 		got, err := client.NewOperator([]string{n.OperatorAddr()}, "", "test").Allowance(t.Context(), "p")
 		if err != nil || got.Concurrent != 7 {
-			t.Errorf("%s: %+v, %v", n.Self().ID, got, err)
+			t.Errorf("%s: got allowance %+v, error %v; want concurrency 7", n.Self().ID, got, err)
 		}
 		if _, err := client.New([]string{n.Self().Callers}, testKey).Complete(t.Context(), "after-"+n.Self().ID,
 			client.Completion{Model: "m", Prompt: "unit 3", MaxTokens: 5}, nil); err != nil {
-			t.Errorf("%s admits nothing: %v", n.Self().ID, err)
+			t.Errorf("%s refused a request: %v", n.Self().ID, err)
 		}
 	}
 }
 
-// A control VM is lost for good and its id with it. Until it is removed it counts
-// against the majority; then the two that are left decide alone. The operator's
-// answer may be lost: the resend finds the same group.
+// Guards against a lost control VM that counts in the quorum forever. It does not come back
+// under its id. After an operator removes it, the group must have the two remaining voters.
+// The first answer may be lost, so a repeated removal must give the same result.
 func TestLostControlVMIsRemoved(t *testing.T) {
 	s := start(t)
 	operators := client.NewOperator([]string{s.Nodes[1].OperatorAddr(), s.Nodes[2].OperatorAddr()}, "", "test")
@@ -56,7 +56,7 @@
 		}
 		var group control.MemberStats
 		if err := json.Unmarshal(raw, &group); err != nil || len(group.Voters) != 2 {
-			t.Errorf("%s: %v", raw, err)
+			t.Errorf("got group %s, error %v; want 2 voters", raw, err)
 		}
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -18,35 +18,36 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// fleetEvery is how often the backend servers' list is put together: "leaving"
-// must show within seconds, and the platform's own list is read each second.
-const fleetEvery = 500 * time.Millisecond
+// fleetUpdateInterval is how often the list of backend servers is recomputed. A server
+// that starts to leave must lose new work within seconds, and the platform's list is
+// read every second.
+const fleetUpdateInterval = 500 * time.Millisecond
 
-// wantedCopies is the least number of copies of each model: with two, one more
-// engine may die. A model that has fewer by the settings wants those.
-const wantedCopies = 2
+// minModelCopies is the number of copies of each model that orders maintain. With two
+// copies one engine may die. A model with fewer copies in the settings keeps that number.
+const minModelCopies = 2
 
-// backends are the backend servers by the settings, the platform's list and what
-// orders have loaded. Safe for concurrent use.
+// backends merges the backend servers of the settings, those of the platform's list and
+// the models that orders have loaded. It is safe for concurrent use.
 type backends struct {
 	configured []settings.Backend
 	platform   *inventory.Reader
 	view       atomic.Pointer[fleet.View]
-	services   atomic.Pointer[map[string][]service.Backend] // by service, none that is leaving
+	services   atomic.Pointer[map[string][]service.Backend] // by service, without those that are leaving
 	log        zerolog.Logger
 }
 
-func (b *backends) take(data []byte) {
+func (b *backends) apply(data []byte) {
 	v, err := fleet.NewView(data)
 	if err != nil {
-		b.log.Error().Err(err).Msg("what engines serve")
+		b.log.Error().Err(err).Msg("fleet state could not be decoded; keeping the previous one")
 		return
 	}
 	b.view.Store(v)
 }
 
-// list is every backend server with the models that it should get work for:
-// those of the settings, and those that an order has loaded.
+// list returns every backend server with the models for which it should get work: those
+// of the settings or the platform's list, and those that an order has loaded.
 func (b *backends) list() []settings.Backend {
 	out := slices.Clone(b.configured)
 	known := map[string]bool{}
@@ -82,7 +83,7 @@
 	return out
 }
 
-// leaving names the backend servers that the platform says are leaving.
+// leaving returns the names of the backend servers that the platform lists as leaving.
 func (b *backends) leaving() map[string]bool {
 	listed, _, _ := b.platform.List()
 	out := map[string]bool{}
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// index makes the answers of Service.
-func (b *backends) index(list []settings.Backend) {
+// indexServices rebuilds the map that Service answers from.
+func (b *backends) indexServices(list []settings.Backend) {
 	all := map[string][]service.Backend{}
 	leaving := b.leaving()
 	for _, s := range list {
@@ -114,7 +115,7 @@
 	b.services.Store(&all)
 }
 
-// engines are the engines as orders see them.
+// engines returns the engines in the form that package orders uses.
 func (b *backends) engines() []orders.Backend {
 	var out []orders.Backend
 	leaving, configured := b.leaving(), map[string][]string{}
@@ -133,7 +134,7 @@
 	return out
 }
 
-func (b *backends) wants() []fleet.Want {
+func (b *backends) wantedModels() []fleet.Want {
 	copies := map[string]int{}
 	var names []string
 	for _, s := range b.configured {
@@ -145,22 +146,23 @@
 	}
 	var out []fleet.Want
 	for _, m := range names {
-		out = append(out, fleet.Want{Model: m, Copies: min(copies[m], wantedCopies)})
+		out = append(out, fleet.Want{Model: m, Copies: min(copies[m], minModelCopies)})
 	}
 	return out
 }
 
-// startFleet registers the orders' state and follows what engines serve.
+// startFleet registers the state of the orders, and subscribes to the models that engines
+// serve.
 func (n *Node) startFleet() {
 	n.machine.Register(control.PartFleet, fleet.NewPart())
 	n.backends = &backends{configured: n.s.Backends, platform: n.members.platform, log: n.log}
-	n.backends.index(n.s.Backends)
-	n.feed.OnChange(control.PartFleet, n.backends.take)
+	n.backends.indexServices(n.s.Backends)
+	n.feed.OnChange(control.PartFleet, n.backends.apply)
 }
 
-// runFleet keeps routing up to date and, on the group's leader, gives orders.
+// runFleet keeps routing up to date and, while this VM leads the group, gives orders.
 func (n *Node) runFleet(ctx context.Context) {
-	go n.followBackends(ctx)
+	go n.updateBackends(ctx)
 	if n.group == nil {
 		return
 	}
@@ -168,7 +170,7 @@
 		Name: n.s.Self.ID + "#" + n.incarnation, Control: n.control, Engines: n.engines, IsLeader: n.group.IsLeader,
 		Backends: n.backends.engines, Orders: n.ordersUnderWay, Served: n.backends.view.Load,
 		Metrics: n.metrics, Log: n.log,
-	}, n.backends.wants())
+	}, n.backends.wantedModels())
 	go leader.Run(ctx)
 }
 
@@ -181,11 +183,11 @@
 	return out
 }
 
-func (n *Node) followBackends(ctx context.Context) {
+func (n *Node) updateBackends(ctx context.Context) {
 	last := n.s.Backends
-	for timer.Sleep(ctx, fleetEvery) == nil {
+	for timer.Sleep(ctx, fleetUpdateInterval) == nil {
 		now := n.backends.list()
-		n.backends.index(now)
+		n.backends.indexServices(now)
 		if !reflect.DeepEqual(now, last) {
 			n.router.SetBackends(now)
 			last = now
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -15,10 +15,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// The platform says, a second late, that an engine and a VM are leaving. Within
-// seconds the engine gets no new work, a hundred requests in a row and over several
-// of its own load reports, which say nothing of it, and the entry leaves the VM
-// out. The callers' answers are whole throughout.
+// Guards against new work for servers that are about to leave. The platform lists, a second
+// late, an engine and a VM as leaving. Within seconds the entry answers must omit the VM,
+// and the engine must get none of a hundred requests in a row, although its own load
+// reports do not show that it leaves. All answers must be complete.
 func TestPlatformsLeavingTakesEffectWithinSeconds(t *testing.T) {
 	t.Parallel()
 	p, err := standin.ServePlatform("127.0.0.1:0", time.Second)
@@ -28,9 +28,9 @@
 	t.Cleanup(p.Close)
 	p.Set(inventory.List{})
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
-	shorten := o.Settings
+	setEntryTTL := o.Settings
 	o.Settings = func(i int, s *settings.Settings) {
-		shorten(i, s)
+		setEntryTTL(i, s)
 		s.PlatformURL = p.URL
 	}
 	s, err := local.Start(o)
@@ -64,6 +64,6 @@
 		}
 	}
 	if took := time.Since(began); took > 8*time.Second {
-		t.Errorf("new work still came %s after the platform knew", took)
+		t.Errorf("the leaving engine got its last work up to %s after the platform listed it, want at most 8s", took)
 	}
 }
--- a/internal/node/loss_bench_test.go
+++ b/internal/node/loss_bench_test.go
@@ -18,9 +18,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// A VM that holds many callers is lost, by a kill or a planned shutdown, when all
-// are in mid-output. Measured: how long each answer stands still, and the
-// engines' work beyond unbroken answers.
+// BenchmarkVMLoss measures the loss of a VM, by a kill or a planned shutdown, while the
+// answers of its callers are in progress. It reports the longest pause in each answer, and
+// the engines' work beyond that of uninterrupted answers.
 func BenchmarkVMLoss(b *testing.B) {
 	for name, lose := range map[string]func(ctx context.Context, s *local.System){
 		"killed":   func(_ context.Context, s *local.System) { s.Nodes[0].Kill() },
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithTimeout(b.Context(), time.Minute)
 	defer cancel()
 	before := s.Work()
-	var lost sync.Once
+	var once sync.Once
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var gaps []time.Duration
@@ -70,7 +70,7 @@
 		wg.Go(func() {
 			answer, err := client.New(s.Addresses(), testKey).Complete(ctx, fmt.Sprint("k", i), req, func(p client.Progress) {
 				if p.Index >= at {
-					lost.Do(func() { go lose(ctx, s) })
+					once.Do(func() { go lose(ctx, s) })
 				}
 			})
 			if err == nil {
@@ -87,7 +87,7 @@
 	}
 	wg.Wait()
 	if len(gaps) == 0 {
-		b.Fatal("no answer")
+		b.Fatal("no answer was completed")
 	}
 	slices.Sort(gaps)
 	b.ReportMetric(float64(gaps[len(gaps)/2].Milliseconds()), "p50-gap-ms")
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -19,9 +19,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// members is this VM's copy of the committed list of VMs. Until the system has
-// formed there is only the list of the settings, by which VMs are addressed and
-// no journal is placed. Safe for concurrent use.
+// members is this VM's copy of the committed list of VMs. Until the system has formed,
+// only the list of the settings exists. It serves to address VMs, but no journal is placed
+// by it. members is safe for concurrent use.
 type members struct {
 	self        string
 	incarnation string
@@ -30,32 +30,32 @@
 	log         zerolog.Logger
 	cancel      context.CancelFunc
 	draining    func() bool
-	lease       time.Duration // of freshness
+	lease       time.Duration // the freshness lease
 
-	mu      sync.Mutex
-	history membership.History
-	views   []generation.Membership // of the history, newest first
-	formed  bool
-	failing map[string]time.Time // VMs that this one watches, since when they fail
-	changed chan struct{}
+	mu           sync.Mutex
+	history      membership.History
+	views        []generation.Membership // of the history, newest first
+	formed       bool
+	failingSince map[string]time.Time // by VM that this one probes: since when its probes fail
+	changed      chan struct{}
 
-	learnt   map[uint64]time.Time // versions, when this VM learnt of them
-	markedAt time.Time            // when Settled was last computed
+	learnedAt        map[uint64]time.Time // by version: when this VM learned of it
+	settledCheckedAt time.Time            // when Settled of the views was last computed
 }
 
 func newMembers(self, incarnation string, vms []settings.VM, p *inventory.Reader, log zerolog.Logger) *members {
 	m := &members{
 		self: self, incarnation: incarnation, vms: vms, platform: p, log: log,
-		failing: map[string]time.Time{}, changed: make(chan struct{}, 1), cancel: func() {},
+		failingSince: map[string]time.Time{}, changed: make(chan struct{}, 1), cancel: func() {},
 	}
-	m.views = []generation.Membership{m.static()}
+	m.views = []generation.Membership{m.settingsMembership()}
 	return m
 }
 
-// peerAddr prefers what the VM itself committed: a replaced VM may be elsewhere
-// than the settings say.
+// peerAddr returns a VM's peer address. The address that the VM itself committed has
+// precedence, since a replaced VM may have another address than in the settings.
 func (m *members) peerAddr(id string) (string, bool) {
-	view := m.present()
+	view := m.currentView()
 	if vm, ok := view.Find(id); ok && vm.Peer != "" {
 		return vm.Peer, true
 	}
@@ -70,14 +70,14 @@
 	return "", false
 }
 
-func (m *members) present() membership.View {
+func (m *members) currentView() membership.View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.history.Present()
 }
 
-// static is the settings' list, whose VMs carry no incarnation.
-func (m *members) static() generation.Membership {
+// settingsMembership returns the list of the settings, whose VMs have no incarnation.
+func (m *members) settingsMembership() generation.Membership {
 	view := generation.Membership{}
 	for _, vm := range m.vms {
 		view.Candidates = append(view.Candidates, generation.Candidate{VM: vm.ID, Zone: vm.Zone})
@@ -85,9 +85,9 @@
 	return view
 }
 
-// hasFormed reports whether journals can be placed. Before that nothing is
-// admitted: a journal that keepers without incarnation hold would need their
-// majority at every opening, also after some of them were lost.
+// hasFormed reports whether journals can be placed. Before that no request is admitted.
+// A journal whose keepers have no incarnation would need their majority at every opening,
+// even after some of them were lost.
 func (m *members) hasFormed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,53 +98,54 @@
 func (m *members) Views() []generation.Membership {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if time.Since(m.markedAt) >= markEvery {
+	if time.Since(m.settledCheckedAt) >= settledCheckInterval {
 		m.markSettled()
 	}
 	return m.views
 }
 
-// A version is settled once every VM that admits has heard of the next one,
-// which is a freshness lease, and owners have moved their journals: a tick of
-// 100 ms and some messages. Longer would refuse new requests when a third VM is
-// lost soon after two others were replaced.
+// A version of the list is settled once every VM that admits requests has learned of the
+// next one, which takes at most a freshness lease, and owners have moved their journals,
+// which takes a tick of 100 ms and some messages. A longer time would refuse new requests
+// when a third VM is lost soon after two others were replaced.
 const (
-	moveTime  = 1 * time.Second
-	markEvery = 250 * time.Millisecond
+	journalMoveTime      = 1 * time.Second
+	settledCheckInterval = 250 * time.Millisecond
 )
 
-// learn notes when versions were learnt; those of a start are as old as the
-// group says. It needs m.mu.
-func (m *members) learn() {
+// updateLearnedAt records when this VM learned of each version. The age of the versions
+// that a VM gets at its start follows from the group's timestamps. The caller must hold
+// m.mu.
+func (m *members) updateLearnedAt() {
 	learnt := map[uint64]time.Time{}
 	newest := m.history.Present()
 	for _, v := range m.history.Views() {
-		at, ok := m.learnt[v.Version]
+		at, ok := m.learnedAt[v.Version]
 		if !ok {
 			at = time.Now().Add(-time.Duration(newest.AtMS-v.AtMS) * time.Millisecond)
 		}
 		learnt[v.Version] = at
 	}
-	m.learnt = learnt
+	m.learnedAt = learnt
 }
 
-// markSettled needs m.mu.
+// markSettled updates Settled of the views. The caller must hold m.mu.
 func (m *members) markSettled() {
-	m.markedAt = time.Now()
+	m.settledCheckedAt = time.Now()
 	views := slices.Clone(m.views)
 	for i := 1; i < len(views); i++ {
-		superseded := m.learnt[views[i-1].Version]
-		views[i].Settled = time.Since(superseded) >= m.lease+moveTime
+		superseded := m.learnedAt[views[i-1].Version]
+		views[i].Settled = time.Since(superseded) >= m.lease+journalMoveTime
 	}
 	m.views = views
 }
 
-// take applies a change of the committed list.
-func (m *members) take(data []byte) {
+// apply applies a change of the committed list.
+func (m *members) apply(data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.history.Take(data); err != nil {
-		m.log.Error().Err(err).Msg("list of VMs")
+		m.log.Error().Err(err).Msg("change of the list of VMs could not be applied; keeping the list in force")
 		return
 	}
 	select {
@@ -155,7 +156,7 @@
 		return
 	}
 	m.formed = true
-	m.learn()
+	m.updateLearnedAt()
 	views := make([]generation.Membership, 0, len(m.history.Views()))
 	for _, v := range m.history.Views() {
 		views = append(views, candidates(v))
@@ -164,9 +165,9 @@
 	m.markSettled()
 }
 
-// candidates are the VMs that may hold journals. A dead one may hold them yet,
-// and gets no new ones where enough others are left: with fewer, a journal
-// would have a smaller majority than with the dead VM counted in.
+// candidates returns the VMs that may hold journals. A dead VM may still hold some. It
+// gets no new ones while enough VMs are live. With fewer live VMs, a journal without the
+// dead VM among its keepers would have a smaller majority.
 func candidates(v membership.View) generation.Membership {
 	live := 0
 	for _, vm := range v.VMs {
@@ -189,7 +190,7 @@
 func (m *members) Reachable(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	since, fails := m.failing[id]
+	since, fails := m.failingSince[id]
 	if fails && time.Since(since) >= suspectAfter {
 		return false
 	}
@@ -198,10 +199,10 @@
 	return !ok || vm.State != membership.Dead
 }
 
-// Gone implements service.Incarnations: another incarnation has replaced it, or
-// several zones cannot reach it.
+// Gone implements service.Incarnations. An incarnation is gone if another one has replaced
+// it, or if it is dead because VMs of several zones could not reach it.
 func (m *members) Gone(id, incarnation string) bool {
-	present := m.present()
+	present := m.currentView()
 	vm, ok := present.Find(id)
 	return ok && (vm.Incarnation != incarnation || vm.State == membership.Dead)
 }
@@ -214,15 +215,16 @@
 	n.network.Handle(peer.KindMembership, n.answerProbe)
 }
 
-// followMembers registers the list with the control group's state and follows
-// it, once the control parts are made.
+// followMembers registers the list of VMs with the replicated state and subscribes to it.
+// startControl must have run.
 func (n *Node) followMembers() {
 	n.machine.Register(control.PartMembers, membership.NewPart())
-	n.feed.OnChange(control.PartMembers, n.members.take)
+	n.feed.OnChange(control.PartMembers, n.members.apply)
 	n.metrics.Set("members", expvar.Func(func() any { return n.members.status() }))
 }
 
-// joinMembers brings this VM in and watches others, once control runs.
+// joinMembers makes this VM join the list and starts to probe others. runControl must
+// have run.
 func (n *Node) joinMembers() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.members.cancel = cancel
@@ -234,40 +236,40 @@
 
 // Timings of joining.
 const (
-	proposeTimeout = 2 * time.Second
-	joinPause      = 200 * time.Millisecond
-	joinCheck      = 5 * time.Second
-	rejoinPause    = 2 * time.Second // a VM with a bad link must not flap each second
+	proposeTimeout    = 2 * time.Second
+	joinRetryDelay    = 200 * time.Millisecond
+	joinCheckInterval = 5 * time.Second
+	rejoinDelay       = 2 * time.Second // keeps a VM with a bad link from flapping every second
 )
 
-// keepJoined joins under this incarnation, and again after a false eviction.
+// keepJoined makes this incarnation join, and join again after a false eviction.
 func (n *Node) keepJoined(ctx context.Context) {
 	for n.join(ctx) != nil {
-		if timer.Sleep(ctx, joinPause) != nil {
+		if timer.Sleep(ctx, joinRetryDelay) != nil {
 			return
 		}
 	}
 	for {
 		select {
 		case <-n.members.changed:
-		case <-time.After(joinCheck):
+		case <-time.After(joinCheckInterval):
 		case <-ctx.Done():
 			return
 		}
 		if n.draining.Load() || !n.members.evicted() {
 			continue
 		}
-		n.log.Warn().Msg("taken for dead by others; joining again")
-		if timer.Sleep(ctx, rejoinPause) != nil {
+		n.log.Warn().Msg("declared dead by other VMs; joining again")
+		if timer.Sleep(ctx, rejoinDelay) != nil {
 			return
 		}
 		_ = n.join(ctx)
 	}
 }
 
-// evicted reports whether the list has this incarnation as dead.
+// evicted reports whether the list marks this incarnation as dead.
 func (m *members) evicted() bool {
-	present := m.present()
+	present := m.currentView()
 	vm, ok := present.Find(m.self)
 	return ok && vm.Incarnation == m.incarnation && vm.State == membership.Dead
 }
@@ -290,29 +292,29 @@
 	return control.Propose[membership.Reply](ctx, n.control, control.PartMembers, cmd)
 }
 
-// leaveMembers tells the others that this VM is leaving or, at the end, has left.
+// leaveMembers commits that this VM is leaving or, at the end of the shutdown, has left.
 func (n *Node) leaveMembers(ctx context.Context, left bool) {
 	_, err := n.proposeMember(ctx, &membership.Command{Leave: &membership.Leave{
 		VM: n.s.Self.ID, Incarnation: n.incarnation, Left: left,
 	}})
 	if err != nil {
-		n.log.Warn().Err(err).Bool("left", left).Msg("could not tell the control group")
+		n.log.Warn().Err(err).Bool("left", left).Msg("leaving of this VM could not be committed; entry answers of other VMs may still name it")
 	}
 }
 
-// ids names every VM that is listed, by the settings or by having joined.
+// ids returns the id of every VM that the settings list or that has joined, sorted.
 func (m *members) ids() []string {
 	seen := map[string]bool{}
 	for _, vm := range m.vms {
 		seen[vm.ID] = true
 	}
-	for _, vm := range m.present().VMs {
+	for _, vm := range m.currentView().VMs {
 		seen[vm.ID] = true
 	}
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// MembersStatus is the list of VMs for operators.
+// MembersStatus summarizes the list of VMs for operators.
 type MembersStatus struct {
 	Version uint64   `json:"version"`
 	Live    int      `json:"live"`
@@ -321,7 +323,7 @@
 }
 
 func (m *members) status() MembersStatus {
-	view := m.present()
+	view := m.currentView()
 	out := MembersStatus{Version: view.Version, Leaving: []string{}, Dead: []string{}}
 	for _, vm := range view.VMs {
 		switch vm.State {
@@ -338,9 +340,9 @@
 
 // Entry implements gateway.Entrances.
 func (m *members) Entry(q membership.EntryQuery) ([]string, uint64) {
-	view := m.present()
+	view := m.currentView()
 	if len(view.VMs) == 0 {
-		view = m.fromSettings()
+		view = m.viewFromSettings()
 	}
 	avoid := func(id string) bool {
 		vm, listed := m.platform.VM(id)
@@ -353,7 +355,7 @@
 	return out, view.Version
 }
 
-func (m *members) fromSettings() membership.View {
+func (m *members) viewFromSettings() membership.View {
 	var view membership.View
 	for _, vm := range m.vms {
 		view.VMs = append(view.VMs, membership.VM{
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Stop)
-	// Until a VM has its first lease it rightly refuses calls.
+	// A VM refuses calls until it has its first lease.
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	for _, n := range s.Nodes {
@@ -44,7 +44,7 @@
 	return s
 }
 
-// entryUntil asks for the entry until it is as wanted.
+// entryUntil polls the entry answer of addr until ok accepts it.
 func entryUntil(ctx context.Context, t *testing.T, addr string, ok func(*client.Entry) bool) *client.Entry {
 	t.Helper()
 	ticker := time.NewTicker(50 * time.Millisecond)
@@ -60,14 +60,14 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatalf("the entry stayed at %+v (%v)", last, err)
+			t.Fatalf("entry answer remained %+v, last error %v", last, err)
 		}
 	}
 }
 
-// A caller asks one VM which to use: it names all three. Another VM is killed;
-// two observers in two zones fail to reach it, directly and through the other,
-// and within seconds the answer leaves it out, under a newer version.
+// Guards against entry answers that name a dead VM. The entry answer names three VMs, and
+// one of them is killed. Two observers in two zones fail to reach it, directly and through
+// each other. Within seconds the answer must omit it, under a newer version.
 func TestEntryLeavesOutADeadVM(t *testing.T) {
 	t.Parallel()
 	s := startWithDispatch(t)
@@ -79,17 +79,18 @@
 	began := time.Now()
 	after := entryUntil(ctx, t, asked, func(e *client.Entry) bool { return !slices.Contains(e.Addresses, killed) })
 	if after.Version <= before.Version {
-		t.Errorf("version %d after %d", after.Version, before.Version)
+		t.Errorf("entry version is %d, want more than %d", after.Version, before.Version)
 	}
 	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("left out after %s", took)
+		t.Errorf("dead VM omitted after %s, want at most 10s", took)
 	}
-	t.Logf("left out after %s", time.Since(began).Round(100*time.Millisecond))
+	t.Logf("dead VM omitted after %s", time.Since(began).Round(100*time.Millisecond))
 }
 
-// A VM is killed and comes back at once, at another address and without its
-// memory. It joins under a new incarnation before anybody has found the old one
-// dead: within seconds the entry names the new address alone, and the VM serves.
+// Guards against a replaced VM that stays out until its former incarnation is declared dead.
+// A VM is killed and restarts at once, at another address and without its memory. It joins
+// under a new incarnation. Within seconds the entry answer must name the new address only,
+// and the VM must serve.
 func TestReplacedVMIsInWithinSeconds(t *testing.T) {
 	t.Parallel()
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
@@ -126,7 +127,7 @@
 		return slices.Contains(e.Addresses, n.Self().Callers) && !slices.Contains(e.Addresses, old.Callers)
 	})
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("in after %s", took)
+		t.Errorf("replaced VM joined after %s, want at most 3s", took)
 	}
 	req := client.Completion{Model: "m", Prompt: "unit 9", MaxTokens: 5}
 	if _, err := client.New([]string{n.Self().Callers}, testKey).Complete(ctx, "replaced", req, nil); err != nil {
@@ -134,8 +135,8 @@
 	}
 }
 
-// Two VMs get one booking with the same key at the same moment, ten times over:
-// each is run once, and both callers hear the same.
+// Guards against a call that runs twice. Two VMs get a booking with the same key at the
+// same moment, for ten keys. Each must run once, and both callers must get the same answer.
 func TestSameKeyOnTwoVMsAtOnceRunsOnce(t *testing.T) {
 	t.Parallel()
 	s := startWithDispatch(t)
@@ -147,7 +148,7 @@
 		}
 		both.Wait()
 		if runs := s.Services[0].Runs(key); runs != 1 || answers[0] != answers[1] {
-			t.Errorf("%s ran %d times, answers %q and %q", key, runs, answers[0], answers[1])
+			t.Errorf("%s ran %d times, want 1; answers %q and %q, want equal ones", key, runs, answers[0], answers[1])
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node assembles one VM of the system from its parts and runs it.
+// Package node assembles one VM of the system from its components and runs it.
 package node
 
 import (
@@ -28,13 +28,13 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/telemetry"
 )
 
-// Timings of one VM.
+// Timings of a VM's HTTP servers.
 const (
-	heartbeat     = 1 * time.Second
-	headerTimeout = 5 * time.Second
+	heartbeatInterval = 1 * time.Second
+	headerTimeout     = 5 * time.Second
 )
 
-// Node is one VM. Listen binds its addresses, Start serves them.
+// Node is one VM. Listen binds its addresses, and Start serves them.
 type Node struct {
 	s       *settings.Settings
 	log     zerolog.Logger
@@ -44,8 +44,8 @@
 	callers, operators, peers net.Listener
 	servers                   []*http.Server
 
-	// incarnation differs at each start: a VM that lost its memory must not pass
-	// for the one that made promises before.
+	// incarnation differs at each start. A VM that has lost its memory must not be
+	// mistaken for the one that acknowledged journal entries before.
 	incarnation string
 	engines     *engine.Client
 	explain     *explain.Ring
@@ -53,7 +53,7 @@
 	network     *peer.Network
 	machine     *control.Machine
 	control     control.Client
-	remote      *control.Remote // what control holds
+	remote      *control.Remote // the same client as control, with its concrete type
 	feed        *control.Feed
 	group       *control.Group // nil on a VM without the control role
 	failure     chan error
@@ -68,11 +68,11 @@
 	ready       atomic.Bool
 	explainer   *operator.Explainer
 
-	draining atomic.Bool   // shutting down: the entry answers leave this VM out
-	leaving  chan struct{} // closed once the generations are handed over
+	draining   atomic.Bool   // set by Shutdown; entry answers omit this VM
+	handedOver chan struct{} // closed once the running generations are handed over
 }
 
-// Listen binds the VM's addresses and records those that the kernel picked.
+// Listen binds the VM's addresses, and stores the ports that the kernel picked in s.
 func Listen(s *settings.Settings, log zerolog.Logger) (*Node, error) {
 	tracer, err := telemetry.NewTracer(s.Self.ID, s.TraceFile)
 	if err != nil {
@@ -81,7 +81,7 @@
 	n := &Node{
 		s: s, log: log, metrics: telemetry.Metrics(s.Self.ID), tracer: tracer,
 		incarnation: rand.Text()[:8], engines: engine.NewClient(), explain: explain.NewRing(explain.DefaultRequests),
-		leaving: make(chan struct{}), failure: make(chan error, 1),
+		handedOver: make(chan struct{}), failure: make(chan error, 1),
 	}
 	for _, b := range []struct {
 		l    *net.Listener
@@ -98,13 +98,14 @@
 	return n, nil
 }
 
-// Self is this VM with its bound addresses.
+// Self returns this VM with its bound addresses.
 func (n *Node) Self() settings.VM { return n.s.Self }
 
-// OperatorAddr is where operators reach this VM.
+// OperatorAddr returns the bound address for operators.
 func (n *Node) OperatorAddr() string { return n.s.Operators }
 
-// Start assembles the parts and serves. vms lists every VM of the system.
+// Start assembles the components and serves the addresses. vms lists every VM of the
+// system, this one included.
 func (n *Node) Start(vms []settings.VM) {
 	n.s.VMs = vms
 	n.startMembers()
@@ -127,7 +128,7 @@
 }
 
 func (n *Node) startCallers() {
-	gw := gateway.New(gateway.Config{MaxBodyBytes: n.s.MaxBodyBytes, Heartbeat: heartbeat, Leaving: n.leaving},
+	gw := gateway.New(gateway.Config{MaxBodyBytes: n.s.MaxBodyBytes, Heartbeat: heartbeatInterval, Leaving: n.handedOver},
 		n.hub, n.plans, n.router, n.tracer, n.log)
 	r := mux.NewRouter().UseEncodedPath()
 	gw.Routes(r)
@@ -171,15 +172,16 @@
 	n.servers = append(n.servers, server)
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			n.log.Error().Err(err).Msg("listener ended")
+			n.log.Error().Err(err).Msg("listener failed")
 		}
 	}()
 }
 
-// Hub is the VM's generations.
+// Hub returns the hub of the generations that this VM relays.
 func (n *Node) Hub() *relay.Hub { return n.hub }
 
-// Kill ends the VM as a crash does: every connection breaks, nothing is said.
+// Kill stops the VM as a crash does: every connection breaks, and no other VM is
+// notified.
 func (n *Node) Kill() {
 	n.ready.Store(false)
 	n.closeListeners()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -45,9 +45,10 @@
 	return s
 }
 
-// The caller sees one whole answer. Its engine dies in mid-output, then the VM
-// that holds its connection; the caller reconnects to the next VM with the id of
-// its last event. The journal on the other VMs holds every token released.
+// Guards against an answer that is cut off or differs after two failures. The engine dies
+// while it generates, and then the VM that holds the caller's connection. The caller
+// reconnects to the next VM with the id of its last event. It must get one complete answer,
+// since the journal on the other VMs holds every token that was released.
 func TestAnswerSurvivesEngineThenRouter(t *testing.T) {
 	s := start(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -68,7 +69,7 @@
 		t.Fatal(err)
 	}
 	if !killedEngine || !killedVM || answer.Reconnects == 0 {
-		t.Fatalf("faults not brought about: engine %v, VM %v, reconnects %d", killedEngine, killedVM, answer.Reconnects)
+		t.Fatalf("engine killed %v, VM killed %v, %d reconnects; want both killed and at least 1 reconnect", killedEngine, killedVM, answer.Reconnects)
 	}
 	c := engine.Completion{Model: "m", Prompt: req.Prompt, MaxTokens: req.MaxTokens}
 	if err := standin.Verify(c, "1", answer.TokenIDs, true); err != nil {
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -15,7 +15,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// counters that `amaranthshelf status` shows.
+// statusCounters are the counters that `amaranthshelf status` shows.
 var statusCounters = []string{
 	"takeovers", "attempts_lost", "events_foreign", "quota_messages", "quota_messages_failed",
 	"quota_incarnations_lost", "ledger_invariants_broken",
@@ -29,7 +29,8 @@
 	}).Routes(r)
 }
 
-// startExplain must come before both HTTP listeners: each serves explanations.
+// startExplain must run before startCallers and startOperators, since both listeners serve
+// explanations.
 func (n *Node) startExplain() { n.explainer = operator.NewExplainer(n.network, n.vmIDs, n.explain) }
 
 func (n *Node) vmIDs() []string { return n.members.ids() }
@@ -50,8 +51,8 @@
 	return out
 }
 
-// Ask implements operator.Lists. A VM without the control role holds no rows
-// with their versions: it has a control VM answer.
+// Ask implements operator.Lists. A VM without the control role does not hold the rows with
+// their versions, and forwards the query to a control VM.
 func (n *Node) Ask(ctx context.Context, q plan.Query) (plan.Answer, error) {
 	if n.group != nil {
 		return n.answer(ctx, q)
@@ -69,11 +70,11 @@
 	return out, err
 }
 
-// askLimit is for one control VM: the next is asked where it is cut off.
-const askLimit = 2 * time.Second
+// askTimeout bounds the query to one control VM. After it the next one is asked.
+const askTimeout = 2 * time.Second
 
 func (n *Node) askVM(ctx context.Context, vm string, q plan.Query, out *plan.Answer) error {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	return n.network.Call(ctx, vm, peer.KindQuery, q, out)
 }
@@ -82,7 +83,7 @@
 	if err := n.control.Barrier(ctx); err != nil {
 		return out, err
 	}
-	n.machine.Read(control.PartPlans, func(book control.Part) { out = book.(*plan.Registry).Ask(q, n.plans.ledger) })
+	n.machine.Read(control.PartPlans, func(registry control.Part) { out = registry.(*plan.Registry).Ask(q, n.plans.ledger) })
 	return out, nil
 }
 
--- a/internal/node/plans.go
+++ b/internal/node/plans.go
@@ -15,29 +15,31 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// plans holds the lists in force on this VM, and what it may use of them.
+// plans holds the customer and allowance lists in force on this VM, and its share of the
+// quotas.
 type plans struct {
-	fresh  func() bool
-	ledger *plan.Ledger
-	quota  *quota.Quota
-	log    zerolog.Logger
-	dir    atomic.Pointer[plan.Directory]
-	view   *plan.View // of the feed's goroutine
-	cancel context.CancelFunc
+	fresh     func() bool
+	ledger    *plan.Ledger
+	quota     *quota.Quota
+	log       zerolog.Logger
+	directory atomic.Pointer[plan.Directory]
+	view      *plan.View // accessed only by the feed's goroutine
+	cancel    context.CancelFunc
 }
 
-// retryFresh is when to come back to a VM that lost the control group: its own
-// callers have other VMs in their entry answer meanwhile.
-const retryFresh = time.Second
+// notFreshRetryAfter is the Retry-After of a VM that has lost the control group. Meanwhile
+// its callers can use the other VMs of their entry answer.
+const notFreshRetryAfter = time.Second
 
-// Directory implements gateway.Plans. A VM that was cut off admits nothing once
-// its lease has lapsed: it could still hold a plan that was withdrawn, while the
-// operator was told that the change is in force. Running answers don't ask.
+// Directory implements gateway.Plans. A VM that is cut off from the control group admits
+// nothing once its lease has expired. It could still hold a plan that was withdrawn, after
+// the operator got the confirmation that the change is in force. Running answers do not
+// need the directory.
 func (p *plans) Directory() (*plan.Directory, error) {
 	if !p.fresh() {
-		return nil, result.New(result.NotFresh).WithRetryAfter(retryFresh)
+		return nil, result.New(result.NotFresh).WithRetryAfter(notFreshRetryAfter)
 	}
-	return p.dir.Load(), nil
+	return p.directory.Load(), nil
 }
 
 // Reserve implements relay.Quota.
@@ -48,7 +50,7 @@
 	}
 	_, allowance, ok := d.Workspace(req.ID.Workspace)
 	if !ok {
-		return nil, result.New(result.Unauthorized) // removed since its key was looked up
+		return nil, result.New(result.Unauthorized) // removed after its key was looked up
 	}
 	r, err := p.quota.Reserve(ctx, quota.Request{
 		ID: req.ID.Key, Workspace: req.ID.Workspace, Allowance: allowance, Tokens: int64(req.Cost()),
@@ -65,48 +67,48 @@
 	}, nil
 }
 
-// startPlans registers the lists and the ledger with the control group's state,
-// and follows the lists.
+// startPlans registers the lists and the quota ledger with the replicated state, and
+// subscribes to the lists.
 func (n *Node) startPlans() {
-	book := plan.NewRegistry()
-	ledger := plan.NewLedger(book, n.ledgerBroken)
-	n.machine.Register(control.PartPlans, book)
+	registry := plan.NewRegistry()
+	ledger := plan.NewLedger(registry, n.reportLedgerFault)
+	n.machine.Register(control.PartPlans, registry)
 	n.machine.Register(control.PartLedger, ledger)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.plans = &plans{
 		fresh: n.fresh, ledger: ledger, log: n.log, view: plan.NewView(), cancel: cancel,
 		quota: quota.New(n.s.Self.ID, n.incarnation, n.control, n.metrics, n.log),
 	}
-	n.plans.dir.Store(n.plans.view.Directory())
-	n.feed.OnChange(control.PartPlans, n.plans.take)
+	n.plans.directory.Store(n.plans.view.Directory())
+	n.feed.OnChange(control.PartPlans, n.plans.apply)
 	n.metrics.Set("plans_version", expvar.Func(func() any { return n.plans.version() }))
 	go n.plans.quota.Run(ctx)
 }
 
-func (n *Node) ledgerBroken(err error) {
+func (n *Node) reportLedgerFault(err error) {
 	n.metrics.Add("ledger_invariants_broken", 1)
-	n.log.Error().Err(err).Msg("ledger")
+	n.log.Error().Err(err).Msg("invariant of the quota ledger is broken")
 }
 
-func (p *plans) version() uint64 { return p.dir.Load().Version }
+func (p *plans) version() uint64 { return p.directory.Load().Version }
 
-// take applies a change of the lists.
-func (p *plans) take(data []byte) {
+// apply applies a change of the lists.
+func (p *plans) apply(data []byte) {
 	if err := p.view.Apply(data); err != nil {
-		p.log.Error().Err(err).Uint64("version", p.view.Version()).Msg("change of the lists refused")
+		p.log.Error().Err(err).Uint64("version", p.view.Version()).Msg("change of the plan lists could not be applied; keeping the lists in force")
 		return
 	}
 	next := p.view.Directory()
-	p.dir.Store(next)
+	p.directory.Store(next)
 	p.quota.Recall(next)
 }
 
-// fresh reports whether this VM may admit: it holds the lists in force, and
-// knows the VMs that keep journals.
+// fresh reports whether this VM may admit requests: its lists are in force, and the VMs
+// that can keep journals are known.
 func (n *Node) fresh() bool { return n.feed.Fresh() && n.members.hasFormed() }
 
-// Applied is the version of the lists that this VM applies, and whether it
-// admits by them now.
+// Applied returns the version of the lists that this VM applies, and whether it currently
+// admits requests.
 func (n *Node) Applied() (version uint64, admits bool) {
 	admits = n.fresh()
 	return n.plans.version(), admits
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -21,10 +21,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// The workspace has tokens for one request in this window. Its first request is
-// answered, and charged once though it is sent again, also to another VM. The
-// next is refused, not run, and told when to come back; once the operator has
-// raised the allowance and the change is in force, it is answered.
+// Guards against requests that are charged twice or beyond the allowance. The workspace has
+// tokens for one request in this window. Its first request must be charged once, although
+// it is sent again to each VM. The next must be refused as not run with a Retry-After, and
+// answered once the operator has raised the allowance.
 func TestAllowanceIsChargedOnceAndNotExceeded(t *testing.T) {
 	s := start(t)
 	operators := s.Operator()
@@ -54,17 +54,17 @@
 	_, err = caller.Complete(t.Context(), "r2", body, nil)
 	var coded *result.Error
 	if !errors.As(err, &coded) || coded.Code != result.TokensExhausted || coded.Ran != result.RanNo || coded.RetryAfter <= 0 {
-		t.Fatalf("beyond the allowance: %v", err)
+		t.Fatalf("request beyond the allowance got %v, want TokensExhausted with a Retry-After, not run", err)
 	}
 	explanation, err := operators.Explain(t.Context(), "coop", "r2")
 	if err != nil || len(explanation.Notes) != 1 || !strings.Contains(explanation.Notes[0].Why, "2001") {
-		t.Errorf("explained as %+v, %v", explanation, err)
+		t.Errorf("got explanation %+v, error %v; want one note with code 2001", explanation, err)
 	}
 	setTokens(200)
 	if _, err := caller.Complete(t.Context(), "r2", body, nil); err != nil {
-		t.Errorf("after the allowance was raised: %v", err)
+		t.Errorf("request failed after the allowance was raised: %v", err)
 	}
-	// The router reports what was used within a second.
+	// The router reports the usage within a second.
 	used := 2 * int64(len(body.Prompt)+body.MaxTokens)
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
@@ -78,13 +78,13 @@
 		}
 		<-ticker.C
 	}
-	t.Error("the two requests are not charged as what they used")
+	t.Error("the charge for the two requests does not match their usage")
 }
 
-// A hot workspace calls on all of five VMs at once while the control group's
-// leader dies. Every request is answered or refused by the allowance; the tokens
-// of those answered stay within it. An operator whose answer was lost with the
-// leader resends his change to a VM without the control role, and gets the first
+// Guards against an allowance that is exceeded, and a change that is applied twice, when the
+// control group's leader dies. A busy workspace calls four of five VMs while the leader is
+// killed. Every request must be answered or refused, within the allowance. An operator
+// sends the same change again, to a VM without the control role, and must get the first
 // answer.
 func TestAllowanceAndListsSurviveTheLeader(t *testing.T) {
 	s := startVMs(t, 5)
@@ -105,20 +105,20 @@
 	answered, refused := hammer(t, s, body, leader, 40)
 	t.Logf("%d answered, %d refused", answered, refused)
 	if answered == 0 || refused == 0 || int64(answered)*cost > row.TokensPerWindow {
-		t.Errorf("%d answered, %d refused, of 20", answered, refused)
+		t.Errorf("%d answered, %d refused; want some of each, and at most 20 answered", answered, refused)
 	}
 	change.Wait = false
 	router := client.NewOperator([]string{s.Nodes[4].OperatorAddr()}, "", "test")
 	again, err := router.Do(t.Context(), change)
 	if err != nil || again.Version != first.Version || again.Lists != first.Lists {
-		t.Errorf("resend got %+v, %v; the first answer was %+v", again, err, first)
+		t.Errorf("repeated change got %+v, error %v; want the first answer %+v", again, err, first)
 	}
 	change.Key = "another"
 	if _, err := router.Do(t.Context(), change); result.CodeOf(err) != result.VersionConflict {
-		t.Errorf("a change that names an old version: %v", err)
+		t.Errorf("change with an old version got %v, want VersionConflict", err)
 	}
 	if plans, err := router.Plan(t.Context(), "coop"); err != nil || !plans.Use.Spent.Plus(plans.Use.Outstanding).Within(plans.Use.Limit) {
-		t.Errorf("%+v, %v", plans.Use, err)
+		t.Errorf("got usage %+v, error %v; want spent plus outstanding within the limit", plans.Use, err)
 	}
 }
 
@@ -134,7 +134,7 @@
 	return slices.IndexFunc(s.Nodes, func(n *node.Node) bool { return n.Self().ID == status.Leader })
 }
 
-// hammer calls n times on each VM but the leader, and kills that meanwhile.
+// hammer sends n requests to each VM except the leader, and kills the leader meanwhile.
 func hammer(t *testing.T, s *local.System, body client.Completion, leader, n int) (answered, refused int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -152,7 +152,7 @@
 				case result.From(err).Ran == result.RanNo:
 					refused++
 				default:
-					t.Errorf("neither answered nor refused: %v", err)
+					t.Errorf("request was neither answered nor refused: %v", err)
 				}
 				mu.Unlock()
 			}
@@ -163,17 +163,17 @@
 	return answered, refused
 }
 
-// Two of three control VMs die, so the group can confirm nothing any more. The
-// other VMs stop admitting once their freshness leases have lapsed, since an
-// operator on the far side may have withdrawn the plan: callers get 3004, not
-// run. The answer that was running goes on to its end.
+// Guards against VMs that admit requests by outdated lists. Two of three control VMs die,
+// and the group has no quorum. The other VMs must refuse new requests with code 3004, not
+// run, once their freshness leases have expired, because an operator beyond a partition may
+// have withdrawn the plan. An answer in progress must continue to its end.
 func TestWithoutTheGroupNothingNewButWhatRuns(t *testing.T) {
 	const lease = time.Second
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
 	o.VMs = 5
-	entry := o.Settings
+	setEntryTTL := o.Settings
 	o.Settings = func(i int, conf *settings.Settings) {
-		entry(i, conf)
+		setEntryTTL(i, conf)
 		conf.FreshnessTTL = lease
 		if i >= 3 {
 			conf.Self.Roles = []settings.Role{settings.RoleRouter}
@@ -200,7 +200,7 @@
 			}
 		})
 		if err != nil || len(answer.TokenIDs) != 120 || answer.Reconnects != 0 {
-			t.Errorf("the running answer: %d tokens, %d reconnects, %v", len(answer.TokenIDs), answer.Reconnects, err)
+			t.Errorf("answer in progress got %d tokens, %d reconnects, error %v; want 120, 0, nil", len(answer.TokenIDs), answer.Reconnects, err)
 		}
 	})
 	began := <-lost
@@ -210,21 +210,21 @@
 		refusal := post(t, s.Nodes[4].Self().Callers, fmt.Sprint("new", i))
 		after := time.Since(began)
 		if refusal.Code == result.NotFresh {
-			t.Logf("nothing admitted after %v", after)
+			t.Logf("first request refused after %v", after)
 			if refusal.Ran != result.RanNo || refusal.RetryAfter <= 0 {
-				t.Errorf("refused as %+v", refusal)
+				t.Errorf("got refusal %+v, want not run and a Retry-After", refusal)
 			}
 			break
 		}
 		if after > lease+lease/2 {
-			t.Fatalf("a new request after %v, lease %v: %+v", after, lease, refusal)
+			t.Fatalf("new request not refused after %v with a lease of %v: got %+v", after, lease, refusal)
 		}
 	}
 	wg.Wait()
 }
 
-// post sends one small request to one VM and returns its refusal; the client
-// package would try again by itself.
+// post sends one small request to one VM and returns its refusal. Package client would
+// retry it.
 func post(t *testing.T, addr, key string) (refusal result.Error) {
 	body := strings.NewReader(`{"model":"m","prompt":"x","max_tokens":1}`)
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+"/v1/completions", body)
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -10,47 +10,47 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// Figures of polling. A router polls only the engines that it uses (at most
-// routing.SubsetSize a pool), and both kinds of polls have a budget, so that
-// control traffic stays under 11 KB/s a node at any size. Sizes are those of the
-// protocol's JSON with its HTTP headers.
+// Constants of polling. A router polls only the engines that it uses (at most
+// routing.SubsetSize for each pool), and both kinds of polls have a byte budget. Control
+// traffic therefore stays under 11 KB/s for each node, whatever the size of the system.
+// Sizes are those of the protocol's JSON with its HTTP headers.
 const (
-	pollEvery    = 1 * time.Second        // at most; slower where the budget asks for it
-	pollSoon     = 250 * time.Millisecond // while requests wait, from what was saved up
-	pollDeadline = 500 * time.Millisecond // an engine is a few milliseconds away
-	pollBytes    = 450                    // of a load report
-	pollBudget   = 4000                   // bytes a second for load reports
-	pollSaved    = 60_000                 // bytes that may be saved up: five rounds over a subset
-	eventBytes   = 45                     // of one cache event
-	eventBudget  = 3000                   // bytes a second for cache events, over all engines
-	eventSaved   = 200_000                // bytes that may be saved up: one engine's full log
+	pollInterval        = 1 * time.Second        // the shortest interval; the budget may make it longer
+	busyPollInterval    = 250 * time.Millisecond // while requests wait, paid from the saved budget
+	pollTimeout         = 500 * time.Millisecond // the round trip to an engine takes a few milliseconds
+	loadReportBytes     = 450                    // size of a load report
+	loadBytesPerSecond  = 4000                   // budget for load reports
+	maxSavedLoadBytes   = 60_000                 // covers five rounds over a subset
+	cacheEventBytes     = 45                     // size of one cache event
+	cacheBytesPerSecond = 3000                   // budget for the cache events of all engines
+	maxSavedCacheBytes  = 200_000                // covers one engine's full log
 )
 
-type polled struct {
+type pollTarget struct {
 	index    int
 	name     string
 	addr     string
 	cacheSeq uint64
 }
 
-// poller reads load reports and cache events.
+// poller reads the load reports and cache events of engines.
 type poller struct {
-	router  *router
-	client  *engine.Client
-	heard   func(name string) // an engine has answered
-	waiting func() bool       // whether requests wait for a slot
+	router     *router
+	client     *engine.Client
+	onAnswer   func(name string) // called when an engine has answered
+	hasWaiting func() bool       // whether requests wait for a slot
 
-	mu     sync.Mutex
-	loads  float64 // bytes left for reports
-	events float64 // bytes left for cache events
+	mu          sync.Mutex
+	loadBudget  float64 // bytes left for load reports
+	cacheBudget float64 // bytes left for cache events
 }
 
-// run polls until ctx is done. The engines are spread over the interval, with
-// jitter, so that routers started together do not poll in step.
+// run polls until ctx is done. The polls are spread over the interval with jitter, which
+// keeps routers that start together from polling in step.
 func (p *poller) run(ctx context.Context) {
-	p.loads, p.events = pollSaved, eventSaved
+	p.loadBudget, p.cacheBudget = maxSavedLoadBytes, maxSavedCacheBytes
 	for ctx.Err() == nil {
-		list := p.router.listed()
+		list := p.router.pollTargets()
 		for _, e := range list {
 			go p.poll(ctx, e)
 			pause := p.pause(len(list))
@@ -58,80 +58,82 @@
 				return
 			}
 		}
-		if len(list) == 0 && timer.Sleep(ctx, pollEvery) != nil {
+		if len(list) == 0 && timer.Sleep(ctx, pollInterval) != nil {
 			return
 		}
 	}
 }
 
-// pause is the time to the poll of the next of n engines. While requests wait,
-// limits can grow only with reports: on a VM that has just started, or that a
-// workspace has just come to, they would wait for two seconds and more.
+// pause returns the time until the next of n engines is polled, and updates the budgets.
+// It is shorter while requests wait, because their limits grow only with load reports. At
+// the normal interval, requests would wait for two seconds and more on a VM that has just
+// started, or that a workspace has just begun to use.
 func (p *poller) pause(n int) time.Duration {
-	hungry := p.waiting()
+	busy := p.hasWaiting()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	every := interval(n)
-	if hungry && p.loads > 0 {
-		every = min(every, pollSoon)
+	every := pollIntervalFor(n)
+	if busy && p.loadBudget > 0 {
+		every = min(every, busyPollInterval)
 	}
 	pause := every / time.Duration(n)
-	p.loads = min(pollSaved, p.loads+pollBudget*pause.Seconds()-pollBytes)
-	p.events = min(eventSaved, p.events+eventBudget*pause.Seconds())
+	p.loadBudget = min(maxSavedLoadBytes, p.loadBudget+loadBytesPerSecond*pause.Seconds()-loadReportBytes)
+	p.cacheBudget = min(maxSavedCacheBytes, p.cacheBudget+cacheBytesPerSecond*pause.Seconds())
 	return pause
 }
 
-func (p *poller) poll(ctx context.Context, e polled) {
-	p.load(ctx, e)
-	p.cache(ctx, e)
+func (p *poller) poll(ctx context.Context, e pollTarget) {
+	p.pollLoad(ctx, e)
+	p.pollCacheEvents(ctx, e)
 }
 
-func interval(engines int) time.Duration {
-	return max(pollEvery, time.Duration(engines)*pollBytes*time.Second/pollBudget)
+func pollIntervalFor(engines int) time.Duration {
+	return max(pollInterval, time.Duration(engines)*loadReportBytes*time.Second/loadBytesPerSecond)
 }
 
-func (p *poller) load(ctx context.Context, e polled) {
-	ctx, cancel := context.WithTimeout(ctx, pollDeadline)
+func (p *poller) pollLoad(ctx context.Context, e pollTarget) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	load, err := p.client.Load(ctx, e.addr)
 	if err != nil {
-		return // its streams and connections tell what is wrong
+		return // the engine's streams and connections show the failure
 	}
-	p.router.report(e.index, &load)
-	p.heard(e.name)
+	p.router.applyReport(e.index, &load)
+	p.onAnswer(e.name)
 }
 
-// cache reads an engine's cache events while the budget lasts. Beyond it the
-// hints live on what this router itself has placed.
-func (p *poller) cache(ctx context.Context, e polled) {
-	if !p.spend(pollBytes) {
+// pollCacheEvents reads an engine's cache events while the budget lasts. Without it, the
+// cache hints come only from the requests that this router has placed itself.
+func (p *poller) pollCacheEvents(ctx context.Context, e pollTarget) {
+	if !p.spendCacheBudget(loadReportBytes) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, pollDeadline)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	page, err := p.client.CacheEvents(ctx, e.addr, e.cacheSeq)
 	if err != nil {
 		return
 	}
-	p.spend(eventBytes * len(page.Events))
-	p.router.cacheEvents(e.index, e.cacheSeq, &page)
+	p.spendCacheBudget(cacheEventBytes * len(page.Events))
+	p.router.applyCacheEvents(e.index, e.cacheSeq, &page)
 }
 
-// spend takes bytes of the budget for cache events, if there are any left.
-func (p *poller) spend(bytes int) bool {
+// spendCacheBudget takes bytes from the budget for cache events. It reports false if the
+// budget is exhausted.
+func (p *poller) spendCacheBudget(bytes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.events <= 0 {
+	if p.cacheBudget <= 0 {
 		return false
 	}
-	p.events -= float64(bytes)
+	p.cacheBudget -= float64(bytes)
 	return true
 }
 
-// startPolling begins to poll the engines; it ends with the returned function.
+// startPolling starts to poll the engines. n.stopPolling stops it.
 func (n *Node) startPolling() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stopPolling = cancel
-	p := &poller{router: n.router, client: n.engines, heard: n.hub.Polled, waiting: n.admission.waiting}
+	p := &poller{router: n.router, client: n.engines, onAnswer: n.hub.Polled, hasWaiting: n.admission.hasWaiting}
 	go p.run(ctx)
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -12,19 +12,19 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// Timings of probes. Links are a millisecond apart within a deployment and tens
-// between regions. A VM that answers nobody for 2.5 s is dead or paused; entry
-// answers live for seconds, so that judging sooner gains nothing.
+// Timings of probes. The latency between VMs is a millisecond within a deployment and
+// tens of milliseconds between regions. A VM that answers no probe for 2.5 s is dead or
+// paused. Callers keep entry answers for seconds, so an earlier suspicion gains nothing.
 const (
-	probeEvery   = 1 * time.Second
-	probeTimeout = 500 * time.Millisecond
-	helpTimeout  = 1200 * time.Millisecond
-	suspectAfter = 2500 * time.Millisecond
-	helpers      = 2 // other VMs that probe on this one's behalf
-	probeJitter  = 200 * time.Millisecond
+	probeInterval        = 1 * time.Second
+	probeTimeout         = 500 * time.Millisecond
+	indirectProbeTimeout = 1200 * time.Millisecond
+	suspectAfter         = 2500 * time.Millisecond
+	indirectProbers      = 2 // number of other VMs that probe on behalf of this one
+	probeJitter          = 200 * time.Millisecond
 )
 
-// probe asks a VM whether it lives or, with Target, to ask another.
+// probe asks a VM whether it is alive. With a Target it asks the VM to probe that one.
 type probe struct {
 	Target string `cbor:"1,keyasint,omitempty"`
 }
@@ -48,33 +48,33 @@
 	return r, err
 }
 
-// watchMembers probes the few VMs that this one watches.
+// watchMembers probes the VMs that membership.Watches assigns to this one.
 func (n *Node) watchMembers(ctx context.Context) {
 	var version uint64
 	var watched []membership.VM
-	for timer.Sleep(ctx, probeEvery+rand.N(probeJitter)) == nil {
-		view := n.members.present()
+	for timer.Sleep(ctx, probeInterval+rand.N(probeJitter)) == nil {
+		view := n.members.currentView()
 		if view.Version != version {
 			version, watched = view.Version, membership.Watches(n.s.Self.ID, view.VMs)
-			n.members.forgetOthers(watched)
+			n.members.retainFailing(watched)
 		}
-		var round sync.WaitGroup
+		var wg sync.WaitGroup
 		for _, vm := range watched {
-			round.Go(func() { n.check(ctx, vm, view.VMs) })
+			wg.Go(func() { n.check(ctx, vm, view.VMs) })
 		}
-		round.Wait()
+		wg.Wait()
 	}
 }
 
-// check probes one VM, first directly and then through others: a broken link of
-// this VM's own must not count against the one at its far end.
+// check probes one VM, first directly and then through other VMs. A broken link of this
+// VM must not lead to a suspicion of the VM at the other end.
 func (n *Node) check(ctx context.Context, vm membership.VM, all []membership.VM) {
-	if n.reaches(ctx, vm.ID, probe{}, probeTimeout) || n.reachesThrough(ctx, vm.ID, all) {
+	if n.reaches(ctx, vm.ID, probe{}, probeTimeout) || n.reachesIndirectly(ctx, vm.ID, all) {
 		n.members.answered(vm.ID)
 		return
 	}
-	failing := n.members.failed(vm.ID)
-	// An observer that has lost the control group cannot tell whose fault it is.
+	failing := n.members.failingFor(vm.ID)
+	// A VM that has lost the control group may itself be the one that is cut off.
 	if failing < suspectAfter || ctx.Err() != nil || !n.feed.Fresh() {
 		return
 	}
@@ -95,20 +95,20 @@
 	return n.network.Call(ctx, id, peer.KindMembership, p, &r) == nil
 }
 
-func (n *Node) reachesThrough(ctx context.Context, id string, all []membership.VM) bool {
-	var able []membership.VM
+func (n *Node) reachesIndirectly(ctx context.Context, id string, all []membership.VM) bool {
+	var candidates []membership.VM
 	for _, vm := range all {
 		if vm.ID != id && vm.ID != n.s.Self.ID && vm.State == membership.Live {
-			able = append(able, vm)
+			candidates = append(candidates, vm)
 		}
 	}
-	found := make(chan bool, helpers)
-	asked := membership.Spread(n.s.Self.ID+"/"+id, able, helpers)
+	reached := make(chan bool, indirectProbers)
+	asked := membership.Spread(n.s.Self.ID+"/"+id, candidates, indirectProbers)
 	for _, helper := range asked {
-		go func() { found <- n.reaches(ctx, helper.ID, probe{Target: id}, helpTimeout) }()
+		go func() { reached <- n.reaches(ctx, helper.ID, probe{Target: id}, indirectProbeTimeout) }()
 	}
 	for range asked {
-		if <-found {
+		if <-reached {
 			return true
 		}
 	}
@@ -118,30 +118,30 @@
 func (m *members) answered(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.failing, id)
+	delete(m.failingSince, id)
 }
 
-// failed returns how long the VM has been failing.
-func (m *members) failed(id string) time.Duration {
+// failingFor records a failed probe, and returns how long the VM's probes have failed.
+func (m *members) failingFor(id string) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	since, ok := m.failing[id]
+	since, ok := m.failingSince[id]
 	if !ok {
 		since = time.Now()
-		m.failing[id] = since
+		m.failingSince[id] = since
 	}
 	return time.Since(since)
 }
 
-// forgetOthers drops what was seen of VMs that this one no longer watches.
-func (m *members) forgetOthers(watched []membership.VM) {
+// retainFailing drops the failures of VMs that this one no longer watches.
+func (m *members) retainFailing(watched []membership.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	kept := map[string]time.Time{}
 	for _, vm := range watched {
-		if since, ok := m.failing[vm.ID]; ok {
+		if since, ok := m.failingSince[vm.ID]; ok {
 			kept[vm.ID] = since
 		}
 	}
-	m.failing = kept
+	m.failingSince = kept
 }
--- a/internal/node/repair_test.go
+++ b/internal/node/repair_test.go
@@ -16,9 +16,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// Both engines of model a die, one half a minute after the other. In between the
-// leader has had a copy loaded on an engine of model b, and routing has learnt of
-// it: a caller of model a still gets its whole answer.
+// Guards against a model that is lost with its engines. Both engines of model a die, one
+// after the other. In between, which takes half a minute, the leader has a copy loaded on
+// an engine of model b. A caller of model a must then get a complete answer from it.
 func TestLostModelIsServedElsewhere(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes half a minute of real time")
@@ -30,9 +30,9 @@
 	o.Engine = func(i int) standin.EngineConfig {
 		return standin.DefaultEngine(fmt.Sprint("engine", i+1), models[i])
 	}
-	shorten := o.Settings
+	setEntryTTL := o.Settings
 	o.Settings = func(i int, s *settings.Settings) {
-		shorten(i, s)
+		setEntryTTL(i, s)
 		backends := append([]settings.Backend{}, s.Backends...)
 		for j := range models {
 			backends[j].Models = []string{models[j]}
@@ -64,7 +64,7 @@
 			select {
 			case <-ticker.C:
 			case <-ctx.Done():
-				t.Fatal("never: " + what)
+				t.Fatal("timed out waiting for: " + what)
 			}
 		}
 	}
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -16,17 +16,17 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// router picks engines by package routing and keeps the limits of package
-// admission, one for each engine. Safe for concurrent use.
+// router picks engines with package routing, and keeps a limiter of package admission for
+// each engine. It is safe for concurrent use.
 type router struct {
-	self  settings.VM
-	now   func() time.Time
-	freed func() // called without the lock when room may have come up
+	self            settings.VM
+	now             func() time.Time
+	onCapacityFreed func() // called without the lock when engines may have capacity again
 
 	mu       sync.Mutex
 	table    *routing.Table
 	limiters []*admission.Limiter // by the table's index
-	models   map[string]bool      // of all backend servers, also outside the subset
+	models   map[string]bool      // of all engines, including those outside the subset
 	vms      int
 	peers    int // routers that use the same engines
 }
@@ -34,15 +34,15 @@
 func newRouter(self settings.VM, backends []settings.Backend, vms int) *router {
 	seed := rand.NewPCG(rand.Uint64(), rand.Uint64())
 	r := &router{
-		self: self, now: time.Now, freed: func() {}, vms: max(1, vms),
+		self: self, now: time.Now, onCapacityFreed: func() {}, vms: max(1, vms),
 		table: routing.NewTable(self.Zone, rand.New(seed)),
 	}
 	r.SetBackends(backends)
 	return r
 }
 
-// SetBackends replaces the list of backend servers. Engines that are gone get
-// no new work from now on.
+// SetBackends replaces the list of backend servers. Engines that are no longer listed get
+// no new work.
 func (r *router) SetBackends(backends []settings.Backend) {
 	var specs []routing.Spec
 	models := map[string]bool{}
@@ -67,10 +67,10 @@
 		r.table.SetLimit(i, l.Limit())
 	}
 	r.mu.Unlock()
-	r.freed()
+	r.onCapacityFreed()
 }
 
-// SetLeaving marks a backend server that the platform says is leaving.
+// SetLeaving marks whether the platform lists a backend server as leaving.
 func (r *router) SetLeaving(name string, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,7 +93,7 @@
 	return r.table.Usable(model, r.now()), r.peers
 }
 
-// Capacity is how much work this router may have on a model's engines.
+// Capacity returns how many requests this router may have in flight on a model's engines.
 func (r *router) Capacity(model string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +120,7 @@
 		Cached:   placed.CachedTokens(),
 		Done:     func(o relay.Outcome) { r.done(&placed, o) },
 		Progress: func(tokens int) { r.progress(&placed, tokens) },
-		Cleared:  func() { r.cleared(&placed) },
+		Cleared:  func() { r.endIsolation(&placed) },
 		Slowness: func() float64 { return r.slowness(placed.Engine) },
 	}, nil
 }
@@ -137,7 +137,7 @@
 	return r.table.Slowness(i)
 }
 
-func (r *router) cleared(p *routing.Placement) {
+func (r *router) endIsolation(p *routing.Placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.EndIsolation(p)
@@ -169,21 +169,21 @@
 	}
 	r.table.SetLimit(p.Engine, l.Limit())
 	r.mu.Unlock()
-	r.freed()
+	r.onCapacityFreed()
 }
 
-// report takes an engine's load report.
-func (r *router) report(i int, load *engine.Load) {
+// applyReport applies an engine's load report.
+func (r *router) applyReport(i int, load *engine.Load) {
 	r.mu.Lock()
 	r.table.ApplyReport(i, load, r.now())
 	l := r.limiters[i]
 	l.Report(load.StepMS, load.Queued, r.table.Inflight(i))
 	r.table.SetLimit(i, l.Limit())
 	r.mu.Unlock()
-	r.freed()
+	r.onCapacityFreed()
 }
 
-// EngineStatus is what this router knows of an engine, for operators.
+// EngineStatus is this router's view of an engine as operators see it.
 type EngineStatus struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
@@ -206,22 +206,23 @@
 	return out
 }
 
-// listed returns the indexes and addresses of the engines that are polled.
-func (r *router) listed() []polled {
+// pollTargets returns the engines that are polled.
+func (r *router) pollTargets() []pollTarget {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []polled
+	var out []pollTarget
 	for i := range r.table.Len() {
 		if s := r.table.Spec(i); r.table.State(i, r.now()) != "gone" {
-			out = append(out, polled{index: i, name: s.Name, addr: s.Addr, cacheSeq: r.table.CacheSeq(i)})
+			out = append(out, pollTarget{index: i, name: s.Name, addr: s.Addr, cacheSeq: r.table.CacheSeq(i)})
 		}
 	}
 	return slices.Clip(out)
 }
 
-// cacheEvents takes a page that was asked for after since. Of two pages asked
-// for at once the later answer is dropped: it would look like a restart.
-func (r *router) cacheEvents(i int, since uint64, page *engine.CacheEvents) {
+// applyCacheEvents applies a page of cache events that was requested after since. If two
+// pages were requested at once, the later answer is dropped, since it would look like a
+// restart of the engine.
+func (r *router) applyCacheEvents(i int, since uint64, page *engine.CacheEvents) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.table.CacheSeq(i) == since {
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -14,8 +14,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// markings are checked with the settings: a bad one cannot get here.
-func markings(backends []settings.Backend) map[string][]call.Marking {
+// parseMarkings returns the markings of calls by service. The settings are validated
+// before, so every marking parses.
+func parseMarkings(backends []settings.Backend) map[string][]call.Marking {
 	out := map[string][]call.Marking{}
 	for _, b := range backends {
 		for _, text := range b.Markings {
@@ -27,13 +28,13 @@
 	return out
 }
 
-// startServices registers the claims with the control group's state and makes
-// the dispatcher of calls.
+// startServices registers the claims of calls with the replicated state and creates the
+// dispatcher of calls.
 func (n *Node) startServices() {
 	n.machine.Register(control.PartCalls, call.NewPart(call.DefaultLimits()))
 	n.services = service.NewDispatcher(
 		service.Config{
-			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, Markings: markings(n.s.Backends),
+			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, Markings: parseMarkings(n.s.Backends),
 		},
 		service.Deps{
 			Control: n.control, Sender: service.NewClient(), Backends: n.backends, Incarnations: n.members,
@@ -45,9 +46,9 @@
 	gw.ServiceRoutes(r, n.services, n.plans)
 }
 
-// ReserveCall implements gateway.CallQuota. Each call has a reservation of its
-// own, also where a resend meets the first one: which of them runs is decided
-// later, by the claim, and the other's reservation is cancelled.
+// ReserveCall implements gateway.CallQuota. Each call has its own reservation, even if a
+// retry arrives while the first call runs. The claim decides later which of them runs, and
+// the other's reservation is cancelled.
 func (p *plans) ReserveCall(ctx context.Context, c gateway.Caller, key string) (func(used bool), error) {
 	r, err := p.quota.Reserve(ctx, quota.Request{
 		ID: "call/" + key + "/" + rand.Text(), Workspace: c.Customer.Workspace, Allowance: c.Allowance,
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -18,15 +18,16 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatalf("%s never ran", key)
+			t.Fatalf("timed out waiting for the service to run %s", key)
 		}
 	}
 }
 
-// The caller's VM is killed while its booking runs on the service, which answers
-// nobody. The resend to another VM is told to come back while the claimant may
-// live, and "unknown" once others have found it dead; that may be within the
-// resend's own wait. It stays so on every VM, and the booking never runs again.
+// Guards against a booking that runs twice after its VM was lost. The caller's VM is killed
+// while the booking runs on the service, whose answer is lost. A retry at another VM must
+// get "still running" while the claimant may be alive, and "unknown" once others have
+// declared it dead, which may happen while the retry waits. Every VM must then answer the
+// same, and the booking must not run again.
 func TestClaimantKilledInMidCall(t *testing.T) {
 	t.Parallel()
 	s := startWithDispatch(t)
@@ -51,20 +52,20 @@
 			break
 		}
 		if !strings.Contains(got, `"code":3011`) {
-			t.Fatalf("the resend got %s", got)
+			t.Fatalf("retry got %s, want code 3011 or 4003", got)
 		}
 		answers["running"]++
 	}
 	if again, err := tryBook(ctx, s.Nodes[1].Self().Callers, "k"); err != nil || !strings.Contains(again, `"code":4003`) {
-		t.Errorf("another VM answers %q, %v", again, err)
+		t.Errorf("another VM answered %q, error %v; want code 4003", again, err)
 	}
 	if runs := s.Services[0].Runs("k"); runs != 1 {
-		t.Errorf("ran %d times, told to come back %d times", runs, answers["running"])
+		t.Errorf("booking ran %d times, want 1; %d retries were told that it runs", runs, answers["running"])
 	}
 }
 
-// The VM shuts down while a booking runs: the caller gets its whole answer, and
-// the key's answer stays known to the others.
+// Guards against a shutdown that cuts off a call. The VM shuts down while a booking runs. The
+// caller must get the complete answer, and other VMs must know the answer of its key.
 func TestShutdownWaitsForABooking(t *testing.T) {
 	t.Parallel()
 	s := startWithDispatch(t)
@@ -79,9 +80,9 @@
 	}
 	first := <-answer
 	if again := book(t, s.Nodes[0].Self().Callers, "k"); !strings.HasPrefix(first, "200") || first != again {
-		t.Errorf("answers %q and %q", first, again)
+		t.Errorf("got answers %q and %q, want equal ones with status 200", first, again)
 	}
 	if runs := s.Services[0].Runs("k"); runs != 1 {
-		t.Errorf("ran %d times", runs)
+		t.Errorf("booking ran %d times, want 1", runs)
 	}
 }
--- a/internal/node/settle_test.go
+++ b/internal/node/settle_test.go
@@ -12,10 +12,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/membership"
 )
 
-// Two VMs were replaced, and five seconds later a third dies. A new request must
-// not wait for the third one's return: by then every VM has heard of the
-// replacements and moved its journals, so the sets of the older list are settled.
-// One second after the replacements they are not.
+// Guards against new requests that are refused for too long after VMs were replaced. Two VMs
+// are replaced, and a third may die five seconds later. By then every VM has learned of the
+// replacements and moved its journals, so all older lists must be settled, and new requests
+// need not wait for the third VM. One second after the replacements no older list may be.
 func TestOlderListsSettleAfterTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := membership.NewPart()
@@ -25,13 +25,13 @@
 			part.Execute(time.Now().UnixMilli(), &membership.Command{Join: &membership.Join{
 				VM: membership.VM{ID: id, Incarnation: incarnation, Zone: "z" + id, Router: true}, Expected: 5,
 			}})
-			m.take(part.Changes(m.present().Version))
+			m.apply(part.Changes(m.currentView().Version))
 		}
 		for i := range 5 {
 			join(fmt.Sprint("vm", i+1), "a")
 		}
 		if !m.hasFormed() {
-			t.Fatal("five of five VMs have joined and the list has not formed")
+			t.Fatal("list has not formed after 5 of 5 VMs have joined")
 		}
 		time.Sleep(time.Minute)
 		join("vm2", "b")
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,21 +14,21 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// The VM that owns two answers shuts down in mid-output. The streaming caller is
-// told to reconnect between two events and gets the rest from another VM; the
-// caller that wants its answer in one piece keeps its connection. Both answers
-// are whole, and no engine computes anything twice.
+// Guards against answers that are cut off or recomputed by a shutdown. The VM that owns two
+// answers shuts down while they are generated. The streaming caller is told to reconnect
+// between two events and gets the rest from another VM. The caller without streaming keeps
+// its connection. Both answers must be complete, and no engine may compute a token twice.
 func TestShutdownCutsNothingOff(t *testing.T) {
 	s := start(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	req := client.Completion{Model: "m", Prompt: "dossier: compare two festivals", MaxTokens: 400}
 	var wg sync.WaitGroup
-	var whole struct {
+	var unstreamed struct {
 		TokenIDs []int32 `json:"token_ids"`
 		Finish   string  `json:"finish_reason"`
 	}
-	wg.Go(func() { postWhole(ctx, t, s.Addresses()[0], req, &whole) })
+	wg.Go(func() { postUnstreamed(ctx, t, s.Addresses()[0], req, &unstreamed) })
 	stopped := make(chan error, 1)
 	leaving := false
 	answer, err := client.New(s.Addresses(), testKey).Complete(ctx, "dossier-1", req, func(p client.Progress) {
@@ -42,10 +42,10 @@
 	}
 	wg.Wait()
 	if err := <-stopped; err != nil {
-		t.Errorf("shutdown: %v", err)
+		t.Errorf("shutdown failed: %v", err)
 	}
 	c := engine.Completion{Model: "m", Prompt: req.Prompt, MaxTokens: req.MaxTokens}
-	for name, tokens := range map[string][]int32{"streamed": answer.TokenIDs, "whole": whole.TokenIDs} {
+	for name, tokens := range map[string][]int32{"streamed": answer.TokenIDs, "unstreamed": unstreamed.TokenIDs} {
 		if err := standin.Verify(c, "1", tokens, true); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -54,11 +54,11 @@
 		t.Error("the streaming caller was not told to reconnect")
 	}
 	if extra := s.Work() - 2*req.MaxTokens - 2*len(req.Prompt); extra > 0 {
-		t.Errorf("extra work %d tokens", extra)
+		t.Errorf("engines did extra work of %d tokens, want none", extra)
 	}
 }
 
-func postWhole(ctx context.Context, t *testing.T, addr string, req client.Completion, out any) {
+func postUnstreamed(ctx context.Context, t *testing.T, addr string, req client.Completion, out any) {
 	body, _ := json.Marshal(req)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// The caller's engine dies, then its VM; another VM goes on. The spans of both
-// VMs, one for each hop, belong to one trace and name the request.
+// Guards against a trace that ends at a failover. The engine that serves the caller dies,
+// then its VM shuts down, and another VM resumes the answer. The spans of both VMs, one for
+// each hop, must belong to one trace and name the request.
 func TestOneTraceFollowsARequestAcrossVMs(t *testing.T) {
 	dir := t.TempDir()
 	o := options(zerolog.Nop())
@@ -53,23 +54,23 @@
 			}
 		})
 	if err != nil || !killed || !left {
-		t.Fatalf("answer: %v, engine killed %v, VM left %v", err, killed, left)
+		t.Fatalf("got error %v, engine killed %v, VM left %v; want nil, true, true", err, killed, left)
 	}
 	for _, n := range s.Nodes[1:] {
 		_ = n.Shutdown(ctx)
 	}
 	hops := spansOf(t, dir, "traced")
 	if len(hops) != 1 {
-		t.Errorf("the request has %d traces, want 1: %v", len(hops), hops)
+		t.Errorf("got %d traces of the request, want 1: %v", len(hops), hops)
 	}
 	for _, names := range hops {
 		for _, want := range []string{"entry", "admission", "queue", "journal", "attempt", "resume"} {
 			if !slices.Contains(names, want) {
-				t.Errorf("no span %q in %v", want, names)
+				t.Errorf("got no span %q in %v", want, names)
 			}
 		}
 		if n := len(slices.DeleteFunc(slices.Clone(names), func(s string) bool { return s != "journal" })); n < 2 {
-			t.Errorf("%d journal spans, want one on each VM", n)
+			t.Errorf("got %d journal spans, want at least 2, one on each VM", n)
 		}
 	}
 }
