--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -33,7 +33,7 @@
 // be refused as "not run" at that moment. A request that cannot start in time must be
 // refused on arrival with a Retry-After. A request that another VM had accepted must be
 // admitted even if the queue is full, and start first.
-func TestQueueTellsCallersAtOnce(t *testing.T) {
+func TestQueueRefusesAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slots := 1
 		a := newTestAdmitter(&slots)
@@ -75,7 +75,7 @@
 
 // Guards against queue places that leak. A caller that has disconnected must free its place
 // at once, and the next request must get the slot.
-func TestGivenUpPlacesAreFree(t *testing.T) {
+func TestAbandonedPlacesAreFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slots := 0
 		a := newTestAdmitter(&slots)
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -19,7 +19,7 @@
 // late, an engine and a VM as leaving. Within seconds the entry answers must omit the VM,
 // and the engine must get none of a hundred requests in a row, although its own load
 // reports do not show that it leaves. All answers must be complete.
-func TestPlatformsLeavingTakesEffectWithinSeconds(t *testing.T) {
+func TestLeavingServersGetNoNewWork(t *testing.T) {
 	t.Parallel()
 	p, err := standin.ServePlatform("127.0.0.1:0", time.Second)
 	if err != nil {
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -91,7 +91,7 @@
 // A VM is killed and restarts at once, at another address and without its memory. It joins
 // under a new incarnation. Within seconds the entry answer must name the new address only,
 // and the VM must serve.
-func TestReplacedVMIsInWithinSeconds(t *testing.T) {
+func TestReplacedVMJoinsWithinSeconds(t *testing.T) {
 	t.Parallel()
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
 	o.VMs = 4
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -167,7 +167,7 @@
 // and the group has no quorum. The other VMs must refuse new requests with code 3004, not
 // run, once their freshness leases have expired, because an operator beyond a partition may
 // have withdrawn the plan. An answer in progress must continue to its end.
-func TestWithoutTheGroupNothingNewButWhatRuns(t *testing.T) {
+func TestQuorumLossStopsAdmission(t *testing.T) {
 	const lease = time.Second
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
 	o.VMs = 5
--- a/internal/routed/control.go
+++ b/internal/routed/control.go
@@ -22,7 +22,7 @@
 
 // ControlProcess serves operators, and tells callers which routers they may use. It is
 // a Control, or an Observer on a VM without a disk.
-type Operable interface {
+type ControlProcess interface {
 	Process
 	// PutRoutes puts a validated list in force. An error with code ControlUnavail
 	// guarantees that nothing has changed.
@@ -36,18 +36,18 @@
 	// Rollout returns the newest roll-out of a service, confirmed by a majority of the group.
 	Rollout(ctx context.Context, service string) (rollout.Record, error)
 	// Endpoints returns the addresses of routers that callers may use, at most limit.
-	Entrances(limit int) []string
+	Endpoints(limit int) []string
 	// Failure delivers the fault that ends the process. It may be nil.
 	Failure() <-chan error
 	// Close stops the process at once, without draining.
 	Close()
 }
 
-var _, _ Operable = (*Control)(nil), (*Observer)(nil)
+var _, _ ControlProcess = (*Control)(nil), (*Observer)(nil)
 
 // StartControlProcess starts a Control if the options name a data folder, and an
 // Observer if they do not.
-func StartOperable(o ControlOptions) (Operable, error) {
+func StartControlProcess(o ControlOptions) (ControlProcess, error) {
 	if o.Dir == "" {
 		return StartObserver(o.Common)
 	}
@@ -108,7 +108,7 @@
 func (c *Control) registerGauges() {
 	set := c.o.Metrics
 	set.NewGauge("shelf_control_leads", func() float64 {
-		if c.Leads() {
+		if c.IsLeader() {
 			return 1
 		}
 		return 0
@@ -151,7 +151,7 @@
 }
 
 // IsLeader reports whether this process leads the group, as far as it knows.
-func (c *Control) Leads() bool {
+func (c *Control) IsLeader() bool {
 	g := c.group()
 	return g != nil && g.IsLeader()
 }
@@ -177,7 +177,7 @@
 func (c *Control) SetSeeds(seeds []string) { c.member.SetSeeds(seeds) }
 
 // Endpoints implements ControlProcess.
-func (c *Control) Entrances(limit int) []string { return c.hub.Endpoints(limit) }
+func (c *Control) Endpoints(limit int) []string { return c.hub.Endpoints(limit) }
 
 // PutRoutes implements ControlProcess.
 func (c *Control) PutRoutes(ctx context.Context, l *routes.List) (routes.Reply, error) {
@@ -273,7 +273,7 @@
 		leader = c.logLeaderChange(leader)
 		rows, _, age, ok := c.backendList.Current()
 		r := cluster.ReadSchedule{
-			Leader: c.Leads(), Rank: slices.Index(c.controlVMs(), c.o.ID), HasList: ok, Rows: len(rows), Age: age,
+			Leader: c.IsLeader(), Rank: slices.Index(c.controlVMs(), c.o.ID), HasList: ok, Rows: len(rows), Age: age,
 			Uptime: time.Since(began), SinceLastRead: time.Since(last), LastReadDuration: took,
 		}
 		if r.Due() {
--- a/internal/routed/drain_test.go
+++ b/internal/routed/drain_test.go
@@ -28,7 +28,7 @@
 // Guards against a shutdown that cuts off answers. One answer is under way when the
 // shutdown begins. Another caller, which still holds this VM's address, arrives a second
 // later. The process must end once both have their answers and no entry answer names it.
-func TestDrainFinishesWhatRuns(t *testing.T) {
+func TestDrainWaitsForRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
 		h := d.countRequests(delayedHandler(5 * time.Second))
@@ -69,7 +69,7 @@
 // Guards against requests that are admitted late and then cut off. They must be refused
 // when they could not finish, streams earlier than calls. The drain must end before the
 // process is killed, even if a request still runs.
-func TestDrainTakesNothingLate(t *testing.T) {
+func TestDrainRefusesLateRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
 		go ask(d.countRequests(delayedHandler(time.Minute)))
@@ -100,7 +100,7 @@
 // and a caller whose entry answer still names it sends a stream. A stream that would
 // outlast the grace period must be refused, since it runs completely elsewhere. A stream
 // that can finish must be admitted.
-func TestDrainTakesWhatItCanFinish(t *testing.T) {
+func TestDrainAdmitsWhatItCanFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
 		d.start()
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -60,7 +60,7 @@
 	s.machine.Register(control.PartRoutes, s.routes)
 	s.machine.Register(control.PartRollouts, s.rollouts)
 	s.group = control.NewGroup(control.GroupOptions{
-		VM: c.o.ID, Voters: c.o.Seeds, Known: c.member.Controls, JoinOnly: !c.o.FirstStart, Target: c.o.Voters,
+		VM: c.o.ID, Voters: c.o.Seeds, Known: c.member.Controls, JoinOnly: !c.o.FirstStart, Target: c.o.TargetVoters,
 		Dir: filepath.Join(c.o.Dir, "control"), Transport: c.network, Values: c.values, Machine: s.machine, Lease: Lease, Log: c.o.Log, Failed: failed,
 	})
 	s.client = control.NewGroupClient(s.group)
--- a/internal/routed/operators.go
+++ b/internal/routed/operators.go
@@ -22,7 +22,7 @@
 // Bounds of an operator's request.
 const (
 	// MaxRouteListBytes is the maximum size of a route list's text.
-	MaxListText         = 16 << 20
+	MaxRouteListBytes   = 16 << 20
 	operatorCallTimeout = 5 * time.Second // includes a change of the control group's leader
 )
 
@@ -31,7 +31,7 @@
 
 // OperatorHandler serves operators, and callers that look up router addresses, with
 // this project's own HTTP API. c is nil on a router, and r is nil on a control process.
-func OperatorRoutes(c Operable, r *Router, token string, set *metrics.Set) http.Handler {
+func OperatorHandler(c ControlProcess, r *Router, token string, set *metrics.Set) http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	m.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) { writeReady(w, r) })
@@ -55,8 +55,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func writeEntry(w http.ResponseWriter, c Operable) {
-	addrs := c.Entrances(maxEntryAddresses)
+func writeEntry(w http.ResponseWriter, c ControlProcess) {
+	addrs := c.Endpoints(maxEntryAddresses)
 	if len(addrs) == 0 {
 		resulthttp.Write(w, "", result.New(result.NoBackendServer))
 		return
@@ -83,8 +83,8 @@
 	})
 }
 
-func putRoutes(w http.ResponseWriter, r *http.Request, c Operable) error {
-	data, err := resulthttp.ReadBody(w, r, MaxListText)
+func putRoutes(w http.ResponseWriter, r *http.Request, c ControlProcess) error {
+	data, err := resulthttp.ReadBody(w, r, MaxRouteListBytes)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func getRoutes(w http.ResponseWriter, r *http.Request, c Operable) error {
+func getRoutes(w http.ResponseWriter, r *http.Request, c ControlProcess) error {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorCallTimeout)
 	defer cancel()
 	source, err := c.Routes(ctx)
@@ -147,7 +147,7 @@
 // maxOrderBytes is the maximum size of an order's body.
 const maxOrderBytes = 16 << 10
 
-func postRollout(w http.ResponseWriter, r *http.Request, c Operable) error {
+func postRollout(w http.ResponseWriter, r *http.Request, c ControlProcess) error {
 	data, err := resulthttp.ReadBody(w, r, maxOrderBytes)
 	if err != nil {
 		return err
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func getRollout(w http.ResponseWriter, r *http.Request, c Operable) error {
+func getRollout(w http.ResponseWriter, r *http.Request, c ControlProcess) error {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorCallTimeout)
 	defer cancel()
 	record, err := c.Rollout(ctx, mux.Vars(r)["service"])
--- a/internal/routed/options.go
+++ b/internal/routed/options.go
@@ -35,7 +35,7 @@
 	Seeds []string // addresses of control VMs
 	Log   zerolog.Logger
 	// RoutineLog receives the lines about requests that succeeded.
-	Ordinary zerolog.Logger
+	RoutineLog zerolog.Logger
 	// Metrics is the process's metric set.
 	Metrics *metrics.Set
 }
@@ -43,18 +43,18 @@
 // RouterOptions are the options of a Router.
 type RouterOptions struct {
 	Common
-	Callers   string // address for callers, ip:port
-	Wire      forward.Wire
-	Allowance forward.RetryAllowance
-	Drain     DrainTimes
+	Endpoint       string // address for callers, ip:port
+	Wire           forward.Wire
+	RetryAllowance forward.RetryAllowance
+	Drain          DrainTimes
 }
 
 // ControlOptions are the options of a Control.
 type ControlOptions struct {
 	Common
-	Dir        string // data folder
-	FirstStart bool   // the whole system starts for the first time
-	Voters     int    // number of voters that the control group maintains
+	Dir          string // data folder
+	FirstStart   bool   // the whole system starts for the first time
+	TargetVoters int    // number of voters that the control group maintains
 	// Rollouts bounds the traffic that a new version gets until it has proved good. The
 	// zero value selects rollout.DefaultLimits.
 	Rollouts rollout.Limits
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -166,7 +166,7 @@
 		v := w.observe(s, r, now)
 		e := w.c.hub.Evidence(r.Service, r.Number)
 		step, ok := w.judgeOf(r).Evaluate(r, &e, v)
-		if ok && w.c.Leads() {
+		if ok && w.c.IsLeader() {
 			w.proposeStep(s, &step, &e, &v)
 		}
 	}
@@ -191,7 +191,7 @@
 	if k.stepMS != r.StepMS {
 		k.stepAt, k.stepMS, k.inForce = w.eventTime(r.StepMS, now), r.StepMS, false
 	}
-	if r.Phase == rollout.Moving && !k.inForce && !k.confirming && w.c.Leads() {
+	if r.Phase == rollout.Moving && !k.inForce && !k.confirming && w.c.IsLeader() {
 		k.confirming = true
 		go w.confirmInForce(s, k, k.stepMS)
 	}
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -54,7 +54,7 @@
 	r.backendList = cluster.NewListReplica(r.applyBackends)
 	r.network = newNetwork(&o.Common)
 	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.backendList, cluster.Local{
-		Zone: o.Zone, Endpoint: o.Callers, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.suspectContents.TakeNewDeaths,
+		Zone: o.Zone, Endpoint: o.Endpoint, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.suspectContents.TakeNewDeaths,
 		Dead: r.fleet.RecentlyDead, Runs: r.resumableRuns, Spent: r.retryUsage, Learn: r.applyPeerReports, LearnSpent: r.applyPeerRetryUsage,
 		Opinion: r.fleet.Report, Paces: r.paces, Rollouts: r.recorder.Reports, Urgent: func() bool { return r.rollouts.Load().Urgent() },
 	}, o.Log)
@@ -65,7 +65,7 @@
 	r.feed.OnChange(control.PartRollouts, r.applyRollouts)
 	r.handler = forward.NewHandler(forward.Options{
 		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.listsReady,
-		RetryAllowance: o.Allowance, Log: o.Log, RoutineLog: o.Ordinary, Metrics: o.Metrics, SuspectContents: r.suspectContents, Closing: r.drain.started,
+		RetryAllowance: o.RetryAllowance, Log: o.Log, RoutineLog: o.RoutineLog, Metrics: o.Metrics, SuspectContents: r.suspectContents, Closing: r.drain.started,
 		Placer: r.member, FindOrphan: r.member.FindOrphan, ReportRetries: r.member.NotifyRetry, CannotFinish: r.drain.cannotFinish,
 		Rollouts: &forward.Rollouts{State: r.rollouts.Load, Book: r.recorder},
 	})
@@ -85,7 +85,7 @@
 	if r.peerServer, err = listenPeers(r.network, &r.o.Common); err != nil {
 		return err
 	}
-	r.callerServer, err = listenCallers(r.o.Callers, r.drain.countRequests(r.handler), r.conns, r.o.Log)
+	r.callerServer, err = listenCallers(r.o.Endpoint, r.drain.countRequests(r.handler), r.conns, r.o.Log)
 	return err
 }
 
--- a/internal/routed/supervise.go
+++ b/internal/routed/supervise.go
@@ -21,13 +21,13 @@
 
 // Supervisor runs a process: it handles signals, changes of the settings file and
 // fatal faults.
-type Supervision struct {
+type Supervisor struct {
 	Path string // of the settings file
 	// ReadSeeds reads the file and returns the seeds. After an error the settings in
 	// force stay. The file may be half written, and is read again when it changes.
-	Seeds   func() ([]string, error)
-	Failure <-chan error // a fault from it ends the process; nil if there can be none
-	Log     zerolog.Logger
+	ReadSeeds func() ([]string, error)
+	Failure   <-chan error // a fault from it ends the process; nil if there can be none
+	Log       zerolog.Logger
 }
 
 // Signals subscribes to the signals that Run handles. It must be called before the
@@ -40,7 +40,7 @@
 
 // Run handles signals, changes of the settings file and faults until the process ends.
 // It returns the fault that ended the process, or nil after a planned shutdown.
-func (s *Supervision) Run(p Process, signals <-chan os.Signal) error {
+func (s *Supervisor) Run(p Process, signals <-chan os.Signal) error {
 	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
 	file := newFileWatcher(s.Path)
@@ -65,8 +65,8 @@
 	}
 }
 
-func (s *Supervision) reload(p Process) {
-	seeds, err := s.Seeds()
+func (s *Supervisor) reload(p Process) {
+	seeds, err := s.ReadSeeds()
 	if err != nil {
 		s.Log.Warn().Err(err).Msg("settings file could not be read; keeping the settings in force")
 		return
