--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	leader := leaderOf(t, s)
-	answered, refused := hammer(t, s, body, leader, 40)
+	answered, refused := sendWhileLeaderDies(t, s, body, leader, 40)
 	t.Logf("%d answered, %d refused", answered, refused)
 	if answered == 0 || refused == 0 || int64(answered)*cost > row.TokensPerWindow {
 		t.Errorf("%d answered, %d refused; want some of each, and at most 20 answered", answered, refused)
@@ -134,8 +134,9 @@
 	return slices.IndexFunc(s.Nodes, func(n *node.Node) bool { return n.Self().ID == status.Leader })
 }
 
-// hammer sends n requests to each VM except the leader, and kills the leader meanwhile.
-func hammer(t *testing.T, s *local.System, body client.Completion, leader, n int) (answered, refused int) {
+// sendWhileLeaderDies sends n requests to each VM except the leader, and kills the leader
+// meanwhile.
+func sendWhileLeaderDies(t *testing.T, s *local.System, body client.Completion, leader, n int) (answered, refused int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i, addr := range s.Addresses() {
--- a/internal/routed/limits.go
+++ b/internal/routed/limits.go
@@ -20,7 +20,7 @@
 }
 
 // DefaultLimits applies where the route list states no limits, and to the listeners
-// for VMs and operators. The idle timeout is long because callers reuse connections:
+// for VMs and operators. The limits are generous because callers reuse connections:
 // closing a connection just as a request arrives fails that request.
 var DefaultLimits = ServerLimits{MaxHeaderBytes: 16 << 10, HeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second}
 
--- a/internal/routed/route_list.go
+++ b/internal/routed/route_list.go
@@ -73,7 +73,7 @@
 		if err == nil {
 			return r.fetch(ctx, v, slices.Concat(voters[i:], voters[:i]))
 		}
-		r.log.Debug().Err(err).Str("control", vm).Msg("voter did not confirm the route list; trying the next one")
+		r.log.Debug().Err(err).Str("control", vm).Msg("voter did not confirm the route list")
 	}
 	return nil, result.New(result.ControlUnavail)
 }
