--- a/cmd/amaranthshelf/control.go
+++ b/cmd/amaranthshelf/control.go
@@ -49,7 +49,7 @@
 	table("VM\tMEMBER\tROLE\tBEHIND", func(w *tabwriter.Writer) {
 		row := func(id, role string) {
 			vm, _, _ := strings.Cut(id, "/")
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", vm, id, role, s.Behind[id])
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", vm, id, role, s.LagEntries[id])
 		}
 		for _, id := range s.Voters {
 			row(id, "voter")
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -14,24 +14,24 @@
 )
 
 // PartID names a part in commands and snapshots. The numbers are on disk.
-type PartID uint8
+type StateMachineID uint8
 
 // The parts.
 const (
-	PartPlans   PartID = 1 // the operators' two lists and their history
-	PartLedger  PartID = 2 // grants and what is spent of each allowance
-	PartCalls   PartID = 3 // claims and results of non-idempotent calls
-	PartFleet   PartID = 4 // backend servers, orders, fencing numbers
-	PartMembers PartID = 5 // VMs and their incarnations
-	PartRoutes  PartID = 6 // the route list
+	PlansStateMachine   StateMachineID = 1 // the operators' two lists and their history
+	LedgerStateMachine  StateMachineID = 2 // grants and what is spent of each allowance
+	CallsStateMachine   StateMachineID = 3 // claims and results of non-idempotent calls
+	FleetStateMachine   StateMachineID = 4 // backend servers, orders, fencing numbers
+	MembersStateMachine StateMachineID = 5 // VMs and their incarnations
+	RoutesStateMachine  StateMachineID = 6 // the route list
 	// PartRollouts are the roll-outs of services' versions.
-	PartRollouts PartID = 7
+	RolloutsStateMachine StateMachineID = 7
 )
 
 // Part is one aggregate within the group's state. Apply must be deterministic:
 // it depends on its arguments and the part's state alone. nowMS is the group's
 // clock: stamped by the leader, never going back.
-type Part interface {
+type StateMachine interface {
 	// Apply executes a command and returns the encoded reply.
 	Apply(nowMS int64, cmd []byte) []byte
 	// Version grows with each change that watchers must see.
@@ -49,25 +49,25 @@
 	// Propose commits a command of a part and returns the part's reply. It
 	// retries over leader changes; the group executes the command once. After an
 	// error the outcome is unknown.
-	Propose(ctx context.Context, part PartID, cmd []byte) ([]byte, error)
+	Propose(ctx context.Context, part StateMachineID, cmd []byte) ([]byte, error)
 	// Barrier returns once this VM's view holds all that was committed before
 	// the call.
 	Barrier(ctx context.Context) error
 }
 
 // Propose encodes cmd, commits it and decodes the reply.
-func Propose[R any](ctx context.Context, c Client, part PartID, cmd any) (R, error) {
+func Propose[R any](ctx context.Context, c Client, part StateMachineID, cmd any) (R, error) {
 	return proposeBy[R](ctx, c.Propose, part, cmd)
 }
 
 // ProposeSame is Propose for a command that runs once, however many VMs propose it.
-func ProposeSame[R any](ctx context.Context, r *Remote, part PartID, cmd any) (R, error) {
-	return proposeBy[R](ctx, r.ProposeSame, part, cmd)
+func ProposeDeduplicated[R any](ctx context.Context, r *RemoteClient, part StateMachineID, cmd any) (R, error) {
+	return proposeBy[R](ctx, r.ProposeDeduplicated, part, cmd)
 }
 
-type proposer func(ctx context.Context, part PartID, cmd []byte) ([]byte, error)
+type proposer func(ctx context.Context, part StateMachineID, cmd []byte) ([]byte, error)
 
-func proposeBy[R any](ctx context.Context, propose proposer, part PartID, cmd any) (R, error) {
+func proposeBy[R any](ctx context.Context, propose proposer, part StateMachineID, cmd any) (R, error) {
 	var out R
 	data, err := codec.Marshal(cmd)
 	if err != nil {
@@ -83,10 +83,10 @@
 // Envelope is one committed entry. ID is unique to the proposal: a retry after
 // a lost answer carries it again and gets the first reply.
 type Envelope struct {
-	Part PartID          `cbor:"1,keyasint"`
-	ID   string          `cbor:"2,keyasint"`
-	AtMS int64           `cbor:"3,keyasint"`
-	Body cbor.RawMessage `cbor:"4,keyasint,omitempty"`
+	StateMachine StateMachineID  `cbor:"1,keyasint"`
+	ID           string          `cbor:"2,keyasint"`
+	AtMS         int64           `cbor:"3,keyasint"`
+	Body         cbor.RawMessage `cbor:"4,keyasint,omitempty"`
 	// Packed is the body of a large command, compressed; Body is empty then.
 	Packed []byte `cbor:"5,keyasint,omitempty"`
 }
@@ -107,9 +107,9 @@
 const replyBytes = 16 << 20
 
 // Machine is the whole replicated state. Safe for concurrent use.
-type Machine struct {
+type ReplicatedState struct {
 	mu      sync.Mutex
-	parts   map[PartID]Part
+	parts   map[StateMachineID]StateMachine
 	nowMS   int64
 	replies map[string][]byte
 	order   []string
@@ -121,19 +121,19 @@
 var ErrNotApplied = errors.New("control: command not executed")
 
 // NewMachine returns an empty Machine.
-func NewMachine() *Machine {
-	return &Machine{parts: map[PartID]Part{}, replies: map[string][]byte{}, changed: make(chan struct{})}
+func NewReplicatedState() *ReplicatedState {
+	return &ReplicatedState{parts: map[StateMachineID]StateMachine{}, replies: map[string][]byte{}, changed: make(chan struct{})}
 }
 
 // Register adds a part before the first command.
-func (m *Machine) Register(id PartID, p Part) {
+func (m *ReplicatedState) Register(id StateMachineID, p StateMachine) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.parts[id] = p
 }
 
 // Apply executes a committed entry.
-func (m *Machine) Apply(entry []byte) ([]byte, error) {
+func (m *ReplicatedState) Apply(entry []byte) ([]byte, error) {
 	var e Envelope
 	if err := codec.Unmarshal(entry, &e); err != nil {
 		return nil, fmt.Errorf("%w: committed entry: %w", ErrNotApplied, err)
@@ -147,9 +147,9 @@
 	if reply, ok := m.replies[e.ID]; ok && e.ID != "" {
 		return reply, nil
 	}
-	p := m.parts[e.Part]
+	p := m.parts[e.StateMachine]
 	if p == nil {
-		return nil, fmt.Errorf("%w: no part %d", ErrNotApplied, e.Part)
+		return nil, fmt.Errorf("%w: no part %d", ErrNotApplied, e.StateMachine)
 	}
 	m.nowMS = max(m.nowMS, e.AtMS)
 	before := p.Version()
@@ -162,19 +162,19 @@
 }
 
 // Reply returns the reply to a command that was executed, as long as it is kept.
-func (m *Machine) Reply(id string) ([]byte, bool) {
+func (m *ReplicatedState) CachedReply(id string) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	reply, ok := m.replies[id]
 	return reply, ok
 }
 
-func (m *Machine) announce() {
+func (m *ReplicatedState) announce() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-func (m *Machine) remember(id string, reply []byte) {
+func (m *ReplicatedState) remember(id string, reply []byte) {
 	if id == "" {
 		return
 	}
@@ -190,14 +190,14 @@
 }
 
 // Read runs f on a part's state, which must not be kept.
-func (m *Machine) Read(id PartID, f func(Part)) {
+func (m *ReplicatedState) Read(id StateMachineID, f func(StateMachine)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f(m.parts[id])
 }
 
 // Changed returns a channel that is closed at the next change of a version.
-func (m *Machine) Changed() <-chan struct{} {
+func (m *ReplicatedState) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
--- a/internal/control/feed.go
+++ b/internal/control/feed.go
@@ -48,8 +48,8 @@
 
 	group     string // whose versions these are; of the loop alone
 	mu        sync.Mutex
-	versions  map[PartID]uint64
-	callbacks map[PartID][]func([]byte)
+	versions  map[StateMachineID]uint64
+	callbacks map[StateMachineID][]func([]byte)
 	moved     chan struct{}
 	until     time.Time // end of the lease, on both clocks
 	polls     uint64
@@ -60,11 +60,11 @@
 // NewFeed returns a Feed; callbacks are registered before Start.
 func NewFeed(o FeedOptions) *Feed {
 	f := &Feed{
-		o: o, versions: map[PartID]uint64{},
-		callbacks: map[PartID][]func([]byte){}, moved: make(chan struct{}),
+		o: o, versions: map[StateMachineID]uint64{},
+		callbacks: map[StateMachineID][]func([]byte){}, moved: make(chan struct{}),
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	for _, p := range FollowedParts {
+	for _, p := range FollowedStateMachines {
 		f.versions[p] = 0
 	}
 	return f
@@ -89,7 +89,7 @@
 
 // OnChange registers a function that gets each encoded change of a part, in
 // order, before the VM reports that it applies it. It must not block.
-func (f *Feed) OnChange(part PartID, apply func(data []byte)) {
+func (f *Feed) OnChange(part StateMachineID, apply func(data []byte)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.callbacks[part] = append(f.callbacks[part], apply)
@@ -116,7 +116,7 @@
 }
 
 // Version is the version of a part that this VM applies.
-func (f *Feed) Version(part PartID) uint64 {
+func (f *Feed) Version(part StateMachineID) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.versions[part]
@@ -124,11 +124,11 @@
 
 // FeedStats are a Feed's metrics.
 type FeedStats struct {
-	Polls    uint64            `json:"polls"`
-	Failures uint64            `json:"failures"`
-	Bytes    uint64            `json:"bytes"`    // of changes taken
-	LeaseMS  int64             `json:"lease_ms"` // left of the freshness lease; negative: lapsed
-	Versions map[PartID]uint64 `json:"versions"`
+	Polls    uint64                    `json:"polls"`
+	Failures uint64                    `json:"failures"`
+	Bytes    uint64                    `json:"bytes"`    // of changes taken
+	LeaseMS  int64                     `json:"lease_ms"` // left of the freshness lease; negative: lapsed
+	Versions map[StateMachineID]uint64 `json:"versions"`
 }
 
 // Stats returns the Feed's metrics.
@@ -211,7 +211,7 @@
 
 var errOtherGroup = errors.New("control: another control group answers")
 
-func (f *Feed) apply(part PartID, version uint64, data []byte) {
+func (f *Feed) apply(part StateMachineID, version uint64, data []byte) {
 	f.mu.Lock()
 	callbacks := f.callbacks[part]
 	newer := version > f.versions[part]
@@ -239,7 +239,7 @@
 }
 
 // catchUp implements viewer: a VM that is no voter reads what the Feed applied.
-func (f *Feed) catchUp(ctx context.Context, _ uint64, versions map[PartID]uint64) error {
+func (f *Feed) catchUp(ctx context.Context, _ uint64, versions map[StateMachineID]uint64) error {
 	for {
 		f.mu.Lock()
 		moved, behind := f.moved, false
@@ -261,7 +261,7 @@
 // both waits for the Machine and for what the Feed's callbacks built from it.
 type both struct{ first, second viewer }
 
-func (b both) catchUp(ctx context.Context, index uint64, versions map[PartID]uint64) error {
+func (b both) catchUp(ctx context.Context, index uint64, versions map[StateMachineID]uint64) error {
 	if err := b.first.catchUp(ctx, index, versions); err != nil {
 		return err
 	}
@@ -270,16 +270,16 @@
 
 // NewGroupClient returns the Client of a control VM that follows no Feed: it
 // reads the group's own state.
-func NewGroupClient(g *Group) *Remote {
-	r := NewRemote(g.o.Transport, g.o.VM, g.o.controlVMs)
+func NewGroupClient(g *Group) *RemoteClient {
+	r := NewRemoteClient(g.o.Transport, g.o.VM, g.o.controlVMs)
 	r.lease, r.view = g.o.Lease, g
 	return r
 }
 
 // Client returns the Client of a VM with this Feed; g is nil on a VM without the
 // control role.
-func (f *Feed) Client(g *Group) *Remote {
-	r := NewRemote(f.o.Transport, f.o.Self, f.o.Voters)
+func (f *Feed) Client(g *Group) *RemoteClient {
+	r := NewRemoteClient(f.o.Transport, f.o.Self, f.o.Voters)
 	r.lease, r.view = f.o.Lease, f
 	if g != nil {
 		r.view = both{g, f}
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -52,7 +52,7 @@
 	c.t.Helper()
 	version := c.propose("router1", item)
 	began := time.Now()
-	if err := InForce(c.t.Context(), c.vms["router1"].client, PartPlans, uint64(version)); err != nil {
+	if err := WaitInForce(c.t.Context(), c.vms["router1"].client, PlansStateMachine, uint64(version)); err != nil {
 		c.t.Fatal(err)
 	}
 	return time.Since(began)
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -23,29 +23,29 @@
 
 // GroupOptions are the options of a Group.
 type GroupOptions struct {
-	VM        string
-	Voters    []string        // VMs with the control role, this one included
-	Known     func() []string // further control VMs known now; nil: none
-	JoinOnly  bool            // never form a group, a group exists
-	Target    int             // voters to keep when one falls silent; 0: never remove any
-	Dir       string          // folder of the log
-	FS        wal.FS          // nil: the operating system's
-	Transport peer.Transport
+	VM           string
+	Voters       []string        // VMs with the control role, this one included
+	KnownVMs     func() []string // further control VMs known now; nil: none
+	JoinOnly     bool            // never form a group, a group exists
+	TargetVoters int             // voters to keep when one falls silent; 0: never remove any
+	Dir          string          // folder of the log
+	FS           wal.FS          // nil: the operating system's
+	Transport    peer.Transport
 	// Values holds what the VMs that follow fetch; its owner serves it. nil: one of
 	// the Group's own.
-	Values  *bulk.Store
-	Machine *Machine
-	Lease   time.Duration // freshness lease of the VMs that watch
-	Log     zerolog.Logger
-	Failed  func(error) // the process must end: the log is unusable
+	Values    *bulk.Store
+	State     *ReplicatedState
+	Lease     time.Duration // freshness lease of the VMs that watch
+	Log       zerolog.Logger
+	OnFailure func(error) // the process must end: the log is unusable
 }
 
 // controlVMs are all control VMs known now.
 func (o *GroupOptions) controlVMs() []string {
-	if o.Known == nil {
+	if o.KnownVMs == nil {
 		return o.Voters
 	}
-	all := slices.Concat(o.Voters, o.Known())
+	all := slices.Concat(o.Voters, o.KnownVMs())
 	slices.Sort(all)
 	return slices.Compact(all)
 }
@@ -74,7 +74,7 @@
 	g := &Group{o: o, tracker: newTracker(o.Lease)}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.node = consensus.NewNode(consensus.NodeOptions{
-		VM: o.VM, VMs: o.Voters, Known: o.Known, JoinOnly: o.JoinOnly, Target: o.Target, Dir: o.Dir, FS: o.FS, Transport: o.Transport, Machine: o.Machine, Log: o.Log, Failed: o.Failed,
+		VM: o.VM, VMs: o.Voters, KnownVMs: o.KnownVMs, JoinOnly: o.JoinOnly, TargetVoters: o.TargetVoters, Dir: o.Dir, FS: o.FS, Transport: o.Transport, StateMachine: o.State, Log: o.Log, OnFailure: o.OnFailure,
 	})
 	g.watch = newWatchServer(g)
 	o.Transport.Handle(peer.KindControl, g.serve)
@@ -94,7 +94,7 @@
 func (g *Group) HandOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	g.node.HandOver(ctx)
+	g.node.TransferLeadership(ctx)
 }
 
 // Close ends the member and all that waits on it.
@@ -119,7 +119,7 @@
 	Voters   []string `cbor:"8,keyasint" json:"voters"`
 	Learners []string `cbor:"9,keyasint" json:"learners"`
 	// Behind is, on the leader, how many entries each other member lacks.
-	Behind map[string]uint64 `cbor:"10,keyasint" json:"behind,omitempty"`
+	LagEntries map[string]uint64 `cbor:"10,keyasint" json:"behind,omitempty"`
 }
 
 // Stats returns the member's metrics.
@@ -139,10 +139,10 @@
 		out.Learners = append(out.Learners, string(id))
 	}
 	if len(st.Match) > 0 {
-		out.Behind = map[string]uint64{}
+		out.LagEntries = map[string]uint64{}
 	}
 	for id, match := range st.Match {
-		out.Behind[string(id)] = st.Last - min(match, st.Last)
+		out.LagEntries[string(id)] = st.Last - min(match, st.Last)
 	}
 	return out
 }
@@ -220,7 +220,7 @@
 	if out, ok := g.flights.wait(ctx, id); ok {
 		return out
 	}
-	if body, ok := g.o.Machine.Reply(id); ok {
+	if body, ok := g.o.State.CachedReply(id); ok {
 		return reply{Status: statusOK, Body: body}
 	}
 	return reply{Status: statusWanted}
@@ -230,8 +230,8 @@
 // leader's clock says, since Machine takes the larger of both. It returns when the
 // command is executed or the leadership is lost.
 func (g *Group) propose(q request) reply {
-	at := max(time.Now().UnixMilli(), g.o.Machine.NowMS())
-	envelope := Envelope{Part: q.Part, ID: q.ID, AtMS: at}
+	at := max(time.Now().UnixMilli(), g.o.State.NowMS())
+	envelope := Envelope{StateMachine: q.Part, ID: q.ID, AtMS: at}
 	if q.Packed {
 		envelope.Packed = q.Body
 	} else {
@@ -281,10 +281,10 @@
 	if err != nil {
 		return reply{Status: statusNotLeader, Leader: g.node.Leader()}
 	}
-	return reply{Status: statusOK, Index: index, Versions: g.o.Machine.Versions(FollowedParts)}
+	return reply{Status: statusOK, Index: index, Versions: g.o.State.Versions(FollowedStateMachines)}
 }
 
 // catchUp implements viewer: a control VM reads its own Machine.
-func (g *Group) catchUp(ctx context.Context, index uint64, _ map[PartID]uint64) error {
+func (g *Group) catchUp(ctx context.Context, index uint64, _ map[StateMachineID]uint64) error {
 	return g.node.WaitApplied(ctx, index)
 }
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -42,10 +42,10 @@
 // vm is one VM of a test: a voter where it has a group.
 type vm struct {
 	id      string
-	machine *Machine
+	machine *ReplicatedState
 	group   *Group
 	feed    *Feed
-	client  *Remote
+	client  *RemoteClient
 	t       testing.TB
 	failed  chan error // why its member stopped; a test that expects it takes it
 	mu      sync.Mutex
@@ -86,11 +86,11 @@
 // startVMWith is startVM with other options of a control VM's group.
 func startVMWith(t testing.TB, f *fabric, id string, voters []string, fs *waltest.FS, change func(*GroupOptions)) *vm {
 	t.Helper()
-	v := &vm{id: id, t: t, machine: NewMachine(), failed: make(chan error, 1)}
-	v.machine.Register(PartPlans, &list{})
-	v.machine.Register(PartRollouts, rollout.NewStateMachine())
-	v.feed = NewFeed(FeedOptions{Self: id, Voters: Fixed(voters), Transport: port{f, id}, Lease: testLease, Log: zerolog.Nop()})
-	v.feed.OnChange(PartPlans, func(data []byte) {
+	v := &vm{id: id, t: t, machine: NewReplicatedState(), failed: make(chan error, 1)}
+	v.machine.Register(PlansStateMachine, &list{})
+	v.machine.Register(RolloutsStateMachine, rollout.NewStateMachine())
+	v.feed = NewFeed(FeedOptions{Self: id, Voters: FixedVMs(voters), Transport: port{f, id}, Lease: testLease, Log: zerolog.Nop()})
+	v.feed.OnChange(PlansStateMachine, func(data []byte) {
 		var items []string
 		if err := codec.Unmarshal(data, &items); err != nil {
 			t.Error(err)
@@ -101,8 +101,8 @@
 	})
 	if slices.Contains(voters, id) {
 		o := GroupOptions{
-			VM: id, Voters: voters, Dir: "/" + id, FS: fs, Transport: port{f, id}, Machine: v.machine,
-			Lease: testLease, Log: zerolog.Nop(), Failed: func(err error) { v.failed <- err },
+			VM: id, Voters: voters, Dir: "/" + id, FS: fs, Transport: port{f, id}, State: v.machine,
+			Lease: testLease, Log: zerolog.Nop(), OnFailure: func(err error) { v.failed <- err },
 		}
 		change(&o)
 		v.group = NewGroup(o)
@@ -158,7 +158,7 @@
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), 20*time.Second)
 	defer cancel()
-	n, err := Propose[int](ctx, c.vms[from].client, PartPlans, item)
+	n, err := Propose[int](ctx, c.vms[from].client, PlansStateMachine, item)
 	if err != nil {
 		c.t.Fatalf("propose %.40s from %s: %v", item, from, err)
 	}
@@ -262,7 +262,7 @@
 		begin, end func(*waltest.FS)
 		cause      error
 	}{
-		"full":        {func(f *waltest.FS) { f.Space(300) }, func(f *waltest.FS) { f.Space(-1) }, waltest.ErrFull},
+		"full":        {func(f *waltest.FS) { f.LimitSpace(300) }, func(f *waltest.FS) { f.LimitSpace(-1) }, waltest.ErrFull},
 		"sync failed": {func(f *waltest.FS) { f.FailSync(true) }, func(f *waltest.FS) { f.FailSync(false) }, waltest.ErrSync},
 	}
 	for name, fault := range faults {
@@ -323,7 +323,7 @@
 
 func (v *vm) items() []string {
 	var out []string
-	v.machine.Read(PartPlans, func(p Part) { out = slices.Clone(p.(*list).items) })
+	v.machine.Read(PlansStateMachine, func(p StateMachine) { out = slices.Clone(p.(*list).items) })
 	return out
 }
 
@@ -335,7 +335,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1)
 		defer c.stop()
-		retried := Envelope{Part: PartPlans, ID: "retried", AtMS: 1, Body: []byte{0x61, 'x'}}
+		retried := Envelope{StateMachine: PlansStateMachine, ID: "retried", AtMS: 1, Body: []byte{0x61, 'x'}}
 		entry, err := codec.Marshal(retried)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -60,7 +60,7 @@
 			}
 		} else {
 			op.Input = fmt.Sprintf("%d-%d", client, i)
-			if n, err := Propose[int](ctx, v.client, PartPlans, op.Input); err == nil {
+			if n, err := Propose[int](ctx, v.client, PlansStateMachine, op.Input); err == nil {
 				op.Output, op.Return = n, time.Now().UnixNano()
 			}
 			h.add(op)
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -180,8 +180,8 @@
 
 // Guards against a command that is refused only after it has crossed every link.
 func TestTooLargeCommandIsRefusedAtOnce(t *testing.T) {
-	r := NewRemote(nil, "router1", Fixed(nil))
-	_, err := r.Propose(t.Context(), PartPlans, make([]byte, maxCommandBytes+1))
+	r := NewRemoteClient(nil, "router1", FixedVMs(nil))
+	_, err := r.Propose(t.Context(), PlansStateMachine, make([]byte, maxCommandBytes+1))
 	var coded *result.Error
 	if !errors.As(err, &coded) || coded.Code != result.BodyTooLarge {
 		t.Errorf("error %v", err)
@@ -194,16 +194,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry, err := codec.Marshal(Envelope{Part: PartPlans, ID: "a", AtMS: 1, Packed: bomb})
+	entry, err := codec.Marshal(Envelope{StateMachine: PlansStateMachine, ID: "a", AtMS: 1, Packed: bomb})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := NewMachine()
-	m.Register(PartPlans, &list{})
+	m := NewReplicatedState()
+	m.Register(PlansStateMachine, &list{})
 	if _, err := m.Apply(entry); !errors.Is(err, ErrNotApplied) {
 		t.Errorf("error %v", err)
 	}
-	if v := m.Versions([]PartID{PartPlans})[PartPlans]; v != 0 {
+	if v := m.Versions([]StateMachineID{PlansStateMachine})[PlansStateMachine]; v != 0 {
 		t.Errorf("version %d after a command that was not executed", v)
 	}
 }
--- a/internal/control/measure_test.go
+++ b/internal/control/measure_test.go
@@ -69,14 +69,14 @@
 }
 
 func (l *loopback) add(n *peer.Network, id string, voters []string) {
-	v := &vm{id: id, machine: NewMachine(), failed: make(chan error, 1)}
-	v.machine.Register(PartPlans, &list{})
-	v.feed = NewFeed(FeedOptions{Self: id, Voters: Fixed(voters), Transport: n, Lease: testLease, Log: zerolog.Nop()})
-	v.feed.OnChange(PartPlans, l.apply)
+	v := &vm{id: id, machine: NewReplicatedState(), failed: make(chan error, 1)}
+	v.machine.Register(PlansStateMachine, &list{})
+	v.feed = NewFeed(FeedOptions{Self: id, Voters: FixedVMs(voters), Transport: n, Lease: testLease, Log: zerolog.Nop()})
+	v.feed.OnChange(PlansStateMachine, l.apply)
 	if slices.Contains(voters, id) {
 		v.group = NewGroup(GroupOptions{
-			VM: id, Voters: voters, Dir: l.b.TempDir(), Transport: n, Machine: v.machine,
-			Lease: testLease, Log: zerolog.Nop(), Failed: func(err error) { l.b.Error(err) },
+			VM: id, Voters: voters, Dir: l.b.TempDir(), Transport: n, State: v.machine,
+			Lease: testLease, Log: zerolog.Nop(), OnFailure: func(err error) { l.b.Error(err) },
 		})
 	}
 	v.client = v.feed.Client(v.group)
@@ -164,12 +164,12 @@
 				item := fmt.Sprint("change-", i)
 				from := l.vms[i%len(l.vms)].client
 				began := time.Now()
-				version, err := Propose[int](context.Background(), from, PartPlans, item)
+				version, err := Propose[int](context.Background(), from, PlansStateMachine, item)
 				accepted := time.Now()
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err := InForce(context.Background(), from, PartPlans, uint64(version)); err != nil {
+				if err := WaitInForce(context.Background(), from, PlansStateMachine, uint64(version)); err != nil {
 					b.Fatal(err)
 				}
 				at, ok := l.last(item)
@@ -248,7 +248,7 @@
 }
 
 func (l *loopback) propose() {
-	if _, err := Propose[int](context.Background(), l.vms[0].client, PartPlans, "x"); err != nil {
+	if _, err := Propose[int](context.Background(), l.vms[0].client, PlansStateMachine, "x"); err != nil {
 		l.b.Error(err)
 	}
 }
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -47,7 +47,7 @@
 
 type request struct {
 	Op      op              `cbor:"1,keyasint"`
-	Part    PartID          `cbor:"2,keyasint,omitempty"`
+	Part    StateMachineID  `cbor:"2,keyasint,omitempty"`
 	ID      string          `cbor:"3,keyasint,omitempty"`
 	Body    cbor.RawMessage `cbor:"4,keyasint,omitempty"`
 	Version uint64          `cbor:"5,keyasint,omitempty"`
@@ -79,18 +79,18 @@
 )
 
 type reply struct {
-	Status   status            `cbor:"1,keyasint"`
-	Leader   string            `cbor:"2,keyasint,omitempty"`
-	Body     cbor.RawMessage   `cbor:"3,keyasint,omitempty"`
-	Index    uint64            `cbor:"4,keyasint,omitempty"`
-	Versions map[PartID]uint64 `cbor:"5,keyasint,omitempty"`
-	InForce  bool              `cbor:"6,keyasint,omitempty"`
-	Error    string            `cbor:"7,keyasint,omitempty"`
+	Status   status                    `cbor:"1,keyasint"`
+	Leader   string                    `cbor:"2,keyasint,omitempty"`
+	Body     cbor.RawMessage           `cbor:"3,keyasint,omitempty"`
+	Index    uint64                    `cbor:"4,keyasint,omitempty"`
+	Versions map[StateMachineID]uint64 `cbor:"5,keyasint,omitempty"`
+	InForce  bool                      `cbor:"6,keyasint,omitempty"`
+	Error    string                    `cbor:"7,keyasint,omitempty"`
 }
 
 // Remote is the Client of a VM, voter or not. Its retries carry the same
 // envelope ID, so that a command runs once however often answers are lost.
-type Remote struct {
+type RemoteClient struct {
 	transport peer.Transport
 	self      string
 	voters    func() []string // VMs with the control role
@@ -104,34 +104,34 @@
 
 // viewer is the view that Barrier brings up to date.
 type viewer interface {
-	catchUp(ctx context.Context, index uint64, versions map[PartID]uint64) error
+	catchUp(ctx context.Context, index uint64, versions map[StateMachineID]uint64) error
 }
 
 // Fixed is a list of control VMs that never changes.
-func Fixed(vms []string) func() []string { return func() []string { return vms } }
+func FixedVMs(vms []string) func() []string { return func() []string { return vms } }
 
 // NewRemote returns a Remote. voters gives the VMs with the control role; the VM
 // itself, if it is among them, is asked first.
-func NewRemote(t peer.Transport, self string, voters func() []string) *Remote {
-	r := &Remote{transport: t, self: self, voters: voters}
+func NewRemoteClient(t peer.Transport, self string, voters func() []string) *RemoteClient {
+	r := &RemoteClient{transport: t, self: self, voters: voters}
 	r.forget()
 	return r
 }
 
 // Propose implements Client. An error with the code ControlUnavail is a promise
 // that the command was not executed; after any other the outcome is unknown.
-func (r *Remote) Propose(ctx context.Context, part PartID, cmd []byte) ([]byte, error) {
+func (r *RemoteClient) Propose(ctx context.Context, part StateMachineID, cmd []byte) ([]byte, error) {
 	return r.proposeAs(ctx, rand.Text(), part, cmd)
 }
 
 // ProposeSame is Propose for a command that the group executes once in all, whoever
 // proposes it and however often: its content is its ID. The reply is the first one's.
-func (r *Remote) ProposeSame(ctx context.Context, part PartID, cmd []byte) ([]byte, error) {
+func (r *RemoteClient) ProposeDeduplicated(ctx context.Context, part StateMachineID, cmd []byte) ([]byte, error) {
 	digest := sha256.Sum256(cmd)
 	return r.proposeAs(ctx, base64.RawStdEncoding.EncodeToString(digest[:]), part, cmd)
 }
 
-func (r *Remote) proposeAs(ctx context.Context, id string, part PartID, cmd []byte) ([]byte, error) {
+func (r *RemoteClient) proposeAs(ctx context.Context, id string, part StateMachineID, cmd []byte) ([]byte, error) {
 	q := request{Op: opPropose, Part: part, ID: id, Body: cmd}
 	if len(cmd) > maxCommandBytes {
 		return nil, result.Newf(result.BodyTooLarge, "a command of %d bytes, at most %d", len(cmd), maxCommandBytes)
@@ -151,7 +151,7 @@
 }
 
 // Barrier implements Client.
-func (r *Remote) Barrier(ctx context.Context) error {
+func (r *RemoteClient) Barrier(ctx context.Context) error {
 	out, err := r.ask(ctx, request{Op: opRead})
 	if err != nil {
 		return err
@@ -164,13 +164,13 @@
 
 // Remove takes the vote from a control VM that will not come back. It succeeds
 // where the VM has none, so that a resend after a lost answer does too.
-func (r *Remote) Remove(ctx context.Context, vm string) error {
+func (r *RemoteClient) Remove(ctx context.Context, vm string) error {
 	_, err := r.ask(ctx, request{Op: opRemove, VM: vm})
 	return err
 }
 
 // Members returns the group as its leader sees it.
-func (r *Remote) Members(ctx context.Context) (MemberStats, error) {
+func (r *RemoteClient) Members(ctx context.Context) (MemberStats, error) {
 	var s MemberStats
 	out, err := r.ask(ctx, request{Op: opMembers})
 	if err != nil {
@@ -181,7 +181,7 @@
 
 // ask sends a request to the leader, looking for it where necessary, until it is
 // answered or ctx ends.
-func (r *Remote) ask(ctx context.Context, q request) (reply, error) {
+func (r *RemoteClient) ask(ctx context.Context, q request) (reply, error) {
 	target := r.lastLeader()
 	maybeRan := false
 	wanted := false
@@ -261,7 +261,7 @@
 }
 
 // attempt reports also whether the request may have been executed.
-func (r *Remote) attempt(ctx context.Context, vm string, q request) (reply, bool, error) {
+func (r *RemoteClient) attempt(ctx context.Context, vm string, q request) (reply, bool, error) {
 	if q.inPieces() {
 		return r.upload(ctx, vm, q)
 	}
@@ -269,7 +269,7 @@
 }
 
 // exchange sends one message and waits for its answer.
-func (r *Remote) exchange(ctx context.Context, vm string, q request) (reply, bool, error) {
+func (r *RemoteClient) exchange(ctx context.Context, vm string, q request) (reply, bool, error) {
 	limit := attemptTimeout
 	if q.Op == opWatched {
 		limit = watchAttempt
@@ -287,24 +287,24 @@
 	return out, out.Status == statusUnknown, nil
 }
 
-func (r *Remote) lastLeader() string {
+func (r *RemoteClient) lastLeader() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leader
 }
 
-func (r *Remote) remember(vm string) {
+func (r *RemoteClient) remember(vm string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leader = vm
 }
 
 // Leader is the VM that answered last as leader, or "".
-func (r *Remote) Leader() string { return r.lastLeader() }
+func (r *RemoteClient) Leader() string { return r.lastLeader() }
 
 // forget is for when the leader did not answer: a VM that is a voter itself
 // knows best who leads now, any other tries the voters in turn.
-func (r *Remote) forget() {
+func (r *RemoteClient) forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leader = ""
--- a/internal/control/replaced_test.go
+++ b/internal/control/replaced_test.go
@@ -13,7 +13,7 @@
 // learn, and keep three voters.
 func learning(known ...string) func(*GroupOptions) {
 	return func(o *GroupOptions) {
-		o.Known, o.Target = Fixed(known), 3
+		o.KnownVMs, o.TargetVoters = FixedVMs(known), 3
 	}
 }
 
--- a/internal/control/rollout_history_test.go
+++ b/internal/control/rollout_history_test.go
@@ -62,7 +62,7 @@
 			command, op.Input = rollout.Command{Step: &s}, s
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		if r, err := Propose[rollout.Reply](ctx, v.client, PartRollouts, command); err == nil {
+		if r, err := Propose[rollout.Reply](ctx, v.client, RolloutsStateMachine, command); err == nil {
 			op.Output, op.Return = seenOf(&r.Record), time.Now().UnixNano()
 			last = r.Record.Number
 		}
@@ -132,7 +132,7 @@
 		op := porcupine.Operation{ClientId: client, Call: time.Now().UnixNano()}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		if err := v.client.Barrier(ctx); err == nil {
-			v.machine.Read(PartRollouts, func(p Part) {
+			v.machine.Read(RolloutsStateMachine, func(p StateMachine) {
 				r, _ := p.(*rollout.StateMachine).Record("desk")
 				op.Output = seenOf(&r)
 			})
--- a/internal/control/silent_test.go
+++ b/internal/control/silent_test.go
@@ -42,8 +42,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			g := &namesSilent{silent: "a", next: "c", electedAt: began.Add(elected)}
-			r := NewRemote(g, "router", Fixed([]string{"a", "b", "c"}))
-			if _, err := r.Propose(t.Context(), PartRoutes, []byte{1}); err != nil {
+			r := NewRemoteClient(g, "router", FixedVMs([]string{"a", "b", "c"}))
+			if _, err := r.Propose(t.Context(), RoutesStateMachine, []byte{1}); err != nil {
 				t.Fatal(err)
 			}
 			most := max(elected, attemptTimeout) + 4*retryPause
@@ -59,10 +59,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		g := &namesSilent{silent: "a", next: "a", electedAt: began.Add(time.Hour), answersAt: began.Add(attemptTimeout + 500*time.Millisecond)}
-		r := NewRemote(g, "router", Fixed([]string{"a", "b", "c"}))
+		r := NewRemoteClient(g, "router", FixedVMs([]string{"a", "b", "c"}))
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		if _, err := r.Propose(ctx, PartRoutes, []byte{1}); err != nil {
+		if _, err := r.Propose(ctx, RoutesStateMachine, []byte{1}); err != nil {
 			t.Errorf("after %v: %v", time.Since(began), err)
 		}
 	})
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -18,8 +18,8 @@
 }
 
 type partState struct {
-	ID   PartID `cbor:"1,keyasint"`
-	Data []byte `cbor:"2,keyasint"`
+	ID   StateMachineID `cbor:"1,keyasint"`
+	Data []byte         `cbor:"2,keyasint"`
 }
 
 type cachedReply struct {
@@ -28,7 +28,7 @@
 }
 
 // Snapshot returns the whole state.
-func (m *Machine) Snapshot() ([]byte, error) {
+func (m *ReplicatedState) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := machineState{NowMS: m.nowMS, Replies: make([]cachedReply, 0, len(m.order))}
@@ -46,7 +46,7 @@
 }
 
 // Restore replaces the whole state.
-func (m *Machine) Restore(data []byte) error {
+func (m *ReplicatedState) Restore(data []byte) error {
 	var s machineState
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("control: snapshot: %w", err)
@@ -71,17 +71,17 @@
 }
 
 // NowMS is the group's clock, in milliseconds of the Unix epoch.
-func (m *Machine) NowMS() int64 {
+func (m *ReplicatedState) NowMS() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.nowMS
 }
 
 // Versions returns the version of each part asked for that is registered.
-func (m *Machine) Versions(ids []PartID) map[PartID]uint64 {
+func (m *ReplicatedState) Versions(ids []StateMachineID) map[StateMachineID]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[PartID]uint64, len(ids))
+	out := make(map[StateMachineID]uint64, len(ids))
 	for _, id := range ids {
 		if p := m.parts[id]; p != nil {
 			out[id] = p.Version()
--- a/internal/control/solo.go
+++ b/internal/control/solo.go
@@ -10,17 +10,17 @@
 
 // Solo is a Client over a Machine in the same process, without replication:
 // what tests of the parts need, and nothing that survives a restart.
-type Solo struct {
-	machine *Machine
+type LocalClient struct {
+	machine *ReplicatedState
 	now     func() time.Time
 }
 
 // NewSolo returns a Solo.
-func NewSolo(m *Machine) *Solo { return &Solo{machine: m, now: time.Now} }
+func NewLocalClient(m *ReplicatedState) *LocalClient { return &LocalClient{machine: m, now: time.Now} }
 
 // Propose implements Client.
-func (s *Solo) Propose(_ context.Context, part PartID, cmd []byte) ([]byte, error) {
-	entry, err := codec.Marshal(Envelope{Part: part, ID: rand.Text(), AtMS: s.now().UnixMilli(), Body: cmd})
+func (s *LocalClient) Propose(_ context.Context, part StateMachineID, cmd []byte) ([]byte, error) {
+	entry, err := codec.Marshal(Envelope{StateMachine: part, ID: rand.Text(), AtMS: s.now().UnixMilli(), Body: cmd})
 	if err != nil {
 		return nil, err
 	}
@@ -28,4 +28,4 @@
 }
 
 // Barrier implements Client.
-func (s *Solo) Barrier(context.Context) error { return nil }
+func (s *LocalClient) Barrier(context.Context) error { return nil }
--- a/internal/control/tracker.go
+++ b/internal/control/tracker.go
@@ -20,8 +20,8 @@
 
 // pollReport tells the leader what a VM applied when it asked for its lease.
 type pollReport struct {
-	VM       string            `cbor:"1,keyasint"`
-	Versions map[PartID]uint64 `cbor:"2,keyasint,omitempty"`
+	VM       string                    `cbor:"1,keyasint"`
+	Versions map[StateMachineID]uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // tracker is the leader's view of which VM applies what. Each lease is confirmed
@@ -39,7 +39,7 @@
 }
 
 type tracked struct {
-	versions map[PartID]uint64
+	versions map[StateMachineID]uint64
 	at       time.Time
 }
 
@@ -70,7 +70,7 @@
 
 // inForce reports whether every VM that may rely on a lease holds the version,
 // and otherwise a channel that is closed at the next report.
-func (t *tracker) inForce(term uint64, part PartID, version uint64) (bool, <-chan struct{}) {
+func (t *tracker) inForce(term uint64, part StateMachineID, version uint64) (bool, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
--- a/internal/control/upload.go
+++ b/internal/control/upload.go
@@ -27,7 +27,7 @@
 )
 
 // upload sends a command piece by piece; the answer to the last one is the outcome.
-func (r *Remote) upload(ctx context.Context, vm string, q request) (reply, bool, error) {
+func (r *RemoteClient) upload(ctx context.Context, vm string, q request) (reply, bool, error) {
 	number := rand.Uint64()
 	for offset := 0; ; offset += uploadPieceBytes {
 		end := min(offset+uploadPieceBytes, len(q.Body))
--- a/internal/control/upload_test.go
+++ b/internal/control/upload_test.go
@@ -119,7 +119,7 @@
 		replies := make(chan string, 4)
 		for _, vm := range []string{"router1", "router2", "router3", "router3"} {
 			go func() {
-				out, err := c.vms[vm].client.ProposeSame(t.Context(), PartPlans, cmd)
+				out, err := c.vms[vm].client.ProposeDeduplicated(t.Context(), PlansStateMachine, cmd)
 				replies <- string(out)
 				if err != nil {
 					t.Error(err)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -16,7 +16,7 @@
 
 // FollowedParts are the parts that every VM follows, in the order in which changes are
 // told: which versions may run a request is known before its route is.
-var FollowedParts = []PartID{PartPlans, PartFleet, PartMembers, PartRollouts, PartRoutes}
+var FollowedStateMachines = []StateMachineID{PlansStateMachine, FleetStateMachine, MembersStateMachine, RolloutsStateMachine, RoutesStateMachine}
 
 // Timings of a watch.
 const (
@@ -38,7 +38,7 @@
 func holdFor(lease time.Duration) time.Duration { return lease / 4 }
 
 type pollRequest struct {
-	Versions map[PartID]uint64 `cbor:"1,keyasint"`
+	Versions map[StateMachineID]uint64 `cbor:"1,keyasint"`
 	// NeedLease: answer with a confirmation, as long as one can be had. Without it a
 	// stream of changes could keep a VM busy and let its lease run out.
 	NeedLease bool `cbor:"2,keyasint,omitempty"`
@@ -51,21 +51,21 @@
 }
 
 type partChange struct {
-	Part    PartID     `cbor:"1,keyasint"`
-	Version uint64     `cbor:"2,keyasint"`
-	Value   bulk.Value `cbor:"3,keyasint"`
+	Part    StateMachineID `cbor:"1,keyasint"`
+	Version uint64         `cbor:"2,keyasint"`
+	Value   bulk.Value     `cbor:"3,keyasint"`
 }
 
 // watchServer answers the polls of the VMs that chose this voter.
 type watchServer struct {
 	g      *Group
-	leader *Remote
+	leader *RemoteClient
 
 	mu      sync.Mutex
 	closed  bool
 	batch   *confirmation
 	cache   map[changeKey]partChange
-	known   map[string]map[PartID]uint64 // what the VMs reported last
+	known   map[string]map[StateMachineID]uint64 // what the VMs reported last
 	pending sync.WaitGroup
 }
 
@@ -82,7 +82,7 @@
 
 // changeKey names a change by what a VM holds before it.
 type changeKey struct {
-	part  PartID
+	part  StateMachineID
 	since uint64
 }
 
@@ -92,8 +92,8 @@
 
 func newWatchServer(g *Group) *watchServer {
 	return &watchServer{
-		g: g, leader: NewRemote(g.o.Transport, g.o.VM, g.o.controlVMs),
-		cache: map[changeKey]partChange{}, known: map[string]map[PartID]uint64{},
+		g: g, leader: NewRemoteClient(g.o.Transport, g.o.VM, g.o.controlVMs),
+		cache: map[changeKey]partChange{}, known: map[string]map[StateMachineID]uint64{},
 	}
 }
 
@@ -117,7 +117,7 @@
 	overdue := time.NewTimer(confirmSoon)
 	defer overdue.Stop()
 	for {
-		changed := w.g.o.Machine.Changed()
+		changed := w.g.o.State.Changed()
 		if r, ok := a.reply(); ok {
 			return r, nil
 		}
@@ -175,7 +175,7 @@
 		return a.w.changes(a.q.Versions)
 	}
 	held := maps.Clone(a.q.Versions)
-	maps.DeleteFunc(held, func(_ PartID, version uint64) bool { return version == 0 })
+	maps.DeleteFunc(held, func(_ StateMachineID, version uint64) bool { return version == 0 })
 	return a.w.changes(held)
 }
 
@@ -193,10 +193,10 @@
 
 // changes returns what is newer here. A voter that is behind the VM sends
 // nothing: what a VM applies never goes back.
-func (w *watchServer) changes(held map[PartID]uint64) []partChange {
+func (w *watchServer) changes(held map[StateMachineID]uint64) []partChange {
 	var out []partChange
-	versions := w.g.o.Machine.Versions(FollowedParts)
-	for _, part := range FollowedParts {
+	versions := w.g.o.State.Versions(FollowedStateMachines)
+	for _, part := range FollowedStateMachines {
 		version := versions[part]
 		if _, follows := held[part]; !follows || version <= held[part] {
 			continue
@@ -212,13 +212,13 @@
 }
 
 // change encodes a part's change once for all VMs that hold the same version.
-func (w *watchServer) change(part PartID, since uint64) (partChange, error) {
+func (w *watchServer) change(part StateMachineID, since uint64) (partChange, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	key := changeKey{part, since}
 	c, cached := w.cache[key]
 	var data []byte
-	w.g.o.Machine.Read(part, func(p Part) {
+	w.g.o.State.Read(part, func(p StateMachine) {
 		if cached && c.Version == p.Version() && w.g.o.Values.StillOffers(c.Value) {
 			return
 		}
@@ -340,9 +340,9 @@
 // InForce returns once every VM applies the version of a part, or may no longer
 // admit work by an older one because its lease has run out. The version must be
 // committed already. The error is ctx's.
-func InForce(ctx context.Context, c Client, part PartID, version uint64) error {
+func WaitInForce(ctx context.Context, c Client, part StateMachineID, version uint64) error {
 	t, ok := c.(interface {
-		inForce(ctx context.Context, part PartID, version uint64) error
+		inForce(ctx context.Context, part StateMachineID, version uint64) error
 	})
 	if !ok {
 		return ErrNoTracking
@@ -352,7 +352,7 @@
 
 // inForce needs no answer from the leader in the worst case: leases given before
 // the commit have run out by then on every VM, a VM that is cut off included.
-func (r *Remote) inForce(ctx context.Context, part PartID, version uint64) error {
+func (r *RemoteClient) inForce(ctx context.Context, part StateMachineID, version uint64) error {
 	limit, cancel := context.WithTimeout(ctx, outlived(r.lease))
 	defer cancel()
 	for limit.Err() == nil {
@@ -364,4 +364,4 @@
 	return ctx.Err()
 }
 
-func (s *Solo) inForce(context.Context, PartID, uint64) error { return nil }
+func (s *LocalClient) inForce(context.Context, StateMachineID, uint64) error { return nil }
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -18,7 +18,7 @@
 	tr := newTracker(testLease)
 	tr.now = func() time.Time { return now }
 	report := func(term uint64, vm string, version uint64) {
-		tr.report(term, []pollReport{{VM: vm, Versions: map[PartID]uint64{PartPlans: version}}})
+		tr.report(term, []pollReport{{VM: vm, Versions: map[StateMachineID]uint64{PlansStateMachine: version}}})
 	}
 	steps := []struct {
 		what string
@@ -36,7 +36,7 @@
 	}
 	for _, s := range steps {
 		s.do()
-		if got, _ := tr.inForce(s.term, PartPlans, 7); got != s.want {
+		if got, _ := tr.inForce(s.term, PlansStateMachine, 7); got != s.want {
 			t.Errorf("%s: in force %v", s.what, got)
 		}
 	}
@@ -51,11 +51,11 @@
 		v := startVM(t, f, "vm1", testVoters, waltest.New())
 		defer f.flying.Wait()
 		defer v.kill(f)
-		entry, _ := codec.Marshal(Envelope{Part: PartPlans, ID: "1", AtMS: 1, Body: []byte{0x61, 'x'}})
+		entry, _ := codec.Marshal(Envelope{StateMachine: PlansStateMachine, ID: "1", AtMS: 1, Body: []byte{0x61, 'x'}})
 		if _, err := v.machine.Apply(entry); err != nil {
 			t.Fatal(err)
 		}
-		body, _ := codec.Marshal(pollRequest{Versions: map[PartID]uint64{PartPlans: 0}})
+		body, _ := codec.Marshal(pollRequest{Versions: map[StateMachineID]uint64{PlansStateMachine: 0}})
 		out, err := v.group.watch.serve(t.Context(), "router1", body)
 		if r, ok := out.(pollReply); err != nil || !ok || r.Confirmed || len(r.Changes) != 1 {
 			t.Errorf("got %+v, %v", out, err)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -23,14 +23,14 @@
 			voters = append(voters, vm.ID)
 		}
 	}
-	n.machine = control.NewMachine()
+	n.machine = control.NewReplicatedState()
 	n.feed = control.NewFeed(control.FeedOptions{
-		Self: n.s.Self.ID, Voters: control.Fixed(voters), Transport: n.network, Lease: n.s.FreshnessTTL, Log: n.log,
+		Self: n.s.Self.ID, Voters: control.FixedVMs(voters), Transport: n.network, Lease: n.s.FreshnessTTL, Log: n.log,
 	})
 	if n.s.Self.Has(settings.RoleControl) {
 		n.group = control.NewGroup(control.GroupOptions{
 			VM: n.s.Self.ID, Voters: voters, Dir: filepath.Join(n.s.DataDir, "control"), Transport: n.network,
-			Machine: n.machine, Lease: n.s.FreshnessTTL, Log: n.log, Failed: n.fail,
+			State: n.machine, Lease: n.s.FreshnessTTL, Log: n.log, OnFailure: n.fail,
 		})
 	}
 	n.remote = n.feed.Client(n.group)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -154,10 +154,10 @@
 // startFleet registers the state of the orders, and subscribes to the models that engines
 // serve.
 func (n *Node) startFleet() {
-	n.machine.Register(control.PartFleet, fleet.NewPart())
+	n.machine.Register(control.FleetStateMachine, fleet.NewPart())
 	n.backends = &backends{configured: n.s.Backends, platform: n.members.platform, log: n.log}
 	n.backends.indexServices(n.s.Backends)
-	n.feed.OnChange(control.PartFleet, n.backends.apply)
+	n.feed.OnChange(control.FleetStateMachine, n.backends.apply)
 }
 
 // runFleet keeps routing up to date and, while this VM leads the group, gives orders.
@@ -175,7 +175,7 @@
 }
 
 func (n *Node) ordersUnderWay() (out []fleet.Order) {
-	n.machine.Read(control.PartFleet, func(p control.Part) {
+	n.machine.Read(control.FleetStateMachine, func(p control.StateMachine) {
 		if part, ok := p.(*fleet.Part); ok {
 			out = part.Orders()
 		}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -135,7 +135,7 @@
 	views := slices.Clone(m.views)
 	for i := 1; i < len(views); i++ {
 		superseded := m.learnedAt[views[i-1].Version]
-		views[i].Settled = time.Since(superseded) >= m.lease+journalMoveTime
+		views[i].Migrated = time.Since(superseded) >= m.lease+journalMoveTime
 	}
 	m.views = views
 }
@@ -180,7 +180,7 @@
 		out.Candidates = append(out.Candidates, generation.Candidate{
 			VM: vm.ID, Zone: vm.Zone, Incarnation: vm.Incarnation,
 			Dead:    vm.State == membership.Dead,
-			Leaving: vm.State == membership.Leaving || vm.State == membership.Dead && live >= generation.KeepersMany,
+			Leaving: vm.State == membership.Leaving || vm.State == membership.Dead && live >= generation.MaxKeepers,
 		})
 	}
 	return out
@@ -218,8 +218,8 @@
 // followMembers registers the list of VMs with the replicated state and subscribes to it.
 // startControl must have run.
 func (n *Node) followMembers() {
-	n.machine.Register(control.PartMembers, membership.NewPart())
-	n.feed.OnChange(control.PartMembers, n.members.apply)
+	n.machine.Register(control.MembersStateMachine, membership.NewPart())
+	n.feed.OnChange(control.MembersStateMachine, n.members.apply)
 	n.metrics.Set("members", expvar.Func(func() any { return n.members.status() }))
 }
 
@@ -289,7 +289,7 @@
 func (n *Node) proposeMember(ctx context.Context, cmd *membership.Command) (membership.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	return control.Propose[membership.Reply](ctx, n.control, control.PartMembers, cmd)
+	return control.Propose[membership.Reply](ctx, n.control, control.MembersStateMachine, cmd)
 }
 
 // leaveMembers commits that this VM is leaving or, at the end of the shutdown, has left.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,9 +51,9 @@
 	explain     *explain.Ring
 
 	network     *peer.Network
-	machine     *control.Machine
+	machine     *control.ReplicatedState
 	control     control.Client
-	remote      *control.Remote // the same client as control, with its concrete type
+	remote      *control.RemoteClient // the same client as control, with its concrete type
 	feed        *control.Feed
 	group       *control.Group // nil on a VM without the control role
 	failure     chan error
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -83,7 +83,7 @@
 	if err := n.control.Barrier(ctx); err != nil {
 		return out, err
 	}
-	n.machine.Read(control.PartPlans, func(registry control.Part) { out = registry.(*plan.Registry).Ask(q, n.plans.ledger) })
+	n.machine.Read(control.PlansStateMachine, func(registry control.StateMachine) { out = registry.(*plan.Registry).Ask(q, n.plans.ledger) })
 	return out, nil
 }
 
@@ -100,5 +100,5 @@
 
 // Wait implements operator.InForce.
 func (n *Node) Wait(ctx context.Context, version uint64) error {
-	return control.InForce(ctx, n.control, control.PartPlans, version)
+	return control.WaitInForce(ctx, n.control, control.PlansStateMachine, version)
 }
--- a/internal/node/plans.go
+++ b/internal/node/plans.go
@@ -72,15 +72,15 @@
 func (n *Node) startPlans() {
 	registry := plan.NewRegistry()
 	ledger := plan.NewLedger(registry, n.reportLedgerFault)
-	n.machine.Register(control.PartPlans, registry)
-	n.machine.Register(control.PartLedger, ledger)
+	n.machine.Register(control.PlansStateMachine, registry)
+	n.machine.Register(control.LedgerStateMachine, ledger)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.plans = &plans{
 		fresh: n.fresh, ledger: ledger, log: n.log, view: plan.NewView(), cancel: cancel,
 		quota: quota.New(n.s.Self.ID, n.incarnation, n.control, n.metrics, n.log),
 	}
 	n.plans.directory.Store(n.plans.view.Directory())
-	n.feed.OnChange(control.PartPlans, n.plans.apply)
+	n.feed.OnChange(control.PlansStateMachine, n.plans.apply)
 	n.metrics.Set("plans_version", expvar.Func(func() any { return n.plans.version() }))
 	go n.plans.quota.Run(ctx)
 }
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -16,11 +16,11 @@
 
 // parseMarkings returns the markings of calls by service. The settings are validated
 // before, so every marking parses.
-func parseMarkings(backends []settings.Backend) map[string][]call.Marking {
-	out := map[string][]call.Marking{}
+func parseMarkings(backends []settings.Backend) map[string][]call.IdempotencyRule {
+	out := map[string][]call.IdempotencyRule{}
 	for _, b := range backends {
 		for _, text := range b.Markings {
-			if m, err := call.ParseMarking(text); err == nil {
+			if m, err := call.ParseIdempotencyRule(text); err == nil {
 				out[b.Service] = append(out[b.Service], m)
 			}
 		}
@@ -31,10 +31,10 @@
 // startServices registers the claims of calls with the replicated state and creates the
 // dispatcher of calls.
 func (n *Node) startServices() {
-	n.machine.Register(control.PartCalls, call.NewPart(call.DefaultLimits()))
+	n.machine.Register(control.CallsStateMachine, call.NewStateMachine(call.DefaultLimits()))
 	n.services = service.NewDispatcher(
 		service.Config{
-			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, Markings: parseMarkings(n.s.Backends),
+			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, IdempotencyRules: parseMarkings(n.s.Backends),
 		},
 		service.Deps{
 			Control: n.control, Sender: service.NewClient(), Backends: n.backends, Incarnations: n.members,
--- a/internal/operator/lists.go
+++ b/internal/operator/lists.go
@@ -183,7 +183,7 @@
 func (a *API) commit(ctx context.Context, c plan.Command) (plan.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	reply, err := control.Propose[plan.Reply](ctx, a.Control, control.PartPlans, c)
+	reply, err := control.Propose[plan.Reply](ctx, a.Control, control.PlansStateMachine, c)
 	if err == nil || result.CodeOf(err) == result.ControlUnavail {
 		return reply, err // not executed, and will not be
 	}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -138,7 +138,7 @@
 func (l *Leader) propose(ctx context.Context, cmd *fleet.Command) (fleet.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitLimit)
 	defer cancel()
-	r, err := control.Propose[fleet.Reply](ctx, l.Control, control.PartFleet, cmd)
+	r, err := control.Propose[fleet.Reply](ctx, l.Control, control.FleetStateMachine, cmd)
 	if err == nil && r.Fence != l.fence && cmd.Lead == nil {
 		l.fence = 0 // another leads
 	}
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -28,7 +28,7 @@
 	t       *testing.T
 	fences  bool
 	engines map[string]*standin.Engine
-	machine *control.Machine
+	machine *control.ReplicatedState
 	part    *fleet.Part
 
 	mu      sync.Mutex
@@ -39,8 +39,8 @@
 }
 
 func newWorld(t *testing.T, fences bool) *world {
-	w := &world{t: t, fences: fences, engines: map[string]*standin.Engine{}, machine: control.NewMachine(), part: fleet.NewPart(), pause: map[uint64]time.Duration{}}
-	w.machine.Register(control.PartFleet, w.part)
+	w := &world{t: t, fences: fences, engines: map[string]*standin.Engine{}, machine: control.NewReplicatedState(), part: fleet.NewPart(), pause: map[uint64]time.Duration{}}
+	w.machine.Register(control.FleetStateMachine, w.part)
 	for i, model := range []string{"a", "a", "b", "b"} {
 		cfg := standin.DefaultEngine(fmt.Sprint("e", i), model)
 		cfg.Fences, cfg.LoadTime = fences, 3*time.Second
@@ -87,7 +87,7 @@
 
 func (w *world) leader(name string, leads func() bool) *orders.Leader {
 	return orders.NewLeader(orders.Deps{
-		Name: name, Control: control.NewSolo(w.machine), Engines: w, IsLeader: leads,
+		Name: name, Control: control.NewLocalClient(w.machine), Engines: w, IsLeader: leads,
 		Backends: func() []orders.Backend {
 			var out []orders.Backend
 			for i, model := range []string{"a", "a", "b", "b"} {
@@ -111,7 +111,7 @@
 }
 
 func read[T any](w *world, f func() T) (out T) {
-	w.machine.Read(control.PartFleet, func(control.Part) { out = f() })
+	w.machine.Read(control.FleetStateMachine, func(control.StateMachine) { out = f() })
 	return out
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -154,7 +154,7 @@
 		return false
 	}
 	pctx, cancel := context.WithTimeout(ctx, syncTimeout)
-	reply, err := control.Propose[plan.SyncReply](pctx, q.control, control.PartLedger, s)
+	reply, err := control.Propose[plan.SyncReply](pctx, q.control, control.LedgerStateMachine, s)
 	cancel()
 	if err != nil {
 		q.metrics.Add("quota_messages_failed", 1)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -19,19 +19,19 @@
 // lossyGroup is a control group that can lose its reply after executing a command,
 // or be unreachable.
 type lossyGroup struct {
-	*control.Solo
+	*control.LocalClient
 	mu          sync.Mutex
 	unreachable bool
 	loseReplies int
 }
 
-func (l *lossyGroup) Propose(ctx context.Context, part control.PartID, cmd []byte) ([]byte, error) {
+func (l *lossyGroup) Propose(ctx context.Context, part control.StateMachineID, cmd []byte) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable {
 		return nil, errors.New("no leader")
 	}
-	reply, err := l.Solo.Propose(ctx, part, cmd)
+	reply, err := l.LocalClient.Propose(ctx, part, cmd)
 	if l.loseReplies > 0 {
 		l.loseReplies--
 		return nil, errors.New("answer lost")
@@ -48,18 +48,18 @@
 func newTestQuota(t *testing.T) (*Quota, *lossyGroup, func() plan.Usage, plan.Allowance) {
 	t.Helper()
 	a := allowance(1000, 4, time.Hour)
-	registry, machine := plan.NewRegistry(), control.NewMachine()
+	registry, machine := plan.NewRegistry(), control.NewReplicatedState()
 	registry.Do(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
 	registry.Do(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
 	ledger := plan.NewLedger(registry, func(err error) { t.Error(err) })
-	machine.Register(control.PartLedger, ledger)
-	group := &lossyGroup{Solo: control.NewSolo(machine)}
+	machine.Register(control.LedgerStateMachine, ledger)
+	group := &lossyGroup{LocalClient: control.NewLocalClient(machine)}
 	q := New("vm1", "a", group, new(expvar.Map), zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go q.Run(ctx)
 	use := func() (u plan.Usage) {
-		machine.Read(control.PartLedger, func(control.Part) { u = ledger.Usage("hot") })
+		machine.Read(control.LedgerStateMachine, func(control.StateMachine) { u = ledger.Usage("hot") })
 		return u
 	}
 	return q, group, use, a
--- a/internal/routed/control.go
+++ b/internal/routed/control.go
@@ -190,8 +190,8 @@
 
 // proposeRoutes puts a list in force through a client of the group. An operator that
 // gets no answer sends the list to several VMs, and the group deduplicates the command.
-func proposeRoutes(ctx context.Context, client *control.Remote, l *routes.List, log zerolog.Logger) (routes.Reply, error) {
-	reply, err := control.ProposeSame[routes.Reply](ctx, client, control.PartRoutes, l)
+func proposeRoutes(ctx context.Context, client *control.RemoteClient, l *routes.List, log zerolog.Logger) (routes.Reply, error) {
+	reply, err := control.ProposeDeduplicated[routes.Reply](ctx, client, control.RoutesStateMachine, l)
 	log.Info().Uint64("version", l.Version).Int("outcome", int(reply.Outcome)).
 		Uint64("in_force", reply.Version).AnErr("error", err).Msg("route list proposed")
 	switch {
@@ -215,7 +215,7 @@
 		return nil, err
 	}
 	var source []byte
-	s.machine.Read(control.PartRoutes, func(control.Part) { source = s.routes.List().Source })
+	s.machine.Read(control.RoutesStateMachine, func(control.StateMachine) { source = s.routes.List().Source })
 	return source, nil
 }
 
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -25,10 +25,10 @@
 // memberSession is the group's member from one opening of its log to the next, with the
 // state replayed from the log.
 type memberSession struct {
-	machine *control.Machine
+	machine *control.ReplicatedState
 	routes  *routes.StateMachine
 	group   *control.Group
-	client  *control.Remote
+	client  *control.RemoteClient
 
 	rollouts *rollout.StateMachine
 }
@@ -56,12 +56,12 @@
 
 // openMember opens c's member. failed receives a later failure of its log.
 func (c *Control) openMember(failed func(error)) (*memberSession, error) {
-	s := &memberSession{machine: control.NewMachine(), routes: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
-	s.machine.Register(control.PartRoutes, s.routes)
-	s.machine.Register(control.PartRollouts, s.rollouts)
+	s := &memberSession{machine: control.NewReplicatedState(), routes: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
+	s.machine.Register(control.RoutesStateMachine, s.routes)
+	s.machine.Register(control.RolloutsStateMachine, s.rollouts)
 	s.group = control.NewGroup(control.GroupOptions{
-		VM: c.o.ID, Voters: c.o.Seeds, Known: c.member.Controls, JoinOnly: !c.o.FirstStart, Target: c.o.TargetVoters,
-		Dir: filepath.Join(c.o.Dir, "control"), Transport: c.network, Values: c.values, Machine: s.machine, Lease: Lease, Log: c.o.Log, Failed: failed,
+		VM: c.o.ID, Voters: c.o.Seeds, KnownVMs: c.member.Controls, JoinOnly: !c.o.FirstStart, TargetVoters: c.o.TargetVoters,
+		Dir: filepath.Join(c.o.Dir, "control"), Transport: c.network, Values: c.values, State: s.machine, Lease: Lease, Log: c.o.Log, OnFailure: failed,
 	})
 	s.client = control.NewGroupClient(s.group)
 	return s, s.group.Start()
--- a/internal/routed/observer.go
+++ b/internal/routed/observer.go
@@ -23,7 +23,7 @@
 	network         *peer.Network
 	member          *cluster.Member
 	observer        *cluster.Observer
-	client          *control.Remote
+	client          *control.RemoteClient
 	routeListReader *routeListReader
 	peerServer      *http.Server
 	cancel          context.CancelFunc
@@ -39,7 +39,7 @@
 	}, o.Log)
 	v.observer = cluster.NewObserver(v.network, o.ID, v.member.Controls)
 	consensus.ServeObserver(v.network, o.ID)
-	v.client = control.NewRemote(v.network, o.ID, v.observer.Controls)
+	v.client = control.NewRemoteClient(v.network, o.ID, v.observer.Controls)
 	v.routeListReader = &routeListReader{t: v.network, voters: v.observer.Controls, log: o.Log}
 	o.Metrics.NewGauge("shelf_ready_routers", func() float64 { return float64(len(v.Endpoints(maxRouters))) })
 	var err error
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -20,14 +20,14 @@
 
 // rolloutOf reads a service's roll-out from the member's state.
 func (s *memberSession) rolloutOf(service string) (r rollout.Record, ok bool) {
-	s.machine.Read(control.PartRollouts, func(control.Part) { r, ok = s.rollouts.Record(service) })
+	s.machine.Read(control.RolloutsStateMachine, func(control.StateMachine) { r, ok = s.rollouts.Record(service) })
 	return r, ok
 }
 
 // hasService reports whether the route list names a service.
 func (s *memberSession) hasService(service string) bool {
 	found := false
-	s.machine.Read(control.PartRoutes, func(control.Part) {
+	s.machine.Read(control.RoutesStateMachine, func(control.StateMachine) {
 		for i := range s.routes.List().Services {
 			found = found || s.routes.List().Services[i].Name == service
 		}
@@ -60,7 +60,7 @@
 			return rollout.Record{}, result.New(result.UnknownService)
 		}
 	}
-	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.PartRollouts, rollout.Command{Order: o})
+	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.RolloutsStateMachine, rollout.Command{Order: o})
 	switch {
 	case err != nil:
 		return rollout.Record{}, err
@@ -148,7 +148,7 @@
 
 func (w *rolloutWatcher) check(s *memberSession, now time.Time) {
 	var records []rollout.Record
-	s.machine.Read(control.PartRollouts, func(control.Part) { records = s.rollouts.UnderWay() })
+	s.machine.Read(control.RolloutsStateMachine, func(control.StateMachine) { records = s.rollouts.UnderWay() })
 	numbers := map[string]uint64{}
 	for i := range records {
 		numbers[records[i].Service] = records[i].Number
@@ -215,8 +215,8 @@
 	ctx, cancel := context.WithTimeout(w.c.ctx, 2*Lease)
 	defer cancel()
 	version := uint64(0)
-	s.machine.Read(control.PartRollouts, func(p control.Part) { version = p.Version() })
-	err := control.InForce(ctx, s.client, control.PartRollouts, version)
+	s.machine.Read(control.RolloutsStateMachine, func(p control.StateMachine) { version = p.Version() })
+	err := control.WaitInForce(ctx, s.client, control.RolloutsStateMachine, version)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k.confirming = false
@@ -244,7 +244,7 @@
 func (w *rolloutWatcher) proposeStep(s *memberSession, step *rollout.Step, e *rollout.Evidence, v *rollout.View) {
 	ctx, cancel := context.WithTimeout(w.c.ctx, stepTimeout)
 	defer cancel()
-	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.PartRollouts, rollout.Command{Step: step})
+	reply, err := control.Propose[rollout.Reply](ctx, s.client, control.RolloutsStateMachine, rollout.Command{Step: step})
 	requests := 0
 	for _, n := range e.Requests {
 		requests += n
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -61,8 +61,8 @@
 	r.feed = control.NewFeed(control.FeedOptions{
 		Self: o.ID, Voters: r.member.Controls, Transport: r.network, Lease: Lease, Log: o.Log,
 	})
-	r.feed.OnChange(control.PartRoutes, r.applyRoutes)
-	r.feed.OnChange(control.PartRollouts, r.applyRollouts)
+	r.feed.OnChange(control.RoutesStateMachine, r.applyRoutes)
+	r.feed.OnChange(control.RolloutsStateMachine, r.applyRollouts)
 	r.handler = forward.NewHandler(forward.Options{
 		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.listsReady,
 		RetryAllowance: o.RetryAllowance, Log: o.Log, RoutineLog: o.RoutineLog, Metrics: o.Metrics, SuspectContents: r.suspectContents, Closing: r.drain.started,
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -132,23 +132,23 @@
 
 func (s static) Service(string) []service.Backend { return s }
 
-func dispatchers(machine *control.Machine, n int, backends service.Backends) []*service.Dispatcher {
+func dispatchers(machine *control.ReplicatedState, n int, backends service.Backends) []*service.Dispatcher {
 	sender := service.NewClient()
 	var out []*service.Dispatcher
 	for i := range n {
 		out = append(out, service.NewDispatcher(
 			service.Config{VM: fmt.Sprintf("vm%d", i+1), Incarnation: "i1"},
 			service.Deps{
-				Control: control.NewSolo(machine), Sender: sender, Backends: backends,
+				Control: control.NewLocalClient(machine), Sender: sender, Backends: backends,
 				Explain: explain.NewRing(64), Metrics: new(expvar.Map).Init(), Log: zerolog.Nop(),
 			}))
 	}
 	return out
 }
 
-func newMachine() *control.Machine {
-	m := control.NewMachine()
-	m.Register(control.PartCalls, call.NewPart(call.DefaultLimits()))
+func newMachine() *control.ReplicatedState {
+	m := control.NewReplicatedState()
+	m.Register(control.CallsStateMachine, call.NewStateMachine(call.DefaultLimits()))
 	return m
 }
 
--- a/internal/service/history_test.go
+++ b/internal/service/history_test.go
@@ -91,7 +91,7 @@
 
 // world is the control group, the service and the callers' history.
 type world struct {
-	machine *control.Machine
+	machine *control.ReplicatedState
 
 	mu      sync.Mutex
 	runs    map[string]int
@@ -100,7 +100,7 @@
 
 // faultyControl is one request's way to the control group.
 type faultyControl struct {
-	*control.Solo
+	*control.LocalClient
 	plan *plannedCall
 
 	mu   sync.Mutex
@@ -119,19 +119,19 @@
 	return f.plan.Control[f.next-1]
 }
 
-func (f *faultyControl) Propose(ctx context.Context, part control.PartID, cmd []byte) ([]byte, error) {
+func (f *faultyControl) Propose(ctx context.Context, part control.StateMachineID, cmd []byte) ([]byte, error) {
 	time.Sleep(2 * time.Millisecond)
 	switch f.fault() {
 	case controlLost:
-		_, _ = f.Solo.Propose(ctx, part, cmd)
+		_, _ = f.LocalClient.Propose(ctx, part, cmd)
 		return nil, errControl
 	case controlDown:
 		return nil, errControl
 	case controlLate:
-		time.AfterFunc(3*time.Second, func() { _, _ = f.Solo.Propose(ctx, part, cmd) })
+		time.AfterFunc(3*time.Second, func() { _, _ = f.LocalClient.Propose(ctx, part, cmd) })
 		return nil, errControl
 	default:
-		return f.Solo.Propose(ctx, part, cmd)
+		return f.LocalClient.Propose(ctx, part, cmd)
 	}
 }
 
@@ -185,7 +185,7 @@
 func (w *world) run(client int, p *plannedCall, gone goneVMs) {
 	time.Sleep(p.Start)
 	d := service.NewDispatcher(service.Config{VM: fmt.Sprint("vm", p.VM), Incarnation: fmt.Sprint("i", client)}, service.Deps{
-		Control: &faultyControl{Solo: control.NewSolo(w.machine), plan: p}, Sender: &fakeSender{w: w, plan: p},
+		Control: &faultyControl{LocalClient: control.NewLocalClient(w.machine), plan: p}, Sender: &fakeSender{w: w, plan: p},
 		Backends: static{{Name: "a"}}, Incarnations: gone, Explain: explain.NewRing(8),
 		Metrics: new(expvar.Map).Init(), Log: zerolog.Nop(),
 	})
