--- a/internal/fleet/planner.go
+++ b/internal/fleet/planner.go
@@ -13,9 +13,9 @@
 // each needless load takes minutes of the rate-limited weight store and memory
 // on an engine that serves something else.
 const (
-	repairAfter = 20 * time.Second // a copy must be missing this long
-	surplusFor  = 10 * time.Minute // a spare copy stays this long after the lost one is back
-	failedPause = 1 * time.Minute  // before an engine that failed an order gets another
+	repairDelay = 20 * time.Second // a copy must be missing this long
+	surplusRetention  = 10 * time.Minute // a spare copy stays this long after the lost one is back
+	failureBackoff = 1 * time.Minute  // before an engine that failed an order gets another
 	// DefaultSlots is how many models an engine may hold.
 	DefaultSlots = 2
 )
@@ -53,22 +53,22 @@
 // argument.
 type Planner struct {
 	store   *Bucket
-	missing map[string]time.Time // by model: since when copies are missing
-	surplus map[string]time.Time
-	failed  map[string]time.Time // by engine
+	missingSince map[string]time.Time // by model: since when copies are missing
+	surplusSince map[string]time.Time
+	failedAt  map[string]time.Time // by engine
 	version map[string]string    // by model, as last seen on a ready copy
 }
 
 // NewPlanner returns a Planner that fetches weights at the bucket's rate.
 func NewPlanner(store *Bucket) *Planner {
 	return &Planner{
-		store: store, missing: map[string]time.Time{}, surplus: map[string]time.Time{},
-		failed: map[string]time.Time{}, version: map[string]string{},
+		store: store, missingSince: map[string]time.Time{}, surplusSince: map[string]time.Time{},
+		failedAt: map[string]time.Time{}, version: map[string]string{},
 	}
 }
 
 // Failed notes that an engine did not carry out an order.
-func (p *Planner) Failed(engine string, now time.Time) { p.failed[engine] = now }
+func (p *Planner) Failed(engine string, now time.Time) { p.failedAt[engine] = now }
 
 // Plan returns the orders to give now. busy names engines with an order under
 // way and the model that it loads.
@@ -100,17 +100,17 @@
 		}
 	}
 	if have >= w.Copies {
-		delete(p.missing, w.Model)
+		delete(p.missingSince, w.Model)
 		return Order{}, false
 	}
-	since, ok := p.missing[w.Model]
+	since, ok := p.missingSince[w.Model]
 	if !ok {
-		p.missing[w.Model] = now
+		p.missingSince[w.Model] = now
 		return Order{}, false
 	}
 	target := p.target(now, engines, w.Model, busy)
 	// The version is not guessed: without a copy ever seen there is none to load.
-	if now.Sub(since) < repairAfter || target == nil || p.version[w.Model] == "" || !p.store.Take(now) {
+	if now.Sub(since) < repairDelay || target == nil || p.version[w.Model] == "" || !p.store.Take(now) {
 		return Order{}, false
 	}
 	return Order{Engine: target.Name, Op: Load, Model: w.Model, Version: p.version[w.Model]}, true
@@ -125,12 +125,12 @@
 		e := &engines[i]
 		_, has := e.holds(model)
 		_, ordered := busy[e.Name]
-		failedAt, failed := p.failed[e.Name]
+		failedAt, failed := p.failedAt[e.Name]
 		switch {
 		case !e.alive():
 		case has:
 			zones[e.Zone]++
-		case ordered, len(e.Copies) >= e.Slots, failed && now.Sub(failedAt) < failedPause:
+		case ordered, len(e.Copies) >= e.Slots, failed && now.Sub(failedAt) < failureBackoff:
 		default:
 			able = append(able, e)
 		}
@@ -162,18 +162,18 @@
 		}
 	}
 	if configured < w.Copies || spare == nil {
-		delete(p.surplus, w.Model)
+		delete(p.surplusSince, w.Model)
 		return Order{}, false
 	}
-	since, ok := p.surplus[w.Model]
+	since, ok := p.surplusSince[w.Model]
 	if !ok {
-		p.surplus[w.Model] = now
+		p.surplusSince[w.Model] = now
 		return Order{}, false
 	}
-	if now.Sub(since) < surplusFor {
+	if now.Sub(since) < surplusRetention {
 		return Order{}, false
 	}
-	delete(p.surplus, w.Model)
+	delete(p.surplusSince, w.Model)
 	c, _ := spare.holds(w.Model)
 	return Order{Engine: spare.Name, Op: Unload, Model: w.Model, Version: c.Version}, true
 }
@@ -183,22 +183,22 @@
 // minute leave room for them.
 type Bucket struct {
 	size   float64
-	every  time.Duration // one token
+	interval  time.Duration // one token
 	tokens float64
-	at     time.Time
+	updatedAt     time.Time
 }
 
 // NewBucket returns a full bucket of a size that gains a token each interval.
 func NewBucket(size int, every time.Duration) *Bucket {
-	return &Bucket{size: float64(size), every: every, tokens: float64(size)}
+	return &Bucket{size: float64(size), interval: every, tokens: float64(size)}
 }
 
 // Take takes a token if there is one.
 func (b *Bucket) Take(now time.Time) bool {
-	if !b.at.IsZero() {
-		b.tokens = min(b.size, b.tokens+float64(now.Sub(b.at))/float64(b.every))
+	if !b.updatedAt.IsZero() {
+		b.tokens = min(b.size, b.tokens+float64(now.Sub(b.updatedAt))/float64(b.interval))
 	}
-	b.at = now
+	b.updatedAt = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -38,7 +38,7 @@
 	if key == "" {
 		key = rand.Text()
 	}
-	ctx, span := g.tracer.Start(traced(r, key), "entry", key)
+	ctx, span := g.tracer.Start(traceContext(r, key), "entry", key)
 	defer span.End()
 	if err := g.serveCompletion(ctx, w, r, key); err != nil {
 		g.log.Info().Str("request_id", key).Int("code", int(result.CodeOf(err))).Msg("request refused")
@@ -48,7 +48,7 @@
 
 // traced returns the request's context within the caller's trace, or within one
 // of the request's own that all its connections share.
-func traced(r *http.Request, key string) context.Context {
+func traceContext(r *http.Request, key string) context.Context {
 	if parent := r.Header.Get("Traceparent"); parent != "" {
 		return telemetry.Extract(r.Context(), parent)
 	}
@@ -75,7 +75,7 @@
 	defer reader.Release()
 	w.Header().Set("X-Request-Id", key)
 	if !streamed {
-		return g.answerWhole(ctx, w, key, reader)
+		return g.answerComplete(ctx, w, key, reader)
 	}
 	return g.answerStream(ctx, w, key, reader, last)
 }
@@ -83,9 +83,9 @@
 // open reads the body and opens the generation. The bodies under way are
 // bounded: admission counts a request's bytes only once they have been read.
 func (g *Gateway) open(ctx context.Context, w http.ResponseWriter, r *http.Request, caller Caller, key string, resuming bool) (*relay.Reader, bool, error) {
-	leave, ok := g.opening.Enter(g.bodyBound(r))
+	leave, ok := g.opening.Enter(g.maxBodyBytes(r))
 	if !ok {
-		return nil, false, result.New(result.QueueFull).WithRetryAfter(fullPause)
+		return nil, false, result.New(result.QueueFull).WithRetryAfter(fullRetryAfter)
 	}
 	defer leave()
 	body, err := readCompletion(http.MaxBytesReader(w, r.Body, g.cfg.MaxBodyBytes))
@@ -171,7 +171,7 @@
 	}, nil
 }
 
-type wholeAnswer struct {
+type completionAnswer struct {
 	RequestID string           `json:"request_id"`
 	TokenIDs  []int32          `json:"token_ids"`
 	Text      string           `json:"text"`
@@ -179,8 +179,8 @@
 	Usage     generation.Usage `json:"usage"`
 }
 
-func (g *Gateway) answerWhole(ctx context.Context, w http.ResponseWriter, key string, reader *relay.Reader) error {
-	answer := wholeAnswer{RequestID: key, TokenIDs: []int32{}}
+func (g *Gateway) answerComplete(ctx context.Context, w http.ResponseWriter, key string, reader *relay.Reader) error {
+	answer := completionAnswer{RequestID: key, TokenIDs: []int32{}}
 	var text []byte
 	for answer.Finish == "" {
 		chunk, err := reader.Wait(ctx, len(answer.TokenIDs))
@@ -200,14 +200,14 @@
 
 // firstWait is how long the status line waits for a first token: an error that
 // shows by then is a plain HTTP error, later ones are events.
-const firstWait = 1 * time.Second
+const maxFirstTokenWait = 1 * time.Second
 
 func (g *Gateway) answerStream(ctx context.Context, w http.ResponseWriter, key string, reader *relay.Reader, last *EventID) error {
 	s := &stream{w: w, key: key, flush: http.NewResponseController(w)}
 	if last != nil {
 		s.index, s.digest = last.Index, last.Digest
 	}
-	wait := firstWait
+	wait := maxFirstTokenWait
 	for {
 		wctx, cancel := context.WithTimeout(ctx, wait)
 		chunk, err := reader.Wait(wctx, s.index)
@@ -226,14 +226,14 @@
 		if chunk.Finish != "" {
 			return nil
 		}
-		if g.leaving() {
+		if g.draining() {
 			return s.reconnect()
 		}
 		wait = g.cfg.Heartbeat
 	}
 }
 
-func (g *Gateway) leaving() bool {
+func (g *Gateway) draining() bool {
 	select {
 	case <-g.cfg.Leaving:
 		return true
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,12 +37,12 @@
 
 // pipes is a listener whose connections have no buffers: a caller that does not
 // read blocks its writer at once.
-type pipes struct {
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -50,10 +50,10 @@
 		return nil, net.ErrClosed
 	}
 }
-func (p *pipes) Close() error   { close(p.done); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { close(p.done); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	here, there := net.Pipe()
 	p.conns <- there
 	return here, nil
@@ -62,7 +62,7 @@
 // one VM before one engine, over HTTP, in virtual time.
 type vm struct {
 	t      *testing.T
-	pipes  *pipes
+	listener  *pipeListener
 	http   *http.Client
 	engine *standin.Engine
 	list   *plan.Directory
@@ -82,8 +82,8 @@
 func inBubble(t *testing.T, test func(v *vm)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		v := &vm{t: t, pipes: &pipes{make(chan net.Conn), make(chan struct{})}}
-		v.http = &http.Client{Transport: &http.Transport{DialContext: v.pipes.dial, DisableKeepAlives: true}}
+		v := &vm{t: t, listener: &pipeListener{make(chan net.Conn), make(chan struct{})}}
+		v.http = &http.Client{Transport: &http.Transport{DialContext: v.listener.dial, DisableKeepAlives: true}}
 		v.engine = standin.NewEngine(standin.DefaultEngine("e", "m"))
 		v.list = plan.NewDirectory(1,
 			[]plan.Customer{
@@ -106,7 +106,7 @@
 		r := mux.NewRouter().UseEncodedPath()
 		g.Routes(r)
 		server := &http.Server{Handler: r}
-		go func() { _ = server.Serve(v.pipes) }()
+		go func() { _ = server.Serve(v.listener) }()
 		test(v)
 		_ = server.Close()
 		hub.Close()
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -38,18 +38,18 @@
 	g     *Gateway
 	calls Calls
 	quota CallQuota // nil: calls are not counted
-	load  *admission.InFlight
+	inFlight  *admission.InFlight
 }
 
 // ServiceRoutes registers the paths of plain services. quota may be nil.
 func (g *Gateway) ServiceRoutes(r *mux.Router, calls Calls, quota CallQuota) {
-	s := &services{g: g, calls: calls, quota: quota, load: newInFlight()}
+	s := &services{g: g, calls: calls, quota: quota, inFlight: newInFlight()}
 	r.PathPrefix(servicesPath).Handler(s)
 }
 
 const (
 	servicesPath = "/v1/services/"
-	fullPause    = 1 * time.Second // calls end within a second as a rule
+	fullRetryAfter    = 1 * time.Second // calls end within a second as a rule
 )
 
 // ServeHTTP relays one call.
@@ -59,7 +59,7 @@
 	if id == "" {
 		id = rand.Text()
 	}
-	ctx, span := s.g.tracer.Start(traced(r, id), "entry", id)
+	ctx, span := s.g.tracer.Start(traceContext(r, id), "entry", id)
 	defer span.End()
 	answer, err := s.serve(ctx, w, r, key, id)
 	if err != nil {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	name, path, err := addressed(r, &caller)
+	name, path, err := callTarget(r, &caller)
 	if err != nil {
 		return nil, err
 	}
@@ -86,9 +86,9 @@
 	if !idempotent && key == "" {
 		return nil, result.New(result.KeyRequired)
 	}
-	leave, ok := s.load.Enter(s.g.bodyBound(r))
+	leave, ok := s.inFlight.Enter(s.g.maxBodyBytes(r))
 	if !ok {
-		return nil, result.New(result.QueueFull).WithRetryAfter(fullPause)
+		return nil, result.New(result.QueueFull).WithRetryAfter(fullRetryAfter)
 	}
 	defer leave()
 	body, err := resulthttp.ReadBody(w, r, s.g.cfg.MaxBodyBytes)
@@ -107,7 +107,7 @@
 
 // addressed returns the service and the escaped path that a call goes to, if the
 // caller's plan has the service.
-func addressed(r *http.Request, caller *Caller) (name, path string, err error) {
+func callTarget(r *http.Request, caller *Caller) (name, path string, err error) {
 	name, path, ok := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), servicesPath), "/")
 	switch {
 	case !ok || name == "":
@@ -121,7 +121,7 @@
 }
 
 // bodyBound is the most that the body can take, in bytes.
-func (g *Gateway) bodyBound(r *http.Request) int64 {
+func (g *Gateway) maxBodyBytes(r *http.Request) int64 {
 	if r.ContentLength < 0 || r.ContentLength > g.cfg.MaxBodyBytes {
 		return g.cfg.MaxBodyBytes
 	}
@@ -153,7 +153,7 @@
 // notRelayed are hop-by-hop headers (RFC 9110 section 7.6.1), those that this
 // system sets itself, the workspace's key, which no service may learn, and
 // Expect, which would make the first byte wait for an answer.
-var notRelayed = []string{
+var strippedHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Authorization", "Content-Length", "Host", "X-Workspace",
 }
@@ -165,7 +165,7 @@
 			delete(out, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	for _, name := range notRelayed {
+	for _, name := range strippedHeaders {
 		delete(out, name)
 	}
 	return out
--- a/internal/gateway/sse.go
+++ b/internal/gateway/sse.go
@@ -24,7 +24,7 @@
 	key    string
 	index  int
 	digest uint64
-	begun  bool
+	headSent  bool
 }
 
 type eventBody struct {
@@ -38,11 +38,11 @@
 var errWrite = errors.New("gateway: caller does not read")
 
 // begin sends the headers before the first bytes.
-func (s *stream) begin() {
-	if s.begun {
+func (s *stream) sendHead() {
+	if s.headSent {
 		return
 	}
-	s.begun = true
+	s.headSent = true
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -113,7 +113,7 @@
 }
 
 func (s *stream) write(m *sse.Message) error {
-	s.begin()
+	s.sendHead()
 	_ = s.flush.SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 	if _, err := m.WriteTo(s.w); err != nil {
 		return errors.Join(errWrite, err)
@@ -129,7 +129,7 @@
 	if errors.Is(err, errWrite) {
 		return nil
 	}
-	if !s.begun {
+	if !s.headSent {
 		return err
 	}
 	e := *result.From(err)
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -6,12 +6,12 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/membership"
 )
 
-// One entry answer, and one VM's choice of whom to watch, at 330 VMs.
+// Measures the choice of one caller's endpoints and of one VM's probe targets at 330 VMs.
 func BenchmarkAtTargetSize(b *testing.B) {
 	vms := routers(330)
 	b.Run("entry", func(b *testing.B) {
 		for range b.N {
-			membership.EntryFor(vms, none, membership.EntryQuery{Workspace: "w", Zone: "z1", Caller: "c"})
+			membership.EntryFor(vms, noneAvoided, membership.EntryQuery{Workspace: "w", Zone: "z1", Caller: "c"})
 		}
 	})
 	b.Run("watches", func(b *testing.B) {
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -6,40 +6,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sizes of an entry answer. A workspace uses three VMs at a time, so that its
-// caches are warm and its grants are few, and its callers spread over them; two
-// more are named for the time when the first ones are lost.
+// Numbers of endpoints that a caller gets. The callers of a workspace spread over three VMs
+// at a time, which keeps its caches warm and its grants few. Two spare endpoints follow for
+// the case that the first ones fail.
 const (
-	entrySpread = 3
-	entrySpare  = 2
+	primaryEndpoints = 3
+	spareEndpoints   = 2
 )
 
-// EntryQuery is whom an entry answer is for.
+// EndpointQuery describes the caller that asks for endpoints.
 type EntryQuery struct {
 	Workspace string
-	Zone      string // of the caller; empty: unknown
-	Caller    string // tells callers of one workspace apart, so that they spread
+	Zone      string // zone of the caller; empty: unknown
+	Caller    string // distinguishes the callers of a workspace to spread them
 }
 
-// EntryFor returns the VMs that a caller should use, in order of use. avoid
-// names VMs that are on their way out by other sources, such as the platform.
+// EndpointsFor returns the VMs that a caller should use, in order of preference. avoid
+// reports VMs that are leaving according to another source, such as the platform.
 //
-// The load pattern: there is no balancer, each caller keeps its answer for
-// seconds, and a hot workspace has most of the callers. Without the spread all
-// of them sit on one VM; with a random order for each answer every VM needs a
-// grant and a cache for every workspace. Rendezvous hashing keeps the choice
-// stable: a VM that goes changes only the answers that named it.
+// It answers the load of a hot workspace that has most of the callers: there is no load
+// balancer, and each caller keeps its answer for seconds. Without the spread, all callers of
+// the workspace use one VM. With a random order for each answer, every VM needs a grant and
+// a cache for every workspace. Rendezvous hashing keeps the choice stable: the removal of a
+// VM changes only the answers that named it.
 func EntryFor(vms []VM, avoid func(id string) bool, q EntryQuery) []VM {
-	able := usable(vms, func(vm VM) bool { return vm.State == Live && !avoid(vm.ID) })
-	if len(able) == 0 {
-		// Better a leaving VM than no address at all.
-		able = usable(vms, func(vm VM) bool { return vm.State != Dead })
+	candidates := usable(vms, func(vm VM) bool { return vm.State == Live && !avoid(vm.ID) })
+	if len(candidates) == 0 {
+		// A leaving VM is better than no address.
+		candidates = usable(vms, func(vm VM) bool { return vm.State != Dead })
 	}
-	chosen := Spread(q.Workspace, able, entrySpread+entrySpare)
-	chosen = withZone(chosen, able, q)
-	first := min(entrySpread, len(chosen))
+	chosen := Spread(q.Workspace, candidates, primaryEndpoints+spareEndpoints)
+	chosen = includeCallerZone(chosen, candidates, q)
+	first := min(primaryEndpoints, len(chosen))
 	rotate(chosen[:first], xxhash.Sum64String(q.Caller))
-	slices.SortStableFunc(chosen, func(a, b VM) int { return far(a, q.Zone) - far(b, q.Zone) })
+	slices.SortStableFunc(chosen, func(a, b VM) int { return zoneDistance(a, q.Zone) - zoneDistance(b, q.Zone) })
 	return chosen
 }
 
@@ -53,32 +53,33 @@
 	return out
 }
 
-// withZone makes sure that a VM of the caller's zone is named, if there is one.
-func withZone(chosen, able []VM, q EntryQuery) []VM {
+// includeCallerZone replaces the last chosen VM by one of the caller's zone if none of the
+// chosen VMs is in that zone and the candidates have one.
+func includeCallerZone(chosen, candidates []VM, q EntryQuery) []VM {
 	near := func(vm VM) bool { return vm.Zone == q.Zone }
 	if q.Zone == "" || slices.ContainsFunc(chosen, near) {
 		return chosen
 	}
-	var there []VM
-	for _, vm := range able {
+	var local []VM
+	for _, vm := range candidates {
 		if near(vm) {
-			there = append(there, vm)
+			local = append(local, vm)
 		}
 	}
-	if len(there) == 0 {
+	if len(local) == 0 {
 		return chosen
 	}
-	return append(Spread(q.Workspace, there, 1), chosen[:len(chosen)-1]...)
+	return append(Spread(q.Workspace, local, 1), chosen[:len(chosen)-1]...)
 }
 
-func far(vm VM, zone string) int {
+func zoneDistance(vm VM, zone string) int {
 	if zone == "" || vm.Zone == zone {
 		return 0
 	}
 	return 1
 }
 
-// rotate starts the order at a place that the caller's hash picks.
+// rotate makes the order start at an index that the caller's hash picks.
 func rotate(vms []VM, hash uint64) {
 	if len(vms) == 0 {
 		return
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/membership"
 )
 
-// Commands and changes come from other VMs: whatever the bytes, no panic, and
-// the version never goes back.
+// Commands and changes come from other VMs. No bytes make the code panic or lower the
+// version.
 func FuzzPart(f *testing.F) {
 	for _, cmd := range []*membership.Command{
 		{Join: &membership.Join{VM: membership.VM{ID: id(0), Incarnation: "2"}, Expected: 3}},
@@ -22,16 +22,16 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		l := system(t, 3)
-		before := l.part.Version()
-		l.part.Apply(l.now, data)
-		if got := l.part.Version(); got < before {
-			t.Errorf("version %d after %d", got, before)
+		l := newTestList(t, 3)
+		before := l.sm.Version()
+		l.sm.Apply(l.now, data)
+		if got := l.sm.Version(); got < before {
+			t.Errorf("got version %d, want at least %d", got, before)
 		}
 		h := l.history()
 		_ = h.Take(data)
 		if h.Present().Version < before {
-			t.Errorf("a change took the list back to %d", h.Present().Version)
+			t.Errorf("got version %d after a change, want at least the version before it", h.Present().Version)
 		}
 		_ = membership.NewPart().Restore(data)
 	})
--- a/internal/membership/history.go
+++ b/internal/membership/history.go
@@ -7,14 +7,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// History is a VM's copy of the list and of its recent versions, fed by the
-// part's changes. It is not safe for concurrent use.
+// History is a VM's replica of the list and of its recent versions. It is updated by the
+// changes of the StateMachine. It is not safe for concurrent use.
 type History struct {
 	views    []View // newest first
 	formedAt uint64
 }
 
-// Take adds an encoded change.
+// Apply adds the versions of an encoded change that are newer than the newest one held.
 func (h *History) Take(data []byte) error {
 	var c change
 	if err := codec.Unmarshal(data, &c); err != nil {
@@ -30,11 +30,12 @@
 	return nil
 }
 
-// trim keeps what the part keeps, by the times that the versions carry.
+// trim removes the versions that the StateMachine has removed, judged by the times that the
+// versions carry.
 func (h *History) trim() {
 	for i, v := range h.views {
-		// views[i] ended when views[i-1] came.
-		if i >= keepAtMost || i >= keepAtLeast && h.views[0].AtMS-h.views[i-1].AtMS >= keepFor.Milliseconds() {
+		// views[i] was replaced when views[i-1] was committed.
+		if i >= maxVersions || i >= minVersions && h.views[0].AtMS-h.views[i-1].AtMS >= versionRetention.Milliseconds() {
 			h.views = h.views[:i]
 			return
 		}
@@ -45,7 +46,7 @@
 	}
 }
 
-// Present is the newest version; its Version is 0 before the first.
+// Current returns the newest version; its Version is 0 before the first change.
 func (h *History) Present() View {
 	if len(h.views) == 0 {
 		return View{}
@@ -53,10 +54,10 @@
 	return h.views[0]
 }
 
-// Formed reports whether enough VMs have joined to place journals by the list.
+// Formed reports whether enough VMs have joined to place journals by the current list.
 func (h *History) Formed() bool {
 	return h.formedAt != 0 && len(h.views) > 0 && h.views[0].Version >= h.formedAt
 }
 
-// Views are the kept versions, newest first. The caller must not change them.
+// Views returns the retained versions, newest first. The caller must not change them.
 func (h *History) Views() []View { return h.views }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,22 +1,22 @@
-// Package membership is the aggregate of the system's VMs: which incarnation of
-// each is in, in which zone, and whether it is live, leaving or dead. The list is
-// versioned, and versions only grow. The package is pure; its Part is state of
-// the control group, and Prober decides whom a VM watches.
+// Package membership holds the versioned list of the system's VMs: the incarnation of each
+// VM, its zone, and whether it is live, leaving or dead. Versions only grow. The package does
+// no I/O. Its StateMachine is part of the control group's replicated state, and ProbeTargets
+// decides which VMs a VM probes.
 //
-// "Dead" is a judgement that may be wrong: it takes a VM out of the entry answers
-// and tells others not to wait for it, and nothing that must be safe rests on it.
-// A VM that was paused or cut off joins again under its own incarnation, and
-// stays in the list's candidates for journals until its memory is known to be
-// lost: by a newer incarnation, by its own leaving, or because the platform no
-// longer lists it as well.
+// The state Dead is a suspicion that may be wrong. It removes a VM from the endpoints that
+// callers get and tells other VMs not to wait for it, and no safety property depends on it.
+// A VM that was paused or partitioned joins again under its own incarnation. It stays a
+// candidate for journals until its memory is known to be lost: because a newer incarnation
+// has joined, because the VM itself has left, or because the platform does not list it
+// either.
 package membership
 
 import "time"
 
-// State is where a VM stands.
+// State is the state of a VM in its lifecycle.
 type State uint8
 
-// The states. The numbers are on disk.
+// The states. The numbers are stored on disk.
 const (
 	Live    State = 1
 	Leaving State = 2 // shutting down: no new callers and no new journals
@@ -30,29 +30,30 @@
 	Zone        string `cbor:"3,keyasint"`
 	Router      bool   `cbor:"4,keyasint"`
 	Control     bool   `cbor:"5,keyasint"`
-	Peer        string `cbor:"6,keyasint"` // ip:port
-	Callers     string `cbor:"7,keyasint"` // ip:port
+	Peer        string `cbor:"6,keyasint"` // ip:port that other VMs use
+	Callers     string `cbor:"7,keyasint"` // ip:port that callers use; empty: none
 	State       State  `cbor:"8,keyasint"`
-	SinceMS     int64  `cbor:"9,keyasint"` // the group's clock, of the state
+	SinceMS     int64  `cbor:"9,keyasint"` // when the state began, by the group's clock
 }
 
-// Join brings a VM in, or back. A new incarnation replaces the old one. Expected
-// is how many VMs the joiner knows of from its settings or the platform.
+// Join adds a VM to the list or makes it live again. A new incarnation replaces the old one.
+// Expected is the number of VMs that the joining VM knows of from its settings or the
+// platform.
 type Join struct {
 	VM       VM  `cbor:"1,keyasint"`
 	Expected int `cbor:"2,keyasint"`
 }
 
-// Leave says that a VM is leaving or, with Left, that it is gone: it keeps
-// nothing any more.
+// Leave reports that a VM is leaving or, with Left, that it has left and holds no journals
+// any more.
 type Leave struct {
 	VM          string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
 	Left        bool   `cbor:"3,keyasint"`
 }
 
-// Suspect is one observer's evidence that a VM cannot be reached, directly or
-// through others. Absent adds that the platform no longer lists it.
+// Suspect is one observer's evidence that a VM cannot be reached, neither directly nor
+// through other VMs. Absent adds that the platform no longer lists the VM.
 type Suspect struct {
 	VM          string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
@@ -60,26 +61,27 @@
 	Absent      bool   `cbor:"4,keyasint"`
 }
 
-// Command is one command of the part; exactly one field is set.
+// Command is one command of the state machine; exactly one field is set.
 type Command struct {
 	Join    *Join    `cbor:"1,keyasint,omitempty"`
 	Leave   *Leave   `cbor:"2,keyasint,omitempty"`
 	Suspect *Suspect `cbor:"3,keyasint,omitempty"`
 }
 
-// Reply tells the version after the command.
+// Reply holds the version of the list after the command.
 type Reply struct {
 	Version uint64 `cbor:"1,keyasint"`
 }
 
-// View is one version of the list, in order of id.
+// View is one version of the list. AtMS is when it was committed, by the group's clock. VMs
+// are sorted by ID.
 type View struct {
 	Version uint64 `cbor:"1,keyasint"`
 	AtMS    int64  `cbor:"2,keyasint"`
 	VMs     []VM   `cbor:"3,keyasint"`
 }
 
-// Find returns a VM of the view.
+// Find returns the VM with the ID, and false if the view has none.
 func (v *View) Find(id string) (VM, bool) {
 	for _, vm := range v.VMs {
 		if vm.ID == id {
@@ -89,30 +91,33 @@
 	return VM{}, false
 }
 
-// Limits of evictions. The load pattern: a zone or a region is cut off, and its
-// VMs look dead all at once to everybody on the side of the control group.
-// Without limits a cut between two regions evicts half of a healthy system and
-// sends every caller to the other half, which then falls by the load.
+// Bounds of evictions. They answer a network partition that cuts off a zone or a region: its
+// VMs look dead all at once to every VM on the side of the control group. Without the bounds,
+// a partition between two regions evicts half of a healthy system and sends all callers to
+// the other half, which fails under the load.
 const (
-	// evidenceFor is how long a suspicion counts: observers repeat it each second.
-	evidenceFor = 6 * time.Second
-	// zonesNeeded agree before a VM is dead; a fault near one observer is not
-	// enough. Fewer where the system has fewer zones.
-	zonesNeeded = 2
-	// minuteShare: one zone of three may go within a minute.
-	minuteShare = 1.0 / 3
-	// minuteLeast: in the smallest systems one false eviction, by a VM that was
-	// paused, must not use up what a VM that dies right after it needs. deadShare
-	// still keeps two of three from being dead at once.
-	minuteLeast = 2
-	// deadShare: beyond it more eviction only moves load onto the rest.
-	deadShare = 2.0 / 5
+	// evidenceValidity is how long a suspicion counts. Observers repeat it each second.
+	evidenceValidity = 6 * time.Second
+	// minSuspectingZones is the number of zones with evidence that make a VM dead. A fault
+	// near one observer is not enough. Where other VMs are in fewer zones, fewer suffice.
+	minSuspectingZones = 2
+	// evictionShare is the share of all VMs that may be evicted within a minute: one zone
+	// of three.
+	evictionShare = 1.0 / 3
+	// minEvictionLimit is the least number of evictions allowed within a minute. In the
+	// smallest systems the false eviction of a paused VM must not delay the eviction of a
+	// VM that dies right after it. maxDeadShare still prevents that two VMs of three are
+	// dead at once.
+	minEvictionLimit = 2
+	// maxDeadShare is the share of all VMs that may be dead at once. Beyond it, further
+	// evictions only move load onto the remaining VMs.
+	maxDeadShare = 2.0 / 5
 )
 
-// Bounds of the kept versions: journals are found by the versions that their
-// owners placed them by, and owners move them within seconds of a new version.
+// Bounds of the retained versions. A journal is found by the version by which its owner
+// placed it, and owners move their journals within seconds of a new version.
 const (
-	keepFor     = 10 * time.Minute
-	keepAtLeast = 16
-	keepAtMost  = 256
+	versionRetention = 10 * time.Minute
+	minVersions      = 16
+	maxVersions      = 256
 )
--- a/internal/membership/part.go
+++ b/internal/membership/state_machine.go
@@ -8,7 +8,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// FirstVersion is the lowest version of a committed list; below it are the
+// FirstVersion is the lowest version of a committed list. Lower versions belong to the
 // static lists that VMs use before the system has formed.
 const FirstVersion = 2
 
@@ -18,38 +18,40 @@
 	AtMS    int64   `cbor:"3,keyasint"`
 }
 
-// state is everything that a snapshot carries. Views are oldest first; the last
-// is the present one.
+// state is the content of a snapshot. Views are sorted from oldest to newest; the last one is
+// current.
 type state struct {
 	Views     []View     `cbor:"1,keyasint"`
 	Evidence  []evidence `cbor:"2,keyasint"`
-	Evictions []int64    `cbor:"3,keyasint"` // times within the last minute
-	Expected  int        `cbor:"4,keyasint"` // VMs until the list counts as formed
+	Evictions []int64    `cbor:"3,keyasint"` // times of those within the last minute
+	Expected  int        `cbor:"4,keyasint"` // highest Join.Expected; the list forms with that many VMs or maxFormationSize
 	FormedAt  uint64     `cbor:"5,keyasint"` // first version by which journals are placed; 0: none yet
 }
 
-// Part is the list in the control group's state. It implements control.Part.
+// StateMachine holds the list in the control group's replicated state. It implements
+// control.StateMachine.
 type Part struct{ s state }
 
-// NewPart returns an empty list.
+// NewStateMachine returns a StateMachine with an empty list.
 func NewPart() *Part { return &Part{} }
 
-func (p *Part) present() View {
+func (p *Part) current() View {
 	if n := len(p.s.Views); n > 0 {
 		return p.s.Views[n-1]
 	}
 	return View{Version: FirstVersion - 1}
 }
 
-// Version implements control.Part.
+// Version returns the version of the current list; 0: none yet.
 func (p *Part) Version() uint64 {
 	if len(p.s.Views) == 0 {
 		return 0
 	}
-	return p.present().Version
+	return p.current().Version
 }
 
-// Apply executes an encoded Command.
+// Apply executes an encoded Command and returns an encoded Reply. It ignores a command that
+// cannot be decoded.
 func (p *Part) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	if err := codec.Unmarshal(data, &cmd); err == nil {
@@ -57,12 +59,12 @@
 	}
 	out, err := codec.Marshal(Reply{p.Version()})
 	if err != nil {
-		panic(err) // a struct of one number always encodes
+		panic(err) // cannot happen: a struct of one number always encodes
 	}
 	return out
 }
 
-// Execute executes a command at the group's time.
+// Execute executes a command at a time of the group's clock, in Unix milliseconds.
 func (p *Part) Execute(nowMS int64, cmd *Command) {
 	switch {
 	case cmd.Join != nil:
@@ -78,9 +80,9 @@
 	p.s.Expected = max(p.s.Expected, j.Expected)
 	vm := j.VM
 	vm.State, vm.SinceMS = Live, nowMS
-	p.clear(vm.ID)
+	p.clearEvidence(vm.ID)
 	if old, ok := p.find(vm.ID); ok && old.Incarnation == vm.Incarnation {
-		// A VM that has begun to leave stays leaving, whatever comes late.
+		// A delayed Join does not make a leaving VM live again.
 		if old.State != Dead && old.Peer == vm.Peer && old.Callers == vm.Callers || old.State == Leaving {
 			return
 		}
@@ -110,8 +112,8 @@
 		return
 	}
 	p.record(nowMS, evidence{*s, observer.Zone, nowMS})
-	zones, absent := p.agree(s.VM)
-	if zones < p.needed(s.VM) {
+	zones, absent := p.suspectingZones(s.VM)
+	if zones < p.requiredZones(s.VM) {
 		return
 	}
 	switch {
@@ -124,22 +126,24 @@
 	}
 }
 
-// removeAfterMS: a dead VM that the platform does not list either is removed
-// with its memory. A minute is beyond the lag of the platform's list.
+// removeAfterMS is how long a VM has to be dead before it is removed, if the platform does
+// not list it either. Its memory then counts as lost. A minute exceeds the lag of the
+// platform's list.
 const removeAfterMS = 60_000
 
-// record keeps the newest evidence of each observer on each VM.
+// record stores the evidence in place of the observer's earlier evidence on the same VM, and
+// removes expired evidence.
 func (p *Part) record(nowMS int64, e evidence) {
 	p.s.Evidence = slices.DeleteFunc(p.s.Evidence, func(o evidence) bool {
 		same := o.Suspect.VM == e.Suspect.VM && o.Suspect.Observer == e.Suspect.Observer
-		return same || nowMS-o.AtMS > evidenceFor.Milliseconds()
+		return same || nowMS-o.AtMS > evidenceValidity.Milliseconds()
 	})
 	p.s.Evidence = append(p.s.Evidence, e)
 }
 
-// agree counts the zones that suspect a VM; absent: all of them say that the
-// platform has dropped it.
-func (p *Part) agree(vm string) (zones int, absent bool) {
+// suspectingZones counts the zones with evidence against a VM. absent is true if all of the
+// evidence says that the platform does not list the VM.
+func (p *Part) suspectingZones(vm string) (zones int, absent bool) {
 	var seen []string
 	absent = true
 	for _, e := range p.s.Evidence {
@@ -154,91 +158,93 @@
 	return len(seen), absent
 }
 
-// needed is zonesNeeded, or as many zones as other living VMs are in.
-func (p *Part) needed(vm string) int {
+// requiredZones returns minSuspectingZones, or the number of zones that have another VM that
+// is not dead if that is less.
+func (p *Part) requiredZones(vm string) int {
 	var zones []string
-	for _, o := range p.present().VMs {
+	for _, o := range p.current().VMs {
 		if o.ID != vm && o.State != Dead && !slices.Contains(zones, o.Zone) {
 			zones = append(zones, o.Zone)
 		}
 	}
-	return max(1, min(zonesNeeded, len(zones)))
+	return max(1, min(minSuspectingZones, len(zones)))
 }
 
 func (p *Part) mayEvict(nowMS int64) bool {
 	p.s.Evictions = slices.DeleteFunc(p.s.Evictions, func(at int64) bool { return nowMS-at >= 60_000 })
 	all, dead := 0, 0
-	for _, vm := range p.present().VMs {
+	for _, vm := range p.current().VMs {
 		all++
 		if vm.State == Dead {
 			dead++
 		}
 	}
-	perMinute := max(minuteLeast, int(float64(all)*minuteShare+0.5))
-	return len(p.s.Evictions) < perMinute && dead < max(1, int(float64(all)*deadShare))
+	perMinute := max(minEvictionLimit, int(float64(all)*evictionShare+0.5))
+	return len(p.s.Evictions) < perMinute && dead < max(1, int(float64(all)*maxDeadShare))
 }
 
-func (p *Part) clear(vm string) {
+func (p *Part) clearEvidence(vm string) {
 	p.s.Evidence = slices.DeleteFunc(p.s.Evidence, func(e evidence) bool { return e.Suspect.VM == vm })
 }
 
 func (p *Part) find(id string) (VM, bool) {
-	v := p.present()
+	v := p.current()
 	return v.Find(id)
 }
 
-// put adds a version with the VM as given.
+// put adds a version of the list in which vm replaces the VM with the same ID.
 func (p *Part) put(nowMS int64, vm VM) {
-	vms := slices.DeleteFunc(slices.Clone(p.present().VMs), func(o VM) bool { return o.ID == vm.ID })
+	vms := slices.DeleteFunc(slices.Clone(p.current().VMs), func(o VM) bool { return o.ID == vm.ID })
 	vms = append(vms, vm)
 	slices.SortFunc(vms, func(a, b VM) int { return strings.Compare(a.ID, b.ID) })
 	p.add(nowMS, vms)
 }
 
 func (p *Part) drop(nowMS int64, id string) {
-	p.clear(id)
-	// Once all have left no journal is left either: the first VM of the next
-	// start must not place journals by a list of one.
-	if len(p.present().VMs) == 1 {
+	p.clearEvidence(id)
+	// Once all VMs have left, no journal exists any more. The first VM of the next start
+	// must not place journals by a list of one VM.
+	if len(p.current().VMs) == 1 {
 		p.s.FormedAt = 0
 	}
-	p.add(nowMS, slices.DeleteFunc(slices.Clone(p.present().VMs), func(o VM) bool { return o.ID == id }))
+	p.add(nowMS, slices.DeleteFunc(slices.Clone(p.current().VMs), func(o VM) bool { return o.ID == id }))
 }
 
-// add appends a version and forgets old ones. Until the list has formed only the
-// present version is kept: nothing was placed by those before it.
+// add appends a version and removes old ones. Until the list has formed, only the current
+// version is retained, because no journal was placed by an earlier one.
 func (p *Part) add(nowMS int64, vms []VM) {
-	next := View{Version: p.present().Version + 1, AtMS: nowMS, VMs: vms}
+	next := View{Version: p.current().Version + 1, AtMS: nowMS, VMs: vms}
 	if p.s.FormedAt == 0 {
 		p.s.Views = nil
 	}
-	// Until then a journal placed by the list would have fewer keepers than it
-	// should. Once formed it stays so, however many VMs are lost.
-	if p.s.FormedAt == 0 && len(vms) >= min(p.s.Expected, formedAt) {
+	// A journal placed by a list that has not formed would have too few keepers. A formed
+	// list stays formed, however many VMs are lost.
+	if p.s.FormedAt == 0 && len(vms) >= min(p.s.Expected, maxFormationSize) {
 		p.s.FormedAt = next.Version
 	}
 	p.s.Views = append(p.s.Views, next)
-	for len(p.s.Views) > keepAtLeast {
-		// A version has stopped being the present one when its successor came.
+	for len(p.s.Views) > minVersions {
+		// A version stops being current when its successor is committed.
 		ended := p.s.Views[1].AtMS
-		if nowMS-ended < keepFor.Milliseconds() && len(p.s.Views) <= keepAtMost {
+		if nowMS-ended < versionRetention.Milliseconds() && len(p.s.Views) <= maxVersions {
 			break
 		}
 		p.s.Views = slices.Clone(p.s.Views[1:])
 	}
 }
 
-// formedAt is the most that a system waits for: five keepers of a journal.
-const formedAt = 5
+// maxFormationSize is the number of VMs that suffices for a list to form: a journal has at
+// most five keepers.
+const maxFormationSize = 5
 
-// change is what watchers get: the whole history, which is small and rarely
-// changes.
+// change is what watchers get. A new watcher gets the whole history, which is small and
+// rarely changes. Views are sorted from oldest to newest.
 type change struct {
 	Views    []View `cbor:"1,keyasint"`
 	FormedAt uint64 `cbor:"2,keyasint"`
 }
 
-// Changes implements control.Part. A watcher gets the versions it lacks.
+// Changes returns an encoded change with the retained versions after since.
 func (p *Part) Changes(since uint64) []byte {
 	c := change{FormedAt: p.s.FormedAt}
 	for _, v := range p.s.Views {
@@ -248,15 +254,15 @@
 	}
 	out, err := codec.Marshal(c)
 	if err != nil {
-		panic(err) // a struct of numbers and texts always encodes
+		panic(err) // cannot happen: a struct of numbers and strings always encodes
 	}
 	return out
 }
 
-// Snapshot implements control.Part.
+// Snapshot returns the encoded state.
 func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
 
-// Restore implements control.Part.
+// Restore replaces the state by a snapshot.
 func (p *Part) Restore(data []byte) error {
 	var s state
 	if err := codec.Unmarshal(data, &s); err != nil {
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -6,14 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Observers is how many VMs watch each VM. Three in three zones outvote one
-// observer with a broken link, and cost each VM three probes a second however
-// large the system is: no full mesh.
+// ObserversPerVM is how many VMs probe each VM. Three observers in three zones outvote one
+// with a broken link. They cost each VM three probes a second at any size of the system,
+// unlike a full mesh.
 const Observers = 3
 
-// Watches returns the VMs that self has to probe: those for which it is one of
-// the first by rendezvous hash, one of each zone first. Dead VMs are watched too,
-// so that their return and their removal are seen.
+// ProbeTargets returns the VMs that self has to probe: those of which it is an observer.
+// Dead VMs are probed too, to notice their return and to decide on their removal.
 func Watches(self string, vms []VM) []VM {
 	var out []VM
 	for _, subject := range vms {
@@ -24,21 +23,22 @@
 	return out
 }
 
-// ObserversOf returns the VMs that probe one VM.
+// ObserversOf returns the IDs of the VMs that probe subject: the first ones by rendezvous
+// hash, one of each zone before a second of any.
 func ObserversOf(subject string, vms []VM) []string {
-	able := make([]VM, 0, len(vms))
+	candidates := make([]VM, 0, len(vms))
 	for _, vm := range vms {
 		if vm.ID != subject && vm.State != Dead {
-			able = append(able, vm)
+			candidates = append(candidates, vm)
 		}
 	}
-	return ids(Spread(subject, able, Observers))
+	return ids(Spread(subject, candidates, Observers))
 }
 
-// Spread returns n VMs by rendezvous hash of a key, taking no zone twice before
-// each has given one. A VM that comes or goes changes little of the order. It
-// works in one pass for each of the n, without sorting: with 330 VMs each
-// computes its watches from 330 such choices.
+// ChooseAcrossZones returns n VMs by rendezvous hash of a key, one of each zone before a
+// second of any. The addition or removal of a VM changes little of the order. It makes one
+// pass over the VMs for each of the n and does not sort, because with 330 VMs each VM
+// computes its probe targets from 330 such choices.
 func Spread(key string, vms []VM, n int) []VM {
 	scores := make([]uint64, len(vms))
 	buf := make([]byte, 0, 128)
@@ -46,7 +46,7 @@
 		buf = append(append(append(buf[:0], key...), 0), vms[i].ID...)
 		scores[i] = xxhash.Sum64(buf)
 	}
-	used := make([]int, len(vms)) // how often the VM's zone was taken
+	used := make([]int, len(vms)) // number of chosen VMs in the VM's zone
 	chosen := make([]int, 0, n)
 	for len(chosen) < min(n, len(vms)) {
 		best := -1
@@ -69,7 +69,8 @@
 	return out
 }
 
-// before orders VMs by how often their zone was taken, then by score.
+// before orders VMs by the number of chosen VMs in their zone, then by descending score,
+// then by ID.
 func before(vms []VM, scores []uint64, used []int, a, b int) bool {
 	if used[a] != used[b] {
 		return used[a] < used[b]
--- a/internal/operator/lists.go
+++ b/internal/operator/lists.go
@@ -46,7 +46,7 @@
 		if err := decodeBody(w, r, c.Customer); err != nil {
 			return err
 		}
-		return named(&c.Customer.Workspace, c.Name, "workspace")
+		return setName(&c.Customer.Workspace, c.Name, "workspace")
 	},
 }
 
@@ -57,12 +57,12 @@
 		if err := decodeBody(w, r, c.Allowance); err != nil {
 			return err
 		}
-		return named(&c.Allowance.Plan, c.Name, "plan")
+		return setName(&c.Allowance.Plan, c.Name, "plan")
 	},
 }
 
 // named fills in a row's name from the path; another one in the body is refused.
-func named(field *string, name, what string) error {
+func setName(field *string, name, what string) error {
 	if *field != "" && *field != name {
 		return result.Newf(result.InvalidField, "%s in the body is %q, in the path %q", what, *field, name)
 	}
@@ -72,16 +72,16 @@
 
 type listHandler func(w http.ResponseWriter, r *http.Request, l list) error
 
-func (a *API) with(l list, h listHandler) func(w http.ResponseWriter, r *http.Request) error {
+func (a *API) bind(l list, h listHandler) func(w http.ResponseWriter, r *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error { return h(w, r, l) }
 }
 
-func (a *API) all(w http.ResponseWriter, r *http.Request, l list) error {
-	answer, err := a.ask(r.Context(), plan.Query{Allowances: l.allowances})
+func (a *API) listRows(w http.ResponseWriter, r *http.Request, l list) error {
+	answer, err := a.query(r.Context(), plan.Query{Allowances: l.allowances})
 	if err != nil {
 		return err
 	}
-	if err := a.wait(r, answer.Version); err != nil {
+	if err := a.waitInForce(r, answer.Version); err != nil {
 		return err
 	}
 	w.Header().Set("ETag", etag(answer.Version))
@@ -99,9 +99,9 @@
 	return rows
 }
 
-func (a *API) one(w http.ResponseWriter, r *http.Request, l list) error {
+func (a *API) readRow(w http.ResponseWriter, r *http.Request, l list) error {
 	name := mux.Vars(r)["name"]
-	answer, err := a.ask(r.Context(), plan.Query{Allowances: l.allowances, Name: name})
+	answer, err := a.query(r.Context(), plan.Query{Allowances: l.allowances, Name: name})
 	switch {
 	case err != nil:
 		return err
@@ -116,14 +116,14 @@
 }
 
 func (a *API) history(w http.ResponseWriter, r *http.Request, l list) error {
-	answer, err := a.ask(r.Context(), plan.Query{Allowances: l.allowances, Name: mux.Vars(r)["name"], History: true})
+	answer, err := a.query(r.Context(), plan.Query{Allowances: l.allowances, Name: mux.Vars(r)["name"], History: true})
 	if err != nil {
 		return err
 	}
 	return writeJSON(w, http.StatusOK, map[string][]plan.Change{"history": orEmpty(answer.History)})
 }
 
-func (a *API) ask(ctx context.Context, q plan.Query) (plan.Answer, error) {
+func (a *API) query(ctx context.Context, q plan.Query) (plan.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	answer, err := a.Lists.Ask(ctx, q)
@@ -142,7 +142,7 @@
 }
 
 func (a *API) change(w http.ResponseWriter, r *http.Request, l list) error {
-	c := plan.Command{Name: mux.Vars(r)["name"], Action: l.set, Who: who(r), IdempotencyKey: r.Header.Get("Idempotency-Key")}
+	c := plan.Command{Name: mux.Vars(r)["name"], Action: l.set, Who: operatorName(r), IdempotencyKey: r.Header.Get("Idempotency-Key")}
 	if c.IdempotencyKey != "" && !keyPattern.MatchString(c.IdempotencyKey) {
 		return result.New(result.InvalidKey)
 	}
@@ -168,7 +168,7 @@
 }
 
 // who names the operator in the history: what he calls himself, and from where.
-func who(r *http.Request) string {
+func operatorName(r *http.Request) string {
 	const longest = 64
 	name := cmp.Or(r.Header.Get("X-Operator"), "operator")
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
@@ -195,10 +195,10 @@
 	a.Log.Info().Str("who", c.Who).Str("what", c.Action.String()).Str("name", c.Name).
 		Uint64("version", reply.Version).Msg("lists changed")
 	out := Written{Name: c.Name, Version: reply.Version, Lists: reply.ListsVersion}
-	if err := a.wait(r, reply.ListsVersion); err != nil {
+	if err := a.waitInForce(r, reply.ListsVersion); err != nil {
 		return result.From(err).WithRan(result.RanYes)
 	}
-	out.InForce = waits(r)
+	out.InForce = wantsInForce(r)
 	status := http.StatusOK
 	if reply.Created {
 		status = http.StatusCreated
@@ -209,10 +209,10 @@
 	return writeJSON(w, status, out)
 }
 
-func waits(r *http.Request) bool { return r.URL.Query().Get("wait") == "in-force" }
+func wantsInForce(r *http.Request) bool { return r.URL.Query().Get("wait") == "in-force" }
 
-func (a *API) wait(r *http.Request, version uint64) error {
-	if !waits(r) {
+func (a *API) waitInForce(r *http.Request, version uint64) error {
+	if !wantsInForce(r) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), waitTimeout)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -73,13 +73,13 @@
 // Routes registers the operators' paths.
 func (a *API) Routes(r *mux.Router) {
 	handle := func(path string, h func(w http.ResponseWriter, r *http.Request) error, methods ...string) {
-		r.HandleFunc(path, a.guarded(h)).Methods(methods...)
+		r.HandleFunc(path, a.authorized(h)).Methods(methods...)
 	}
 	for _, l := range []list{customers, allowances} {
-		handle(l.path, a.with(l, a.all), http.MethodGet)
-		handle(l.path+"/{name}", a.with(l, a.one), http.MethodGet)
-		handle(l.path+"/{name}/history", a.with(l, a.history), http.MethodGet)
-		handle(l.path+"/{name}", a.with(l, a.change), http.MethodPut, http.MethodDelete)
+		handle(l.path, a.bind(l, a.listRows), http.MethodGet)
+		handle(l.path+"/{name}", a.bind(l, a.readRow), http.MethodGet)
+		handle(l.path+"/{name}/history", a.bind(l, a.history), http.MethodGet)
+		handle(l.path+"/{name}", a.bind(l, a.change), http.MethodPut, http.MethodDelete)
 	}
 	handle("/v1/status", a.status, http.MethodGet)
 	handle("/v1/explain/{request}", a.explain, http.MethodGet)
@@ -93,7 +93,7 @@
 	})
 }
 
-func (a *API) guarded(h func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
+func (a *API) authorized(h func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Idempotency-Key")
 		err := a.authorize(r)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,12 +25,12 @@
 const token = "operators-token"
 
 type group struct {
-	machine *control.ReplicatedState
+	state *control.ReplicatedState
 	ledger  *plan.Ledger
 }
 
 func (g *group) Ask(_ context.Context, q plan.Query) (out plan.Answer, err error) {
-	g.machine.Read(control.PlansStateMachine, func(p control.StateMachine) { out = p.(*plan.Registry).Ask(q, g.ledger) })
+	g.state.Read(control.PlansStateMachine, func(p control.StateMachine) { out = p.(*plan.Registry).Ask(q, g.ledger) })
 	return out, nil
 }
 
@@ -54,8 +54,8 @@
 	t.Helper()
 	s := &system{net: peertest.New(1), rings: map[string]*explain.Ring{}}
 	book := plan.NewRegistry()
-	g := &group{machine: control.NewReplicatedState(), ledger: plan.NewLedger(book, func(err error) { t.Error(err) })}
-	g.machine.Register(control.PlansStateMachine, book)
+	g := &group{state: control.NewReplicatedState(), ledger: plan.NewLedger(book, func(err error) { t.Error(err) })}
+	g.state.Register(control.PlansStateMachine, book)
 	vms := func() []string { return []string{"vm1", "vm2"} }
 	explainers := map[string]*operator.Explainer{}
 	for _, vm := range vms() {
@@ -63,7 +63,7 @@
 		transport := s.net.VM(vm)
 		explainers[vm] = operator.NewExplainer(transport, vms, s.rings[vm])
 		api := operator.New(operator.Deps{
-			Token: token, VM: vm, Control: control.NewLocalClient(g.machine), Lists: g, InForce: &s.inForce,
+			Token: token, VM: vm, Control: control.NewLocalClient(g.state), Lists: g, InForce: &s.inForce,
 			Transport: transport, VMs: vms, Self: func() operator.VMStatus { return operator.VMStatus{VM: vm, Version: 7, Fresh: true} },
 			Explain: explainers[vm], Log: zerolog.Nop(),
 		})
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -67,7 +67,7 @@
 // askStatus asks VMs for their status. One that does not answer is listed as
 // not reachable.
 func askStatus(ctx context.Context, t peer.Transport, vms []string) []VMStatus {
-	out := ask(ctx, t, vms, peer.KindStatus, struct{}{}, func(vm string, s VMStatus, err error) VMStatus {
+	out := callAll(ctx, t, vms, peer.KindStatus, struct{}{}, func(vm string, s VMStatus, err error) VMStatus {
 		if err != nil {
 			return VMStatus{VM: vm}
 		}
@@ -80,7 +80,7 @@
 
 // ask sends one message to each VM at once and returns what f makes of the
 // answers.
-func ask[A, B any](ctx context.Context, t peer.Transport, vms []string, kind peer.Kind, body any, f func(string, A, error) B) []B {
+func callAll[A, B any](ctx context.Context, t peer.Transport, vms []string, kind peer.Kind, body any, f func(string, A, error) B) []B {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	out := make([]B, len(vms))
@@ -131,7 +131,7 @@
 		notes []explain.Note
 		err   error
 	}
-	parts := ask(ctx, x.transport, x.vms(), peer.KindExplain, key, func(vm string, n []explain.Note, err error) part {
+	parts := callAll(ctx, x.transport, x.vms(), peer.KindExplain, key, func(vm string, n []explain.Note, err error) part {
 		return part{vm, n, err}
 	})
 	for _, p := range parts {
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -17,23 +17,23 @@
 
 // Timings of rounds.
 const (
-	roundEvery   = 1 * time.Second
+	roundInterval   = 1 * time.Second
 	stateTimeout = 1 * time.Second
-	commitLimit  = 2 * time.Second
-	readsAtOnce  = 32
+	commitTimeout  = 2 * time.Second
+	maxConcurrentReads  = 32
 	// Engines are read each round as far as the budget allows: control traffic of
 	// a node is to stay under 11 KB/s. 710 engines take 40 s for a pass.
 	stateBytes = 450  // of one state, as JSON with HTTP headers
-	readBudget = 8000 // bytes a second
+	readBytesPerSecond = 8000 // bytes a second
 	// lostReads is how many reads an engine may miss before it counts as lost.
-	lostReads = 5
+	maxMissedReads = 5
 	// lostAfter ends an order that left no trace in the state of its living
 	// engine, or whose engine is gone. It exceeds fleet.LeaseOver, so that the
 	// order can no longer arrive.
-	lostAfter = 15 * time.Second
+	lostOrderTimeout = 15 * time.Second
 	// weight store: see fleet.Bucket
 	storeBurst = 2
-	storeEvery = 30 * time.Second
+	storeInterval = 30 * time.Second
 )
 
 // Engines reaches engines by address. *engine.Client does.
@@ -66,28 +66,28 @@
 	Deps
 	planner *fleet.Planner
 	fence   uint64
-	led     time.Time            // since when the fencing number is ours
-	noticed map[string]time.Time // orders under way, since when seen, by engine
-	seen    map[string]sight
-	asked   map[string]time.Time // of the last read, by engine
-	every   time.Duration        // between reads of an engine
+	fenceSince     time.Time            // since when the fencing number is ours
+	pendingSince map[string]time.Time // orders under way, since when seen, by engine
+	seen    map[string]engineState
+	lastRead   map[string]time.Time // of the last read, by engine
+	readInterval   time.Duration        // between reads of an engine
 	wants   []fleet.Want
 }
 
 // sight is an engine's last answer.
-type sight struct {
-	at     time.Time
+type engineState struct {
+	readAt     time.Time
 	copies []fleet.Copy
 }
 
 // NewLeader returns a Leader for the wanted copies.
 func NewLeader(d Deps, wants []fleet.Want) *Leader {
-	return &Leader{Deps: d, wants: wants, seen: map[string]sight{}, asked: map[string]time.Time{}, noticed: map[string]time.Time{}}
+	return &Leader{Deps: d, wants: wants, seen: map[string]engineState{}, lastRead: map[string]time.Time{}, pendingSince: map[string]time.Time{}}
 }
 
 // Run works until ctx ends.
 func (l *Leader) Run(ctx context.Context) {
-	tick := time.NewTicker(roundEvery)
+	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -105,38 +105,38 @@
 		l.fence = 0
 		return
 	}
-	if l.fence == 0 && !l.lead(ctx) {
+	if l.fence == 0 && !l.acquireFence(ctx) {
 		return
 	}
 	backends := l.Backends()
-	l.every = max(roundEvery, time.Duration(len(backends))*stateBytes*time.Second/readBudget)
-	l.look(ctx, l.due(backends))
+	l.readInterval = max(roundInterval, time.Duration(len(backends))*stateBytes*time.Second/readBytesPerSecond)
+	l.readStates(ctx, l.due(backends))
 	busy := l.confirm(ctx, backends)
 	engines := make([]fleet.Engine, 0, len(backends))
 	for _, b := range backends {
-		engines = append(engines, l.view(b))
+		engines = append(engines, l.plannerView(b))
 	}
 	for _, o := range l.planner.Plan(time.Now(), engines, l.wants, busy) {
-		l.give(ctx, o, backends)
+		l.issue(ctx, o, backends)
 	}
 }
 
 // lead gets a fencing number of its own. What was planned under an earlier one
 // is forgotten: somebody else may have acted since.
-func (l *Leader) lead(ctx context.Context) bool {
+func (l *Leader) acquireFence(ctx context.Context) bool {
 	r, err := l.propose(ctx, &fleet.Command{Lead: &fleet.Lead{Leader: l.Name}})
 	if err != nil || !r.OK {
 		return false
 	}
-	l.fence, l.led = r.Fence, time.Now()
-	l.planner = fleet.NewPlanner(fleet.NewBucket(storeBurst, storeEvery))
-	l.noticed = map[string]time.Time{}
+	l.fence, l.fenceSince = r.Fence, time.Now()
+	l.planner = fleet.NewPlanner(fleet.NewBucket(storeBurst, storeInterval))
+	l.pendingSince = map[string]time.Time{}
 	l.Log.Info().Uint64("fence", l.fence).Msg("orders engines from now on")
 	return true
 }
 
 func (l *Leader) propose(ctx context.Context, cmd *fleet.Command) (fleet.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, commitLimit)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	r, err := control.Propose[fleet.Reply](ctx, l.Control, control.FleetStateMachine, cmd)
 	if err == nil && r.Fence != l.fence && cmd.Lead == nil {
@@ -150,12 +150,12 @@
 func (l *Leader) confirm(ctx context.Context, backends []Backend) map[string]string {
 	busy := map[string]string{}
 	for _, o := range l.Orders() {
-		if _, ok := l.noticed[o.Engine]; !ok {
-			l.noticed[o.Engine] = time.Now()
+		if _, ok := l.pendingSince[o.Engine]; !ok {
+			l.pendingSince[o.Engine] = time.Now()
 		}
 		e := l.seen[o.Engine]
-		done, over := o.Done(e.copies), l.over(&o, &e)
-		if !done && !over || time.Since(e.at) > stateTimeout && !over {
+		done, over := o.Done(e.copies), l.expired(&o, &e)
+		if !done && !over || time.Since(e.readAt) > stateTimeout && !over {
 			busy[o.Engine] = o.Model
 			continue
 		}
@@ -171,7 +171,7 @@
 			busy[o.Engine] = o.Model
 			continue
 		}
-		delete(l.noticed, o.Engine)
+		delete(l.pendingSince, o.Engine)
 		l.Log.Info().Str("engine", o.Engine).Str("op", string(o.Op)).Str("model", o.Model).Bool("done", done).Msg("order ended")
 	}
 	l.record(ctx, backends, busy)
@@ -182,11 +182,11 @@
 // another engine gets it. An engine knows only the numbers that it has seen: one
 // that was never ordered since would take the late order of a deposed leader.
 // Unloading what is not loaded changes nothing but that number.
-func (l *Leader) revoke(ctx context.Context, o *fleet.Order, e *sight, backends []Backend) bool {
-	if time.Since(e.at) > lostAfter {
+func (l *Leader) revoke(ctx context.Context, o *fleet.Order, e *engineState, backends []Backend) bool {
+	if time.Since(e.readAt) > lostOrderTimeout {
 		return true // it has died, and its queue with it
 	}
-	if o.Fence >= l.fence && !l.raise(ctx) {
+	if o.Fence >= l.fence && !l.raiseFence(ctx) {
 		return false
 	}
 	for _, b := range backends {
@@ -199,7 +199,7 @@
 }
 
 // raise gets a higher number for the same leader.
-func (l *Leader) raise(ctx context.Context) bool {
+func (l *Leader) raiseFence(ctx context.Context) bool {
 	r, err := l.propose(ctx, &fleet.Command{Lead: &fleet.Lead{Leader: l.Name}})
 	if err != nil || !r.OK {
 		return false
@@ -209,16 +209,16 @@
 }
 
 // over reports whether an order can no longer be carried out.
-func (l *Leader) over(o *fleet.Order, e *sight) bool {
-	waited := time.Since(l.noticed[o.Engine])
+func (l *Leader) expired(o *fleet.Order, e *engineState) bool {
+	waited := time.Since(l.pendingSince[o.Engine])
 	loading := false
 	for _, c := range e.copies {
 		loading = loading || c.Model == o.Model && c.Version == o.Version
 	}
-	if time.Since(e.at) < lostAfter && loading && o.Op == fleet.Load {
+	if time.Since(e.readAt) < lostOrderTimeout && loading && o.Op == fleet.Load {
 		return waited >= fleet.ConfirmWithin
 	}
-	return waited >= lostAfter
+	return waited >= lostOrderTimeout
 }
 
 // record commits what living engines serve where that differs from what is
@@ -227,7 +227,7 @@
 	for _, b := range backends {
 		e, ok := l.seen[b.Name]
 		_, ordered := busy[b.Name]
-		if !ok || ordered || l.fence == 0 || time.Since(e.at) > stateTimeout || l.Served().Same(b.Name, e.copies) {
+		if !ok || ordered || l.fence == 0 || time.Since(e.readAt) > stateTimeout || l.Served().Same(b.Name, e.copies) {
 			continue
 		}
 		_, _ = l.propose(ctx, &fleet.Command{Record: &fleet.Record{Fence: l.fence, Engine: b.Name, Copies: e.copies}})
@@ -237,14 +237,14 @@
 // give commits an order and sends it once. Its outcome is read from the
 // engine's state, also where the answer comes: an answer may be late, and one
 // that is lost must not be taken for a refusal.
-func (l *Leader) give(ctx context.Context, o fleet.Order, backends []Backend) {
+func (l *Leader) issue(ctx context.Context, o fleet.Order, backends []Backend) {
 	var b *Backend
 	for i := range backends {
 		if backends[i].Name == o.Engine {
 			b = &backends[i]
 		}
 	}
-	if b == nil || l.fence == 0 || !fleet.MayOrder(b.Fences, time.Since(l.led)) {
+	if b == nil || l.fence == 0 || !fleet.MayOrder(b.Fences, time.Since(l.fenceSince)) {
 		return
 	}
 	o.Fence = l.fence
@@ -253,7 +253,7 @@
 	if err != nil || !r.OK {
 		return
 	}
-	l.noticed[o.Engine] = began
+	l.pendingSince[o.Engine] = began
 	l.Metrics.Add("orders_given", 1)
 	if err := l.send(ctx, b.Addr, &o, began); err != nil {
 		l.Log.Warn().Err(err).Str("engine", o.Engine).Msg("order without an answer")
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -24,23 +24,23 @@
 
 // world is four stand-in engines, of which two hold model a and two b, and any
 // number of VMs that believe that they lead.
-type world struct {
+type testSystem struct {
 	t       *testing.T
 	fences  bool
 	engines map[string]*standin.Engine
-	machine *control.ReplicatedState
-	part    *fleet.Part
+	state *control.ReplicatedState
+	sm    *fleet.Part
 
 	mu      sync.Mutex
-	taken   []uint64                 // fencing numbers of the orders that engines took, in order
-	lose    bool                     // answers of orders are lost
-	pause   map[uint64]time.Duration // an order's way to the engine, by fencing number
+	accepted   []uint64                 // fencing numbers of the orders that engines took, in order
+	loseAnswers    bool                     // answers of orders are lost
+	delays   map[uint64]time.Duration // an order's way to the engine, by fencing number
 	refused int
 }
 
-func newWorld(t *testing.T, fences bool) *world {
-	w := &world{t: t, fences: fences, engines: map[string]*standin.Engine{}, machine: control.NewReplicatedState(), part: fleet.NewPart(), pause: map[uint64]time.Duration{}}
-	w.machine.Register(control.FleetStateMachine, w.part)
+func newTestSystem(t *testing.T, fences bool) *testSystem {
+	w := &testSystem{t: t, fences: fences, engines: map[string]*standin.Engine{}, state: control.NewReplicatedState(), sm: fleet.NewPart(), delays: map[uint64]time.Duration{}}
+	w.state.Register(control.FleetStateMachine, w.sm)
 	for i, model := range []string{"a", "a", "b", "b"} {
 		cfg := standin.DefaultEngine(fmt.Sprint("e", i), model)
 		cfg.Fences, cfg.LoadTime = fences, 3*time.Second
@@ -49,7 +49,7 @@
 	return w
 }
 
-func (w *world) stop() {
+func (w *testSystem) stop() {
 	for _, e := range w.engines {
 		e.Stop()
 	}
@@ -57,10 +57,10 @@
 
 // Order implements orders.Engines. A paused order has passed its sender's last
 // check: it arrives whatever has happened since.
-func (w *world) Order(ctx context.Context, addr string, o engine.Order) (engine.State, error) {
+func (w *testSystem) Order(ctx context.Context, addr string, o engine.Order) (engine.State, error) {
 	w.mu.Lock()
-	pause, lose := w.pause[o.Fence], w.lose
-	delete(w.pause, o.Fence)
+	pause, lose := w.delays[o.Fence], w.loseAnswers
+	delete(w.delays, o.Fence)
 	w.mu.Unlock()
 	time.Sleep(pause)
 	s, err := w.engines[addr].Order(o)
@@ -70,7 +70,7 @@
 		w.refused++
 		return s, err
 	}
-	w.taken = append(w.taken, o.Fence)
+	w.accepted = append(w.accepted, o.Fence)
 	if lose {
 		return engine.State{}, errNet
 	}
@@ -78,16 +78,16 @@
 }
 
 // State implements orders.Engines.
-func (w *world) State(_ context.Context, addr string) (engine.State, error) {
+func (w *testSystem) State(_ context.Context, addr string) (engine.State, error) {
 	if !w.engines[addr].Alive() {
 		return engine.State{}, errNet
 	}
 	return w.engines[addr].State(), nil
 }
 
-func (w *world) leader(name string, leads func() bool) *orders.Leader {
+func (w *testSystem) leader(name string, leads func() bool) *orders.Leader {
 	return orders.NewLeader(orders.Deps{
-		Name: name, Control: control.NewLocalClient(w.machine), Engines: w, IsLeader: leads,
+		Name: name, Control: control.NewLocalClient(w.state), Engines: w, IsLeader: leads,
 		Backends: func() []orders.Backend {
 			var out []orders.Backend
 			for i, model := range []string{"a", "a", "b", "b"} {
@@ -98,9 +98,9 @@
 			}
 			return out
 		},
-		Orders: func() []fleet.Order { return read(w, w.part.Orders) },
+		Orders: func() []fleet.Order { return read(w, w.sm.Orders) },
 		Served: func() *fleet.View {
-			v, err := fleet.NewView(read(w, func() []byte { return w.part.Changes(0) }))
+			v, err := fleet.NewView(read(w, func() []byte { return w.sm.Changes(0) }))
 			if err != nil {
 				w.t.Error(err)
 			}
@@ -110,20 +110,20 @@
 	}, []fleet.Want{{Model: "a", Copies: 2}, {Model: "b", Copies: 2}})
 }
 
-func read[T any](w *world, f func() T) (out T) {
-	w.machine.Read(control.FleetStateMachine, func(control.StateMachine) { out = f() })
+func read[T any](w *testSystem, f func() T) (out T) {
+	w.state.Read(control.FleetStateMachine, func(control.StateMachine) { out = f() })
 	return out
 }
 
-func (w *world) served(model string) int {
-	v, _ := fleet.NewView(read(w, func() []byte { return w.part.Changes(0) }))
+func (w *testSystem) served(model string) int {
+	v, _ := fleet.NewView(read(w, func() []byte { return w.sm.Changes(0) }))
 	return len(v.Engines(model, "1", ""))
 }
 
-func (w *world) orders() []uint64 {
+func (w *testSystem) acceptedFences() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.taken)
+	return slices.Clone(w.accepted)
 }
 
 func always() bool { return true }
@@ -133,21 +133,21 @@
 // the engine's own state shows the outcome. No second order is given.
 func TestLostCopyIsLoadedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, true)
+		w := newTestSystem(t, true)
 		defer w.stop()
-		w.lose = true // before the leader starts
+		w.loseAnswers = true // before the leader starts
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go w.leader("vm1", always).Run(ctx)
 		time.Sleep(5 * time.Second)
 		w.engines["e0"].Kill()
 		time.Sleep(18 * time.Second)
-		if len(w.orders()) != 0 {
+		if len(w.acceptedFences()) != 0 {
 			t.Error("repaired before the engine could be back")
 		}
 		time.Sleep(20 * time.Second)
-		if len(w.orders()) != 1 || w.served("a") < 2 || len(read(w, w.part.Orders)) != 0 {
-			t.Errorf("%d orders taken, model a served by %d, under way %v", len(w.orders()), w.served("a"), read(w, w.part.Orders))
+		if len(w.acceptedFences()) != 1 || w.served("a") < 2 || len(read(w, w.sm.Orders)) != 0 {
+			t.Errorf("%d orders taken, model a served by %d, under way %v", len(w.acceptedFences()), w.served("a"), read(w, w.sm.Orders))
 		}
 		cancel()
 		synctest.Wait()
@@ -158,20 +158,20 @@
 // the other engine gets one.
 func TestEngineDiesDuringTheLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, true)
+		w := newTestSystem(t, true)
 		defer w.stop()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go w.leader("vm1", always).Run(ctx)
 		time.Sleep(5 * time.Second)
 		w.engines["e0"].Kill()
-		for len(read(w, w.part.Orders)) == 0 {
+		for len(read(w, w.sm.Orders)) == 0 {
 			time.Sleep(100 * time.Millisecond)
 		}
-		w.engines[read(w, w.part.Orders)[0].Engine].Kill()
+		w.engines[read(w, w.sm.Orders)[0].Engine].Kill()
 		time.Sleep(2 * time.Minute)
-		if len(w.orders()) < 2 || len(read(w, w.part.Orders)) != 0 || w.served("a") < 2 {
-			t.Errorf("%d orders taken, model a served by %d, under way %v", len(w.orders()), w.served("a"), read(w, w.part.Orders))
+		if len(w.acceptedFences()) < 2 || len(read(w, w.sm.Orders)) != 0 || w.served("a") < 2 {
+			t.Errorf("%d orders taken, model a served by %d, under way %v", len(w.acceptedFences()), w.served("a"), read(w, w.sm.Orders))
 		}
 		cancel()
 		synctest.Wait()
@@ -191,7 +191,7 @@
 }
 
 func lateOrder(t *testing.T, fences bool) {
-	w := newWorld(t, fences)
+	w := newTestSystem(t, fences)
 	defer w.stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -206,15 +206,15 @@
 	}
 	// Fencing number 1 is the first leader's. No wait can outlast every pause: an
 	// engine that ignores the number is safe against what a deadline ends.
-	w.pause[1] = 3 * time.Second
+	w.delays[1] = 3 * time.Second
 	if fences {
-		w.pause[1] = time.Minute
+		w.delays[1] = time.Minute
 	}
 	go w.leader("vm1", leads(true)).Run(ctx)
 	go w.leader("vm2", leads(false)).Run(ctx)
 	time.Sleep(5 * time.Second)
 	w.engines["e0"].Kill()
-	for len(read(w, w.part.Orders)) == 0 {
+	for len(read(w, w.sm.Orders)) == 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
 	mu.Lock()
@@ -223,16 +223,16 @@
 	time.Sleep(2 * time.Minute)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := 1; i < len(w.taken); i++ {
-		if w.taken[i] < w.taken[i-1] {
-			t.Errorf("an order under %d was taken after one under %d", w.taken[i], w.taken[i-1])
+	for i := 1; i < len(w.accepted); i++ {
+		if w.accepted[i] < w.accepted[i-1] {
+			t.Errorf("an order under %d was taken after one under %d", w.accepted[i], w.accepted[i-1])
 		}
 	}
 	if fences && w.refused == 0 {
 		t.Error("the late order was not refused")
 	}
-	if len(w.taken) == 0 || w.served("a") < 2 {
-		t.Errorf("orders taken %v, model a served by %d", w.taken, w.served("a"))
+	if len(w.accepted) == 0 || w.served("a") < 2 {
+		t.Errorf("orders taken %v, model a served by %d", w.accepted, w.served("a"))
 	}
 	cancel()
 }
@@ -241,7 +241,7 @@
 // under the newest number, and no engine has two under way.
 func TestTwoLeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, true)
+		w := newTestSystem(t, true)
 		defer w.stop()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -252,8 +252,8 @@
 		time.Sleep(3 * time.Minute)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if len(w.taken) > 2 {
-			t.Errorf("orders under %v were taken", w.taken)
+		if len(w.accepted) > 2 {
+			t.Errorf("orders under %v were taken", w.accepted)
 		}
 		cancel()
 	})
--- a/internal/orders/reads.go
+++ b/internal/orders/reads.go
@@ -8,9 +8,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/fleet"
 )
 
-func (l *Leader) view(b Backend) fleet.Engine {
+func (l *Leader) plannerView(b Backend) fleet.Engine {
 	e, s := b.Engine, l.seen[b.Name]
-	e.Lost, e.Copies = time.Since(s.at) > lostReads*l.every, s.copies
+	e.Lost, e.Copies = time.Since(s.readAt) > maxMissedReads*l.readInterval, s.copies
 	return e
 }
 
@@ -22,12 +22,12 @@
 		busy[o.Engine] = true
 	}
 	now := time.Now()
-	left := max(1, int(readBudget*roundEvery/time.Second)/stateBytes)
+	left := max(1, int(readBytesPerSecond*roundInterval/time.Second)/stateBytes)
 	var out []Backend
 	for _, b := range backends {
 		// Half a round early: a read that has to wait for the next round is late.
-		if busy[b.Name] || left > 0 && now.Sub(l.asked[b.Name]) >= l.every-roundEvery/2 {
-			l.asked[b.Name] = now
+		if busy[b.Name] || left > 0 && now.Sub(l.lastRead[b.Name]) >= l.readInterval-roundInterval/2 {
+			l.lastRead[b.Name] = now
 			left--
 			out = append(out, b)
 		}
@@ -36,10 +36,10 @@
 }
 
 // look reads the engines' states, a bounded number at once.
-func (l *Leader) look(ctx context.Context, backends []Backend) {
+func (l *Leader) readStates(ctx context.Context, backends []Backend) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	slots := make(chan struct{}, readsAtOnce)
+	slots := make(chan struct{}, maxConcurrentReads)
 	for _, b := range backends {
 		slots <- struct{}{}
 		all.Go(func() {
@@ -50,7 +50,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			l.seen[b.Name] = sight{time.Now(), copies}
+			l.seen[b.Name] = engineState{time.Now(), copies}
 		})
 	}
 	all.Wait()
