--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,18 +1,18 @@
-// Package fleet is the aggregate of orders to engines: who may give them, which
-// are under way, and what each engine was last seen to serve. The package is
-// pure; its Part is state of the control group, and Planner decides which lost
-// copies of a model are loaded elsewhere.
+// Package fleet holds the orders to engines: which leader may send them, which are pending,
+// and which models each engine was last seen to serve. The package does no I/O. Its
+// StateMachine is part of the control group's replicated state, and Planner decides which
+// lost copies of a model are loaded on other engines.
 //
-// An order is committed before it is sent, under the fencing number of the
-// leader that sends it. The number grows with each leader. An engine that checks
-// it refuses the late order of a deposed leader. One that ignores it gets an
-// order only once every earlier leader's permission has run out, one order at a
-// time, and the order counts as done only when the engine's own state shows it.
+// An order is committed before it is sent, with the fencing number of the leader that sends
+// it. The number increases with each leader. An engine that checks it refuses a delayed
+// order of a deposed leader. An engine that ignores it gets an order only once the
+// permission of every earlier leader has expired, and only one order at a time. The order
+// counts as done only when the engine's own state shows it.
 package fleet
 
 import "time"
 
-// Copy is a model that an engine holds.
+// Copy is a copy of a model on an engine. Ready is false while the copy is loading.
 type Copy struct {
 	Model    string   `cbor:"1,keyasint"`
 	Version  string   `cbor:"2,keyasint"`
@@ -20,7 +20,7 @@
 	Ready    bool     `cbor:"4,keyasint"`
 }
 
-// Op is what an order does. The words are those of the engine protocol.
+// Op is the operation of an order. Its values are those of the engine protocol.
 type Op string
 
 // The operations.
@@ -29,17 +29,17 @@
 	Unload Op = "unload"
 )
 
-// Order is one order to one engine.
+// Order is an order to one engine.
 type Order struct {
 	Engine  string `cbor:"1,keyasint"`
 	Op      Op     `cbor:"2,keyasint"`
 	Model   string `cbor:"3,keyasint"`
 	Version string `cbor:"4,keyasint"`
 	Fence   uint64 `cbor:"5,keyasint"`
-	SinceMS int64  `cbor:"6,keyasint"` // the group's clock
+	SinceMS int64  `cbor:"6,keyasint"` // when it was committed, by the group's clock
 }
 
-// Done reports whether an engine's copies show that the order was carried out.
+// Done reports whether the engine's copies show that it has carried out the order.
 func (o *Order) Done(copies []Copy) bool {
 	for _, c := range copies {
 		if c.Model == o.Model && c.Version == o.Version {
@@ -49,27 +49,28 @@
 	return o.Op == Unload
 }
 
-// Timings of orders, all measured on the monotonic clock of the VM that acts.
+// Time limits of orders, measured on the monotonic clock of the VM that acts.
 const (
-	// SendWindow ends the permission to send an order, from before it was
-	// proposed to the group; the request's own deadline lies within it.
+	// SendWindow is how long an order may be sent, counted from before it is proposed to the
+	// group. The deadline of the request to the engine lies within it.
 	SendWindow = 3 * time.Second
-	// LeaseOver is how long a new leader waits before it orders an engine that
-	// ignores fencing numbers: beyond SendWindow with a drift of a tenth, and
-	// beyond the time that an order takes on the wire.
+	// TakeoverDelay is how long a new leader waits before it sends an order to an engine
+	// that ignores fencing numbers. It exceeds SendWindow with a clock drift of a tenth plus
+	// the time that an order takes on the network.
 	LeaseOver = 5 * time.Second
-	// ConfirmWithin ends an order that the engine's state does not show: loading
-	// takes minutes, and a dead engine must not block its place for ever.
+	// ConfirmTimeout is how long an order that is being carried out may stay unconfirmed by
+	// the engine's state. Loading takes minutes, and a dead engine must not keep its order
+	// pending for ever.
 	ConfirmWithin = 10 * time.Minute
 )
 
-// MayOrder reports whether a leader that has led for some time may order an
-// engine. Of an engine that ignores fencing numbers, an earlier leader's order
-// could otherwise arrive after the new one and undo it.
+// MayOrder reports whether a leader that has led for a duration may send an order to an
+// engine. At an engine that ignores fencing numbers, an earlier leader's order could
+// otherwise arrive after the new one and undo it.
 func MayOrder(fences bool, led time.Duration) bool { return fences || led >= LeaseOver }
 
-// Lead asks for a new fencing number; the leader of the group does so once in
-// its term.
+// AcquireFence requests a new fencing number. The leader of the group does so when its term
+// begins, and again to revoke an order that has its own number.
 type Lead struct {
 	Leader string `cbor:"1,keyasint"` // VM and incarnation
 }
@@ -79,22 +80,23 @@
 	Order Order `cbor:"1,keyasint"`
 }
 
-// End commits what the engine was seen to serve after its order ended, either
-// way.
+// End ends the engine's order, whether it was carried out or not, and commits the copies
+// that the engine was then seen to serve.
 type End struct {
 	Fence  uint64 `cbor:"1,keyasint"`
 	Engine string `cbor:"2,keyasint"`
 	Copies []Copy `cbor:"3,keyasint"`
 }
 
-// Record commits what an engine was seen to serve where that has changed.
+// Record commits the copies that an engine is seen to serve if they have changed without an
+// order.
 type Record struct {
 	Fence  uint64 `cbor:"1,keyasint"`
 	Engine string `cbor:"2,keyasint"`
 	Copies []Copy `cbor:"3,keyasint"`
 }
 
-// Command is one command of the part; exactly one field is set.
+// Command is one command of the state machine; exactly one field is set.
 type Command struct {
 	Lead   *Lead   `cbor:"1,keyasint,omitempty"`
 	Begin  *Begin  `cbor:"2,keyasint,omitempty"`
@@ -102,8 +104,8 @@
 	Record *Record `cbor:"4,keyasint,omitempty"`
 }
 
-// Reply answers a command.
+// Reply is the reply to a command. OK is false if the command was refused.
 type Reply struct {
 	OK    bool   `cbor:"1,keyasint"`
-	Fence uint64 `cbor:"2,keyasint"` // the present one
+	Fence uint64 `cbor:"2,keyasint"` // the newest fencing number
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,8 +8,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/fleet"
 )
 
-// A leader that another has followed gets no order committed, and no engine has
-// two orders under way. The state survives a restart.
+// A deposed leader does not know yet that another one has followed it and proposes orders.
+// None of them is committed, and no engine gets a second pending order, also after the state
+// was restored from a snapshot.
 func TestOrdersNeedTheNewestFence(t *testing.T) {
 	p := fleet.NewPart()
 	lead := func(name string) uint64 {
@@ -37,7 +38,7 @@
 		return p.Execute(1, &fleet.Command{End: &fleet.End{Fence: fence, Engine: "e1"}}).OK
 	}
 	for _, c := range []struct {
-		what      string
+		name      string
 		got, want bool
 	}{
 		{"order of a deposed leader", begin("e2", old), false},
@@ -49,17 +50,17 @@
 		{"engine that ignores fences, later", fleet.MayOrder(false, fleet.LeaseOver), true},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %v", c.what, c.got)
+			t.Errorf("%s: got %v", c.name, c.got)
 		}
 	}
 	if fleet.LeaseOver < fleet.SendWindow*11/10 {
-		t.Error("a new leader could order within its predecessor's window")
+		t.Error("a new leader may send an order within its predecessor's SendWindow")
 	}
 }
 
-// An engine that comes and goes every ten seconds for an hour causes no order;
-// when it stays away, one engine takes its copy, and gives it back ten minutes
-// after the first is home: no copy is moved to and fro.
+// An engine that is lost and back every ten seconds for an hour must not cause copies to
+// move. When it stays lost, one other engine loads its copy. That spare copy is unloaded ten
+// minutes after the engine is back.
 func TestRepairDoesNotFlap(t *testing.T) {
 	p := fleet.NewPlanner(fleet.NewBucket(2, 30*time.Second))
 	now := time.Unix(1_800_000_000, 0)
@@ -71,39 +72,39 @@
 		{Name: "e3", Zone: "z2", Slots: 2, Configured: []string{"b"}, Copies: copyOf("b")},
 	}
 	wants := []fleet.Want{{Model: "a", Copies: 2}, {Model: "b", Copies: 2}}
-	var given []fleet.Order
-	pass := func(d time.Duration, up func(second int) bool) {
+	var orders []fleet.Order
+	advance := func(d time.Duration, up func(second int) bool) {
 		for second := range int(d.Seconds()) {
 			now = now.Add(time.Second)
 			for i := range engines {
 				engines[i].Lost = i == 0 && !up(second)
 			}
-			given = append(given, p.Plan(now, engines, wants, map[string]string{})...)
-			if len(given) > 0 && given[len(given)-1].Op == fleet.Load && len(engines[3].Copies) == 1 {
+			orders = append(orders, p.Plan(now, engines, wants, map[string]string{})...)
+			if len(orders) > 0 && orders[len(orders)-1].Op == fleet.Load && len(engines[3].Copies) == 1 {
 				engines[3].Copies = append(engines[3].Copies, copyOf("a")...)
 			}
 		}
 	}
-	pass(time.Hour, func(s int) bool { return s/10%2 == 0 })
-	if len(given) != 0 {
-		t.Fatalf("a flapping engine caused %v", given)
+	advance(time.Hour, func(s int) bool { return s/10%2 == 0 })
+	if len(orders) != 0 {
+		t.Fatalf("a flapping engine caused orders %v, want none", orders)
 	}
-	pass(time.Minute, func(int) bool { return false })
-	if len(given) != 1 || given[0].Engine != "e3" || given[0].Op != fleet.Load || given[0].Version != "1" {
-		t.Fatalf("orders %v, want one load on e3, in the zone without a copy", given)
+	advance(time.Minute, func(int) bool { return false })
+	if len(orders) != 1 || orders[0].Engine != "e3" || orders[0].Op != fleet.Load || orders[0].Version != "1" {
+		t.Fatalf("got orders %v, want one load on e3, in the zone without a copy", orders)
 	}
-	pass(9*time.Minute, func(int) bool { return true })
-	if len(given) != 1 {
-		t.Fatalf("spare copy touched early: %v", given)
+	advance(9*time.Minute, func(int) bool { return true })
+	if len(orders) != 1 {
+		t.Fatalf("got orders %v nine minutes after the engine is back, want no further order", orders)
 	}
-	pass(2*time.Minute, func(int) bool { return true })
-	if len(given) != 2 || given[1].Op != fleet.Unload || given[1].Engine != "e3" {
-		t.Errorf("orders %v, want the spare copy unloaded", given)
+	advance(2*time.Minute, func(int) bool { return true })
+	if len(orders) != 2 || orders[1].Op != fleet.Unload || orders[1].Engine != "e3" {
+		t.Errorf("got orders %v, want the spare copy unloaded", orders)
 	}
 }
 
-// A zone with a third of the engines is lost: the weight store sees two fetches
-// and then one each half minute, not forty at once.
+// The loss of a zone with many engines must not overload the weight store: it gets two
+// fetches at once and then one each half minute, not forty at once.
 func TestRepairKeepsToTheStoresRate(t *testing.T) {
 	p := fleet.NewPlanner(fleet.NewBucket(2, 30*time.Second))
 	now := time.Unix(1_800_000_000, 0)
@@ -117,15 +118,15 @@
 		}, fleet.Engine{Name: fmt.Sprint("spare", i), Slots: 2})
 	}
 	busy := map[string]string{}
-	given := len(p.Plan(now, engines, wants, busy))
+	loads := len(p.Plan(now, engines, wants, busy))
 	for i := range engines {
 		engines[i].Lost = i%2 == 0
 	}
 	for range 120 {
-		given += len(p.Plan(now, engines, wants, busy))
+		loads += len(p.Plan(now, engines, wants, busy))
 		now = now.Add(time.Second)
 	}
-	if given < 4 || given > 6 {
-		t.Errorf("%d fetches within two minutes of a zone's loss, want about 5", given)
+	if loads < 4 || loads > 6 {
+		t.Errorf("got %d fetches within two minutes of a zone's loss, want 4 to 6", loads)
 	}
 }
--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -7,8 +7,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/fleet"
 )
 
-// Commands come from other VMs: whatever the bytes, no panic, and the fencing
-// number never goes back.
+// Commands come from other VMs. No bytes make the code panic or lower the fencing number.
 func FuzzPart(f *testing.F) {
 	for _, cmd := range []*fleet.Command{
 		{Lead: &fleet.Lead{Leader: "vm1"}},
@@ -27,7 +26,7 @@
 		p.Execute(1, &fleet.Command{Lead: &fleet.Lead{Leader: "vm1"}})
 		p.Apply(2, data)
 		if r := p.Execute(3, &fleet.Command{Lead: &fleet.Lead{Leader: "vm2"}}); r.Fence < 2 {
-			t.Errorf("fencing number %d", r.Fence)
+			t.Errorf("got fencing number %d, want at least 2", r.Fence)
 		}
 		if v, err := fleet.NewView(data); err == nil {
 			v.Engines("a", "", "")
--- a/internal/fleet/planner.go
+++ b/internal/fleet/planner.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Repair of lost copies. The load pattern: an engine that held one of few copies
-// of a model dies, and the others get its work. Without repair the next death
-// ends the model. Repairing at once is wrong as well: most engines are back from
-// a restart within seconds, and a network cut makes many look dead together;
-// each needless load takes minutes of the rate-limited weight store and memory
-// on an engine that serves something else.
+// Bounds of the repair of lost copies. It answers the death of an engine that held one of a
+// few copies of a model: the engines with the other copies get its work, and without repair
+// the next death makes the model unavailable. An immediate repair is wrong as well. Most
+// engines are back from a restart within seconds, and a network partition makes many look
+// dead at once. Each needless load takes minutes of the rate-limited weight store and memory
+// on an engine that serves another model.
 const (
-	repairDelay = 20 * time.Second // a copy must be missing this long
-	surplusRetention  = 10 * time.Minute // a spare copy stays this long after the lost one is back
-	failureBackoff = 1 * time.Minute  // before an engine that failed an order gets another
+	repairDelay      = 20 * time.Second // a copy has to be missing this long
+	surplusRetention = 10 * time.Minute // a spare copy stays this long after the lost one is back
+	failureBackoff   = 1 * time.Minute  // before an engine that failed an order gets another one
 	// DefaultSlots is how many models an engine may hold.
 	DefaultSlots = 2
 )
 
-// Engine is an engine as the planner sees it.
+// Engine is the state of an engine as the planner knows it.
 type Engine struct {
 	Name       string
 	Zone       string
 	Fences     bool
 	Leaving    bool
 	Slots      int
-	Configured []string // models that it holds by the settings
+	Configured []string // models that it holds according to the settings
 	Lost       bool     // it has not answered for some time
 	Copies     []Copy
 }
@@ -43,23 +43,24 @@
 	return Copy{}, false
 }
 
-// Want is how many ready copies of a model there should be at least.
+// Want is the least number of ready copies that a model should have.
 type Want struct {
 	Model  string
 	Copies int
 }
 
-// Planner decides orders. It is not safe for concurrent use; time is an
-// argument.
+// Planner decides which orders to send. It reads no clock: times are arguments. It is not
+// safe for concurrent use.
 type Planner struct {
-	store   *Bucket
-	missingSince map[string]time.Time // by model: since when copies are missing
-	surplusSince map[string]time.Time
-	failedAt  map[string]time.Time // by engine
-	version map[string]string    // by model, as last seen on a ready copy
+	store        *Bucket
+	missingSince map[string]time.Time // by model: since when it has too few copies
+	surplusSince map[string]time.Time // by model: since when a spare copy is not needed
+	failedAt     map[string]time.Time // by engine: when it failed an order
+	version      map[string]string    // by model: last version seen of a ready copy
 }
 
-// NewPlanner returns a Planner that fetches weights at the bucket's rate.
+// NewPlanner returns a Planner that orders loads at the rate of the bucket, which limits
+// fetches from the weight store.
 func NewPlanner(store *Bucket) *Planner {
 	return &Planner{
 		store: store, missingSince: map[string]time.Time{}, surplusSince: map[string]time.Time{},
@@ -67,11 +68,11 @@
 	}
 }
 
-// Failed notes that an engine did not carry out an order.
+// NoteFailure records that an engine has not carried out an order.
 func (p *Planner) Failed(engine string, now time.Time) { p.failedAt[engine] = now }
 
-// Plan returns the orders to give now. busy names engines with an order under
-// way and the model that it loads.
+// Plan returns the orders to send now. busy maps each engine with a pending order to the
+// model of that order; Plan adds the engines of the returned orders.
 func (p *Planner) Plan(now time.Time, engines []Engine, wants []Want, busy map[string]string) []Order {
 	var out []Order
 	for _, w := range wants {
@@ -88,18 +89,18 @@
 }
 
 func (p *Planner) repair(now time.Time, engines []Engine, w Want, busy map[string]string) (Order, bool) {
-	have := 0
+	copies := 0
 	for i := range engines {
 		e := &engines[i]
 		c, ok := e.holds(w.Model)
 		if e.alive() && ok && c.Ready {
-			have++
+			copies++
 			p.version[w.Model] = c.Version
 		} else if busy[e.Name] == w.Model {
-			have++
+			copies++
 		}
 	}
-	if have >= w.Copies {
+	if copies >= w.Copies {
 		delete(p.missingSince, w.Model)
 		return Order{}, false
 	}
@@ -109,18 +110,19 @@
 		return Order{}, false
 	}
 	target := p.target(now, engines, w.Model, busy)
-	// The version is not guessed: without a copy ever seen there is none to load.
+	// The version is never guessed. A model of which no ready copy was ever seen is not
+	// loaded.
 	if now.Sub(since) < repairDelay || target == nil || p.version[w.Model] == "" || !p.store.Take(now) {
 		return Order{}, false
 	}
 	return Order{Engine: target.Name, Op: Load, Model: w.Model, Version: p.version[w.Model]}, true
 }
 
-// target is the engine with the fewest models among those that can take one, in
-// a zone without a copy if there is one.
+// target returns the engine to load a copy on, or nil if no engine can take one. It prefers
+// the zone with the fewest copies, then the engine with the fewest models.
 func (p *Planner) target(now time.Time, engines []Engine, model string, busy map[string]string) *Engine {
 	zones := map[string]int{}
-	var able []*Engine
+	var candidates []*Engine
 	for i := range engines {
 		e := &engines[i]
 		_, has := e.holds(model)
@@ -132,13 +134,13 @@
 			zones[e.Zone]++
 		case ordered, len(e.Copies) >= e.Slots, failed && now.Sub(failedAt) < failureBackoff:
 		default:
-			able = append(able, e)
+			candidates = append(candidates, e)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return slices.MinFunc(able, func(a, b *Engine) int {
+	return slices.MinFunc(candidates, func(a, b *Engine) int {
 		return cmp.Or(
 			cmp.Compare(zones[a.Zone], zones[b.Zone]),
 			cmp.Compare(len(a.Copies), len(b.Copies)), cmp.Compare(a.Name, b.Name),
@@ -146,7 +148,8 @@
 	})
 }
 
-// trim unloads a spare copy once those of the settings have been back for long.
+// trim returns an order to unload a spare copy once the configured copies have been back for
+// surplusRetention.
 func (p *Planner) trim(now time.Time, engines []Engine, w Want, busy map[string]string) (Order, bool) {
 	configured, spare := 0, (*Engine)(nil)
 	for i := range engines {
@@ -178,22 +181,22 @@
 	return Order{Engine: spare.Name, Op: Unload, Model: w.Model, Version: c.Version}, true
 }
 
-// Bucket is a token bucket: the weight store's rate. The store is shared with
-// the engines' own restarts, so that two fetches at once and one more each half
-// minute leave room for them.
+// Bucket is a token bucket that limits fetches from the weight store. Engines that restart
+// also fetch from the store. Two fetches at once and one more each half minute leave room
+// for them. It is not safe for concurrent use.
 type Bucket struct {
-	size   float64
-	interval  time.Duration // one token
-	tokens float64
-	updatedAt     time.Time
+	size      float64
+	interval  time.Duration // time to gain one token
+	tokens    float64
+	updatedAt time.Time
 }
 
-// NewBucket returns a full bucket of a size that gains a token each interval.
+// NewBucket returns a full bucket of a size in tokens that gains a token in each interval.
 func NewBucket(size int, every time.Duration) *Bucket {
 	return &Bucket{size: float64(size), interval: every, tokens: float64(size)}
 }
 
-// Take takes a token if there is one.
+// Take takes a token and reports whether there was one.
 func (b *Bucket) Take(now time.Time) bool {
 	if !b.updatedAt.IsZero() {
 		b.tokens = min(b.size, b.tokens+float64(now.Sub(b.updatedAt))/float64(b.interval))
--- a/internal/fleet/part.go
+++ b/internal/fleet/state_machine.go
@@ -9,7 +9,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// Served is what an engine was last seen to serve.
+// Served holds the copies that an engine was last seen to serve.
 type Served struct {
 	Engine string `cbor:"1,keyasint"`
 	Copies []Copy `cbor:"2,keyasint"`
@@ -19,20 +19,22 @@
 	Version uint64   `cbor:"1,keyasint"`
 	Fence   uint64   `cbor:"2,keyasint"`
 	Leader  string   `cbor:"3,keyasint"`
-	Orders  []Order  `cbor:"4,keyasint"` // under way, one an engine, by engine
-	Served  []Served `cbor:"5,keyasint"` // by engine
+	Orders  []Order  `cbor:"4,keyasint"` // pending, at most one per engine, sorted by engine
+	Served  []Served `cbor:"5,keyasint"` // sorted by engine
 }
 
-// Part is the orders' state in the control group. It implements control.Part.
+// StateMachine holds the orders in the control group's replicated state. It implements
+// control.StateMachine.
 type Part struct{ s state }
 
-// NewPart returns an empty Part.
+// NewStateMachine returns an empty StateMachine.
 func NewPart() *Part { return &Part{} }
 
-// Version implements control.Part: it grows when what engines serve changes.
+// Version returns a number that increases when the committed copies of an engine change.
 func (p *Part) Version() uint64 { return p.s.Version }
 
-// Apply executes an encoded Command.
+// Apply executes an encoded Command and returns an encoded Reply. It refuses a command that
+// cannot be decoded.
 func (p *Part) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	var reply Reply
@@ -41,12 +43,12 @@
 	}
 	out, err := codec.Marshal(reply)
 	if err != nil {
-		panic(err) // a struct of a number and a truth value always encodes
+		panic(err) // cannot happen: a struct of a number and a bool always encodes
 	}
 	return out
 }
 
-// Execute executes a command at the group's time.
+// Execute executes a command at a time of the group's clock, in Unix milliseconds.
 func (p *Part) Execute(nowMS int64, cmd *Command) Reply {
 	ok := false
 	switch {
@@ -67,8 +69,8 @@
 	return Reply{OK: ok, Fence: p.s.Fence}
 }
 
-// begin refuses the order of a leader that has been followed by another, and a
-// second order to one engine.
+// begin adds a pending order. It refuses the order of a deposed leader, and a second order
+// to one engine.
 func (p *Part) begin(nowMS int64, o Order) bool {
 	if o.Fence != p.s.Fence || p.order(o.Engine) >= 0 {
 		return false
@@ -107,22 +109,22 @@
 	}
 }
 
-// Orders are those under way.
+// Orders returns a copy of the pending orders.
 func (p *Part) Orders() []Order { return slices.Clone(p.s.Orders) }
 
-// Changes implements control.Part: the whole of what engines serve.
+// Changes returns the encoded copies of all engines. It ignores the version of the watcher.
 func (p *Part) Changes(uint64) []byte {
 	out, err := codec.Marshal(p.s.Served)
 	if err != nil {
-		panic(err) // a list of texts always encodes
+		panic(err) // cannot happen: a list of strings and bools always encodes
 	}
 	return out
 }
 
-// Snapshot implements control.Part.
+// Snapshot returns the encoded state.
 func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
 
-// Restore implements control.Part.
+// Restore replaces the state by a snapshot.
 func (p *Part) Restore(data []byte) error {
 	var s state
 	if err := codec.Unmarshal(data, &s); err != nil {
@@ -132,10 +134,10 @@
 	return nil
 }
 
-// View answers which engines serve what, for routing. It is immutable.
+// View holds the committed copies of all engines, for routing. It is immutable.
 type View struct{ served []Served }
 
-// NewView decodes a change of the part.
+// NewView decodes a change of the StateMachine.
 func NewView(data []byte) (*View, error) {
 	var v View
 	if err := codec.Unmarshal(data, &v.served); err != nil {
@@ -144,8 +146,8 @@
 	return &v, nil
 }
 
-// Engines names the engines with a ready copy. Empty version and adapter match
-// any.
+// Engines returns the names of the engines with a ready copy. An empty version or adapter
+// matches any.
 func (v *View) Engines(model, version, adapter string) []string {
 	var out []string
 	for _, s := range v.served {
@@ -159,7 +161,8 @@
 	return out
 }
 
-// Same reports whether the view shows these copies on an engine.
+// Matches reports whether the view has exactly these copies for the engine. A nil view
+// matches nothing.
 func (v *View) Same(engine string, copies []Copy) bool {
 	if v == nil {
 		return false
@@ -172,7 +175,7 @@
 	return false
 }
 
-// Models names the models that an engine has ready.
+// Models returns the names of the models of which the engine has a ready copy.
 func (v *View) Models(engine string) []string {
 	var out []string
 	for _, s := range v.served {
