--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,6 +1,6 @@
-// Package orders gives the orders of package fleet to engines, on the VM that
-// leads the control group: it commits each order, sends it once, and reads the
-// engine's state back until that shows the outcome.
+// Package orders sends the orders of package fleet to engines, on the VM that leads the
+// control group. It commits each order, sends it once, and reads the engine's state until
+// the state shows the outcome.
 package orders
 
 import (
@@ -15,77 +15,78 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/fleet"
 )
 
-// Timings of rounds.
+// Time limits and bounds of rounds.
 const (
-	roundInterval   = 1 * time.Second
-	stateTimeout = 1 * time.Second
-	commitTimeout  = 2 * time.Second
-	maxConcurrentReads  = 32
-	// Engines are read each round as far as the budget allows: control traffic of
-	// a node is to stay under 11 KB/s. 710 engines take 40 s for a pass.
-	stateBytes = 450  // of one state, as JSON with HTTP headers
-	readBytesPerSecond = 8000 // bytes a second
-	// lostReads is how many reads an engine may miss before it counts as lost.
+	roundInterval      = 1 * time.Second
+	stateTimeout       = 1 * time.Second
+	commitTimeout      = 2 * time.Second
+	maxConcurrentReads = 32
+	// Each round reads the states of as many engines as the budget allows, because the
+	// control traffic of a node has to stay under 11 KB/s. Reading 710 engines once takes
+	// 40 s.
+	stateBytes         = 450 // size of one state as JSON with HTTP headers
+	readBytesPerSecond = 8000
+	// maxMissedReads is how many reads an engine may miss before it counts as lost.
 	maxMissedReads = 5
-	// lostAfter ends an order that left no trace in the state of its living
-	// engine, or whose engine is gone. It exceeds fleet.LeaseOver, so that the
-	// order can no longer arrive.
+	// lostOrderTimeout is how long an order stays pending if the state of its living engine
+	// does not show it, or if its engine does not answer. It exceeds fleet.TakeoverDelay:
+	// the order can no longer arrive after it.
 	lostOrderTimeout = 15 * time.Second
-	// weight store: see fleet.Bucket
-	storeBurst = 2
+	// Size in tokens and interval of the fleet.Bucket for the weight store.
+	storeBurst    = 2
 	storeInterval = 30 * time.Second
 )
 
-// Engines reaches engines by address. *engine.Client does.
+// Engines sends requests to engines by address. *engine.Client implements it.
 type Engines interface {
 	Order(ctx context.Context, addr string, o engine.Order) (engine.State, error)
 	State(ctx context.Context, addr string) (engine.State, error)
 }
 
-// Backend is an engine of the settings or the platform's list.
+// Backend is an engine from the settings or from the platform's list.
 type Backend struct {
 	fleet.Engine
 	Addr string
 }
 
-// Deps are what a Leader uses.
+// Deps are the dependencies of a Leader.
 type Deps struct {
-	Name     string // of this VM's incarnation
+	Name     string // VM and incarnation
 	Control  control.Client
 	Engines  Engines
 	IsLeader func() bool
 	Backends func() []Backend
-	Orders   func() []fleet.Order // under way, as committed
-	Served   func() *fleet.View   // as committed; may be nil
+	Orders   func() []fleet.Order // pending orders, as committed
+	Served   func() *fleet.View   // what engines serve, as committed; may return nil
 	Metrics  *expvar.Map
 	Log      zerolog.Logger
 }
 
-// Leader gives orders while its VM leads the control group.
+// Leader sends orders while its VM leads the control group.
 type Leader struct {
 	Deps
-	planner *fleet.Planner
-	fence   uint64
-	fenceSince     time.Time            // since when the fencing number is ours
-	pendingSince map[string]time.Time // orders under way, since when seen, by engine
-	seen    map[string]engineState
-	lastRead   map[string]time.Time // of the last read, by engine
-	readInterval   time.Duration        // between reads of an engine
-	wants   []fleet.Want
+	planner      *fleet.Planner
+	fence        uint64
+	fenceSince   time.Time            // when this VM got the fencing number
+	pendingSince map[string]time.Time // by engine: when its pending order was first seen
+	seen         map[string]engineState
+	lastRead     map[string]time.Time // by engine: when the last read of its state began
+	readInterval time.Duration        // between two reads of an engine
+	wants        []fleet.Want
 }
 
-// sight is an engine's last answer.
+// engineState is the last state that an engine has reported.
 type engineState struct {
-	readAt     time.Time
+	readAt time.Time
 	copies []fleet.Copy
 }
 
-// NewLeader returns a Leader for the wanted copies.
+// NewLeader returns a Leader that keeps the wanted copies loaded.
 func NewLeader(d Deps, wants []fleet.Want) *Leader {
 	return &Leader{Deps: d, wants: wants, seen: map[string]engineState{}, lastRead: map[string]time.Time{}, pendingSince: map[string]time.Time{}}
 }
 
-// Run works until ctx ends.
+// Run runs a round each roundInterval until ctx ends.
 func (l *Leader) Run(ctx context.Context) {
 	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
@@ -99,7 +100,8 @@
 	}
 }
 
-// round is one pass of a leader; on any other VM it forgets what it knew.
+// round ends and sends orders if this VM leads the control group. On any other VM it only
+// discards the fencing number.
 func (l *Leader) round(ctx context.Context) {
 	if !l.IsLeader() {
 		l.fence = 0
@@ -121,8 +123,8 @@
 	}
 }
 
-// lead gets a fencing number of its own. What was planned under an earlier one
-// is forgotten: somebody else may have acted since.
+// acquireFence gets a new fencing number for this VM. It discards the plans made under an
+// earlier number, because another leader may have sent orders since.
 func (l *Leader) acquireFence(ctx context.Context) bool {
 	r, err := l.propose(ctx, &fleet.Command{Lead: &fleet.Lead{Leader: l.Name}})
 	if err != nil || !r.OK {
@@ -131,7 +133,7 @@
 	l.fence, l.fenceSince = r.Fence, time.Now()
 	l.planner = fleet.NewPlanner(fleet.NewBucket(storeBurst, storeInterval))
 	l.pendingSince = map[string]time.Time{}
-	l.Log.Info().Uint64("fence", l.fence).Msg("orders engines from now on")
+	l.Log.Info().Uint64("fence", l.fence).Msg("fencing number acquired; this VM sends orders to engines")
 	return true
 }
 
@@ -140,13 +142,14 @@
 	defer cancel()
 	r, err := control.Propose[fleet.Reply](ctx, l.Control, control.FleetStateMachine, cmd)
 	if err == nil && r.Fence != l.fence && cmd.Lead == nil {
-		l.fence = 0 // another leads
+		l.fence = 0 // another VM has acquired a newer number
 	}
 	return r, err
 }
 
-// confirm ends the orders that the engines' states decide, records what changed
-// without an order, and returns the engines that are still busy.
+// confirm ends the orders whose outcome the engines' states show and those that have
+// expired, and records changes without an order. It returns the engines with a pending order
+// and the model of each order.
 func (l *Leader) confirm(ctx context.Context, backends []Backend) map[string]string {
 	busy := map[string]string{}
 	for _, o := range l.Orders() {
@@ -154,8 +157,8 @@
 			l.pendingSince[o.Engine] = time.Now()
 		}
 		e := l.seen[o.Engine]
-		done, over := o.Done(e.copies), l.expired(&o, &e)
-		if !done && !over || time.Since(e.readAt) > stateTimeout && !over {
+		done, expired := o.Done(e.copies), l.expired(&o, &e)
+		if !done && !expired || time.Since(e.readAt) > stateTimeout && !expired {
 			busy[o.Engine] = o.Model
 			continue
 		}
@@ -178,27 +181,28 @@
 	return busy
 }
 
-// revoke makes a living engine refuse an order that it has not carried out, before
-// another engine gets it. An engine knows only the numbers that it has seen: one
-// that was never ordered since would take the late order of a deposed leader.
-// Unloading what is not loaded changes nothing but that number.
+// revoke makes a living engine refuse an order that it has not carried out, before another
+// engine gets the order. An engine knows only the fencing numbers that it has seen: without
+// an order with a higher number it would accept the delayed order of a deposed leader. For
+// that, revoke sends an order to unload a model that is not loaded, which changes only the
+// number that the engine knows. It reports whether the engine can no longer accept the order.
 func (l *Leader) revoke(ctx context.Context, o *fleet.Order, e *engineState, backends []Backend) bool {
 	if time.Since(e.readAt) > lostOrderTimeout {
-		return true // it has died, and its queue with it
+		return true // the engine has died and its queue is lost
 	}
 	if o.Fence >= l.fence && !l.raiseFence(ctx) {
 		return false
 	}
 	for _, b := range backends {
 		if b.Name == o.Engine {
-			again := fleet.Order{Op: fleet.Unload, Model: o.Model, Version: o.Version, Fence: l.fence}
-			return l.send(ctx, b.Addr, &again, time.Now()) == nil
+			unload := fleet.Order{Op: fleet.Unload, Model: o.Model, Version: o.Version, Fence: l.fence}
+			return l.send(ctx, b.Addr, &unload, time.Now()) == nil
 		}
 	}
 	return true // no longer listed
 }
 
-// raise gets a higher number for the same leader.
+// raiseFence gets a higher fencing number for this leader and keeps its plans.
 func (l *Leader) raiseFence(ctx context.Context) bool {
 	r, err := l.propose(ctx, &fleet.Command{Lead: &fleet.Lead{Leader: l.Name}})
 	if err != nil || !r.OK {
@@ -208,7 +212,8 @@
 	return true
 }
 
-// over reports whether an order can no longer be carried out.
+// expired reports whether an order has been pending for too long: ConfirmTimeout while the
+// engine shows that it loads the model, else lostOrderTimeout.
 func (l *Leader) expired(o *fleet.Order, e *engineState) bool {
 	waited := time.Since(l.pendingSince[o.Engine])
 	loading := false
@@ -221,22 +226,22 @@
 	return waited >= lostOrderTimeout
 }
 
-// record commits what living engines serve where that differs from what is
-// committed, so that routers learn of it.
+// record commits the copies of living engines without a pending order if they differ from
+// the committed ones. Routers learn of them by the commit.
 func (l *Leader) record(ctx context.Context, backends []Backend, busy map[string]string) {
 	for _, b := range backends {
 		e, ok := l.seen[b.Name]
-		_, ordered := busy[b.Name]
-		if !ok || ordered || l.fence == 0 || time.Since(e.readAt) > stateTimeout || l.Served().Same(b.Name, e.copies) {
+		_, pending := busy[b.Name]
+		if !ok || pending || l.fence == 0 || time.Since(e.readAt) > stateTimeout || l.Served().Same(b.Name, e.copies) {
 			continue
 		}
 		_, _ = l.propose(ctx, &fleet.Command{Record: &fleet.Record{Fence: l.fence, Engine: b.Name, Copies: e.copies}})
 	}
 }
 
-// give commits an order and sends it once. Its outcome is read from the
-// engine's state, also where the answer comes: an answer may be late, and one
-// that is lost must not be taken for a refusal.
+// issue commits an order and sends it once. The outcome is always read from the engine's
+// state, even if an answer arrives: an answer may be late, and a lost answer must not be
+// taken for a refusal.
 func (l *Leader) issue(ctx context.Context, o fleet.Order, backends []Backend) {
 	var b *Backend
 	for i := range backends {
@@ -256,12 +261,12 @@
 	l.pendingSince[o.Engine] = began
 	l.Metrics.Add("orders_given", 1)
 	if err := l.send(ctx, b.Addr, &o, began); err != nil {
-		l.Log.Warn().Err(err).Str("engine", o.Engine).Msg("order without an answer")
+		l.Log.Warn().Err(err).Str("engine", o.Engine).Msg("no answer to an order; its outcome will be read from the engine's state")
 	}
 }
 
-// send stops at the end of the order's window: a leader that was paused since
-// its commit may have been followed by another.
+// send sends an order within its SendWindow. A leader that was paused after the commit may
+// have been deposed by then.
 func (l *Leader) send(ctx context.Context, addr string, o *fleet.Order, began time.Time) error {
 	left := fleet.SendWindow - time.Since(began)
 	if left <= 0 {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -22,20 +22,20 @@
 
 var errNet = errors.New("no answer")
 
-// world is four stand-in engines, of which two hold model a and two b, and any
-// number of VMs that believe that they lead.
+// testSystem has four stand-in engines, of which two hold model a and two hold model b. Any
+// number of VMs may assume that they lead the control group.
 type testSystem struct {
 	t       *testing.T
 	fences  bool
 	engines map[string]*standin.Engine
-	state *control.ReplicatedState
-	sm    *fleet.Part
+	state   *control.ReplicatedState
+	sm      *fleet.Part
 
-	mu      sync.Mutex
-	accepted   []uint64                 // fencing numbers of the orders that engines took, in order
-	loseAnswers    bool                     // answers of orders are lost
-	delays   map[uint64]time.Duration // an order's way to the engine, by fencing number
-	refused int
+	mu          sync.Mutex
+	accepted    []uint64                 // fencing numbers of the orders that engines accepted, in order
+	loseAnswers bool                     // answers to orders are lost
+	delays      map[uint64]time.Duration // delay of an order to the engine, by fencing number
+	refused     int
 }
 
 func newTestSystem(t *testing.T, fences bool) *testSystem {
@@ -55,14 +55,14 @@
 	}
 }
 
-// Order implements orders.Engines. A paused order has passed its sender's last
-// check: it arrives whatever has happened since.
+// Order implements orders.Engines. A delayed order has passed its sender's last check and
+// always arrives, also after its sender was deposed.
 func (w *testSystem) Order(ctx context.Context, addr string, o engine.Order) (engine.State, error) {
 	w.mu.Lock()
-	pause, lose := w.delays[o.Fence], w.loseAnswers
+	delay, lose := w.delays[o.Fence], w.loseAnswers
 	delete(w.delays, o.Fence)
 	w.mu.Unlock()
-	time.Sleep(pause)
+	time.Sleep(delay)
 	s, err := w.engines[addr].Order(o)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -128,9 +128,9 @@
 
 func always() bool { return true }
 
-// One engine of two with model a dies. Twenty seconds later, not sooner, an
-// engine of the other model gets an order to load it; its answer is lost, and
-// the engine's own state shows the outcome. No second order is given.
+// One of the two engines with model a dies. Twenty seconds later, not sooner, an engine with
+// model b gets an order to load model a. The answer is lost, and the engine's own state shows
+// the outcome. A lost answer must not cause a second order.
 func TestLostCopyIsLoadedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestSystem(t, true)
@@ -143,19 +143,19 @@
 		w.engines["e0"].Kill()
 		time.Sleep(18 * time.Second)
 		if len(w.acceptedFences()) != 0 {
-			t.Error("repaired before the engine could be back")
+			t.Error("an engine got an order 18 s after the death, want none before 20 s")
 		}
 		time.Sleep(20 * time.Second)
 		if len(w.acceptedFences()) != 1 || w.served("a") < 2 || len(read(w, w.sm.Orders)) != 0 {
-			t.Errorf("%d orders taken, model a served by %d, under way %v", len(w.acceptedFences()), w.served("a"), read(w, w.sm.Orders))
+			t.Errorf("got %d orders accepted, model a served by %d engines, pending orders %v; want model a served by 2 and none pending", len(w.acceptedFences()), w.served("a"), read(w, w.sm.Orders))
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// The engine that was to take the copy dies while it loads. The order ends, and
-// the other engine gets one.
+// The engine that loads the lost copy dies during the load. Its order must not stay pending:
+// it ends, and the other engine gets one.
 func TestEngineDiesDuringTheLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestSystem(t, true)
@@ -171,17 +171,17 @@
 		w.engines[read(w, w.sm.Orders)[0].Engine].Kill()
 		time.Sleep(2 * time.Minute)
 		if len(w.acceptedFences()) < 2 || len(read(w, w.sm.Orders)) != 0 || w.served("a") < 2 {
-			t.Errorf("%d orders taken, model a served by %d, under way %v", len(w.acceptedFences()), w.served("a"), read(w, w.sm.Orders))
+			t.Errorf("got %d orders accepted, model a served by %d engines, pending orders %v; want model a served by 2 and none pending", len(w.acceptedFences()), w.served("a"), read(w, w.sm.Orders))
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// A leader commits an order and its order is held up on the way, beyond its
-// deposition. The next leader gets a number of its own. An engine that fences
-// refuses the late order. One that does not was given no order by the next
-// leader before the late one had to be over, so that the newest always wins.
+// A leader commits an order, and the order is delayed on the network until after the leader
+// was deposed. The next leader gets a new fencing number. An engine that checks fencing
+// numbers refuses the delayed order. An engine that ignores them gets no order from the next
+// leader before the delayed one can no longer arrive. The newest order wins in both cases.
 func TestDeposedLeadersLateOrder(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprint("fences=", fences), func(t *testing.T) {
@@ -204,8 +204,8 @@
 			return first == one
 		}
 	}
-	// Fencing number 1 is the first leader's. No wait can outlast every pause: an
-	// engine that ignores the number is safe against what a deadline ends.
+	// Fencing number 1 is the first leader's. No maximum wait exceeds every possible delay:
+	// an engine that ignores the number is safe only from delays that a deadline bounds.
 	w.delays[1] = 3 * time.Second
 	if fences {
 		w.delays[1] = time.Minute
@@ -225,20 +225,21 @@
 	defer w.mu.Unlock()
 	for i := 1; i < len(w.accepted); i++ {
 		if w.accepted[i] < w.accepted[i-1] {
-			t.Errorf("an order under %d was taken after one under %d", w.accepted[i], w.accepted[i-1])
+			t.Errorf("an order with fencing number %d was accepted after one with %d", w.accepted[i], w.accepted[i-1])
 		}
 	}
 	if fences && w.refused == 0 {
-		t.Error("the late order was not refused")
+		t.Error("the delayed order was not refused")
 	}
 	if len(w.accepted) == 0 || w.served("a") < 2 {
-		t.Errorf("orders taken %v, model a served by %d", w.accepted, w.served("a"))
+		t.Errorf("got orders %v accepted and model a served by %d engines, want at least 1 order and 2 engines", w.accepted, w.served("a"))
 	}
 	cancel()
 }
 
-// Two VMs believe that they lead at once, over and over: each committed order is
-// under the newest number, and no engine has two under way.
+// Two VMs assume at the same time that they lead, again and again. Each committed order has
+// the newest fencing number, and no engine has two pending orders. One lost copy must not
+// cause many orders.
 func TestTwoLeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestSystem(t, true)
@@ -253,7 +254,7 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if len(w.accepted) > 2 {
-			t.Errorf("orders under %v were taken", w.accepted)
+			t.Errorf("got orders with fencing numbers %v accepted, want at most 2 orders", w.accepted)
 		}
 		cancel()
 	})
--- a/internal/orders/reads.go
+++ b/internal/orders/reads.go
@@ -8,14 +8,15 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/fleet"
 )
 
+// plannerView returns the backend with its last known state, as the planner needs it.
 func (l *Leader) plannerView(b Backend) fleet.Engine {
 	e, s := b.Engine, l.seen[b.Name]
 	e.Lost, e.Copies = time.Since(s.readAt) > maxMissedReads*l.readInterval, s.copies
 	return e
 }
 
-// due are the engines to read in this round: those with an order under way, and
-// the others in turn.
+// due returns the engines to read in this round: those with a pending order, and as many of
+// the others as the budget allows, in turn. It notes the read of each.
 func (l *Leader) due(backends []Backend) []Backend {
 	busy := map[string]bool{}
 	for _, o := range l.Orders() {
@@ -25,7 +26,8 @@
 	left := max(1, int(readBytesPerSecond*roundInterval/time.Second)/stateBytes)
 	var out []Backend
 	for _, b := range backends {
-		// Half a round early: a read that has to wait for the next round is late.
+		// A read is due half a round early, because it would be late if it waited for the
+		// next round.
 		if busy[b.Name] || left > 0 && now.Sub(l.lastRead[b.Name]) >= l.readInterval-roundInterval/2 {
 			l.lastRead[b.Name] = now
 			left--
@@ -35,14 +37,14 @@
 	return out
 }
 
-// look reads the engines' states, a bounded number at once.
+// readStates reads the engines' states, at most maxConcurrentReads at once.
 func (l *Leader) readStates(ctx context.Context, backends []Backend) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var reads sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentReads)
 	for _, b := range backends {
 		slots <- struct{}{}
-		all.Go(func() {
+		reads.Go(func() {
 			defer func() { <-slots }()
 			copies, err := l.read(ctx, b.Addr)
 			if err != nil {
@@ -53,7 +55,7 @@
 			l.seen[b.Name] = engineState{time.Now(), copies}
 		})
 	}
-	all.Wait()
+	reads.Wait()
 }
 
 func (l *Leader) read(ctx context.Context, addr string) ([]fleet.Copy, error) {
