--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -15,7 +15,7 @@
 func (w *nullWriter) WriteHeader(int)             {}
 func (w *nullWriter) Flush()                      {}
 
-// One event of one token to one caller.
+// Measures one event with one token to one caller.
 func BenchmarkSSERelay(b *testing.B) {
 	w := &nullWriter{http.Header{}}
 	s := &stream{w: w, flush: http.NewResponseController(w), key: "5f0c4e7a-diag"}
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -16,7 +16,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/telemetry"
 )
 
-// Limits of one request.
+// Bounds of the fields of a request.
 const (
 	maxTokensLimit  = 1 << 20
 	deadlineLimitMS = 24 * 60 * 60 * 1000
@@ -46,8 +46,9 @@
 	}
 }
 
-// traced returns the request's context within the caller's trace, or within one
-// of the request's own that all its connections share.
+// traceContext returns the request's context with the caller's trace. Without a trace of the
+// caller it uses one derived from the request's key, which all connections of the request
+// share.
 func traceContext(r *http.Request, key string) context.Context {
 	if parent := r.Header.Get("Traceparent"); parent != "" {
 		return telemetry.Extract(r.Context(), parent)
@@ -55,7 +56,7 @@
 	return telemetry.ForRequest(r.Context(), r.Header.Get("Authorization")+"/"+key)
 }
 
-// serveCompletion returns an error only while the answer has not begun.
+// serveCompletion returns an error only if nothing of the answer has been written.
 func (g *Gateway) serveCompletion(ctx context.Context, w http.ResponseWriter, r *http.Request, key string) error {
 	if !ValidKey(key) {
 		return result.New(result.InvalidKey)
@@ -80,14 +81,14 @@
 	return g.answerStream(ctx, w, key, reader, last)
 }
 
-// open reads the body and opens the generation. The bodies under way are
-// bounded: admission counts a request's bytes only once they have been read.
+// open reads the body and opens the generation. The bodies that are being read are bounded
+// here, because admission counts a request's bytes only once they have been read.
 func (g *Gateway) open(ctx context.Context, w http.ResponseWriter, r *http.Request, caller Caller, key string, resuming bool) (*relay.Reader, bool, error) {
-	leave, ok := g.opening.Enter(g.maxBodyBytes(r))
+	release, ok := g.opening.Enter(g.maxBodyBytes(r))
 	if !ok {
 		return nil, false, result.New(result.QueueFull).WithRetryAfter(fullRetryAfter)
 	}
-	defer leave()
+	defer release()
 	body, err := readCompletion(http.MaxBytesReader(w, r.Body, g.cfg.MaxBodyBytes))
 	if err != nil {
 		return nil, false, err
@@ -198,8 +199,8 @@
 	return json.NewEncoder(w).Encode(&answer)
 }
 
-// firstWait is how long the status line waits for a first token: an error that
-// shows by then is a plain HTTP error, later ones are events.
+// maxFirstTokenWait is how long the HTTP status waits for the first token. An error until
+// then is answered as an HTTP error, a later one as an event.
 const maxFirstTokenWait = 1 * time.Second
 
 func (g *Gateway) answerStream(ctx context.Context, w http.ResponseWriter, key string, reader *relay.Reader, last *EventID) error {
@@ -214,7 +215,7 @@
 		cancel()
 		switch {
 		case ctx.Err() != nil:
-			return nil // the caller is gone; the answer is kept for its return
+			return nil // the caller disconnected; the answer is kept for a reconnect
 		case errors.Is(err, context.DeadlineExceeded):
 			err = s.heartbeat()
 		case err == nil:
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -12,10 +12,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result/resulthttp"
 )
 
-// Entrances names the addresses that callers should use.
+// Endpoints chooses the addresses that callers should use.
 type Entrances interface {
-	// Entry returns addresses in order of use, and the version of the list that
-	// they come from.
+	// Entry returns addresses in order of preference, and the version of the list of VMs
+	// that they were chosen from.
 	Entry(q membership.EntryQuery) (addresses []string, version uint64)
 }
 
@@ -37,13 +37,13 @@
 		out := entryAnswer{TTLMS: ttl.Milliseconds()}
 		out.Addresses, out.Version = e.Entry(q)
 		w.Header().Set("Content-Type", "application/json")
-		// A caller that hangs up now asks again.
+		// A caller that disconnects now sends its request again.
 		_ = json.NewEncoder(w).Encode(out)
 	}).Methods(http.MethodGet)
 }
 
-// callerName tells the callers of a workspace apart: by ?caller= where many
-// share a host, else by host.
+// callerName returns a name that distinguishes the callers of a workspace: the parameter
+// caller, for callers that share a host, or else the host.
 func callerName(r *http.Request) string {
 	if name := r.URL.Query().Get("caller"); name != "" {
 		return name
--- a/internal/gateway/eventid.go
+++ b/internal/gateway/eventid.go
@@ -8,20 +8,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// EventID is the id of a streamed event: the request, the index of its last
-// token from 1, and the digest of the tokens up to it.
+// EventID is the id of a streamed event: the key of the request, the index of the event's
+// last token counted from 1, and the digest of all tokens up to it.
 type EventID struct {
 	Request string
 	Index   int
 	Digest  uint64
 }
 
-// String gives the wire form.
+// String returns the wire form.
 func (e EventID) String() string {
 	return fmt.Sprintf("%s/%d/%016x", e.Request, e.Index, e.Digest)
 }
 
-// ParseEventID reads the wire form; any other text is BadLastEventID.
+// ParseEventID parses the wire form. The error for any other text is BadLastEventID.
 func ParseEventID(s string) (EventID, error) {
 	bad := result.New(result.BadLastEventID)
 	parts := strings.Split(s, "/")
@@ -41,8 +41,9 @@
 
 const maxKeyLength = 128
 
-// ValidKey reports whether s may be an Idempotency-Key: it goes into event ids,
-// journal names and logs, so it holds no slash, space or control character.
+// ValidKey reports whether s may be an Idempotency-Key. The key becomes part of event ids,
+// journal names and log lines and therefore must not contain a slash, a space or a control
+// character.
 func ValidKey(s string) bool {
 	if s == "" || len(s) > maxKeyLength {
 		return false
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Whatever a caller sends as Last-Event-ID is refused or read back as it was.
+// A caller may send any bytes as Last-Event-ID. They are refused, or parsed into an id whose
+// wire form parses into the same id.
 func FuzzParseEventID(f *testing.F) {
 	f.Add("diag-1/3/00000000000000ff")
 	f.Add("a/99999999999999999999/0123456789abcdef")
@@ -14,7 +15,7 @@
 		}
 		again, err := ParseEventID(id.String())
 		if err != nil || again != id {
-			t.Fatalf("%q: %+v, then %+v, %v", s, id, again, err)
+			t.Fatalf("%q: parsed as %+v, want the same from its wire form, got %+v, %v", s, id, again, err)
 		}
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,29 +20,30 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/telemetry"
 )
 
-// Generations opens answers. *relay.Hub does.
+// Generations opens generations for reading, new ones and, with resuming, existing ones.
+// *relay.Hub implements it.
 type Generations interface {
 	Open(ctx context.Context, req generation.Request, resuming bool) (*relay.Reader, error)
 }
 
-// Plans gives the lists in force.
+// Plans provides the lists in force.
 type Plans interface {
-	// Directory returns the lists, or an error once they may be out of date.
+	// Directory returns the lists, or an error if they may be out of date.
 	Directory() (*plan.Directory, error)
 }
 
-// Models tells which models exist.
+// Models reports which models exist.
 type Models interface {
 	HasModel(model string) bool
 }
 
-// Config are a Gateway's settings.
+// Config holds the settings of a Gateway.
 type Config struct {
 	MaxBodyBytes int64
-	Heartbeat    time.Duration // between comments while no token comes
+	Heartbeat    time.Duration // interval of comments while there is no new token
 
-	// Leaving is closed once this VM hands its streams over: callers are told to
-	// reconnect, at the end of an event. Nil: never.
+	// Draining is closed once this VM hands over its streams. Each stream then ends after
+	// its current event with a comment that asks the caller to reconnect. Nil: never.
 	Leaving <-chan struct{}
 }
 
@@ -73,7 +74,7 @@
 	})
 }
 
-// Caller is an authenticated workspace with what its plan may use.
+// Caller is an authenticated workspace with the allowance of its plan.
 type Caller struct {
 	Customer  plan.Customer
 	Allowance plan.Allowance
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -35,8 +35,8 @@
 	someWork = `{"model":"m","prompt":"unit 7","max_tokens":40,"stream":true}`
 )
 
-// pipes is a listener whose connections have no buffers: a caller that does not
-// read blocks its writer at once.
+// pipeListener is a listener whose connections have no buffers. A caller that does not read
+// blocks its writer at once.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -54,18 +54,18 @@
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
-	here, there := net.Pipe()
-	p.conns <- there
-	return here, nil
+	client, server := net.Pipe()
+	p.conns <- server
+	return client, nil
 }
 
-// one VM before one engine, over HTTP, in virtual time.
+// vm is one VM with one engine, served over HTTP in virtual time.
 type vm struct {
-	t      *testing.T
-	listener  *pipeListener
-	http   *http.Client
-	engine *standin.Engine
-	list   *plan.Directory
+	t        *testing.T
+	listener *pipeListener
+	http     *http.Client
+	engine   *standin.Engine
+	list     *plan.Directory
 }
 
 func (v *vm) Views() []generation.Membership {
@@ -133,7 +133,7 @@
 	return resp
 }
 
-// events reads a streamed answer: the ids in order and the tokens.
+// events reads a streamed answer and returns the event ids in order and the tokens.
 func (v *vm) events(resp *http.Response) (ids []string, tokens []int32) {
 	v.t.Helper()
 	defer resp.Body.Close()
@@ -162,14 +162,14 @@
 	return ids, tokens
 }
 
-// A caller sends something wrong beside a good request of its own or another
-// workspace's. Each mistake has its own code, none says whether a foreign
-// request exists, and the good answer is still whole after all of them.
+// A caller sends invalid requests while a valid answer of its own or of another workspace
+// exists. Each mistake gets its own code, no code reveals whether a request of another
+// workspace exists, and the valid answer is still complete afterwards.
 func TestEachMistakeHasItsCode(t *testing.T) {
 	inBubble(t, func(v *vm) {
 		ids, answer := v.events(v.post(coopKey, "good", "", someWork))
 		if len(answer) != 40 || len(ids) < 10 {
-			t.Fatalf("%d tokens in %d events", len(answer), len(ids))
+			t.Fatalf("got %d tokens in %d events, want 40 in at least 10", len(answer), len(ids))
 		}
 		mid := ids[5]
 		for _, c := range []struct {
@@ -203,27 +203,27 @@
 			resp := v.post(c.key, c.idem, c.last, c.body)
 			var got result.Error
 			if err := json.NewDecoder(resp.Body).Decode(&got); err != nil {
-				t.Errorf("%s: status %d without a coded error", c.name, resp.StatusCode)
+				t.Errorf("%s: got status %d without a coded error", c.name, resp.StatusCode)
 			}
 			_ = resp.Body.Close()
 			if got.Code != c.want || resp.StatusCode != result.Lookup(c.want).Status || got.Ran != result.RanNo {
-				t.Errorf("%s: code %d, status %d, ran %s; want code %d", c.name, got.Code, resp.StatusCode, got.Ran, c.want)
+				t.Errorf("%s: got code %d, status %d, ran %s; want code %d", c.name, got.Code, resp.StatusCode, got.Ran, c.want)
 			}
 		}
 		_, rest := v.events(v.post(coopKey, "good", mid, someWork))
 		if fmt.Sprint(rest) != fmt.Sprint(answer[len(answer)-len(rest):]) || len(rest) == 0 {
-			t.Error("the good answer's rest differs after the mistakes")
+			t.Error("the rest of the valid answer differs after the invalid requests")
 		}
 		if starts := v.engine.Stats().Starts; starts != 1 {
-			t.Errorf("%d attempts, want 1", starts)
+			t.Errorf("got %d attempts, want 1", starts)
 		}
 	})
 }
 
-// One caller stops reading in mid-stream. Nobody else waits for it: another
-// caller of the same answer and one of another answer get theirs at the engine's
-// pace. The slow connection is closed after its write deadline, and the caller
-// that comes back gets the rest.
+// A caller stops reading in the middle of a stream and must not delay others: another caller
+// of the same answer and one of another answer get theirs at the engine's speed. The slow
+// connection is closed after its write deadline, and the caller gets the rest when it
+// reconnects.
 func TestSlowReaderHoldsNobodyUp(t *testing.T) {
 	inBubble(t, func(v *vm) {
 		long := strings.Replace(someWork, `"max_tokens":40`, `"max_tokens":2000`, 1)
@@ -235,17 +235,17 @@
 		began := time.Now()
 		_, beside := v.events(v.post(coopKey, "beside", "", someWork))
 		if took := time.Since(began); len(beside) != 40 || took > time.Second {
-			t.Errorf("the answer beside the slow reader: %d tokens in %v", len(beside), took)
+			t.Errorf("got %d tokens in %v of another answer beside the slow reader, want 40 within 1s", len(beside), took)
 		}
 		_, same := v.events(v.post(coopKey, "long", "", long))
 		want := engine.Completion{Model: "m", Prompt: "unit 7", MaxTokens: 2000}
 		if err := standin.Verify(want, "1", same, true); err != nil {
-			t.Errorf("the quick reader of the same answer: %v", err)
+			t.Errorf("the fast reader of the same answer: %v", err)
 		}
 		time.Sleep(time.Minute) // virtual: the write deadline passes
 		tail, err := io.ReadAll(slow.Body)
 		if err == nil || len(tail) > 1<<16 {
-			t.Errorf("the slow connection: %d bytes more, error %v", len(tail), err)
+			t.Errorf("the slow connection got %d more bytes and error %v, want an error and at most 65536 bytes", len(tail), err)
 		}
 		text := string(head)
 		last := text[strings.LastIndex(text[:strings.LastIndex(text, "\n\n")], "id: ")+4:]
@@ -254,7 +254,7 @@
 		_, _ = fmt.Sscanf(last, "long/%d/", &index)
 		_, rest := v.events(v.post(coopKey, "long", last, long))
 		if fmt.Sprint(rest) != fmt.Sprint(same[index:]) {
-			t.Errorf("the slow caller got %d tokens behind %d", len(rest), index)
+			t.Errorf("the slow caller got %d tokens after index %d, want the rest of the answer", len(rest), index)
 		}
 	})
 }
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -2,12 +2,11 @@
 
 import "github.com/amaranthshelf/amaranthshelf/internal/admission"
 
-// Bounds of service calls in flight, and of generations being opened, on one
-// VM. A call is held for less than a second as a rule: 4,096 at once are some
-// thousand a second.
+// Bounds of the service calls in flight, and of the generations being opened, on one VM. A
+// call usually takes less than a second, so 4,096 at once allow some thousand calls a second.
 const (
 	maxCalls     = 4096
-	maxCallBytes = 256 << 20 // bodies; an answer is at most as large as MaxAnswerBytes
+	maxCallBytes = 256 << 20 // sum of request bodies; an answer has at most MaxAnswerBytes
 )
 
 func newInFlight() *admission.InFlight { return admission.NewInFlight(maxCalls, maxCallBytes) }
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -19,26 +19,26 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/telemetry"
 )
 
-// Calls runs calls of plain services. *service.Dispatcher does.
+// Calls runs calls of plain services. *service.Dispatcher implements it.
 type Calls interface {
 	Idempotent(service, method, path string) bool
 	Relay(ctx context.Context, c *service.Call) (*call.Answer, error)
 	Once(ctx context.Context, c *service.Call) (*call.Answer, error)
 }
 
-// CallQuota takes a call out of its plan before it runs.
+// CallQuota charges a call to its plan before the call runs.
 type CallQuota interface {
-	// ReserveCall refuses with a coded error; settle is told, once, whether the
-	// call used what was reserved.
+	// ReserveCall reserves quota for a call, or refuses with a coded error. settle must be
+	// called once and tells whether the call has used the reservation.
 	ReserveCall(ctx context.Context, c Caller, key string) (settle func(used bool), err error)
 }
 
-// services relays callers' calls to plain services.
+// services is the HTTP handler that relays calls to plain services.
 type services struct {
-	g     *Gateway
-	calls Calls
-	quota CallQuota // nil: calls are not counted
-	inFlight  *admission.InFlight
+	g        *Gateway
+	calls    Calls
+	quota    CallQuota // nil: calls are not counted
+	inFlight *admission.InFlight
 }
 
 // ServiceRoutes registers the paths of plain services. quota may be nil.
@@ -48,8 +48,8 @@
 }
 
 const (
-	servicesPath = "/v1/services/"
-	fullRetryAfter    = 1 * time.Second // calls end within a second as a rule
+	servicesPath   = "/v1/services/"
+	fullRetryAfter = 1 * time.Second // calls usually end within a second
 )
 
 // ServeHTTP relays one call.
@@ -86,11 +86,11 @@
 	if !idempotent && key == "" {
 		return nil, result.New(result.KeyRequired)
 	}
-	leave, ok := s.inFlight.Enter(s.g.maxBodyBytes(r))
+	release, ok := s.inFlight.Enter(s.g.maxBodyBytes(r))
 	if !ok {
 		return nil, result.New(result.QueueFull).WithRetryAfter(fullRetryAfter)
 	}
-	defer leave()
+	defer release()
 	body, err := resulthttp.ReadBody(w, r, s.g.cfg.MaxBodyBytes)
 	if err != nil {
 		return nil, err
@@ -105,8 +105,8 @@
 	return s.calls.Once(ctx, c)
 }
 
-// addressed returns the service and the escaped path that a call goes to, if the
-// caller's plan has the service.
+// callTarget returns the service and the escaped path of a call, if the caller's plan allows
+// the service.
 func callTarget(r *http.Request, caller *Caller) (name, path string, err error) {
 	name, path, ok := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), servicesPath), "/")
 	switch {
@@ -120,7 +120,7 @@
 	return name, "/" + path, nil
 }
 
-// bodyBound is the most that the body can take, in bytes.
+// maxBodyBytes returns an upper bound of the size of the request's body in bytes.
 func (g *Gateway) maxBodyBytes(r *http.Request) int64 {
 	if r.ContentLength < 0 || r.ContentLength > g.cfg.MaxBodyBytes {
 		return g.cfg.MaxBodyBytes
@@ -128,12 +128,12 @@
 	return r.ContentLength
 }
 
-// call makes the call without its address and body.
+// call returns the call without its service, path and body.
 func (s *services) call(ctx context.Context, caller *Caller, r *http.Request, id string) *service.Call {
 	c := &service.Call{Workspace: caller.Customer.Workspace, Key: id}
 	c.Request = service.Request{Method: r.Method, Header: relayedHeader(r.Header)}
-	// Two workspaces may use one key: a service that tells calls apart by their
-	// key needs the workspace as well.
+	// Two workspaces may use the same key. A service that deduplicates calls by their key
+	// needs the workspace as well.
 	c.Request.Header.Set("X-Workspace", c.Workspace)
 	c.Request.Header.Set("X-Request-Id", id)
 	c.Request.Header.Set("Traceparent", telemetry.Inject(ctx))
@@ -150,9 +150,9 @@
 	return path + "?" + query
 }
 
-// notRelayed are hop-by-hop headers (RFC 9110 section 7.6.1), those that this
-// system sets itself, the workspace's key, which no service may learn, and
-// Expect, which would make the first byte wait for an answer.
+// strippedHeaders are the request headers that are not relayed: hop-by-hop headers (RFC 9110
+// section 7.6.1), headers that this system sets itself, the workspace's key, which no service
+// may learn, and Expect, which would delay the body until the service has answered.
 var strippedHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Authorization", "Content-Length", "Host", "X-Workspace",
@@ -171,7 +171,7 @@
 	return out
 }
 
-// writeAnswer passes a service's answer on as it is, redirects and errors too.
+// writeAnswer writes a service's answer unchanged, including redirects and errors.
 func writeAnswer(w http.ResponseWriter, id string, a *call.Answer) {
 	for _, h := range a.Headers {
 		w.Header().Add(h.Name, h.Value)
@@ -181,6 +181,6 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
 	}
 	w.WriteHeader(a.Status)
-	// The status is out: a caller that hangs up now asks again with its key.
+	// The status has been sent. A caller that disconnects now repeats the call with its key.
 	_, _ = w.Write(a.Body)
 }
--- a/internal/gateway/services_test.go
+++ b/internal/gateway/services_test.go
@@ -20,7 +20,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/telemetry"
 )
 
-// recorder answers calls and keeps what reached it.
+// recorder answers calls and records them.
 type recorder struct {
 	hold chan struct{}
 
@@ -98,19 +98,20 @@
 		h.ServeHTTP(w, r)
 		coded := c.code == 0 || strings.Contains(w.Body.String(), fmt.Sprintf(`"code":%d,`, c.code))
 		if w.Code != c.want || !coded {
-			t.Errorf("%s %s: %d %s, want %d and code %d", c.method, c.path, w.Code, w.Body, c.want, c.code)
+			t.Errorf("%s %s: got %d %s, want %d and code %d", c.method, c.path, w.Code, w.Body, c.want, c.code)
 		}
 	}
 	if len(calls.once) != 1 || len(calls.relayed) != 1 {
-		t.Errorf("%d and %d calls went on, want 1 and 1", len(calls.once), len(calls.relayed))
+		t.Errorf("got %d calls of Once and %d of Relay, want 1 and 1", len(calls.once), len(calls.relayed))
 	}
 	if got := calls.relayed[0].Request.Path; got != "/parts?q=valve" {
-		t.Errorf("path %q", got)
+		t.Errorf("got path %q, want /parts?q=valve", got)
 	}
 }
 
-// The service learns the workspace from this system alone, and never its key;
-// headers of the connection stop here, those named by Connection too.
+// A caller must not be able to name another workspace to a service, and a service must not
+// learn the workspace's key. Hop-by-hop headers are not relayed, including those that the
+// header Connection names.
 func TestServiceGetsNoSecretAndNoHopByHopHeader(t *testing.T) {
 	calls, h := serveServices(t)
 	r := httptest.NewRequest("POST", "/v1/services/dispatch/a%2Fb", strings.NewReader("{}"))
@@ -123,7 +124,7 @@
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, r)
 	if w.Code != 307 || w.Header().Get("Location") != "/elsewhere" {
-		t.Errorf("the redirect came as %d to %q", w.Code, w.Header().Get("Location"))
+		t.Errorf("got status %d and Location %q, want 307 and /elsewhere", w.Code, w.Header().Get("Location"))
 	}
 	c := calls.once[0]
 	for name, want := range map[string]string{
@@ -131,16 +132,16 @@
 		"X-Workspace": "society", "X-Kept": "1", "Idempotency-Key": "k1",
 	} {
 		if got := c.Request.Header.Get(name); got != want {
-			t.Errorf("%s: %q, want %q", name, got, want)
+			t.Errorf("%s: got %q, want %q", name, got, want)
 		}
 	}
 	if c.Workspace != "society" || c.Request.Path != "/a%2Fb" {
-		t.Errorf("workspace %q, path %q", c.Workspace, c.Request.Path)
+		t.Errorf("got workspace %q and path %q, want society and /a%%2Fb", c.Workspace, c.Request.Path)
 	}
 }
 
-// A service hangs and its callers send on: calls above the bound are refused at
-// once, with a time to come back, and those that run end as usual.
+// A service hangs while its callers send more calls. Calls above the bound are refused at
+// once with a Retry-After header, and the calls in flight complete.
 func TestCallsInFlightAreBounded(t *testing.T) {
 	calls, h := serveServices(t)
 	hold := make(chan struct{})
@@ -165,9 +166,9 @@
 	}
 	running.Wait()
 	if got := refused.Load(); got != 5000-4096 {
-		t.Errorf("%d of 5000 refused", got)
+		t.Errorf("got %d of 5000 calls refused, want 904", got)
 	}
 	if w := post(); w.Code != 200 {
-		t.Errorf("after the load: %d", w.Code)
+		t.Errorf("got status %d after the load, want 200", w.Code)
 	}
 }
--- a/internal/gateway/sse.go
+++ b/internal/gateway/sse.go
@@ -14,17 +14,19 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// callerWriteTimeout ends a connection whose caller reads nothing: its answer
-// stays in the journal for a reconnect, so the connection need not be held.
+// callerWriteTimeout ends a connection whose caller does not read. The answer stays in the
+// journal for a reconnect, so the connection need not be held.
 const callerWriteTimeout = 30 * time.Second
 
+// stream writes an answer to one caller as Server-Sent Events. index and digest describe the
+// tokens that the caller holds.
 type stream struct {
-	w      http.ResponseWriter
-	flush  *http.ResponseController
-	key    string
-	index  int
-	digest uint64
-	headSent  bool
+	w        http.ResponseWriter
+	flush    *http.ResponseController
+	key      string
+	index    int
+	digest   uint64
+	headSent bool
 }
 
 type eventBody struct {
@@ -35,9 +37,9 @@
 	Usage    *generation.Usage `json:"usage,omitempty"`
 }
 
-var errWrite = errors.New("gateway: caller does not read")
+var errWrite = errors.New("gateway: event could not be written to the caller")
 
-// begin sends the headers before the first bytes.
+// sendHead sets the headers before the first bytes are written.
 func (s *stream) sendHead() {
 	if s.headSent {
 		return
@@ -48,8 +50,8 @@
 	h.Set("Cache-Control", "no-store")
 }
 
-// send writes a chunk as one event. A digest other than the caller's means that
-// the caller holds tokens of another answer: going on would splice the two.
+// send writes a chunk as one event. A digest other than the caller's means that the caller
+// holds tokens of another answer, and sending the chunk would mix the two answers.
 func (s *stream) send(c relay.Chunk) error {
 	if c.Span.From != s.index || c.Prefix != s.digest {
 		return result.New(result.PrefixMismatch)
@@ -94,17 +96,17 @@
 	return s.write(m)
 }
 
-// heartbeat writes a comment, so that the caller's own timeout of a few seconds
-// does not fire while an answer is resumed.
+// heartbeat writes a comment. It prevents that the caller's own timeout of a few seconds
+// fires while an answer is resumed.
 func (s *stream) heartbeat() error {
 	m := &sse.Message{}
 	m.AppendComment("waiting")
 	return s.write(m)
 }
 
-// reconnect tells the caller in a comment that its connection ends here while
-// its answer goes on elsewhere. The end of a stream without finish_reason means
-// the same to a caller that does not read comments.
+// reconnect writes a comment that asks the caller to reconnect, because its answer is resumed
+// on another VM. To a caller that does not read comments, the end of a stream without
+// finish_reason means the same.
 func (s *stream) reconnect() error {
 	m := &sse.Message{}
 	m.AppendComment("reconnect")
@@ -124,7 +126,8 @@
 	return nil
 }
 
-// fail reports err: as the HTTP answer before it has begun, as an event after.
+// fail reports err to the caller: as an HTTP answer if no bytes have been written, otherwise
+// as an event.
 func (s *stream) fail(err error) error {
 	if errors.Is(err, errWrite) {
 		return nil
@@ -135,7 +138,7 @@
 	e := *result.From(err)
 	e.RequestID = s.key
 	if s.index > 0 && e.Ran == result.RanNo {
-		e.Ran = result.RanYes // the caller holds tokens
+		e.Ran = result.RanYes // the caller has tokens of the answer
 	}
 	_ = s.event("", "error", &e)
 	return nil
