--- a/internal/operator/control.go
+++ b/internal/operator/control.go
@@ -9,12 +9,12 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/control"
 )
 
-// Group is the control group as operators see it.
+// Group provides operators with access to the control group.
 type Group interface {
-	// Members returns the group as its leader sees it.
+	// Members returns the state of the group's members as the leader knows it.
 	Members(ctx context.Context) (control.MemberStats, error)
-	// Remove takes the vote from a control VM that will not come back. It succeeds
-	// where the VM has none, so that a resend after a lost answer does too.
+	// Remove removes a control VM that will not come back from the voters. It succeeds for a
+	// VM that is not a voter, because an operator may resend it after a lost answer.
 	Remove(ctx context.Context, vm string) error
 }
 
@@ -35,6 +35,6 @@
 	if err := a.Group.Remove(ctx, vm); err != nil {
 		return err
 	}
-	a.Log.Info().Str("member", vm).Msg("control VM has no vote")
+	a.Log.Info().Str("member", vm).Msg("control VM removed from the voters")
 	return a.members(w, r)
 }
--- a/internal/operator/lists.go
+++ b/internal/operator/lists.go
@@ -13,7 +13,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// list is one of the two lists as the API serves it.
+// list describes one of the two lists that the API serves: its path, its commands, and how to
+// read a row from a request body. allowances is false for the list of plans.
 type list struct {
 	path        string
 	allowances  bool
@@ -21,19 +22,19 @@
 	read        func(w http.ResponseWriter, r *http.Request, c *plan.Command) error
 }
 
-// PlanAnswer is a row of the first list, with what the workspace has in use.
+// PlanAnswer is the answer with one row of the list of plans, and the usage of its workspace.
 type PlanAnswer struct {
 	plan.CustomerRow
 	Use plan.Usage `json:"use"`
 }
 
-// PlansAnswer is the first list.
+// PlansAnswer is the answer with the list of plans, one row for each workspace.
 type PlansAnswer struct {
 	Version uint64             `json:"version"` // of both lists
 	Plans   []plan.CustomerRow `json:"plans"`
 }
 
-// AllowancesAnswer is the second list.
+// AllowancesAnswer is the answer with the list of allowances, one row for each plan.
 type AllowancesAnswer struct {
 	Version    uint64              `json:"version"` // of both lists
 	Allowances []plan.AllowanceRow `json:"allowances"`
@@ -61,7 +62,8 @@
 	},
 }
 
-// named fills in a row's name from the path; another one in the body is refused.
+// setName sets the name of a row to that in the path. It refuses a different name in the
+// body.
 func setName(field *string, name, what string) error {
 	if *field != "" && *field != name {
 		return result.Newf(result.InvalidField, "%s in the body is %q, in the path %q", what, *field, name)
@@ -91,7 +93,7 @@
 	return writeJSON(w, http.StatusOK, PlansAnswer{answer.Version, orEmpty(answer.Customers)})
 }
 
-// orEmpty makes an absent list [] in JSON, not null.
+// orEmpty returns an empty list for nil, which JSON encodes as [] instead of null.
 func orEmpty[T any](rows []T) []T {
 	if rows == nil {
 		return []T{}
@@ -133,10 +135,11 @@
 	return answer, nil
 }
 
-// Written answers a change.
+// ChangeAnswer is the answer to a change of a row. InForce is true if the request waited until
+// the change was in force.
 type Written struct {
 	Name    string `json:"name"`
-	Version uint64 `json:"version"` // of the row, 0 once it is removed
+	Version uint64 `json:"version"` // of the row; 0: the row was removed
 	Lists   uint64 `json:"lists_version"`
 	InForce bool   `json:"in_force"`
 }
@@ -167,25 +170,26 @@
 	return a.answerChange(w, r, c, reply)
 }
 
-// who names the operator in the history: what he calls himself, and from where.
+// operatorName returns the name of the operator for the history: the header X-Operator, cut
+// to 64 bytes, and the host that the request came from.
 func operatorName(r *http.Request) string {
-	const longest = 64
+	const maxNameBytes = 64
 	name := cmp.Or(r.Header.Get("X-Operator"), "operator")
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		host = r.RemoteAddr
 	}
-	return name[:min(len(name), longest)] + "@" + host
+	return name[:min(len(name), maxNameBytes)] + "@" + host
 }
 
-// commit has the group decide. Without an answer nobody can tell whether the
-// change was made: the operator resends it with the same Idempotency-Key.
+// commit proposes a change to the control group. Without an answer it is unknown whether the
+// change was made, and the operator has to resend it with the same Idempotency-Key.
 func (a *API) commit(ctx context.Context, c plan.Command) (plan.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	reply, err := control.Propose[plan.Reply](ctx, a.Control, control.PlansStateMachine, c)
 	if err == nil || result.CodeOf(err) == result.ControlUnavail {
-		return reply, err // not executed, and will not be
+		return reply, err // the change was not executed and will not be
 	}
 	e := result.Newf(result.ControlUnavail, "no answer from the control group: %v; resend with the same Idempotency-Key", err)
 	return reply, e.WithRan(result.RanUnknown)
@@ -193,7 +197,7 @@
 
 func (a *API) answerChange(w http.ResponseWriter, r *http.Request, c plan.Command, reply plan.Reply) error {
 	a.Log.Info().Str("who", c.Who).Str("what", c.Action.String()).Str("name", c.Name).
-		Uint64("version", reply.Version).Msg("lists changed")
+		Uint64("version", reply.Version).Msg("row of a list changed")
 	out := Written{Name: c.Name, Version: reply.Version, Lists: reply.ListsVersion}
 	if err := a.waitInForce(r, reply.ListsVersion); err != nil {
 		return result.From(err).WithRan(result.RanYes)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator serves operators over HTTP: the two lists with
-// compare-and-swap, who applies which version, and what was decided for a
-// request. Any VM answers; changes go to the control group.
+// Package operator is the HTTP API for operators. It serves the two lists, whose rows change
+// by compare-and-swap, the version of the lists that each VM applies, and the decisions made
+// for a request. Every VM answers; changes are committed by the control group.
 package operator
 
 import (
@@ -26,51 +26,52 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result/resulthttp"
 )
 
-// Limits of one request.
+// Bounds of a request.
 const (
 	maxBodyBytes  = 256 << 10
-	commitTimeout = 8 * time.Second // covers a change of leader
+	commitTimeout = 8 * time.Second // long enough for a leader election
 	waitTimeout   = 60 * time.Second
 )
 
-// Lists reads the group's state as it was at the call or later.
+// Lists reads the lists from the control group's state. The state read is that at the time
+// of the call or a later one.
 type Lists interface {
 	Ask(ctx context.Context, q plan.Query) (plan.Answer, error)
 }
 
 // InForce waits until a version of the lists is in force.
 type InForce interface {
-	// Wait returns once every VM applies the version or a later one, or has let
-	// its freshness lease lapse.
+	// Wait returns once every VM applies the version or a later one, or its freshness lease
+	// has expired.
 	Wait(ctx context.Context, version uint64) error
 }
 
-// Deps are what the API works with.
+// Deps are the dependencies of an API.
 type Deps struct {
-	Token     string // empty: loopback callers only
+	Token     string // empty: only requests from loopback addresses are allowed
 	VM        string
 	Control   control.Client
 	Lists     Lists
 	InForce   InForce
 	Transport peer.Transport
-	VMs       func() []string // every VM of the system
+	VMs       func() []string // IDs of all VMs of the system
 	Self      func() VMStatus
 	Explain   *Explainer
 	Group     Group
 	Log       zerolog.Logger
 }
 
-// API is the operators' HTTP handler.
+// API handles the HTTP requests of operators.
 type API struct{ Deps }
 
-// New returns the API and registers its message handlers.
+// New returns an API and registers its message handler with the transport.
 func New(d Deps) *API {
 	a := &API{d}
 	d.Transport.Handle(peer.KindStatus, func(context.Context, string, []byte) (any, error) { return d.Self(), nil })
 	return a
 }
 
-// Routes registers the operators' paths.
+// Routes registers the paths for operators.
 func (a *API) Routes(r *mux.Router) {
 	handle := func(path string, h func(w http.ResponseWriter, r *http.Request) error, methods ...string) {
 		r.HandleFunc(path, a.authorized(h)).Methods(methods...)
@@ -107,8 +108,8 @@
 	}
 }
 
-// authorize compares the token in constant time: the time of a refusal must not
-// tell how many characters were right.
+// authorize compares the token in constant time. The time that a refusal takes must not
+// reveal how many characters of the token were right.
 func (a *API) authorize(r *http.Request) error {
 	if a.Token == "" && loopback(r.RemoteAddr) {
 		return nil
@@ -136,7 +137,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The status is out: whoever hangs up now loses only this text.
+	// The status has been sent. A client that disconnects now loses only the body.
 	_, _ = w.Write(append(data, '\n'))
 	return nil
 }
@@ -145,8 +146,8 @@
 
 var keyPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
-// precondition reads If-Match or If-None-Match. A change without either would
-// overwrite what another operator did a moment ago.
+// precondition reads If-Match or If-None-Match into the command. A change without either
+// could overwrite a concurrent change of another operator.
 func precondition(r *http.Request, c *plan.Command) error {
 	match, none := r.Header.Get("If-Match"), r.Header.Get("If-None-Match")
 	switch {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,8 +25,8 @@
 const token = "operators-token"
 
 type group struct {
-	state *control.ReplicatedState
-	ledger  *plan.Ledger
+	state  *control.ReplicatedState
+	ledger *plan.Ledger
 }
 
 func (g *group) Ask(_ context.Context, q plan.Query) (out plan.Answer, err error) {
@@ -49,13 +49,14 @@
 	dir     *plan.Directory
 }
 
-// newSystem is vm1 with its API before a group of one, and vm2 with a ring.
+// newSystem returns a system of vm1, whose API uses a control group of one member, and vm2,
+// which only answers messages.
 func newSystem(t *testing.T) *system {
 	t.Helper()
 	s := &system{net: peertest.New(1), rings: map[string]*explain.Ring{}}
-	book := plan.NewRegistry()
-	g := &group{state: control.NewReplicatedState(), ledger: plan.NewLedger(book, func(err error) { t.Error(err) })}
-	g.state.Register(control.PlansStateMachine, book)
+	registry := plan.NewRegistry()
+	g := &group{state: control.NewReplicatedState(), ledger: plan.NewLedger(registry, func(err error) { t.Error(err) })}
+	g.state.Register(control.PlansStateMachine, registry)
 	vms := func() []string { return []string{"vm1", "vm2"} }
 	explainers := map[string]*operator.Explainer{}
 	for _, vm := range vms() {
@@ -125,24 +126,24 @@
 		var coded result.Error
 		if w.Code >= 400 {
 			if err := json.Unmarshal(w.Body.Bytes(), &coded); err != nil {
-				t.Errorf("%s: %s", step.name, w.Body)
+				t.Errorf("%s: answer without a coded error: %s", step.name, w.Body)
 			}
 		}
 		if w.Code != step.status || coded.Code != step.code || w.Header().Get("ETag") != step.etag {
-			t.Errorf("%s: status %d, code %d, ETag %s: %s", step.name, w.Code, coded.Code, w.Header().Get("ETag"), w.Body)
+			t.Errorf("%s: got status %d, code %d, ETag %s: %s", step.name, w.Code, coded.Code, w.Header().Get("ETag"), w.Body)
 		}
 	}
 	if len(s.inForce.asked) != 1 || s.inForce.asked[0] != 2 {
-		t.Errorf("waited for %v, want version 2", s.inForce.asked)
+		t.Errorf("waited for versions %v, want only version 2", s.inForce.asked)
 	}
 	if w := s.do("GET", "/v1/plans/coop/history", ""); strings.Count(w.Body.String(), `"version"`) != 2 {
-		t.Errorf("history %s", w.Body)
+		t.Errorf("got history %s, want 2 changes", w.Body)
 	}
 }
 
-// The operator's change is committed, but the VM dies before it answers. The
-// client moves on to the next address and resends. The change is made once, and
-// the answer is the first one: not "exists already".
+// An operator's change is committed, but the VM dies before it answers. The client resends
+// the change to the next address. The change must be made only once, and the answer must be
+// that to the first send and not a version conflict.
 func TestResendOverAnotherVMIsMadeOnce(t *testing.T) {
 	s := newSystem(t)
 	dying := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -160,17 +161,17 @@
 	}
 	out, err := o.Do(t.Context(), client.Change{List: "allowances", Name: "gold", Row: row})
 	if err != nil || out.Version != 1 {
-		t.Fatalf("%+v, %v", out, err)
+		t.Fatalf("got %+v, %v, want version 1", out, err)
 	}
 	h, err := o.History(t.Context(), "allowances", "gold")
 	if err != nil || len(h) != 1 || !strings.HasPrefix(h[0].Who, "ann@") {
-		t.Errorf("history %+v, %v", h, err)
+		t.Errorf("got history %+v, %v, want one change by ann", h, err)
 	}
 }
 
-// A request was placed on vm1 and resumed on vm2. Its workspace and operators
-// see both, in order; another workspace sees nothing, as if it did not exist.
-// With vm2 cut off, the answer names it.
+// A request was placed on vm1 and resumed on vm2. Operators and its own workspace see both
+// decisions in order. To another workspace the request does not exist. While vm2 is
+// partitioned, the answer lists it as unreachable.
 func TestExplainAcrossVMsWithinOneWorkspace(t *testing.T) {
 	s := newSystem(t)
 	s.dir = plan.NewDirectory(1, []plan.Customer{
@@ -181,27 +182,27 @@
 	at := time.Unix(1000, 0)
 	s.rings["vm2"].Note(key, explain.Note{At: at.Add(time.Second), VM: "vm2", What: explain.Resumed})
 	s.rings["vm1"].Note(key, explain.Note{At: at, VM: "vm1", What: explain.Placed})
-	whole := func(w *httptest.ResponseRecorder) bool {
+	complete := func(w *httptest.ResponseRecorder) bool {
 		body := w.Body.String()
 		return w.Code == 200 && strings.Index(body, explain.Placed) > 0 && strings.Index(body, explain.Placed) < strings.Index(body, explain.Resumed)
 	}
-	if w := s.do("GET", "/v1/explain/r1?workspace=coop", ""); !whole(w) {
-		t.Errorf("operator: %d %s", w.Code, w.Body)
+	if w := s.do("GET", "/v1/explain/r1?workspace=coop", ""); !complete(w) {
+		t.Errorf("operator: got %d %s, want both decisions in order", w.Code, w.Body)
 	}
-	if w := s.do("GET", "/callers/v1/explain/r1", "", "Authorization", "Bearer coop-key"); !whole(w) {
-		t.Errorf("own workspace: %d %s", w.Code, w.Body)
+	if w := s.do("GET", "/callers/v1/explain/r1", "", "Authorization", "Bearer coop-key"); !complete(w) {
+		t.Errorf("own workspace: got %d %s, want both decisions in order", w.Code, w.Body)
 	}
 	other := s.do("GET", "/callers/v1/explain/r1?workspace=coop", "", "Authorization", "Bearer film-key")
 	absent := s.do("GET", "/callers/v1/explain/r2", "", "Authorization", "Bearer film-key")
 	if other.Code != 404 || other.Body.String() != absent.Body.String() {
-		t.Errorf("another workspace: %d %s; absent: %s", other.Code, other.Body, absent.Body)
+		t.Errorf("another workspace: got %d %s, want 404 and the answer for an unknown request: %s", other.Code, other.Body, absent.Body)
 	}
 	s.net.Isolate("vm2")
 	w := s.do("GET", "/v1/explain/r1?workspace=coop", "")
 	if !strings.Contains(w.Body.String(), `"unreachable_vms":["vm2"]`) || !strings.Contains(w.Body.String(), explain.Placed) {
-		t.Errorf("vm2 cut off: %s", w.Body)
+		t.Errorf("got %s while vm2 is partitioned, want it listed as unreachable and the decision of vm1", w.Body)
 	}
 	if body, _ := io.ReadAll(s.do("GET", "/v1/status", "").Body); !strings.Contains(string(body), `"reachable":false`) {
-		t.Errorf("status with vm2 cut off: %s", body)
+		t.Errorf("got status %s while vm2 is partitioned, want it not reachable", body)
 	}
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -19,20 +19,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result/resulthttp"
 )
 
-// askTimeout bounds a question to all VMs: a VM that is cut off is reported as
-// such rather than waited for.
+// askTimeout bounds the wait for the answers of all VMs. A VM that does not answer by then is
+// reported as unreachable.
 const askTimeout = 1 * time.Second
 
-// VMStatus is what one VM says of itself.
+// VMStatus is the status that a VM reports of itself.
 type VMStatus struct {
 	VM          string           `cbor:"1,keyasint" json:"vm"`
 	Zone        string           `cbor:"2,keyasint" json:"zone"`
 	Roles       []string         `cbor:"3,keyasint" json:"roles"`
 	Incarnation string           `cbor:"4,keyasint" json:"incarnation"`
 	Version     uint64           `cbor:"5,keyasint" json:"applied_version"`
-	Fresh       bool             `cbor:"6,keyasint" json:"fresh"` // may admit new work
+	Fresh       bool             `cbor:"6,keyasint" json:"fresh"` // whether the VM may admit new work
 	Ready       bool             `cbor:"7,keyasint" json:"ready"`
-	Leader      string           `cbor:"8,keyasint" json:"leader,omitempty"` // of the control group, as this VM knows
+	Leader      string           `cbor:"8,keyasint" json:"leader,omitempty"` // of the control group, as known to this VM
 	Counters    map[string]int64 `cbor:"9,keyasint" json:"counters,omitempty"`
 	Reachable   bool             `cbor:"10,keyasint" json:"reachable"`
 }
@@ -41,7 +41,7 @@
 type Status struct {
 	AskedVM string     `json:"asked_vm"`
 	Leader  string     `json:"leader,omitempty"`
-	Version uint64     `json:"version"` // of the lists, as known here
+	Version uint64     `json:"version"` // of the lists, as known to the asked VM
 	VMs     []VMStatus `json:"vms"`
 }
 
@@ -51,8 +51,8 @@
 	return writeJSON(w, http.StatusOK, out)
 }
 
-// leaderOf believes a VM that says that it leads itself; else any that knows a
-// leader, which may be out of date.
+// leaderOf returns a VM that reports itself as leader. If there is none, it returns the
+// leader that the first VM with a leader reports, which may be out of date.
 func leaderOf(vms []VMStatus) string {
 	leader := ""
 	for _, vm := range vms {
@@ -64,8 +64,8 @@
 	return leader
 }
 
-// askStatus asks VMs for their status. One that does not answer is listed as
-// not reachable.
+// askStatus returns the status of the VMs, sorted by VM. A VM that does not answer is listed
+// with Reachable false.
 func askStatus(ctx context.Context, t peer.Transport, vms []string) []VMStatus {
 	out := callAll(ctx, t, vms, peer.KindStatus, struct{}{}, func(vm string, s VMStatus, err error) VMStatus {
 		if err != nil {
@@ -78,8 +78,8 @@
 	return out
 }
 
-// ask sends one message to each VM at once and returns what f makes of the
-// answers.
+// callAll sends the message to all VMs concurrently and returns the result of f for each
+// answer, in the order of vms.
 func callAll[A, B any](ctx context.Context, t peer.Transport, vms []string, kind peer.Kind, body any, f func(string, A, error) B) []B {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -96,13 +96,13 @@
 	return out
 }
 
-// Explainer gathers what was decided for a request over all VMs.
+// Explainer collects the decisions made for a request from all VMs.
 type Explainer struct {
 	transport peer.Transport
 	vms       func() []string
 }
 
-// NewExplainer returns an Explainer and answers other VMs from ring.
+// NewExplainer returns an Explainer and registers a handler that answers other VMs from ring.
 func NewExplainer(t peer.Transport, vms func() []string, ring *explain.Ring) *Explainer {
 	t.Handle(peer.KindExplain, func(_ context.Context, _ string, body []byte) (any, error) {
 		var key explain.Key
@@ -114,8 +114,8 @@
 	return &Explainer{transport: t, vms: vms}
 }
 
-// Explanation is what was decided for a request, in order of time. VMs that did
-// not answer are named: what they decided is missing.
+// Explanation holds the decisions made for a request, sorted by time. Missing lists the VMs
+// that did not answer, whose decisions are missing.
 type Explanation struct {
 	Workspace string         `json:"workspace"`
 	Request   string         `json:"request_id"`
@@ -123,21 +123,22 @@
 	Missing   []string       `json:"unreachable_vms,omitempty"`
 }
 
-// Explain asks every VM. A request that none of them knows is NotFound.
+// Explain collects the decisions made for a request from every VM. The error is NotFound if
+// no VM that answers knows the request.
 func (x *Explainer) Explain(ctx context.Context, key explain.Key) (*Explanation, error) {
 	out := &Explanation{Workspace: key.Workspace, Request: key.Request}
-	type part struct {
+	type answer struct {
 		vm    string
 		notes []explain.Note
 		err   error
 	}
-	parts := callAll(ctx, x.transport, x.vms(), peer.KindExplain, key, func(vm string, n []explain.Note, err error) part {
-		return part{vm, n, err}
+	answers := callAll(ctx, x.transport, x.vms(), peer.KindExplain, key, func(vm string, n []explain.Note, err error) answer {
+		return answer{vm, n, err}
 	})
-	for _, p := range parts {
-		out.Notes = append(out.Notes, p.notes...)
-		if p.err != nil {
-			out.Missing = append(out.Missing, p.vm)
+	for _, a := range answers {
+		out.Notes = append(out.Notes, a.notes...)
+		if a.err != nil {
+			out.Missing = append(out.Missing, a.vm)
 		}
 	}
 	slices.Sort(out.Missing)
@@ -164,8 +165,8 @@
 	return writeJSON(w, http.StatusOK, out)
 }
 
-// CallerRoutes registers explain for callers, who see only their own workspace:
-// to them a request of another one does not exist.
+// CallerRoutes registers the explain path for callers. They see only requests of their own
+// workspace; a request of another workspace is answered as one that does not exist.
 func (x *Explainer) CallerRoutes(r *mux.Router, directory func() (*plan.Directory, error)) {
 	r.HandleFunc("/v1/explain/{request}", func(w http.ResponseWriter, r *http.Request) {
 		err := x.callerExplain(w, r, directory)
