--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -57,21 +57,21 @@
 	// TakeoverDelay is how long a new leader waits before it sends an order to an engine
 	// that ignores fencing numbers. It exceeds SendWindow with a clock drift of a tenth plus
 	// the time that an order takes on the network.
-	LeaseOver = 5 * time.Second
+	TakeoverDelay = 5 * time.Second
 	// ConfirmTimeout is how long an order that is being carried out may stay unconfirmed by
 	// the engine's state. Loading takes minutes, and a dead engine must not keep its order
 	// pending for ever.
-	ConfirmWithin = 10 * time.Minute
+	ConfirmTimeout = 10 * time.Minute
 )
 
 // MayOrder reports whether a leader that has led for a duration may send an order to an
 // engine. At an engine that ignores fencing numbers, an earlier leader's order could
 // otherwise arrive after the new one and undo it.
-func MayOrder(fences bool, led time.Duration) bool { return fences || led >= LeaseOver }
+func MayOrder(fences bool, led time.Duration) bool { return fences || led >= TakeoverDelay }
 
 // AcquireFence requests a new fencing number. The leader of the group does so when its term
 // begins, and again to revoke an order that has its own number.
-type Lead struct {
+type AcquireFence struct {
 	Leader string `cbor:"1,keyasint"` // VM and incarnation
 }
 
@@ -98,10 +98,10 @@
 
 // Command is one command of the state machine; exactly one field is set.
 type Command struct {
-	Lead   *Lead   `cbor:"1,keyasint,omitempty"`
-	Begin  *Begin  `cbor:"2,keyasint,omitempty"`
-	End    *End    `cbor:"3,keyasint,omitempty"`
-	Record *Record `cbor:"4,keyasint,omitempty"`
+	AcquireFence *AcquireFence `cbor:"1,keyasint,omitempty"`
+	Begin        *Begin        `cbor:"2,keyasint,omitempty"`
+	End          *End          `cbor:"3,keyasint,omitempty"`
+	Record       *Record       `cbor:"4,keyasint,omitempty"`
 }
 
 // Reply is the reply to a command. OK is false if the command was refused.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,9 +12,9 @@
 // None of them is committed, and no engine gets a second pending order, also after the state
 // was restored from a snapshot.
 func TestOrdersNeedTheNewestFence(t *testing.T) {
-	p := fleet.NewPart()
+	p := fleet.NewStateMachine()
 	lead := func(name string) uint64 {
-		return p.Execute(1, &fleet.Command{Lead: &fleet.Lead{Leader: name}}).Fence
+		return p.Execute(1, &fleet.Command{AcquireFence: &fleet.AcquireFence{Leader: name}}).Fence
 	}
 	begin := func(engine string, fence uint64) bool {
 		return p.Execute(1, &fleet.Command{Begin: &fleet.Begin{Order: fleet.Order{
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = fleet.NewPart()
+	p = fleet.NewStateMachine()
 	if err := p.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -46,14 +46,14 @@
 		{"end by a deposed leader", end(old), false},
 		{"end by the leader", end(fresh), true},
 		{"next order", begin("e1", fresh), true},
-		{"engine that ignores fences, too early", fleet.MayOrder(false, fleet.LeaseOver-1), false},
-		{"engine that ignores fences, later", fleet.MayOrder(false, fleet.LeaseOver), true},
+		{"engine that ignores fences, too early", fleet.MayOrder(false, fleet.TakeoverDelay-1), false},
+		{"engine that ignores fences, later", fleet.MayOrder(false, fleet.TakeoverDelay), true},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: got %v", c.name, c.got)
 		}
 	}
-	if fleet.LeaseOver < fleet.SendWindow*11/10 {
+	if fleet.TakeoverDelay < fleet.SendWindow*11/10 {
 		t.Error("a new leader may send an order within its predecessor's SendWindow")
 	}
 }
--- a/internal/fleet/planner.go
+++ b/internal/fleet/planner.go
@@ -69,7 +69,7 @@
 }
 
 // NoteFailure records that an engine has not carried out an order.
-func (p *Planner) Failed(engine string, now time.Time) { p.failedAt[engine] = now }
+func (p *Planner) NoteFailure(engine string, now time.Time) { p.failedAt[engine] = now }
 
 // Plan returns the orders to send now. busy maps each engine with a pending order to the
 // model of that order; Plan adds the engines of the returned orders.
@@ -191,9 +191,9 @@
 	updatedAt time.Time
 }
 
-// NewBucket returns a full bucket of a size in tokens that gains a token in each interval.
-func NewBucket(size int, every time.Duration) *Bucket {
-	return &Bucket{size: float64(size), interval: every, tokens: float64(size)}
+// NewBucket returns a full bucket of a size in tokens that gains one token per interval.
+func NewBucket(size int, interval time.Duration) *Bucket {
+	return &Bucket{size: float64(size), interval: interval, tokens: float64(size)}
 }
 
 // Take takes a token and reports whether there was one.
--- a/internal/fleet/state_machine.go
+++ b/internal/fleet/state_machine.go
@@ -25,17 +25,17 @@
 
 // StateMachine holds the orders in the control group's replicated state. It implements
 // control.StateMachine.
-type Part struct{ s state }
+type StateMachine struct{ s state }
 
 // NewStateMachine returns an empty StateMachine.
-func NewPart() *Part { return &Part{} }
+func NewStateMachine() *StateMachine { return &StateMachine{} }
 
 // Version returns a number that increases when the committed copies of an engine change.
-func (p *Part) Version() uint64 { return p.s.Version }
+func (p *StateMachine) Version() uint64 { return p.s.Version }
 
 // Apply executes an encoded Command and returns an encoded Reply. It refuses a command that
 // cannot be decoded.
-func (p *Part) Apply(nowMS int64, data []byte) []byte {
+func (p *StateMachine) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	var reply Reply
 	if err := codec.Unmarshal(data, &cmd); err == nil {
@@ -49,12 +49,12 @@
 }
 
 // Execute executes a command at a time of the group's clock, in Unix milliseconds.
-func (p *Part) Execute(nowMS int64, cmd *Command) Reply {
+func (p *StateMachine) Execute(nowMS int64, cmd *Command) Reply {
 	ok := false
 	switch {
-	case cmd.Lead != nil:
+	case cmd.AcquireFence != nil:
 		p.s.Fence++
-		p.s.Leader = cmd.Lead.Leader
+		p.s.Leader = cmd.AcquireFence.Leader
 		ok = true
 	case cmd.Begin != nil:
 		ok = p.begin(nowMS, cmd.Begin.Order)
@@ -71,7 +71,7 @@
 
 // begin adds a pending order. It refuses the order of a deposed leader, and a second order
 // to one engine.
-func (p *Part) begin(nowMS int64, o Order) bool {
+func (p *StateMachine) begin(nowMS int64, o Order) bool {
 	if o.Fence != p.s.Fence || p.order(o.Engine) >= 0 {
 		return false
 	}
@@ -81,11 +81,11 @@
 	return true
 }
 
-func (p *Part) order(engine string) int {
+func (p *StateMachine) order(engine string) int {
 	return slices.IndexFunc(p.s.Orders, func(o Order) bool { return o.Engine == engine })
 }
 
-func (p *Part) end(e *End) bool {
+func (p *StateMachine) end(e *End) bool {
 	i := p.order(e.Engine)
 	if e.Fence != p.s.Fence || i < 0 {
 		return false
@@ -95,7 +95,7 @@
 	return true
 }
 
-func (p *Part) record(engine string, copies []Copy) {
+func (p *StateMachine) record(engine string, copies []Copy) {
 	i := slices.IndexFunc(p.s.Served, func(s Served) bool { return s.Engine == engine })
 	if i < 0 {
 		p.s.Served = append(p.s.Served, Served{engine, copies})
@@ -110,10 +110,10 @@
 }
 
 // Orders returns a copy of the pending orders.
-func (p *Part) Orders() []Order { return slices.Clone(p.s.Orders) }
+func (p *StateMachine) Orders() []Order { return slices.Clone(p.s.Orders) }
 
 // Changes returns the encoded copies of all engines. It ignores the version of the watcher.
-func (p *Part) Changes(uint64) []byte {
+func (p *StateMachine) Changes(uint64) []byte {
 	out, err := codec.Marshal(p.s.Served)
 	if err != nil {
 		panic(err) // cannot happen: a list of strings and bools always encodes
@@ -122,10 +122,10 @@
 }
 
 // Snapshot returns the encoded state.
-func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
+func (p *StateMachine) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
 
 // Restore replaces the state by a snapshot.
-func (p *Part) Restore(data []byte) error {
+func (p *StateMachine) Restore(data []byte) error {
 	var s state
 	if err := codec.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("fleet: snapshot: %w", err)
@@ -163,7 +163,7 @@
 
 // Matches reports whether the view has exactly these copies for the engine. A nil view
 // matches nothing.
-func (v *View) Same(engine string, copies []Copy) bool {
+func (v *View) Matches(engine string, copies []Copy) bool {
 	if v == nil {
 		return false
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 
 	// Draining is closed once this VM hands over its streams. Each stream then ends after
 	// its current event with a comment that asks the caller to reconnect. Nil: never.
-	Leaving <-chan struct{}
+	Draining <-chan struct{}
 }
 
 // Gateway is the callers' HTTP handler.
--- a/internal/gateway/services_test.go
+++ b/internal/gateway/services_test.go
@@ -136,7 +136,7 @@
 		}
 	}
 	if c.Workspace != "society" || c.Request.Path != "/a%2Fb" {
-		t.Errorf("got workspace %q and path %q, want society and /a%%2Fb", c.Workspace, c.Request.Path)
+		t.Errorf("got workspace %q and path %q, want society and the escaped path", c.Workspace, c.Request.Path)
 	}
 }
 
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -15,7 +15,7 @@
 )
 
 // EndpointQuery describes the caller that asks for endpoints.
-type EntryQuery struct {
+type EndpointQuery struct {
 	Workspace string
 	Zone      string // zone of the caller; empty: unknown
 	Caller    string // distinguishes the callers of a workspace to spread them
@@ -29,13 +29,13 @@
 // the workspace use one VM. With a random order for each answer, every VM needs a grant and
 // a cache for every workspace. Rendezvous hashing keeps the choice stable: the removal of a
 // VM changes only the answers that named it.
-func EntryFor(vms []VM, avoid func(id string) bool, q EntryQuery) []VM {
+func EndpointsFor(vms []VM, avoid func(id string) bool, q EndpointQuery) []VM {
 	candidates := usable(vms, func(vm VM) bool { return vm.State == Live && !avoid(vm.ID) })
 	if len(candidates) == 0 {
 		// A leaving VM is better than no address.
 		candidates = usable(vms, func(vm VM) bool { return vm.State != Dead })
 	}
-	chosen := Spread(q.Workspace, candidates, primaryEndpoints+spareEndpoints)
+	chosen := ChooseAcrossZones(q.Workspace, candidates, primaryEndpoints+spareEndpoints)
 	chosen = includeCallerZone(chosen, candidates, q)
 	first := min(primaryEndpoints, len(chosen))
 	rotate(chosen[:first], xxhash.Sum64String(q.Caller))
@@ -46,7 +46,7 @@
 func usable(vms []VM, ok func(VM) bool) []VM {
 	out := make([]VM, 0, len(vms))
 	for _, vm := range vms {
-		if vm.Router && vm.Callers != "" && ok(vm) {
+		if vm.Router && vm.Endpoint != "" && ok(vm) {
 			out = append(out, vm)
 		}
 	}
@@ -55,7 +55,7 @@
 
 // includeCallerZone replaces the last chosen VM by one of the caller's zone if none of the
 // chosen VMs is in that zone and the candidates have one.
-func includeCallerZone(chosen, candidates []VM, q EntryQuery) []VM {
+func includeCallerZone(chosen, candidates []VM, q EndpointQuery) []VM {
 	near := func(vm VM) bool { return vm.Zone == q.Zone }
 	if q.Zone == "" || slices.ContainsFunc(chosen, near) {
 		return chosen
@@ -69,7 +69,7 @@
 	if len(local) == 0 {
 		return chosen
 	}
-	return append(Spread(q.Workspace, local, 1), chosen[:len(chosen)-1]...)
+	return append(ChooseAcrossZones(q.Workspace, local, 1), chosen[:len(chosen)-1]...)
 }
 
 func zoneDistance(vm VM, zone string) int {
--- a/internal/membership/entry_test.go
+++ b/internal/membership/entry_test.go
@@ -11,7 +11,7 @@
 	var out []membership.VM
 	for i := range n {
 		out = append(out, membership.VM{
-			ID: id(i), Zone: fmt.Sprint("z", i%3), Router: true, Callers: fmt.Sprint("10.0.0.", i), State: membership.Live,
+			ID: id(i), Zone: fmt.Sprint("z", i%3), Router: true, Endpoint: fmt.Sprint("10.0.0.", i), State: membership.Live,
 		})
 	}
 	return out
@@ -21,8 +21,8 @@
 
 func endpointIDs(vms []membership.VM, workspace, zone string, caller int) []string {
 	var out []string
-	q := membership.EntryQuery{Workspace: workspace, Zone: zone, Caller: fmt.Sprint(caller)}
-	for _, vm := range membership.EntryFor(vms, noneAvoided, q) {
+	q := membership.EndpointQuery{Workspace: workspace, Zone: zone, Caller: fmt.Sprint(caller)}
+	for _, vm := range membership.EndpointsFor(vms, noneAvoided, q) {
 		out = append(out, vm.ID)
 	}
 	return out
@@ -89,12 +89,12 @@
 	vms := routers(4)
 	vms[0].State, vms[1].State = membership.Leaving, membership.Dead
 	avoid := func(vm string) bool { return vm == id(2) }
-	got := membership.EntryFor(vms, avoid, membership.EntryQuery{Workspace: "w"})
+	got := membership.EndpointsFor(vms, avoid, membership.EndpointQuery{Workspace: "w"})
 	if len(got) != 1 || got[0].ID != id(3) {
 		t.Errorf("got %v, want only the VM that is neither leaving nor dead", got)
 	}
 	vms[3].State = membership.Leaving
-	if got := membership.EntryFor(vms, avoid, membership.EntryQuery{Workspace: "w"}); len(got) != 3 {
+	if got := membership.EndpointsFor(vms, avoid, membership.EndpointQuery{Workspace: "w"}); len(got) != 3 {
 		t.Errorf("got %v, want all VMs but the dead one", got)
 	}
 }
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -29,10 +29,10 @@
 			t.Errorf("got version %d, want at least %d", got, before)
 		}
 		h := l.history()
-		_ = h.Take(data)
-		if h.Present().Version < before {
-			t.Errorf("got version %d after a change, want at least the version before it", h.Present().Version)
+		_ = h.Apply(data)
+		if h.Current().Version < before {
+			t.Errorf("got version %d after a change, want at least the version before it", h.Current().Version)
 		}
-		_ = membership.NewPart().Restore(data)
+		_ = membership.NewStateMachine().Restore(data)
 	})
 }
--- a/internal/membership/history.go
+++ b/internal/membership/history.go
@@ -15,7 +15,7 @@
 }
 
 // Apply adds the versions of an encoded change that are newer than the newest one held.
-func (h *History) Take(data []byte) error {
+func (h *History) Apply(data []byte) error {
 	var c change
 	if err := codec.Unmarshal(data, &c); err != nil {
 		return fmt.Errorf("membership: change: %w", err)
@@ -47,7 +47,7 @@
 }
 
 // Current returns the newest version; its Version is 0 before the first change.
-func (h *History) Present() View {
+func (h *History) Current() View {
 	if len(h.views) == 0 {
 		return View{}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -30,8 +30,8 @@
 	Zone        string `cbor:"3,keyasint"`
 	Router      bool   `cbor:"4,keyasint"`
 	Control     bool   `cbor:"5,keyasint"`
-	Peer        string `cbor:"6,keyasint"` // ip:port that other VMs use
-	Callers     string `cbor:"7,keyasint"` // ip:port that callers use; empty: none
+	PeerAddr    string `cbor:"6,keyasint"` // ip:port that other VMs use
+	Endpoint    string `cbor:"7,keyasint"` // ip:port that callers use; empty: none
 	State       State  `cbor:"8,keyasint"`
 	SinceMS     int64  `cbor:"9,keyasint"` // when the state began, by the group's clock
 }
--- a/internal/membership/state_machine.go
+++ b/internal/membership/state_machine.go
@@ -30,12 +30,12 @@
 
 // StateMachine holds the list in the control group's replicated state. It implements
 // control.StateMachine.
-type Part struct{ s state }
+type StateMachine struct{ s state }
 
 // NewStateMachine returns a StateMachine with an empty list.
-func NewPart() *Part { return &Part{} }
+func NewStateMachine() *StateMachine { return &StateMachine{} }
 
-func (p *Part) current() View {
+func (p *StateMachine) current() View {
 	if n := len(p.s.Views); n > 0 {
 		return p.s.Views[n-1]
 	}
@@ -43,7 +43,7 @@
 }
 
 // Version returns the version of the current list; 0: none yet.
-func (p *Part) Version() uint64 {
+func (p *StateMachine) Version() uint64 {
 	if len(p.s.Views) == 0 {
 		return 0
 	}
@@ -52,7 +52,7 @@
 
 // Apply executes an encoded Command and returns an encoded Reply. It ignores a command that
 // cannot be decoded.
-func (p *Part) Apply(nowMS int64, data []byte) []byte {
+func (p *StateMachine) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	if err := codec.Unmarshal(data, &cmd); err == nil {
 		p.Execute(nowMS, &cmd)
@@ -65,7 +65,7 @@
 }
 
 // Execute executes a command at a time of the group's clock, in Unix milliseconds.
-func (p *Part) Execute(nowMS int64, cmd *Command) {
+func (p *StateMachine) Execute(nowMS int64, cmd *Command) {
 	switch {
 	case cmd.Join != nil:
 		p.join(nowMS, cmd.Join)
@@ -76,21 +76,21 @@
 	}
 }
 
-func (p *Part) join(nowMS int64, j *Join) {
+func (p *StateMachine) join(nowMS int64, j *Join) {
 	p.s.Expected = max(p.s.Expected, j.Expected)
 	vm := j.VM
 	vm.State, vm.SinceMS = Live, nowMS
 	p.clearEvidence(vm.ID)
 	if old, ok := p.find(vm.ID); ok && old.Incarnation == vm.Incarnation {
 		// A delayed Join does not make a leaving VM live again.
-		if old.State != Dead && old.Peer == vm.Peer && old.Callers == vm.Callers || old.State == Leaving {
+		if old.State != Dead && old.PeerAddr == vm.PeerAddr && old.Endpoint == vm.Endpoint || old.State == Leaving {
 			return
 		}
 	}
 	p.put(nowMS, vm)
 }
 
-func (p *Part) leave(nowMS int64, l *Leave) {
+func (p *StateMachine) leave(nowMS int64, l *Leave) {
 	vm, ok := p.find(l.VM)
 	if !ok || vm.Incarnation != l.Incarnation {
 		return
@@ -105,7 +105,7 @@
 	}
 }
 
-func (p *Part) suspect(nowMS int64, s *Suspect) {
+func (p *StateMachine) suspect(nowMS int64, s *Suspect) {
 	vm, ok := p.find(s.VM)
 	observer, known := p.find(s.Observer)
 	if !ok || !known || vm.Incarnation != s.Incarnation || observer.State == Dead || s.VM == s.Observer {
@@ -133,7 +133,7 @@
 
 // record stores the evidence in place of the observer's earlier evidence on the same VM, and
 // removes expired evidence.
-func (p *Part) record(nowMS int64, e evidence) {
+func (p *StateMachine) record(nowMS int64, e evidence) {
 	p.s.Evidence = slices.DeleteFunc(p.s.Evidence, func(o evidence) bool {
 		same := o.Suspect.VM == e.Suspect.VM && o.Suspect.Observer == e.Suspect.Observer
 		return same || nowMS-o.AtMS > evidenceValidity.Milliseconds()
@@ -143,7 +143,7 @@
 
 // suspectingZones counts the zones with evidence against a VM. absent is true if all of the
 // evidence says that the platform does not list the VM.
-func (p *Part) suspectingZones(vm string) (zones int, absent bool) {
+func (p *StateMachine) suspectingZones(vm string) (zones int, absent bool) {
 	var seen []string
 	absent = true
 	for _, e := range p.s.Evidence {
@@ -160,7 +160,7 @@
 
 // requiredZones returns minSuspectingZones, or the number of zones that have another VM that
 // is not dead if that is less.
-func (p *Part) requiredZones(vm string) int {
+func (p *StateMachine) requiredZones(vm string) int {
 	var zones []string
 	for _, o := range p.current().VMs {
 		if o.ID != vm && o.State != Dead && !slices.Contains(zones, o.Zone) {
@@ -170,7 +170,7 @@
 	return max(1, min(minSuspectingZones, len(zones)))
 }
 
-func (p *Part) mayEvict(nowMS int64) bool {
+func (p *StateMachine) mayEvict(nowMS int64) bool {
 	p.s.Evictions = slices.DeleteFunc(p.s.Evictions, func(at int64) bool { return nowMS-at >= 60_000 })
 	all, dead := 0, 0
 	for _, vm := range p.current().VMs {
@@ -183,24 +183,24 @@
 	return len(p.s.Evictions) < perMinute && dead < max(1, int(float64(all)*maxDeadShare))
 }
 
-func (p *Part) clearEvidence(vm string) {
+func (p *StateMachine) clearEvidence(vm string) {
 	p.s.Evidence = slices.DeleteFunc(p.s.Evidence, func(e evidence) bool { return e.Suspect.VM == vm })
 }
 
-func (p *Part) find(id string) (VM, bool) {
+func (p *StateMachine) find(id string) (VM, bool) {
 	v := p.current()
 	return v.Find(id)
 }
 
 // put adds a version of the list in which vm replaces the VM with the same ID.
-func (p *Part) put(nowMS int64, vm VM) {
+func (p *StateMachine) put(nowMS int64, vm VM) {
 	vms := slices.DeleteFunc(slices.Clone(p.current().VMs), func(o VM) bool { return o.ID == vm.ID })
 	vms = append(vms, vm)
 	slices.SortFunc(vms, func(a, b VM) int { return strings.Compare(a.ID, b.ID) })
 	p.add(nowMS, vms)
 }
 
-func (p *Part) drop(nowMS int64, id string) {
+func (p *StateMachine) drop(nowMS int64, id string) {
 	p.clearEvidence(id)
 	// Once all VMs have left, no journal exists any more. The first VM of the next start
 	// must not place journals by a list of one VM.
@@ -212,7 +212,7 @@
 
 // add appends a version and removes old ones. Until the list has formed, only the current
 // version is retained, because no journal was placed by an earlier one.
-func (p *Part) add(nowMS int64, vms []VM) {
+func (p *StateMachine) add(nowMS int64, vms []VM) {
 	next := View{Version: p.current().Version + 1, AtMS: nowMS, VMs: vms}
 	if p.s.FormedAt == 0 {
 		p.s.Views = nil
@@ -245,7 +245,7 @@
 }
 
 // Changes returns an encoded change with the retained versions after since.
-func (p *Part) Changes(since uint64) []byte {
+func (p *StateMachine) Changes(since uint64) []byte {
 	c := change{FormedAt: p.s.FormedAt}
 	for _, v := range p.s.Views {
 		if v.Version > since {
@@ -260,10 +260,10 @@
 }
 
 // Snapshot returns the encoded state.
-func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
+func (p *StateMachine) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
 
 // Restore replaces the state by a snapshot.
-func (p *Part) Restore(data []byte) error {
+func (p *StateMachine) Restore(data []byte) error {
 	var s state
 	if err := codec.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("membership: snapshot: %w", err)
--- a/internal/membership/state_machine_test.go
+++ b/internal/membership/state_machine_test.go
@@ -10,13 +10,13 @@
 
 type testList struct {
 	t   *testing.T
-	sm  *membership.Part
+	sm  *membership.StateMachine
 	now int64
 }
 
 // newTestList returns a list of n VMs in three zones.
 func newTestList(t *testing.T, n int) *testList {
-	l := &testList{t, membership.NewPart(), 1_800_000_000_000}
+	l := &testList{t, membership.NewStateMachine(), 1_800_000_000_000}
 	for i := range n {
 		l.join(i, "1", n)
 	}
@@ -27,7 +27,7 @@
 
 func (l *testList) join(i int, incarnation string, expected int) {
 	l.sm.Execute(l.now, &membership.Command{Join: &membership.Join{
-		VM:       membership.VM{ID: id(i), Incarnation: incarnation, Zone: fmt.Sprint("z", i%3), Router: true, Peer: "127.0.0.1:1"},
+		VM:       membership.VM{ID: id(i), Incarnation: incarnation, Zone: fmt.Sprint("z", i%3), Router: true, PeerAddr: "127.0.0.1:1"},
 		Expected: expected,
 	}})
 }
@@ -41,13 +41,13 @@
 func (l *testList) history() *membership.History {
 	l.t.Helper()
 	var h membership.History
-	if err := h.Take(l.sm.Changes(0)); err != nil {
+	if err := h.Apply(l.sm.Changes(0)); err != nil {
 		l.t.Fatal(err)
 	}
 	return &h
 }
 
-func (l *testList) current() membership.View { return l.history().Present() }
+func (l *testList) current() membership.View { return l.history().Current() }
 
 func (l *testList) state(i int) membership.State {
 	v := l.current()
@@ -161,14 +161,14 @@
 		l.join(i%6, fmt.Sprint("restart", i), 6)
 	}
 	h := l.history()
-	if got := len(h.Views()); got != 256 || h.Present().Version != formed+300 || !h.Formed() {
-		t.Errorf("got %d views and version %d, want 256 views, 300 more versions and a formed list", got, h.Present().Version)
+	if got := len(h.Views()); got != 256 || h.Current().Version != formed+300 || !h.Formed() {
+		t.Errorf("got %d views and version %d, want 256 views, 300 more versions and a formed list", got, h.Current().Version)
 	}
 	data, err := l.sm.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := membership.NewPart()
+	restored := membership.NewStateMachine()
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 		if i%10 != 0 {
 			continue
 		}
-		most = max(most, len(membership.Watches(vm.ID, vms)))
+		most = max(most, len(membership.ProbeTargets(vm.ID, vms)))
 		zones := map[string]bool{}
 		before := membership.ObserversOf(vm.ID, vms)
 		for _, o := range before {
@@ -217,7 +217,7 @@
 			_, _ = fmt.Sscanf(o, "vm%d", &n)
 			zones[fmt.Sprint(n%3)] = true
 		}
-		if len(zones) != membership.Observers {
+		if len(zones) != membership.ObserversPerVM {
 			t.Fatalf("%s has observers in %d zones, want 3", vm.ID, len(zones))
 		}
 		if fmt.Sprint(before) != fmt.Sprint(membership.ObserversOf(vm.ID, vms[1:])) {
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -9,11 +9,11 @@
 // ObserversPerVM is how many VMs probe each VM. Three observers in three zones outvote one
 // with a broken link. They cost each VM three probes a second at any size of the system,
 // unlike a full mesh.
-const Observers = 3
+const ObserversPerVM = 3
 
 // ProbeTargets returns the VMs that self has to probe: those of which it is an observer.
 // Dead VMs are probed too, to notice their return and to decide on their removal.
-func Watches(self string, vms []VM) []VM {
+func ProbeTargets(self string, vms []VM) []VM {
 	var out []VM
 	for _, subject := range vms {
 		if subject.ID != self && slices.Contains(ObserversOf(subject.ID, vms), self) {
@@ -32,14 +32,14 @@
 			candidates = append(candidates, vm)
 		}
 	}
-	return ids(Spread(subject, candidates, Observers))
+	return ids(ChooseAcrossZones(subject, candidates, ObserversPerVM))
 }
 
 // ChooseAcrossZones returns n VMs by rendezvous hash of a key, one of each zone before a
 // second of any. The addition or removal of a VM changes little of the order. It makes one
 // pass over the VMs for each of the n and does not sort, because with 330 VMs each VM
 // computes its probe targets from 330 such choices.
-func Spread(key string, vms []VM, n int) []VM {
+func ChooseAcrossZones(key string, vms []VM, n int) []VM {
 	scores := make([]uint64, len(vms))
 	buf := make([]byte, 0, 128)
 	for i := range vms {
--- a/internal/operator/lists.go
+++ b/internal/operator/lists.go
@@ -137,11 +137,11 @@
 
 // ChangeAnswer is the answer to a change of a row. InForce is true if the request waited until
 // the change was in force.
-type Written struct {
-	Name    string `json:"name"`
-	Version uint64 `json:"version"` // of the row; 0: the row was removed
-	Lists   uint64 `json:"lists_version"`
-	InForce bool   `json:"in_force"`
+type ChangeAnswer struct {
+	Name         string `json:"name"`
+	Version      uint64 `json:"version"` // of the row; 0: the row was removed
+	ListsVersion uint64 `json:"lists_version"`
+	InForce      bool   `json:"in_force"`
 }
 
 func (a *API) change(w http.ResponseWriter, r *http.Request, l list) error {
@@ -198,7 +198,7 @@
 func (a *API) answerChange(w http.ResponseWriter, r *http.Request, c plan.Command, reply plan.Reply) error {
 	a.Log.Info().Str("who", c.Who).Str("what", c.Action.String()).Str("name", c.Name).
 		Uint64("version", reply.Version).Msg("row of a list changed")
-	out := Written{Name: c.Name, Version: reply.Version, Lists: reply.ListsVersion}
+	out := ChangeAnswer{Name: c.Name, Version: reply.Version, ListsVersion: reply.ListsVersion}
 	if err := a.waitInForce(r, reply.ListsVersion); err != nil {
 		return result.From(err).WithRan(result.RanYes)
 	}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -126,7 +126,7 @@
 // acquireFence gets a new fencing number for this VM. It discards the plans made under an
 // earlier number, because another leader may have sent orders since.
 func (l *Leader) acquireFence(ctx context.Context) bool {
-	r, err := l.propose(ctx, &fleet.Command{Lead: &fleet.Lead{Leader: l.Name}})
+	r, err := l.propose(ctx, &fleet.Command{AcquireFence: &fleet.AcquireFence{Leader: l.Name}})
 	if err != nil || !r.OK {
 		return false
 	}
@@ -141,7 +141,7 @@
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	r, err := control.Propose[fleet.Reply](ctx, l.Control, control.FleetStateMachine, cmd)
-	if err == nil && r.Fence != l.fence && cmd.Lead == nil {
+	if err == nil && r.Fence != l.fence && cmd.AcquireFence == nil {
 		l.fence = 0 // another VM has acquired a newer number
 	}
 	return r, err
@@ -167,7 +167,7 @@
 				busy[o.Engine] = o.Model
 				continue
 			}
-			l.planner.Failed(o.Engine, time.Now())
+			l.planner.NoteFailure(o.Engine, time.Now())
 			l.Metrics.Add("orders_failed", 1)
 		}
 		if r, err := l.propose(ctx, &fleet.Command{End: &fleet.End{Fence: l.fence, Engine: o.Engine, Copies: e.copies}}); err != nil || !r.OK {
@@ -204,7 +204,7 @@
 
 // raiseFence gets a higher fencing number for this leader and keeps its plans.
 func (l *Leader) raiseFence(ctx context.Context) bool {
-	r, err := l.propose(ctx, &fleet.Command{Lead: &fleet.Lead{Leader: l.Name}})
+	r, err := l.propose(ctx, &fleet.Command{AcquireFence: &fleet.AcquireFence{Leader: l.Name}})
 	if err != nil || !r.OK {
 		return false
 	}
@@ -221,7 +221,7 @@
 		loading = loading || c.Model == o.Model && c.Version == o.Version
 	}
 	if time.Since(e.readAt) < lostOrderTimeout && loading && o.Op == fleet.Load {
-		return waited >= fleet.ConfirmWithin
+		return waited >= fleet.ConfirmTimeout
 	}
 	return waited >= lostOrderTimeout
 }
@@ -232,7 +232,7 @@
 	for _, b := range backends {
 		e, ok := l.seen[b.Name]
 		_, pending := busy[b.Name]
-		if !ok || pending || l.fence == 0 || time.Since(e.readAt) > stateTimeout || l.Served().Same(b.Name, e.copies) {
+		if !ok || pending || l.fence == 0 || time.Since(e.readAt) > stateTimeout || l.Served().Matches(b.Name, e.copies) {
 			continue
 		}
 		_, _ = l.propose(ctx, &fleet.Command{Record: &fleet.Record{Fence: l.fence, Engine: b.Name, Copies: e.copies}})
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -29,7 +29,7 @@
 	fences  bool
 	engines map[string]*standin.Engine
 	state   *control.ReplicatedState
-	sm      *fleet.Part
+	sm      *fleet.StateMachine
 
 	mu          sync.Mutex
 	accepted    []uint64                 // fencing numbers of the orders that engines accepted, in order
@@ -39,7 +39,7 @@
 }
 
 func newTestSystem(t *testing.T, fences bool) *testSystem {
-	w := &testSystem{t: t, fences: fences, engines: map[string]*standin.Engine{}, state: control.NewReplicatedState(), sm: fleet.NewPart(), delays: map[uint64]time.Duration{}}
+	w := &testSystem{t: t, fences: fences, engines: map[string]*standin.Engine{}, state: control.NewReplicatedState(), sm: fleet.NewStateMachine(), delays: map[uint64]time.Duration{}}
 	w.state.Register(control.FleetStateMachine, w.sm)
 	for i, model := range []string{"a", "a", "b", "b"} {
 		cfg := standin.DefaultEngine(fmt.Sprint("e", i), model)
