--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -22,8 +22,8 @@
 	// FirstTicks is the same for the first election after a start; 0: ElectionTicks.
 	// Nobody is deposed by it: a pre-vote comes first, which a member that hears a
 	// leader refuses. After a loss of power on all VMs there is none to wait for.
-	FirstTicks     int
-	HeartbeatTicks int
+	FirstElectionTicks int
+	HeartbeatTicks     int
 	// MaxEntryBytes bounds the data of one entry; 0: maxEntryBytes.
 	MaxEntryBytes int
 	// Rand returns a number from 0 to n-1.
@@ -100,7 +100,7 @@
 	Term             uint64
 	Answered, Quorum int // voters, this member included
 	UncommittedBytes int // of proposals that waited for a majority
-	SentBytes        int // of the appends that were not answered yet
+	InFlightBytes    int // of the appends that were not answered yet
 }
 
 // NewCore returns a follower with the state of its disk.
@@ -116,8 +116,8 @@
 	if c.o.MaxEntryBytes == 0 {
 		c.o.MaxEntryBytes = maxEntryBytes
 	}
-	if o.FirstTicks > 0 {
-		c.timeout = o.FirstTicks + o.Rand(2*o.FirstTicks)
+	if o.FirstElectionTicks > 0 {
+		c.timeout = o.FirstElectionTicks + o.Rand(2*o.FirstElectionTicks)
 	}
 	return c
 }
@@ -210,7 +210,7 @@
 	r := &StepDown{Term: c.term, Answered: answered, Quorum: quorum, UncommittedBytes: c.uncommittedBytes}
 	for _, p := range c.progress {
 		if p.waiting {
-			r.SentBytes += p.sent
+			r.InFlightBytes += p.sent
 		}
 	}
 	return r
@@ -274,7 +274,7 @@
 // stepNewerTerm reports whether the message is to be handled further.
 func (c *Core) stepNewerTerm(m Message) bool {
 	asks := m.Kind == VoteRequest || m.Kind == PreVoteRequest
-	if asks && !m.Handed && c.leader != "" && c.elapsed < c.o.ElectionTicks {
+	if asks && !m.LeadershipTransfer && c.leader != "" && c.elapsed < c.o.ElectionTicks {
 		// The leader was heard just now. A member that cannot hear it must not
 		// depose it: it would do so again and again.
 		return false
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -50,7 +50,7 @@
 		}
 	case 14:
 		for _, leader := range s.believers() {
-			leader.core.HandOver()
+			leader.core.TransferLeadership()
 			s.pump(leader)
 		}
 	case 13:
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -26,7 +26,7 @@
 	c.votes = map[MemberID]bool{c.o.ID: true}
 	for _, id := range c.log.config().config.Voters {
 		if id != c.o.ID {
-			c.send(Message{Kind: kind, To: id, Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm(), Handed: handed})
+			c.send(Message{Kind: kind, To: id, Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm(), LeadershipTransfer: handed})
 		}
 	}
 	c.countVotes()
@@ -36,7 +36,7 @@
 // leader that leaves costs a few round trips instead of an election timeout. It
 // reports whether there was one to ask; an election by timeout follows if the
 // message is lost.
-func (c *Core) HandOver() bool {
+func (c *Core) TransferLeadership() bool {
 	if c.role != Leader {
 		return false
 	}
--- a/internal/consensus/form.go
+++ b/internal/consensus/form.go
@@ -91,8 +91,8 @@
 // others are the control VMs known now without this one.
 func (n *Node) others() []string {
 	all := slices.Clone(n.o.VMs)
-	if n.o.Known != nil {
-		all = append(all, n.o.Known()...)
+	if n.o.KnownVMs != nil {
+		all = append(all, n.o.KnownVMs()...)
 	}
 	slices.Sort(all)
 	all = slices.Compact(all)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -49,22 +49,22 @@
 	VMs []string // every VM with the control role, this one included
 	// Known, if set, names further control VMs that are known now. The group is
 	// formed by VMs alone, and joined through either.
-	Known func() []string
+	KnownVMs func() []string
 	// JoinOnly: a group exists, or has existed. This member never forms one: with
 	// an empty folder it would begin a second history beside the first.
 	JoinOnly bool
 	// Target is how many voters the group keeps when one of them has fallen
 	// silent; 0: none is ever removed.
-	Target int
-	Dir    string // folder of the log; created
-	FS     wal.FS // nil: the operating system's
+	TargetVoters int
+	Dir          string // folder of the log; created
+	FS           wal.FS // nil: the operating system's
 	// Transport reaches the other VMs by id.
-	Transport peer.Transport
-	Machine   StateMachine
-	Log       zerolog.Logger
+	Transport    peer.Transport
+	StateMachine StateMachine
+	Log          zerolog.Logger
 	// Failed is called once, when the member cannot go on: a failed sync, a
 	// damaged log. The process must end.
-	Failed func(error)
+	OnFailure func(error)
 }
 
 // Node is one member of the group: Core, disk, links and state machine.
@@ -136,7 +136,7 @@
 	if store.snap.Index > 0 {
 		f, err := store.readSnapshot(store.snap)
 		if err == nil {
-			err = n.o.Machine.Restore(f.Data)
+			err = n.o.StateMachine.Restore(f.Data)
 		}
 		if err != nil {
 			return errors.Join(err, store.log.Close())
@@ -160,9 +160,9 @@
 		state = formed
 	}
 	n.core = NewCore(Options{
-		ID: n.store.who.ID, ElectionTicks: electionTicks, FirstTicks: firstTicks, HeartbeatTicks: heartbeatTicks, Rand: mathrand.IntN,
+		ID: n.store.who.ID, ElectionTicks: electionTicks, FirstElectionTicks: firstTicks, HeartbeatTicks: heartbeatTicks, Rand: mathrand.IntN,
 	}, state)
-	n.apply = newApplier(n.o.Machine, n.store, state.Applied, n.core.log.configUpTo(state.Applied))
+	n.apply = newApplier(n.o.StateMachine, n.store, state.Applied, n.core.log.configUpTo(state.Applied))
 	n.apply.compact, n.apply.fail = n.handOverSnapshot, n.fail
 	// Alone there is nobody to wait for.
 	config := n.core.Config()
@@ -215,13 +215,13 @@
 	case n.eager && n.ticks%eagerTicks == 0:
 		n.core.Campaign()
 	}
-	if n.o.Target > 0 && n.ticks%electionTicks == 0 {
+	if n.o.TargetVoters > 0 && n.ticks%electionTicks == 0 {
 		n.removeSurplus()
 	}
 }
 
 func (n *Node) removeSurplus() {
-	id := n.core.Surplus(n.o.Target)
+	id := n.core.SurplusVoter(n.o.TargetVoters)
 	if id == "" {
 		return
 	}
@@ -250,17 +250,17 @@
 func (n *Node) process() error {
 	for n.core.HasReady() {
 		rd := n.core.Ready()
-		n.send(rd.Before)
+		n.send(rd.SendBeforeSync)
 		if err := n.save(rd); err != nil {
 			return err
 		}
 		n.core.Saved(rd)
-		n.send(rd.After)
+		n.send(rd.SendAfterSync)
 		n.handCommitted(rd)
 		for _, r := range rd.Reads {
 			n.finishRead(r.ID, readOutcome{index: r.Index})
 		}
-		for _, to := range rd.Snapshots {
+		for _, to := range rd.SnapshotTargets {
 			n.sendSnapshot(to)
 		}
 	}
@@ -280,7 +280,7 @@
 func (n *Node) logStepDown() {
 	if r := n.core.TakeStepDown(); r != nil {
 		n.o.Log.Warn().Uint64("term", r.Term).Int("answered", r.Answered).Int("quorum", r.Quorum).
-			Int("uncommitted_bytes", r.UncommittedBytes).Int("sent_bytes", r.SentBytes).
+			Int("uncommitted_bytes", r.UncommittedBytes).Int("sent_bytes", r.InFlightBytes).
 			Msg("leader without answers from a majority steps down")
 	}
 }
@@ -289,7 +289,7 @@
 	switch {
 	case rd.Snapshot != nil:
 		return n.store.checkpoint(record{Hard: rd.Hard, Entries: rd.Entries, Base: rd.Snapshot, Snap: rd.Snapshot})
-	case rd.Save:
+	case rd.MustSync:
 		return n.store.append(record{Hard: rd.Hard, Entries: rd.Entries})
 	}
 	return nil
@@ -359,8 +359,8 @@
 	n.failed.Do(func() {
 		n.o.Log.Error().Err(err).Msg("control member stops")
 		n.cancel()
-		if n.o.Failed != nil {
-			go n.o.Failed(err)
+		if n.o.OnFailure != nil {
+			go n.o.OnFailure(err)
 		}
 	})
 }
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -69,13 +69,13 @@
 	Entries  []Entry
 	// Save is set where Hard, Entries or Snapshot must be synced before After is
 	// sent and Committed is applied.
-	Save      bool
-	Before    []Message
-	After     []Message
-	Committed []Entry
-	Reads     []Read
+	MustSync       bool
+	SendBeforeSync []Message
+	SendAfterSync  []Message
+	Committed      []Entry
+	Reads          []Read
 	// Snapshots are members that need a snapshot; SnapshotSent ends each transfer.
-	Snapshots []MemberID
+	SnapshotTargets []MemberID
 }
 
 // Ready returns what is to be done. Saved must follow before the next Ready.
@@ -91,16 +91,16 @@
 		Snapshot: c.installed, Hard: hard,
 		Entries:   c.log.slice(c.log.persisted+1, c.log.last(), math.MaxInt),
 		Committed: c.log.slice(c.handed+1, c.commit, math.MaxInt),
-		Reads:     c.released, Snapshots: c.snapshots,
+		Reads:     c.released, SnapshotTargets: c.snapshots,
 	}
 	newTerm := hard.Term != c.saved.Term || hard.Vote != c.saved.Vote
-	rd.Save = newTerm || len(rd.Entries) > 0 || rd.Snapshot != nil
+	rd.MustSync = newTerm || len(rd.Entries) > 0 || rd.Snapshot != nil
 	// A leader's appends may overtake its own disk: its copy counts once synced.
 	// Everything else promises what must be on the disk first.
 	if c.role == Leader && !newTerm {
-		rd.Before = c.out
+		rd.SendBeforeSync = c.out
 	} else {
-		rd.After = c.out
+		rd.SendAfterSync = c.out
 	}
 	c.out, c.released, c.snapshots, c.installed = nil, nil, nil, nil
 	c.handed = c.commit
--- a/internal/consensus/requests.go
+++ b/internal/consensus/requests.go
@@ -130,10 +130,10 @@
 
 // HandOver gives the leadership up, where this member holds it, and returns once
 // it has or ctx ends.
-func (n *Node) HandOver(ctx context.Context) {
+func (n *Node) TransferLeadership(ctx context.Context) {
 	for n.IsLeader() {
 		asked := make(chan bool, 1)
-		if n.do(ctx, func() { asked <- n.core.HandOver() }) != nil {
+		if n.do(ctx, func() { asked <- n.core.TransferLeadership() }) != nil {
 			return
 		}
 		if _, err := await(ctx, n, asked); err != nil {
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -188,7 +188,7 @@
 func (s *sim) pump(m *member) {
 	for m.up && m.core.HasReady() {
 		rd := m.core.Ready()
-		s.send(rd.Before)
+		s.send(rd.SendBeforeSync)
 		if s.powerLoss > 0 && s.rng.Float64() < s.powerLoss {
 			s.crash(m) // nothing of rd reached the disk
 			return
@@ -198,18 +198,18 @@
 			m.disk.snap, m.disk.state = *rd.Snapshot, m.received
 			m.applied, m.state, m.pieces = m.disk.snap.Index, slices.Clone(m.disk.state), pieces{}
 		}
-		if rd.Save {
+		if rd.MustSync {
 			m.disk.save(rd)
 		}
 		m.core.Saved(rd)
-		s.send(rd.After)
+		s.send(rd.SendAfterSync)
 		for _, e := range rd.Committed {
 			s.apply(m, e)
 		}
 		for _, r := range rd.Reads {
 			s.finishRead(m, r)
 		}
-		for _, to := range rd.Snapshots {
+		for _, to := range rd.SnapshotTargets {
 			s.transfer(m, to)
 		}
 		if m.applied-m.disk.snap.Index > snapEvery && !m.pieces.pending() {
--- a/internal/consensus/surplus.go
+++ b/internal/consensus/surplus.go
@@ -12,7 +12,7 @@
 // one's id differs, so that nothing names the old one as its former. The silent
 // vote raises the majority, and the next loss would stop the group. Nothing is
 // removed down to target or below: there a silent voter may come back.
-func (c *Core) Surplus(target int) MemberID {
+func (c *Core) SurplusVoter(target int) MemberID {
 	config := c.log.config().config
 	if c.role != Leader || len(config.Voters) <= target || !c.ConfigSettled() {
 		return ""
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -72,19 +72,19 @@
 
 // Message is sent between members. Which fields count depends on Kind.
 type Message struct {
-	Kind    MessageKind   `cbor:"1,keyasint"`
-	From    MemberID      `cbor:"2,keyasint"`
-	To      MemberID      `cbor:"3,keyasint"`
-	Term    uint64        `cbor:"4,keyasint"`
-	Index   uint64        `cbor:"5,keyasint,omitempty"` // of the entry before Entries; a voter's last; a reply's match
-	LogTerm uint64        `cbor:"6,keyasint,omitempty"` // term of the entry at Index
-	Commit  uint64        `cbor:"7,keyasint,omitempty"`
-	Entries []Entry       `cbor:"8,keyasint,omitempty"`
-	Reject  bool          `cbor:"9,keyasint,omitempty"`
-	Hint    uint64        `cbor:"10,keyasint,omitempty"` // of a rejecting reply: where the logs may still agree
-	Round   uint64        `cbor:"11,keyasint,omitempty"` // heartbeat round, for reads
-	Meta    *SnapshotMeta `cbor:"12,keyasint,omitempty"`
-	Handed  bool          `cbor:"13,keyasint,omitempty"` // of a vote request: the leader itself asked for it
+	Kind               MessageKind   `cbor:"1,keyasint"`
+	From               MemberID      `cbor:"2,keyasint"`
+	To                 MemberID      `cbor:"3,keyasint"`
+	Term               uint64        `cbor:"4,keyasint"`
+	Index              uint64        `cbor:"5,keyasint,omitempty"` // of the entry before Entries; a voter's last; a reply's match
+	LogTerm            uint64        `cbor:"6,keyasint,omitempty"` // term of the entry at Index
+	Commit             uint64        `cbor:"7,keyasint,omitempty"`
+	Entries            []Entry       `cbor:"8,keyasint,omitempty"`
+	Reject             bool          `cbor:"9,keyasint,omitempty"`
+	Hint               uint64        `cbor:"10,keyasint,omitempty"` // of a rejecting reply: where the logs may still agree
+	Round              uint64        `cbor:"11,keyasint,omitempty"` // heartbeat round, for reads
+	Meta               *SnapshotMeta `cbor:"12,keyasint,omitempty"`
+	LeadershipTransfer bool          `cbor:"13,keyasint,omitempty"` // of a vote request: the leader itself asked for it
 }
 
 // Errors of proposals and reads.
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -74,7 +74,7 @@
 	g := &Group{o: o, tracker: newTracker(o.Lease)}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.node = consensus.NewNode(consensus.NodeOptions{
-		VM: o.VM, VMs: o.Voters, Known: o.KnownVMs, JoinOnly: o.JoinOnly, Target: o.TargetVoters, Dir: o.Dir, FS: o.FS, Transport: o.Transport, Machine: o.State, Log: o.Log, Failed: o.OnFailure,
+		VM: o.VM, VMs: o.Voters, KnownVMs: o.KnownVMs, JoinOnly: o.JoinOnly, TargetVoters: o.TargetVoters, Dir: o.Dir, FS: o.FS, Transport: o.Transport, StateMachine: o.State, Log: o.Log, OnFailure: o.OnFailure,
 	})
 	g.watch = newWatchServer(g)
 	o.Transport.Handle(peer.KindControl, g.serve)
@@ -95,7 +95,7 @@
 func (g *Group) HandOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	g.node.HandOver(ctx)
+	g.node.TransferLeadership(ctx)
 }
 
 // Close stops the member and ends all requests that wait for it.
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -265,7 +265,7 @@
 		begin, end func(*waltest.FS)
 		cause      error
 	}{
-		"full":        {func(f *waltest.FS) { f.Space(300) }, func(f *waltest.FS) { f.Space(-1) }, waltest.ErrFull},
+		"full":        {func(f *waltest.FS) { f.LimitSpace(300) }, func(f *waltest.FS) { f.LimitSpace(-1) }, waltest.ErrFull},
 		"sync failed": {func(f *waltest.FS) { f.FailSync(true) }, func(f *waltest.FS) { f.FailSync(false) }, waltest.ErrSync},
 	}
 	for name, fault := range faults {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -134,7 +134,7 @@
 	views := slices.Clone(m.views)
 	for i := 1; i < len(views); i++ {
 		superseded := m.learnt[views[i-1].Version]
-		views[i].Settled = time.Since(superseded) >= m.lease+moveTime
+		views[i].Migrated = time.Since(superseded) >= m.lease+moveTime
 	}
 	m.views = views
 }
@@ -179,7 +179,7 @@
 		out.Candidates = append(out.Candidates, generation.Candidate{
 			VM: vm.ID, Zone: vm.Zone, Incarnation: vm.Incarnation,
 			Dead:    vm.State == membership.Dead,
-			Leaving: vm.State == membership.Leaving || vm.State == membership.Dead && live >= generation.KeepersMany,
+			Leaving: vm.State == membership.Leaving || vm.State == membership.Dead && live >= generation.MaxKeepers,
 		})
 	}
 	return out
--- a/internal/node/settle_test.go
+++ b/internal/node/settle_test.go
@@ -38,7 +38,7 @@
 		join("vm3", "b")
 		settled := func() (n int) {
 			for _, v := range m.Views() {
-				if v.Settled {
+				if v.Migrated {
 					n++
 				}
 			}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -128,11 +128,11 @@
 	if err := l.Append([]byte("kept")); err != nil {
 		t.Fatal(err)
 	}
-	fs.Space(10)
+	fs.LimitSpace(10)
 	if err := l.Append([]byte("does not fit")); !errors.Is(err, waltest.ErrFull) {
 		t.Fatalf("got %v", err)
 	}
-	fs.Space(-1)
+	fs.LimitSpace(-1)
 	_, frames, err := wal.Open(fs, dir)
 	if err != nil || len(frames) != 1 || string(frames[0]) != "kept" {
 		t.Fatalf("reopened: %q, %v", frames, err)
@@ -151,13 +151,13 @@
 	}
 	file := dir + "/segment-0000000000000001.log"
 	for _, offset := range []int{0, 5, 17, 22, 24 + 3, 24 + 20} {
-		fs.Damage(file, offset)
+		fs.CorruptByte(file, offset)
 		_, _, err := wal.Open(fs, dir)
 		var damage *wal.DamageError
 		if !errors.As(err, &damage) || damage.File != file || damage.Offset != int64(offset/24*24) {
 			t.Errorf("offset %d: got %v", offset, err)
 		}
-		fs.Damage(file, offset)
+		fs.CorruptByte(file, offset)
 	}
 }
 
--- a/internal/wal/waltest/fs.go
+++ b/internal/wal/waltest/fs.go
@@ -58,7 +58,7 @@
 }
 
 // Space bounds the bytes that can still be written; negative: no limit.
-func (f *FS) Space(bytes int) {
+func (f *FS) LimitSpace(bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.space = bytes
@@ -91,7 +91,7 @@
 }
 
 // Damage changes one byte of a file.
-func (f *FS) Damage(name string, offset int) {
+func (f *FS) CorruptByte(name string, offset int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.live[name].data[offset] ^= 0xFF
