--- a/internal/fleet/part.go
+++ b/internal/fleet/state_machine.go
@@ -9,7 +9,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// Served is what an engine was last seen to serve.
+// Served holds the copies that an engine was last seen to serve.
 type Served struct {
 	Engine string `cbor:"1,keyasint"`
 	Copies []Copy `cbor:"2,keyasint"`
@@ -19,21 +19,23 @@
 	Version uint64   `cbor:"1,keyasint"`
 	Fence   uint64   `cbor:"2,keyasint"`
 	Leader  string   `cbor:"3,keyasint"`
-	Orders  []Order  `cbor:"4,keyasint"` // under way, one an engine, by engine
-	Served  []Served `cbor:"5,keyasint"` // by engine
+	Orders  []Order  `cbor:"4,keyasint"` // pending, at most one per engine, sorted by engine
+	Served  []Served `cbor:"5,keyasint"` // sorted by engine
 }
 
-// Part is the orders' state in the control group. It implements control.Part.
-type Part struct{ s state }
+// StateMachine holds the orders in the control group's replicated state. It implements
+// control.StateMachine.
+type StateMachine struct{ s state }
 
-// NewPart returns an empty Part.
-func NewPart() *Part { return &Part{} }
+// NewStateMachine returns an empty StateMachine.
+func NewStateMachine() *StateMachine { return &StateMachine{} }
 
-// Version implements control.Part: it grows when what engines serve changes.
-func (p *Part) Version() uint64 { return p.s.Version }
+// Version returns a number that increases when the committed copies of an engine change.
+func (p *StateMachine) Version() uint64 { return p.s.Version }
 
-// Apply executes an encoded Command.
-func (p *Part) Apply(nowMS int64, data []byte) []byte {
+// Apply executes an encoded Command and returns an encoded Reply. It refuses a command that
+// cannot be decoded.
+func (p *StateMachine) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	var reply Reply
 	if err := codec.Unmarshal(data, &cmd); err == nil {
@@ -41,18 +43,18 @@
 	}
 	out, err := codec.Marshal(reply)
 	if err != nil {
-		panic(err) // a struct of a number and a truth value always encodes
+		panic(err) // cannot happen: a struct of a number and a bool always encodes
 	}
 	return out
 }
 
-// Execute executes a command at the group's time.
-func (p *Part) Execute(nowMS int64, cmd *Command) Reply {
+// Execute executes a command at a time of the group's clock, in Unix milliseconds.
+func (p *StateMachine) Execute(nowMS int64, cmd *Command) Reply {
 	ok := false
 	switch {
-	case cmd.Lead != nil:
+	case cmd.AcquireFence != nil:
 		p.s.Fence++
-		p.s.Leader = cmd.Lead.Leader
+		p.s.Leader = cmd.AcquireFence.Leader
 		ok = true
 	case cmd.Begin != nil:
 		ok = p.begin(nowMS, cmd.Begin.Order)
@@ -67,9 +69,9 @@
 	return Reply{OK: ok, Fence: p.s.Fence}
 }
 
-// begin refuses the order of a leader that has been followed by another, and a
-// second order to one engine.
-func (p *Part) begin(nowMS int64, o Order) bool {
+// begin adds a pending order. It refuses the order of a deposed leader, and a second order
+// to one engine.
+func (p *StateMachine) begin(nowMS int64, o Order) bool {
 	if o.Fence != p.s.Fence || p.order(o.Engine) >= 0 {
 		return false
 	}
@@ -79,11 +81,11 @@
 	return true
 }
 
-func (p *Part) order(engine string) int {
+func (p *StateMachine) order(engine string) int {
 	return slices.IndexFunc(p.s.Orders, func(o Order) bool { return o.Engine == engine })
 }
 
-func (p *Part) end(e *End) bool {
+func (p *StateMachine) end(e *End) bool {
 	i := p.order(e.Engine)
 	if e.Fence != p.s.Fence || i < 0 {
 		return false
@@ -93,7 +95,7 @@
 	return true
 }
 
-func (p *Part) record(engine string, copies []Copy) {
+func (p *StateMachine) record(engine string, copies []Copy) {
 	i := slices.IndexFunc(p.s.Served, func(s Served) bool { return s.Engine == engine })
 	if i < 0 {
 		p.s.Served = append(p.s.Served, Served{engine, copies})
@@ -107,23 +109,23 @@
 	}
 }
 
-// Orders are those under way.
-func (p *Part) Orders() []Order { return slices.Clone(p.s.Orders) }
+// Orders returns a copy of the pending orders.
+func (p *StateMachine) Orders() []Order { return slices.Clone(p.s.Orders) }
 
-// Changes implements control.Part: the whole of what engines serve.
-func (p *Part) Changes(uint64) []byte {
+// Changes returns the encoded copies of all engines. It ignores the version of the watcher.
+func (p *StateMachine) Changes(uint64) []byte {
 	out, err := codec.Marshal(p.s.Served)
 	if err != nil {
-		panic(err) // a list of texts always encodes
+		panic(err) // cannot happen: a list of strings and bools always encodes
 	}
 	return out
 }
 
-// Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
+// Snapshot returns the encoded state.
+func (p *StateMachine) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
 
-// Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+// Restore replaces the state by a snapshot.
+func (p *StateMachine) Restore(data []byte) error {
 	var s state
 	if err := codec.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("fleet: snapshot: %w", err)
@@ -132,10 +134,10 @@
 	return nil
 }
 
-// View answers which engines serve what, for routing. It is immutable.
+// View holds the committed copies of all engines, for routing. It is immutable.
 type View struct{ served []Served }
 
-// NewView decodes a change of the part.
+// NewView decodes a change of the StateMachine.
 func NewView(data []byte) (*View, error) {
 	var v View
 	if err := codec.Unmarshal(data, &v.served); err != nil {
@@ -144,8 +146,8 @@
 	return &v, nil
 }
 
-// Engines names the engines with a ready copy. Empty version and adapter match
-// any.
+// Engines returns the names of the engines with a ready copy. An empty version or adapter
+// matches any.
 func (v *View) Engines(model, version, adapter string) []string {
 	var out []string
 	for _, s := range v.served {
@@ -159,8 +161,9 @@
 	return out
 }
 
-// Same reports whether the view shows these copies on an engine.
-func (v *View) Same(engine string, copies []Copy) bool {
+// Matches reports whether the view has exactly these copies for the engine. A nil view
+// matches nothing.
+func (v *View) Matches(engine string, copies []Copy) bool {
 	if v == nil {
 		return false
 	}
@@ -172,7 +175,7 @@
 	return false
 }
 
-// Models names the models that an engine has ready.
+// Models returns the names of the models of which the engine has a ready copy.
 func (v *View) Models(engine string) []string {
 	var out []string
 	for _, s := range v.served {
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -16,7 +16,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/telemetry"
 )
 
-// Limits of one request.
+// Bounds of the fields of a request.
 const (
 	maxTokensLimit  = 1 << 20
 	deadlineLimitMS = 24 * 60 * 60 * 1000
@@ -38,7 +38,7 @@
 	if key == "" {
 		key = rand.Text()
 	}
-	ctx, span := g.tracer.Start(traced(r, key), "entry", key)
+	ctx, span := g.tracer.Start(traceContext(r, key), "entry", key)
 	defer span.End()
 	if err := g.serveCompletion(ctx, w, r, key); err != nil {
 		g.log.Info().Str("request_id", key).Int("code", int(result.CodeOf(err))).Msg("request refused")
@@ -46,16 +46,17 @@
 	}
 }
 
-// traced returns the request's context within the caller's trace, or within one
-// of the request's own that all its connections share.
-func traced(r *http.Request, key string) context.Context {
+// traceContext returns the request's context with the caller's trace. Without a trace of the
+// caller it uses one derived from the request's key, which all connections of the request
+// share.
+func traceContext(r *http.Request, key string) context.Context {
 	if parent := r.Header.Get("Traceparent"); parent != "" {
 		return telemetry.Extract(r.Context(), parent)
 	}
 	return telemetry.ForRequest(r.Context(), r.Header.Get("Authorization")+"/"+key)
 }
 
-// serveCompletion returns an error only while the answer has not begun.
+// serveCompletion returns an error only if nothing of the answer has been written.
 func (g *Gateway) serveCompletion(ctx context.Context, w http.ResponseWriter, r *http.Request, key string) error {
 	if !ValidKey(key) {
 		return result.New(result.InvalidKey)
@@ -75,19 +76,19 @@
 	defer reader.Release()
 	w.Header().Set("X-Request-Id", key)
 	if !streamed {
-		return g.answerWhole(ctx, w, key, reader)
+		return g.answerComplete(ctx, w, key, reader)
 	}
 	return g.answerStream(ctx, w, key, reader, last)
 }
 
-// open reads the body and opens the generation. The bodies under way are
-// bounded: admission counts a request's bytes only once they have been read.
+// open reads the body and opens the generation. The bodies that are being read are bounded
+// here, because admission counts a request's bytes only once they have been read.
 func (g *Gateway) open(ctx context.Context, w http.ResponseWriter, r *http.Request, caller Caller, key string, resuming bool) (*relay.Reader, bool, error) {
-	leave, ok := g.opening.Enter(g.bodyBound(r))
+	release, ok := g.opening.Enter(g.maxBodyBytes(r))
 	if !ok {
-		return nil, false, result.New(result.QueueFull).WithRetryAfter(fullPause)
+		return nil, false, result.New(result.QueueFull).WithRetryAfter(fullRetryAfter)
 	}
-	defer leave()
+	defer release()
 	body, err := readCompletion(http.MaxBytesReader(w, r.Body, g.cfg.MaxBodyBytes))
 	if err != nil {
 		return nil, false, err
@@ -171,7 +172,7 @@
 	}, nil
 }
 
-type wholeAnswer struct {
+type completionAnswer struct {
 	RequestID string           `json:"request_id"`
 	TokenIDs  []int32          `json:"token_ids"`
 	Text      string           `json:"text"`
@@ -179,8 +180,8 @@
 	Usage     generation.Usage `json:"usage"`
 }
 
-func (g *Gateway) answerWhole(ctx context.Context, w http.ResponseWriter, key string, reader *relay.Reader) error {
-	answer := wholeAnswer{RequestID: key, TokenIDs: []int32{}}
+func (g *Gateway) answerComplete(ctx context.Context, w http.ResponseWriter, key string, reader *relay.Reader) error {
+	answer := completionAnswer{RequestID: key, TokenIDs: []int32{}}
 	var text []byte
 	for answer.Finish == "" {
 		chunk, err := reader.Wait(ctx, len(answer.TokenIDs))
@@ -198,23 +199,23 @@
 	return json.NewEncoder(w).Encode(&answer)
 }
 
-// firstWait is how long the status line waits for a first token: an error that
-// shows by then is a plain HTTP error, later ones are events.
-const firstWait = 1 * time.Second
+// maxFirstTokenWait is how long the HTTP status waits for the first token. An error until
+// then is answered as an HTTP error, a later one as an event.
+const maxFirstTokenWait = 1 * time.Second
 
 func (g *Gateway) answerStream(ctx context.Context, w http.ResponseWriter, key string, reader *relay.Reader, last *EventID) error {
 	s := &stream{w: w, key: key, flush: http.NewResponseController(w)}
 	if last != nil {
 		s.index, s.digest = last.Index, last.Digest
 	}
-	wait := firstWait
+	wait := maxFirstTokenWait
 	for {
 		wctx, cancel := context.WithTimeout(ctx, wait)
 		chunk, err := reader.Wait(wctx, s.index)
 		cancel()
 		switch {
 		case ctx.Err() != nil:
-			return nil // the caller is gone; the answer is kept for its return
+			return nil // the caller disconnected; the answer is kept for a reconnect
 		case errors.Is(err, context.DeadlineExceeded):
 			err = s.heartbeat()
 		case err == nil:
@@ -226,16 +227,16 @@
 		if chunk.Finish != "" {
 			return nil
 		}
-		if g.leaving() {
+		if g.draining() {
 			return s.reconnect()
 		}
 		wait = g.cfg.Heartbeat
 	}
 }
 
-func (g *Gateway) leaving() bool {
+func (g *Gateway) draining() bool {
 	select {
-	case <-g.cfg.Leaving:
+	case <-g.cfg.Draining:
 		return true
 	default:
 		return false
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -12,11 +12,11 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result/resulthttp"
 )
 
-// Entrances names the addresses that callers should use.
-type Entrances interface {
-	// Entry returns addresses in order of use, and the version of the list that
-	// they come from.
-	Entry(q membership.EntryQuery) (addresses []string, version uint64)
+// Endpoints chooses the addresses that callers should use.
+type Endpoints interface {
+	// Entry returns addresses in order of preference, and the version of the list of VMs
+	// that they were chosen from.
+	Entry(q membership.EndpointQuery) (addresses []string, version uint64)
 }
 
 type entryAnswer struct {
@@ -26,24 +26,24 @@
 }
 
 // EntryRoutes registers GET /v1/entry. Callers keep an answer for ttl.
-func (g *Gateway) EntryRoutes(r *mux.Router, e Entrances, ttl time.Duration) {
+func (g *Gateway) EntryRoutes(r *mux.Router, e Endpoints, ttl time.Duration) {
 	r.HandleFunc("/v1/entry", func(w http.ResponseWriter, r *http.Request) {
 		caller, err := g.authenticate(r)
 		if err != nil {
 			resulthttp.Write(w, "", err)
 			return
 		}
-		q := membership.EntryQuery{Workspace: caller.Customer.Workspace, Zone: r.URL.Query().Get("zone"), Caller: callerName(r)}
+		q := membership.EndpointQuery{Workspace: caller.Customer.Workspace, Zone: r.URL.Query().Get("zone"), Caller: callerName(r)}
 		out := entryAnswer{TTLMS: ttl.Milliseconds()}
 		out.Addresses, out.Version = e.Entry(q)
 		w.Header().Set("Content-Type", "application/json")
-		// A caller that hangs up now asks again.
+		// A caller that disconnects now sends its request again.
 		_ = json.NewEncoder(w).Encode(out)
 	}).Methods(http.MethodGet)
 }
 
-// callerName tells the callers of a workspace apart: by ?caller= where many
-// share a host, else by host.
+// callerName returns a name that distinguishes the callers of a workspace: the parameter
+// caller, for callers that share a host, or else the host.
 func callerName(r *http.Request) string {
 	if name := r.URL.Query().Get("caller"); name != "" {
 		return name
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,7 +128,7 @@
 }
 
 func (n *Node) startCallers() {
-	gw := gateway.New(gateway.Config{MaxBodyBytes: n.s.MaxBodyBytes, Heartbeat: heartbeatInterval, Leaving: n.handedOver},
+	gw := gateway.New(gateway.Config{MaxBodyBytes: n.s.MaxBodyBytes, Heartbeat: heartbeatInterval, Draining: n.handedOver},
 		n.hub, n.plans, n.router, n.tracer, n.log)
 	r := mux.NewRouter().UseEncodedPath()
 	gw.Routes(r)
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -55,7 +55,7 @@
 	for timer.Sleep(ctx, probeInterval+rand.N(probeJitter)) == nil {
 		view := n.members.currentView()
 		if view.Version != version {
-			version, watched = view.Version, membership.Watches(n.s.Self.ID, view.VMs)
+			version, watched = view.Version, membership.ProbeTargets(n.s.Self.ID, view.VMs)
 			n.members.retainFailing(watched)
 		}
 		var wg sync.WaitGroup
@@ -103,7 +103,7 @@
 		}
 	}
 	reached := make(chan bool, indirectProbers)
-	asked := membership.Spread(n.s.Self.ID+"/"+id, candidates, indirectProbers)
+	asked := membership.ChooseAcrossZones(n.s.Self.ID+"/"+id, candidates, indirectProbers)
 	for _, helper := range asked {
 		go func() { reached <- n.reaches(ctx, helper.ID, probe{Target: id}, indirectProbeTimeout) }()
 	}
--- a/internal/operator/lists.go
+++ b/internal/operator/lists.go
@@ -13,7 +13,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// list is one of the two lists as the API serves it.
+// list describes one of the two lists that the API serves: its path, its commands, and how to
+// read a row from a request body. allowances is false for the list of plans.
 type list struct {
 	path        string
 	allowances  bool
@@ -21,19 +22,19 @@
 	read        func(w http.ResponseWriter, r *http.Request, c *plan.Command) error
 }
 
-// PlanAnswer is a row of the first list, with what the workspace has in use.
+// PlanAnswer is the answer with one row of the list of plans, and the usage of its workspace.
 type PlanAnswer struct {
 	plan.CustomerRow
 	Use plan.Usage `json:"use"`
 }
 
-// PlansAnswer is the first list.
+// PlansAnswer is the answer with the list of plans, one row for each workspace.
 type PlansAnswer struct {
 	Version uint64             `json:"version"` // of both lists
 	Plans   []plan.CustomerRow `json:"plans"`
 }
 
-// AllowancesAnswer is the second list.
+// AllowancesAnswer is the answer with the list of allowances, one row for each plan.
 type AllowancesAnswer struct {
 	Version    uint64              `json:"version"` // of both lists
 	Allowances []plan.AllowanceRow `json:"allowances"`
@@ -46,7 +47,7 @@
 		if err := decodeBody(w, r, c.Customer); err != nil {
 			return err
 		}
-		return named(&c.Customer.Workspace, c.Name, "workspace")
+		return setName(&c.Customer.Workspace, c.Name, "workspace")
 	},
 }
 
@@ -57,12 +58,13 @@
 		if err := decodeBody(w, r, c.Allowance); err != nil {
 			return err
 		}
-		return named(&c.Allowance.Plan, c.Name, "plan")
+		return setName(&c.Allowance.Plan, c.Name, "plan")
 	},
 }
 
-// named fills in a row's name from the path; another one in the body is refused.
-func named(field *string, name, what string) error {
+// setName sets the name of a row to that in the path. It refuses a different name in the
+// body.
+func setName(field *string, name, what string) error {
 	if *field != "" && *field != name {
 		return result.Newf(result.InvalidField, "%s in the body is %q, in the path %q", what, *field, name)
 	}
@@ -72,16 +74,16 @@
 
 type listHandler func(w http.ResponseWriter, r *http.Request, l list) error
 
-func (a *API) with(l list, h listHandler) func(w http.ResponseWriter, r *http.Request) error {
+func (a *API) bind(l list, h listHandler) func(w http.ResponseWriter, r *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error { return h(w, r, l) }
 }
 
-func (a *API) all(w http.ResponseWriter, r *http.Request, l list) error {
-	answer, err := a.ask(r.Context(), plan.Query{Allowances: l.allowances})
+func (a *API) listRows(w http.ResponseWriter, r *http.Request, l list) error {
+	answer, err := a.query(r.Context(), plan.Query{Allowances: l.allowances})
 	if err != nil {
 		return err
 	}
-	if err := a.wait(r, answer.Version); err != nil {
+	if err := a.waitInForce(r, answer.Version); err != nil {
 		return err
 	}
 	w.Header().Set("ETag", etag(answer.Version))
@@ -91,7 +93,7 @@
 	return writeJSON(w, http.StatusOK, PlansAnswer{answer.Version, orEmpty(answer.Customers)})
 }
 
-// orEmpty makes an absent list [] in JSON, not null.
+// orEmpty returns an empty list for nil, which JSON encodes as [] instead of null.
 func orEmpty[T any](rows []T) []T {
 	if rows == nil {
 		return []T{}
@@ -99,9 +101,9 @@
 	return rows
 }
 
-func (a *API) one(w http.ResponseWriter, r *http.Request, l list) error {
+func (a *API) readRow(w http.ResponseWriter, r *http.Request, l list) error {
 	name := mux.Vars(r)["name"]
-	answer, err := a.ask(r.Context(), plan.Query{Allowances: l.allowances, Name: name})
+	answer, err := a.query(r.Context(), plan.Query{Allowances: l.allowances, Name: name})
 	switch {
 	case err != nil:
 		return err
@@ -116,14 +118,14 @@
 }
 
 func (a *API) history(w http.ResponseWriter, r *http.Request, l list) error {
-	answer, err := a.ask(r.Context(), plan.Query{Allowances: l.allowances, Name: mux.Vars(r)["name"], History: true})
+	answer, err := a.query(r.Context(), plan.Query{Allowances: l.allowances, Name: mux.Vars(r)["name"], History: true})
 	if err != nil {
 		return err
 	}
 	return writeJSON(w, http.StatusOK, map[string][]plan.Change{"history": orEmpty(answer.History)})
 }
 
-func (a *API) ask(ctx context.Context, q plan.Query) (plan.Answer, error) {
+func (a *API) query(ctx context.Context, q plan.Query) (plan.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	answer, err := a.Lists.Ask(ctx, q)
@@ -133,16 +135,17 @@
 	return answer, nil
 }
 
-// Written answers a change.
-type Written struct {
-	Name    string `json:"name"`
-	Version uint64 `json:"version"` // of the row, 0 once it is removed
-	Lists   uint64 `json:"lists_version"`
-	InForce bool   `json:"in_force"`
+// ChangeAnswer is the answer to a change of a row. InForce is true if the request waited until
+// the change was in force.
+type ChangeAnswer struct {
+	Name         string `json:"name"`
+	Version      uint64 `json:"version"` // of the row; 0: the row was removed
+	ListsVersion uint64 `json:"lists_version"`
+	InForce      bool   `json:"in_force"`
 }
 
 func (a *API) change(w http.ResponseWriter, r *http.Request, l list) error {
-	c := plan.Command{Name: mux.Vars(r)["name"], Action: l.set, Who: who(r), IdempotencyKey: r.Header.Get("Idempotency-Key")}
+	c := plan.Command{Name: mux.Vars(r)["name"], Action: l.set, Who: operatorName(r), IdempotencyKey: r.Header.Get("Idempotency-Key")}
 	if c.IdempotencyKey != "" && !keyPattern.MatchString(c.IdempotencyKey) {
 		return result.New(result.InvalidKey)
 	}
@@ -167,25 +170,26 @@
 	return a.answerChange(w, r, c, reply)
 }
 
-// who names the operator in the history: what he calls himself, and from where.
-func who(r *http.Request) string {
-	const longest = 64
+// operatorName returns the name of the operator for the history: the header X-Operator, cut
+// to 64 bytes, and the host that the request came from.
+func operatorName(r *http.Request) string {
+	const maxNameBytes = 64
 	name := cmp.Or(r.Header.Get("X-Operator"), "operator")
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		host = r.RemoteAddr
 	}
-	return name[:min(len(name), longest)] + "@" + host
+	return name[:min(len(name), maxNameBytes)] + "@" + host
 }
 
-// commit has the group decide. Without an answer nobody can tell whether the
-// change was made: the operator resends it with the same Idempotency-Key.
+// commit proposes a change to the control group. Without an answer it is unknown whether the
+// change was made, and the operator has to resend it with the same Idempotency-Key.
 func (a *API) commit(ctx context.Context, c plan.Command) (plan.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	reply, err := control.Propose[plan.Reply](ctx, a.Control, control.PlansStateMachine, c)
 	if err == nil || result.CodeOf(err) == result.ControlUnavail {
-		return reply, err // not executed, and will not be
+		return reply, err // the change was not executed and will not be
 	}
 	e := result.Newf(result.ControlUnavail, "no answer from the control group: %v; resend with the same Idempotency-Key", err)
 	return reply, e.WithRan(result.RanUnknown)
@@ -193,12 +197,12 @@
 
 func (a *API) answerChange(w http.ResponseWriter, r *http.Request, c plan.Command, reply plan.Reply) error {
 	a.Log.Info().Str("who", c.Who).Str("what", c.Action.String()).Str("name", c.Name).
-		Uint64("version", reply.Version).Msg("lists changed")
-	out := Written{Name: c.Name, Version: reply.Version, Lists: reply.ListsVersion}
-	if err := a.wait(r, reply.ListsVersion); err != nil {
+		Uint64("version", reply.Version).Msg("row of a list changed")
+	out := ChangeAnswer{Name: c.Name, Version: reply.Version, ListsVersion: reply.ListsVersion}
+	if err := a.waitInForce(r, reply.ListsVersion); err != nil {
 		return result.From(err).WithRan(result.RanYes)
 	}
-	out.InForce = waits(r)
+	out.InForce = wantsInForce(r)
 	status := http.StatusOK
 	if reply.Created {
 		status = http.StatusCreated
@@ -209,10 +213,10 @@
 	return writeJSON(w, status, out)
 }
 
-func waits(r *http.Request) bool { return r.URL.Query().Get("wait") == "in-force" }
+func wantsInForce(r *http.Request) bool { return r.URL.Query().Get("wait") == "in-force" }
 
-func (a *API) wait(r *http.Request, version uint64) error {
-	if !waits(r) {
+func (a *API) waitInForce(r *http.Request, version uint64) error {
+	if !wantsInForce(r) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), waitTimeout)
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -22,25 +22,25 @@
 
 var errNet = errors.New("no answer")
 
-// world is four stand-in engines, of which two hold model a and two b, and any
-// number of VMs that believe that they lead.
-type world struct {
+// testSystem has four stand-in engines, of which two hold model a and two hold model b. Any
+// number of VMs may assume that they lead the control group.
+type testSystem struct {
 	t       *testing.T
 	fences  bool
 	engines map[string]*standin.Engine
-	machine *control.ReplicatedState
-	part    *fleet.Part
+	state   *control.ReplicatedState
+	sm      *fleet.StateMachine
 
-	mu      sync.Mutex
-	taken   []uint64                 // fencing numbers of the orders that engines took, in order
-	lose    bool                     // answers of orders are lost
-	pause   map[uint64]time.Duration // an order's way to the engine, by fencing number
-	refused int
+	mu          sync.Mutex
+	accepted    []uint64                 // fencing numbers of the orders that engines accepted, in order
+	loseAnswers bool                     // answers to orders are lost
+	delays      map[uint64]time.Duration // delay of an order to the engine, by fencing number
+	refused     int
 }
 
-func newWorld(t *testing.T, fences bool) *world {
-	w := &world{t: t, fences: fences, engines: map[string]*standin.Engine{}, machine: control.NewReplicatedState(), part: fleet.NewPart(), pause: map[uint64]time.Duration{}}
-	w.machine.Register(control.FleetStateMachine, w.part)
+func newTestSystem(t *testing.T, fences bool) *testSystem {
+	w := &testSystem{t: t, fences: fences, engines: map[string]*standin.Engine{}, state: control.NewReplicatedState(), sm: fleet.NewStateMachine(), delays: map[uint64]time.Duration{}}
+	w.state.Register(control.FleetStateMachine, w.sm)
 	for i, model := range []string{"a", "a", "b", "b"} {
 		cfg := standin.DefaultEngine(fmt.Sprint("e", i), model)
 		cfg.Fences, cfg.LoadTime = fences, 3*time.Second
@@ -49,20 +49,20 @@
 	return w
 }
 
-func (w *world) stop() {
+func (w *testSystem) stop() {
 	for _, e := range w.engines {
 		e.Stop()
 	}
 }
 
-// Order implements orders.Engines. A paused order has passed its sender's last
-// check: it arrives whatever has happened since.
-func (w *world) Order(ctx context.Context, addr string, o engine.Order) (engine.State, error) {
+// Order implements orders.Engines. A delayed order has passed its sender's last check and
+// always arrives, also after its sender was deposed.
+func (w *testSystem) Order(ctx context.Context, addr string, o engine.Order) (engine.State, error) {
 	w.mu.Lock()
-	pause, lose := w.pause[o.Fence], w.lose
-	delete(w.pause, o.Fence)
+	delay, lose := w.delays[o.Fence], w.loseAnswers
+	delete(w.delays, o.Fence)
 	w.mu.Unlock()
-	time.Sleep(pause)
+	time.Sleep(delay)
 	s, err := w.engines[addr].Order(o)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,7 +70,7 @@
 		w.refused++
 		return s, err
 	}
-	w.taken = append(w.taken, o.Fence)
+	w.accepted = append(w.accepted, o.Fence)
 	if lose {
 		return engine.State{}, errNet
 	}
@@ -78,16 +78,16 @@
 }
 
 // State implements orders.Engines.
-func (w *world) State(_ context.Context, addr string) (engine.State, error) {
+func (w *testSystem) State(_ context.Context, addr string) (engine.State, error) {
 	if !w.engines[addr].Alive() {
 		return engine.State{}, errNet
 	}
 	return w.engines[addr].State(), nil
 }
 
-func (w *world) leader(name string, leads func() bool) *orders.Leader {
+func (w *testSystem) leader(name string, leads func() bool) *orders.Leader {
 	return orders.NewLeader(orders.Deps{
-		Name: name, Control: control.NewLocalClient(w.machine), Engines: w, IsLeader: leads,
+		Name: name, Control: control.NewLocalClient(w.state), Engines: w, IsLeader: leads,
 		Backends: func() []orders.Backend {
 			var out []orders.Backend
 			for i, model := range []string{"a", "a", "b", "b"} {
@@ -98,9 +98,9 @@
 			}
 			return out
 		},
-		Orders: func() []fleet.Order { return read(w, w.part.Orders) },
+		Orders: func() []fleet.Order { return read(w, w.sm.Orders) },
 		Served: func() *fleet.View {
-			v, err := fleet.NewView(read(w, func() []byte { return w.part.Changes(0) }))
+			v, err := fleet.NewView(read(w, func() []byte { return w.sm.Changes(0) }))
 			if err != nil {
 				w.t.Error(err)
 			}
@@ -110,78 +110,78 @@
 	}, []fleet.Want{{Model: "a", Copies: 2}, {Model: "b", Copies: 2}})
 }
 
-func read[T any](w *world, f func() T) (out T) {
-	w.machine.Read(control.FleetStateMachine, func(control.StateMachine) { out = f() })
+func read[T any](w *testSystem, f func() T) (out T) {
+	w.state.Read(control.FleetStateMachine, func(control.StateMachine) { out = f() })
 	return out
 }
 
-func (w *world) served(model string) int {
-	v, _ := fleet.NewView(read(w, func() []byte { return w.part.Changes(0) }))
+func (w *testSystem) served(model string) int {
+	v, _ := fleet.NewView(read(w, func() []byte { return w.sm.Changes(0) }))
 	return len(v.Engines(model, "1", ""))
 }
 
-func (w *world) orders() []uint64 {
+func (w *testSystem) acceptedFences() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.taken)
+	return slices.Clone(w.accepted)
 }
 
 func always() bool { return true }
 
-// One engine of two with model a dies. Twenty seconds later, not sooner, an
-// engine of the other model gets an order to load it; its answer is lost, and
-// the engine's own state shows the outcome. No second order is given.
+// One of the two engines with model a dies. Twenty seconds later, not sooner, an engine with
+// model b gets an order to load model a. The answer is lost, and the engine's own state shows
+// the outcome. A lost answer must not cause a second order.
 func TestLostCopyIsLoadedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, true)
+		w := newTestSystem(t, true)
 		defer w.stop()
-		w.lose = true // before the leader starts
+		w.loseAnswers = true // before the leader starts
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go w.leader("vm1", always).Run(ctx)
 		time.Sleep(5 * time.Second)
 		w.engines["e0"].Kill()
 		time.Sleep(18 * time.Second)
-		if len(w.orders()) != 0 {
-			t.Error("repaired before the engine could be back")
+		if len(w.acceptedFences()) != 0 {
+			t.Error("an engine got an order 18 s after the death, want none before 20 s")
 		}
 		time.Sleep(20 * time.Second)
-		if len(w.orders()) != 1 || w.served("a") < 2 || len(read(w, w.part.Orders)) != 0 {
-			t.Errorf("%d orders taken, model a served by %d, under way %v", len(w.orders()), w.served("a"), read(w, w.part.Orders))
+		if len(w.acceptedFences()) != 1 || w.served("a") < 2 || len(read(w, w.sm.Orders)) != 0 {
+			t.Errorf("got %d orders accepted, model a served by %d engines, pending orders %v; want model a served by 2 and none pending", len(w.acceptedFences()), w.served("a"), read(w, w.sm.Orders))
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// The engine that was to take the copy dies while it loads. The order ends, and
-// the other engine gets one.
+// The engine that loads the lost copy dies during the load. Its order must not stay pending:
+// it ends, and the other engine gets one.
 func TestEngineDiesDuringTheLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, true)
+		w := newTestSystem(t, true)
 		defer w.stop()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go w.leader("vm1", always).Run(ctx)
 		time.Sleep(5 * time.Second)
 		w.engines["e0"].Kill()
-		for len(read(w, w.part.Orders)) == 0 {
+		for len(read(w, w.sm.Orders)) == 0 {
 			time.Sleep(100 * time.Millisecond)
 		}
-		w.engines[read(w, w.part.Orders)[0].Engine].Kill()
+		w.engines[read(w, w.sm.Orders)[0].Engine].Kill()
 		time.Sleep(2 * time.Minute)
-		if len(w.orders()) < 2 || len(read(w, w.part.Orders)) != 0 || w.served("a") < 2 {
-			t.Errorf("%d orders taken, model a served by %d, under way %v", len(w.orders()), w.served("a"), read(w, w.part.Orders))
+		if len(w.acceptedFences()) < 2 || len(read(w, w.sm.Orders)) != 0 || w.served("a") < 2 {
+			t.Errorf("got %d orders accepted, model a served by %d engines, pending orders %v; want model a served by 2 and none pending", len(w.acceptedFences()), w.served("a"), read(w, w.sm.Orders))
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// A leader commits an order and its order is held up on the way, beyond its
-// deposition. The next leader gets a number of its own. An engine that fences
-// refuses the late order. One that does not was given no order by the next
-// leader before the late one had to be over, so that the newest always wins.
+// A leader commits an order, and the order is delayed on the network until after the leader
+// was deposed. The next leader gets a new fencing number. An engine that checks fencing
+// numbers refuses the delayed order. An engine that ignores them gets no order from the next
+// leader before the delayed one can no longer arrive. The newest order wins in both cases.
 func TestDeposedLeadersLateOrder(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprint("fences=", fences), func(t *testing.T) {
@@ -191,7 +191,7 @@
 }
 
 func lateOrder(t *testing.T, fences bool) {
-	w := newWorld(t, fences)
+	w := newTestSystem(t, fences)
 	defer w.stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -204,17 +204,17 @@
 			return first == one
 		}
 	}
-	// Fencing number 1 is the first leader's. No wait can outlast every pause: an
-	// engine that ignores the number is safe against what a deadline ends.
-	w.pause[1] = 3 * time.Second
+	// Fencing number 1 is the first leader's. No maximum wait exceeds every possible delay:
+	// an engine that ignores the number is safe only from delays that a deadline bounds.
+	w.delays[1] = 3 * time.Second
 	if fences {
-		w.pause[1] = time.Minute
+		w.delays[1] = time.Minute
 	}
 	go w.leader("vm1", leads(true)).Run(ctx)
 	go w.leader("vm2", leads(false)).Run(ctx)
 	time.Sleep(5 * time.Second)
 	w.engines["e0"].Kill()
-	for len(read(w, w.part.Orders)) == 0 {
+	for len(read(w, w.sm.Orders)) == 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
 	mu.Lock()
@@ -223,25 +223,26 @@
 	time.Sleep(2 * time.Minute)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := 1; i < len(w.taken); i++ {
-		if w.taken[i] < w.taken[i-1] {
-			t.Errorf("an order under %d was taken after one under %d", w.taken[i], w.taken[i-1])
+	for i := 1; i < len(w.accepted); i++ {
+		if w.accepted[i] < w.accepted[i-1] {
+			t.Errorf("an order with fencing number %d was accepted after one with %d", w.accepted[i], w.accepted[i-1])
 		}
 	}
 	if fences && w.refused == 0 {
-		t.Error("the late order was not refused")
+		t.Error("the delayed order was not refused")
 	}
-	if len(w.taken) == 0 || w.served("a") < 2 {
-		t.Errorf("orders taken %v, model a served by %d", w.taken, w.served("a"))
+	if len(w.accepted) == 0 || w.served("a") < 2 {
+		t.Errorf("got orders %v accepted and model a served by %d engines, want at least 1 order and 2 engines", w.accepted, w.served("a"))
 	}
 	cancel()
 }
 
-// Two VMs believe that they lead at once, over and over: each committed order is
-// under the newest number, and no engine has two under way.
+// Two VMs assume at the same time that they lead, again and again. Each committed order has
+// the newest fencing number, and no engine has two pending orders. One lost copy must not
+// cause many orders.
 func TestTwoLeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, true)
+		w := newTestSystem(t, true)
 		defer w.stop()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -252,8 +253,8 @@
 		time.Sleep(3 * time.Minute)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if len(w.taken) > 2 {
-			t.Errorf("orders under %v were taken", w.taken)
+		if len(w.accepted) > 2 {
+			t.Errorf("got orders with fencing numbers %v accepted, want at most 2 orders", w.accepted)
 		}
 		cancel()
 	})
