--- a/internal/peer/close_test.go
+++ b/internal/peer/close_test.go
@@ -9,10 +9,10 @@
 	"github.com/rs/zerolog"
 )
 
-// A VM that stops hangs for ever, and all its peers' calls with it. In order: a
-// connection is being opened; Close marks the network as closed; the other side
-// accepts before the opening is called off. The connection is ended by one that
-// holds the lock which forgetting it takes.
+// Guards against a deadlock at shutdown, which also blocks the calls of all peers: Close
+// marks the network as closed while a dial is in progress, the other side accepts before the
+// dial is cancelled, and the new connection is closed by a goroutine that holds the lock
+// needed to remove it.
 func TestCloseWhileAConnectionOpens(t *testing.T) {
 	b := NewNetwork("b", "shared", nil, zerolog.Nop())
 	server := httptest.NewServer(b)
@@ -25,20 +25,20 @@
 	a.closed = true
 	a.mu.Unlock()
 
-	d := &dial{done: make(chan struct{})}
+	d := &dialAttempt{done: make(chan struct{})}
 	go a.dial("b", d)
 	select {
 	case <-d.done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the opening of a connection never ends")
+		t.Fatal("dial did not return within 10s after Close")
 	}
 	if !errors.Is(d.err, ErrClosed) {
-		t.Errorf("err %v", d.err)
+		t.Errorf("got error %v from dial, want ErrClosed", d.err)
 	}
 	a.Close()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.all) != 0 || len(a.conns) != 0 {
-		t.Errorf("%d connections are left open", len(a.all))
+	if len(a.openConns) != 0 || len(a.conns) != 0 {
+		t.Errorf("got %d open connections after Close, want 0", len(a.openConns))
 	}
 }
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -15,11 +15,11 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Queue bounds per connection, in frames. A full queue refuses the message at
-// once: the sender's own retry is better than unbounded memory behind a slow VM.
+// Bounds of a connection. A message that exceeds one is refused at once: a retry by the
+// sender costs less than unbounded memory for a slow VM.
 const (
-	queueFrames    = 1024
-	maxServedCalls = 512
+	queueFrames    = 1024 // in each lane
+	maxServedCalls = 512  // handlers that run at the same time
 )
 
 type conn struct {
@@ -27,29 +27,29 @@
 	ws      *websocket.Conn
 	vm      string
 
-	dialed bool // by this end
-	out    *outbox
-	done   chan struct{}
-	once   sync.Once
-	slots  chan struct{}
-	heard  atomic.Bool  // anything was read since the last ping
-	used   atomic.Int64 // last message sent from this end, in Unix nanoseconds
+	dialed        bool // opened by this VM
+	queue         *sendQueue
+	done          chan struct{}
+	closeOnce     sync.Once
+	handlerSlots  chan struct{}
+	readSincePing atomic.Bool  // data was read since the last tick of the ping timer
+	lastSent      atomic.Int64 // time of the last message that this VM queued, in Unix nanoseconds
 
-	mu      sync.Mutex
-	next    uint64
-	waiting map[uint64]chan frame
+	mu       sync.Mutex
+	lastCall uint64
+	pending  map[uint64]chan frame
 }
 
 func newConn(n *Network, ws *websocket.Conn, vm string) *conn {
 	c := &conn{
-		network: n, ws: ws, vm: vm, out: newOutbox(), done: make(chan struct{}),
-		slots: make(chan struct{}, maxServedCalls), waiting: map[uint64]chan frame{},
+		network: n, ws: ws, vm: vm, queue: newSendQueue(), done: make(chan struct{}),
+		handlerSlots: make(chan struct{}, maxServedCalls), pending: map[uint64]chan frame{},
 	}
-	c.used.Store(time.Now().UnixNano())
+	c.lastSent.Store(time.Now().UnixNano())
 	ws.SetReadLimit(maxFrameBytes)
 	if tcp, ok := ws.NetConn().(*net.TCPConn); ok {
-		if err := tcp.SetWriteBuffer(socketBytes); err != nil {
-			n.log.Debug().Err(err).Msg("socket buffer not set")
+		if err := tcp.SetWriteBuffer(socketBufferBytes); err != nil {
+			n.log.Debug().Err(err).Msg("write buffer size of a peer connection could not be set; keeping the default")
 		}
 	}
 	return c
@@ -65,10 +65,10 @@
 }
 
 func (c *conn) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		_ = c.ws.Close()
-		c.network.forget(c)
+		c.network.remove(c)
 	})
 }
 
@@ -101,13 +101,13 @@
 func (c *conn) call(ctx context.Context, kind Kind, body, reply any) error {
 	ch := make(chan frame, 1)
 	c.mu.Lock()
-	c.next++
-	id := c.next
-	c.waiting[id] = ch
+	c.lastCall++
+	id := c.lastCall
+	c.pending[id] = ch
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.waiting, id)
+		delete(c.pending, id)
 		c.mu.Unlock()
 	}()
 	if err := c.send(kind, id, false, body, nil); err != nil {
@@ -134,7 +134,7 @@
 }
 
 func (c *conn) send(kind Kind, call uint64, isReply bool, body any, failure error) error {
-	c.used.Store(time.Now().UnixNano())
+	c.lastSent.Store(time.Now().UnixNano())
 	f := frame{Kind: kind, Call: call, Reply: isReply}
 	if failure != nil {
 		f.setError(failure)
@@ -152,7 +152,7 @@
 	switch {
 	case c.dead():
 		return fmt.Errorf("%w: %s: connection lost", ErrUnreachable, c.vm)
-	case !c.out.put(kind, data):
+	case !c.queue.enqueue(kind, data):
 		return ErrQueueFull
 	}
 	return nil
@@ -167,15 +167,16 @@
 	}
 }
 
-// writeLoop sends what waits, and pings a silent connection.
+// writeLoop writes queued frames and pings a connection on which nothing was read for
+// pingInterval. It closes a connection that is idle.
 func (c *conn) writeLoop() {
 	defer c.close()
-	ping := time.NewTicker(pingEvery)
+	ping := time.NewTicker(pingInterval)
 	defer ping.Stop()
 	for {
-		data, ok, err := c.out.next(ping.C, c.done)
+		data, ok, err := c.queue.next(ping.C, c.done)
 		if err != nil {
-			c.network.log.Error().Err(err).Str("vm", c.vm).Msg("peer frame not encoded")
+			c.network.log.Error().Err(err).Str("vm", c.vm).Msg("peer frame could not be encoded; closing the connection")
 		}
 		if !ok {
 			return
@@ -183,8 +184,8 @@
 		if data == nil && c.idle() {
 			return
 		}
-		if data == nil && c.heard.Swap(false) {
-			continue // the other end lives; if it has not heard of this one, it asks
+		if data == nil && c.readSincePing.Swap(false) {
+			continue // the other VM is alive; it sends a ping itself if it has received nothing
 		}
 		_ = c.ws.SetWriteDeadline(time.Now().Add(writeTimeout))
 		kind := websocket.BinaryMessage
@@ -197,24 +198,24 @@
 	}
 }
 
-// idle reports whether this end opened the connection and has not used it for
-// idleLimit. Among 330 VMs each would else keep, and ping, a connection to every
-// VM that it ever had a message for.
+// idle reports whether this VM opened the connection and has sent nothing on it for
+// idleTimeout. Without the check, each of 330 VMs would keep and ping a connection to
+// every VM to which it has ever sent a message.
 func (c *conn) idle() bool {
-	unused := time.Since(time.Unix(0, c.used.Load()))
+	unused := time.Since(time.Unix(0, c.lastSent.Load()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dialed && unused >= idleLimit && len(c.waiting) == 0
+	return c.dialed && unused >= idleTimeout && len(c.pending) == 0
 }
 
 func (c *conn) readLoop() {
 	defer c.close()
 	extend := func() {
-		c.heard.Store(true)
-		_ = c.ws.SetReadDeadline(time.Now().Add(silenceLimit))
+		c.readSincePing.Store(true)
+		_ = c.ws.SetReadDeadline(time.Now().Add(readTimeout))
 	}
 	extend()
-	var in inbox
+	var in reassembler
 	pong := c.ws.PingHandler()
 	c.ws.SetPingHandler(func(data string) error {
 		extend()
@@ -231,14 +232,15 @@
 		}
 		extend()
 		if err := c.receive(&in, data); err != nil {
-			c.network.log.Warn().Err(err).Str("vm", c.vm).Msg("peer frame refused")
+			c.network.log.Warn().Err(err).Str("vm", c.vm).Msg("peer frame refused; closing the connection")
 			return
 		}
 	}
 }
 
-// receive takes an encoded frame.
-func (c *conn) receive(in *inbox, data []byte) error {
+// receive decodes a frame and dispatches it. A fragment is dispatched as part of its frame,
+// when the last fragment has arrived.
+func (c *conn) receive(in *reassembler, data []byte) error {
 	var f frame
 	if err := codec.Unmarshal(data, &f); err != nil {
 		return err
@@ -247,8 +249,8 @@
 		c.dispatch(f)
 		return nil
 	}
-	f, whole, err := in.take(f.Body)
-	if err == nil && whole {
+	f, complete, err := in.add(f.Body)
+	if err == nil && complete {
 		c.dispatch(f)
 	}
 	return err
@@ -257,18 +259,18 @@
 func (c *conn) dispatch(f frame) {
 	if f.Reply {
 		c.mu.Lock()
-		ch := c.waiting[f.Call]
-		delete(c.waiting, f.Call)
+		ch := c.pending[f.Call]
+		delete(c.pending, f.Call)
 		c.mu.Unlock()
 		if ch == nil {
-			c.network.unclaimed.note(f.Kind, len(f.Body))
+			c.network.unclaimed.add(f.Kind, len(f.Body))
 			return
 		}
 		ch <- f
 		return
 	}
 	select {
-	case c.slots <- struct{}{}:
+	case c.handlerSlots <- struct{}{}:
 	default:
 		if f.Call != 0 {
 			_ = c.send(f.Kind, f.Call, true, nil, ErrQueueFull)
@@ -276,12 +278,12 @@
 		return
 	}
 	go func() {
-		defer func() { <-c.slots }()
-		c.answer(f)
+		defer func() { <-c.handlerSlots }()
+		c.handle(f)
 	}()
 }
 
-func (c *conn) answer(f frame) {
+func (c *conn) handle(f frame) {
 	ctx, cancel := context.WithCancel(c.network.ctx)
 	defer cancel()
 	out, err := c.network.serve(ctx, c.vm, f.Kind, f.Body)
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,11 +1,11 @@
-// Package peer carries typed messages between the system's VMs: CBOR frames
-// over one WebSocket per pair, opened on first use.
+// Package peer sends typed messages between the VMs of the system. The messages are CBOR
+// frames over WebSocket connections, which are opened on first use.
 //
-// Safeguards: every write has a deadline and every silent connection is pinged
-// and closed, since a silent partition sends no reset and would otherwise hold
-// callers for minutes; each connection has bounded queues; control frames leave
-// before token frames and between the fragments of large ones, so that neither can
-// delay an election.
+// Every write has a deadline, and a connection on which nothing arrives is pinged and then
+// closed: a partition sends no TCP reset, and callers would otherwise wait for minutes. The
+// queues of a connection are bounded. Control frames are sent before token frames and
+// between the fragments of large frames, because a heartbeat that waits behind them can
+// cause an election.
 package peer
 
 import (
@@ -16,47 +16,49 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ProtocolVersion is checked in the hello; VMs of other versions are refused.
+// ProtocolVersion is sent in the first message of a connection. A VM refuses connections
+// from VMs with another version.
 const ProtocolVersion = 2
 
-// Kind names a message type. The numbers are part of the protocol.
+// Kind identifies a message type. The numbers are part of the protocol.
 type Kind uint16
 
-// Message kinds, in ranges of 20 per concern.
+// Message kinds. Each subsystem has a range of 20 numbers. Kinds from KindControl on are
+// sent in LaneControl.
 const (
-	kindFragment   Kind = 1  // of a frame too large to leave at once
-	KindJournal    Kind = 20 // journal writes and promises, batched per keeper
+	kindFragment   Kind = 1  // part of a large frame
+	KindJournal    Kind = 20 // journal writes and promises, in batches for one keeper
 	KindPromise    Kind = 21
 	KindFollow     Kind = 22
 	KindAdopt      Kind = 23 // planned takeover
-	KindControl    Kind = 40 // commands for the control group
+	KindControl    Kind = 40 // proposes commands to the control group
 	KindWatch      Kind = 41
 	KindQuery      Kind = 42
-	KindPiece      Kind = 43 // of a value that is too large for an answer
+	KindPiece      Kind = 43 // requests part of a value that is too large for one reply
 	KindRaft       Kind = 60
 	KindMembership Kind = 80
-	KindNotice     Kind = 81 // of a routed VM, to control VMs
-	KindKept       Kind = 82 // where is the copy of a stream?
-	KindSpent      Kind = 83 // of retry budgets, to control VMs
-	KindPlace      Kind = 84 // which engine may a stream go to?
-	KindPlaced     Kind = 85 // the answer for a stream that had to wait
-	KindUse        Kind = 86 // of engines by a VM, as it changes
-	KindRoutes     Kind = 87 // the route list's text, by an observer
-	KindList       Kind = 88 // the whole list of backend servers
-	KindRollout    Kind = 89 // an order, or the state of a roll-out, by an observer
+	KindNotice     Kind = 81 // sent by routers to control VMs several times a second
+	KindKept       Kind = 82 // asks for the backup copy of a stream
+	KindSpent      Kind = 83 // reports spent retry budget to control VMs
+	KindPlace      Kind = 84 // asks for an engine for a stream
+	KindPlaced     Kind = 85 // decision for a stream that had to wait
+	KindUse        Kind = 86 // reports a VM's use of engines, on each change
+	KindRoutes     Kind = 87 // text of the route list, served by observers
+	KindList       Kind = 88 // complete list of backend servers
+	KindRollout    Kind = 89 // orders a roll-out or returns its state, served by observers
 	KindBlame      Kind = 100
 	KindExplain    Kind = 120
 	KindStatus     Kind = 121
 )
 
-// Lane says which queue a message leaves by.
+// Lane is the send queue of a message within a connection.
 type Lane uint8
 
-// Lanes, first to leave first.
+// Lanes. LaneControl has strict priority over the others.
 const (
 	LaneControl Lane = iota
 	LaneTokens
-	laneLarge // frames that leave in fragments
+	laneLarge // frames that are sent in fragments
 	laneCount
 )
 
@@ -69,7 +71,7 @@
 
 type frame struct {
 	Kind  Kind            `cbor:"1,keyasint"`
-	Call  uint64          `cbor:"2,keyasint,omitempty"` // 0: no reply wanted
+	Call  uint64          `cbor:"2,keyasint,omitempty"` // ID of the call; 0: the sender expects no reply
 	Reply bool            `cbor:"3,keyasint,omitempty"`
 	Body  cbor.RawMessage `cbor:"4,keyasint,omitempty"`
 	Err   string          `cbor:"5,keyasint,omitempty"`
@@ -81,19 +83,19 @@
 	VM      string `cbor:"2,keyasint"`
 }
 
-// maxFrameBytes bounds a frame: a journal's installation is a body and a million
-// tokens.
+// maxFrameBytes bounds the size of a frame. The largest frames install a journal: a request
+// body and up to a million tokens.
 const maxFrameBytes = 32 << 20
 
-// Errors of Call and Send.
+// Errors that Call and Send return.
 var (
 	ErrUnreachable = errors.New("peer: VM unreachable")
 	ErrQueueFull   = errors.New("peer: queue full")
 	ErrClosed      = errors.New("peer: closed")
 )
 
-// RemoteError is an error that the other VM's handler returned. Code is a
-// result code, or 0.
+// RemoteError is an error that the handler on the called VM returned. Code is a result
+// code, or 0 if the error had none.
 type RemoteError struct {
 	Code    int
 	Message string
@@ -102,17 +104,19 @@
 // Error implements error.
 func (e *RemoteError) Error() string { return fmt.Sprintf("peer: remote: %s", e.Message) }
 
-// Handler answers messages of one kind. body is valid during the call only. The
-// returned value is encoded as the reply; nil sends an empty one.
+// Handler processes messages of one kind from the VM from. body is valid only during the
+// call. The returned value is encoded as the reply; nil sends an empty reply.
 type Handler func(ctx context.Context, from string, body []byte) (any, error)
 
-// Transport sends messages to VMs by id. Network implements it over sockets;
-// tests use fakes that drop, delay and cut.
+// Transport sends messages to VMs by ID. Network implements it over WebSockets. The
+// implementation in package peertest injects network faults.
 type Transport interface {
-	// Call sends a message and decodes the reply into reply unless it is nil.
+	// Call sends a message, waits for the reply and decodes it into reply, unless reply is
+	// nil. An error of the handler is returned as a *RemoteError.
 	Call(ctx context.Context, vm string, kind Kind, body, reply any) error
-	// Send sends a message without waiting; it may be lost.
+	// Send queues a message and does not wait for its delivery. The message may be lost.
 	Send(vm string, kind Kind, body any) error
-	// Handle registers the handler of a kind, before the first message.
+	// Handle registers the handler of a kind. It must be called before the first message
+	// of this kind arrives.
 	Handle(kind Kind, h Handler)
 }
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// A frame from a broken or hostile sender is refused or decoded, without a panic
-// and without building more than the frame holds.
+// FuzzFrame guards against frames from a faulty or hostile sender that cause a panic or
+// allocate far more memory than their size.
 func FuzzFrame(f *testing.F) {
 	good, _ := codec.Marshal(&frame{Kind: KindJournal, Call: 1, Body: []byte{0xa0}})
 	f.Add(good)
@@ -19,11 +19,11 @@
 		}
 		again, err := codec.Marshal(&fr)
 		if err != nil {
-			t.Fatalf("a decoded frame can't be encoded: %v", err)
+			t.Fatalf("got error %v while encoding a decoded frame", err)
 		}
 		var second frame
 		if err := codec.Unmarshal(again, &second); err != nil || second.Kind != fr.Kind || second.Call != fr.Call {
-			t.Fatalf("round trip: %+v, %+v, %v", fr, second, err)
+			t.Fatalf("decoded frame %+v differs after a round trip: %+v, error %v", fr, second, err)
 		}
 	})
 }
--- a/internal/peer/network.go
+++ b/internal/peer/network.go
@@ -20,24 +20,24 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result/resulthttp"
 )
 
-// Timings. Links are a millisecond apart within a deployment: two seconds of
-// silence is a cut or a pause, not a slow link.
+// Timeouts and intervals. The latency within a deployment is about a millisecond, so two
+// seconds without data mean a partition or a paused VM, not a slow link.
 const (
-	// A VM that was dark a moment ago has lost the opening packet, and the kernel
-	// sends it again only after a second: a new attempt is sooner.
-	dialTimeout  = 400 * time.Millisecond
-	writeTimeout = 2 * time.Second
-	pingEvery    = 700 * time.Millisecond
-	silenceLimit = 2500 * time.Millisecond
-	redialPause  = 100 * time.Millisecond
+	// A VM that was unreachable until a moment ago has lost the SYN, and the kernel
+	// retransmits it only after a second. A new dial attempt succeeds sooner.
+	dialTimeout   = 400 * time.Millisecond
+	writeTimeout  = 2 * time.Second
+	pingInterval  = 700 * time.Millisecond
+	readTimeout   = 2500 * time.Millisecond
+	redialBackoff = 100 * time.Millisecond
 
-	idleLimit = 1 * time.Minute
+	idleTimeout = 1 * time.Minute
 )
 
-// Path is where a VM accepts peer connections.
+// Path is the HTTP path at which a VM accepts peer connections.
 const Path = "/peer"
 
-// Network is the Transport over WebSockets.
+// Network implements Transport over WebSockets. It is safe for concurrent use.
 type Network struct {
 	self  string
 	token string
@@ -46,31 +46,31 @@
 
 	mu       sync.Mutex
 	conns    map[string]*conn
-	dialing  map[string]*dial
+	dialing  map[string]*dialAttempt
 	failedAt map[string]time.Time
 	handlers map[Kind]Handler
 	closed   bool
-	// unclaimed are answers that came after their calls had ended.
-	unclaimed unclaimed
-	all       map[*conn]struct{}
+	// unclaimed counts replies that arrived after their calls had ended.
+	unclaimed unclaimedCounter
+	openConns map[*conn]struct{}
 	ctx       context.Context
 	cancel    context.CancelFunc
 }
 
-type dial struct {
+type dialAttempt struct {
 	done chan struct{}
 	conn *conn
 	err  error
 }
 
-// NewNetwork returns a Network for the VM self. addr gives a VM's peer address
-// as ip:port; token is the secret that all VMs share.
+// NewNetwork returns a Network for the VM self. addr returns the peer address of a VM as
+// ip:port, or false if it is unknown. token is the secret that all VMs share.
 func NewNetwork(self, token string, addr func(vm string) (string, bool), log zerolog.Logger) *Network {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Network{
 		self: self, token: token, addr: addr, log: log,
-		conns: map[string]*conn{}, dialing: map[string]*dial{}, failedAt: map[string]time.Time{},
-		handlers: map[Kind]Handler{}, all: map[*conn]struct{}{},
+		conns: map[string]*conn{}, dialing: map[string]*dialAttempt{}, failedAt: map[string]time.Time{},
+		handlers: map[Kind]Handler{}, openConns: map[*conn]struct{}{},
 		ctx: ctx, cancel: cancel,
 	}
 }
@@ -88,8 +88,8 @@
 	return n.handlers[kind]
 }
 
-// Call implements Transport. A message to the own VM goes straight to its
-// handler, through the codec, so that both sides never share memory.
+// Call implements Transport. A message to the local VM is passed directly to the handler.
+// It is encoded and decoded as well, because caller and handler must not share memory.
 func (n *Network) Call(ctx context.Context, vm string, kind Kind, body, reply any) error {
 	if vm == n.self {
 		return n.callSelf(ctx, kind, body, reply)
@@ -132,7 +132,7 @@
 	if c != nil && !c.dead() {
 		return c.send(kind, 0, false, body, nil)
 	}
-	// Connecting may take a second: the sender must not wait for it.
+	// Opening a connection may take up to dialTimeout, and Send must not block.
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, dialTimeout)
 		defer cancel()
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// serve runs the handler of a message. A handler that panics fails this one call:
-// a fault that one message brings about must not end every answer of the VM.
+// serve runs the handler of a message. If the handler panics, only this call fails: a fault
+// that one message triggers must not end all requests that the VM serves.
 func (n *Network) serve(ctx context.Context, from string, kind Kind, body []byte) (out any, err error) {
 	h := n.handler(kind)
 	if h == nil {
@@ -152,14 +152,15 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			n.log.Error().Str("from", from).Int("kind", int(kind)).Bytes("stack", debug.Stack()).Msgf("handler panicked: %v", p)
+			n.log.Error().Str("from", from).Int("kind", int(kind)).Bytes("stack", debug.Stack()).Msgf("handler of a peer message panicked; the call fails: %v", p)
 			out, err = nil, result.New(result.InvariantBroken)
 		}
 	}()
 	return h(ctx, from, body)
 }
 
-// AsRemote gives the form in which a handler's error reaches the calling VM.
+// AsRemote converts an error of a handler to the *RemoteError that the calling VM receives.
+// An error that wraps a *RemoteError is returned unchanged.
 func AsRemote(err error) error {
 	var re *RemoteError
 	if errors.As(err, &re) {
@@ -174,9 +175,9 @@
 	return out
 }
 
-// connect returns the connection to a VM, dialling at most once at a time and,
-// after a failure, not again within redialPause: callers fail fast instead of
-// each waiting for a dead VM's dial to time out.
+// connect returns the open connection to a VM or opens one. Concurrent callers share one
+// dial attempt. For redialBackoff after a failed attempt, connect returns ErrUnreachable at
+// once: callers fail fast instead of each waiting for the dial timeout of a dead VM.
 func (n *Network) connect(ctx context.Context, vm string) (*conn, error) {
 	n.mu.Lock()
 	if n.closed {
@@ -187,13 +188,13 @@
 		n.mu.Unlock()
 		return c, nil
 	}
-	if at, ok := n.failedAt[vm]; ok && time.Since(at) < redialPause {
+	if at, ok := n.failedAt[vm]; ok && time.Since(at) < redialBackoff {
 		n.mu.Unlock()
 		return nil, fmt.Errorf("%w: %s", ErrUnreachable, vm)
 	}
 	d := n.dialing[vm]
 	if d == nil {
-		d = &dial{done: make(chan struct{})}
+		d = &dialAttempt{done: make(chan struct{})}
 		n.dialing[vm] = d
 		go n.dial(vm, d)
 	}
@@ -206,19 +207,20 @@
 	}
 }
 
-func (n *Network) dial(vm string, d *dial) {
+func (n *Network) dial(vm string, d *dialAttempt) {
 	c, err := n.dialOnce(vm)
 	defer close(d.done)
-	d.conn, d.err = n.opened(vm, c, err)
+	d.conn, d.err = n.finishDial(vm, c, err)
 	if c != nil && d.conn == nil {
-		// Only here, where the lock is free: a connection that ends takes it to be
-		// forgotten. Ended under the lock, a VM that closes would hang for ever.
+		// close locks n.mu to remove the connection, so it must run after finishDial has
+		// unlocked it. Otherwise a VM that shuts down would deadlock.
 		c.close()
 	}
 }
 
-// opened takes what an attempt to connect came to.
-func (n *Network) opened(vm string, c *conn, err error) (*conn, error) {
+// finishDial records the result of a dial attempt. It returns no connection if the attempt
+// failed or the network was closed in the meantime.
+func (n *Network) finishDial(vm string, c *conn, err error) (*conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.dialing, vm)
@@ -258,13 +260,13 @@
 	return c, nil
 }
 
-// start runs a connection. One that is accepted while the network closes would be
-// ended by nobody.
+// start runs the read and write loops of a connection. If the network is already closed, it
+// closes the connection, because Close no longer sees it.
 func (n *Network) start(c *conn) {
 	n.mu.Lock()
 	closed := n.closed
 	if !closed {
-		n.all[c] = struct{}{}
+		n.openConns[c] = struct{}{}
 	}
 	n.mu.Unlock()
 	if closed {
@@ -277,11 +279,12 @@
 
 var upgrader = websocket.Upgrader{
 	HandshakeTimeout: dialTimeout,
-	CheckOrigin:      func(*http.Request) bool { return true }, // no browser holds the peer token
+	CheckOrigin:      func(*http.Request) bool { return true }, // browsers do not have the peer token
 }
 
-// ServeHTTP accepts a connection from another VM. A connection opened by
-// the other side serves its calls only; this side's calls use their own.
+// ServeHTTP accepts a connection from another VM. The connection carries only the calls of
+// the VM that opened it and their replies; calls in the other direction use a connection of
+// their own.
 func (n *Network) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	got := strings.TrimSpace(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer"))
 	if subtle.ConstantTimeCompare([]byte(got), []byte(n.token)) != 1 {
@@ -301,12 +304,13 @@
 	n.start(c)
 }
 
-// Close ends every connection.
+// Close closes all connections and cancels the contexts of running handlers. Later calls
+// return ErrClosed.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
-	all := make([]*conn, 0, len(n.all))
-	for c := range n.all {
+	all := make([]*conn, 0, len(n.openConns))
+	for c := range n.openConns {
 		all = append(all, c)
 	}
 	n.mu.Unlock()
@@ -316,10 +320,10 @@
 	}
 }
 
-func (n *Network) forget(c *conn) {
+func (n *Network) remove(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.all, c)
+	delete(n.openConns, c)
 	if n.conns[c.vm] == c {
 		delete(n.conns, c.vm)
 	}
--- a/internal/peer/network_test.go
+++ b/internal/peer/network_test.go
@@ -21,11 +21,11 @@
 
 const testToken = "shared"
 
-// pair is two VMs on loopback; a calls b.
+// pair is two VMs on the loopback interface; a calls b.
 type pair struct {
-	a, b  *peer.Network
-	serve *httptest.Server
-	addr  string // of b, as a sees it
+	a, b   *peer.Network
+	server *httptest.Server
+	addr   string // address of b that a uses
 }
 
 func newPair(t *testing.T, tokenOfA string) *pair {
@@ -34,12 +34,12 @@
 	addr := func(string) (string, bool) { return p.addr, true }
 	p.a = peer.NewNetwork("a", tokenOfA, addr, zerolog.Nop())
 	p.b = peer.NewNetwork("b", testToken, addr, zerolog.Nop())
-	p.serve = httptest.NewServer(p.b)
-	p.addr = p.serve.Listener.Addr().String()
+	p.server = httptest.NewServer(p.b)
+	p.addr = p.server.Listener.Addr().String()
 	t.Cleanup(func() {
 		p.a.Close()
 		p.b.Close()
-		p.serve.Close()
+		p.server.Close()
 	})
 	return p
 }
@@ -50,9 +50,9 @@
 	return n.Call(ctx, vm, kind, body, reply)
 }
 
-// What a handler returns reaches the calling VM in the same form whether it runs
-// there or here: a value, a coded error, any other error, or a panic, which must
-// fail that call alone.
+// The outcome of a handler must reach the caller in the same form from a remote and from
+// the local VM. Outcomes are a value, an error with a result code, any other error, and a
+// panic, which must fail only that call.
 func TestHandlerOutcomes(t *testing.T) {
 	p := newPair(t, testToken)
 	for _, n := range []*peer.Network{p.a, p.b} {
@@ -78,29 +78,29 @@
 		} {
 			var remote *peer.RemoteError
 			if err := call(p.a, vm, peer.KindFollow, what, nil); !errors.As(err, &remote) || remote.Code != int(code) {
-				t.Errorf("%s on %s: %v", what, vm, err)
+				t.Errorf("handler outcome %q on VM %s: got error %v", what, vm, err)
 			}
 		}
 		var reply string
 		if err := call(p.a, vm, peer.KindFollow, "fine", &reply); err != nil || reply != "fine!" {
-			t.Errorf("after the panic on %s: %q, %v", vm, reply, err)
+			t.Errorf("call after the panic on VM %s: got reply %q, error %v; want \"fine!\"", vm, reply, err)
 		}
 	}
 	if err := call(p.a, "b", peer.KindAdopt, 1, nil); err == nil {
-		t.Error("a kind without handler was answered")
+		t.Error("call of a kind without a handler succeeded, want an error")
 	}
 }
 
-// Somebody without the VMs' shared token, or a VM of another protocol version,
-// must not reach a handler.
+// A client without the shared token and a VM with another protocol version must not reach a
+// handler.
 func TestStrangersAreRefused(t *testing.T) {
 	p := newPair(t, "guess")
 	p.b.Handle(peer.KindFollow, func(context.Context, string, []byte) (any, error) {
-		t.Error("a stranger reached a handler")
+		t.Error("handler was called by an unauthorized peer")
 		return nil, nil
 	})
 	if err := call(p.a, "b", peer.KindFollow, 1, nil); !errors.Is(err, peer.ErrUnreachable) {
-		t.Errorf("wrong token: %v", err)
+		t.Errorf("call with a wrong token: got error %v, want ErrUnreachable", err)
 	}
 	ws, resp, err := websocket.DefaultDialer.Dial("ws://"+p.addr+peer.Path, map[string][]string{"Authorization": {"Bearer " + testToken}})
 	if err != nil {
@@ -114,41 +114,40 @@
 	}
 	_ = ws.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, _, err := ws.ReadMessage(); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("another protocol version was kept: %v", err)
+		t.Errorf("connection with another protocol version was not closed: %v", err)
 	}
 }
 
-// The link to a VM goes silent without a reset, as in a partition, and calls are
-// under way on it. They fail in bounded time though they have no deadline of
-// their own that short, and calls go through once the link is back.
+// A partition drops packets without a TCP reset while calls are in flight. The calls must
+// fail in bounded time although their own deadlines are longer, and calls must succeed again
+// after the partition ends.
 func TestSilentLinkIsNoticed(t *testing.T) {
 	p := newPair(t, testToken)
 	p.b.Handle(peer.KindFollow, func(context.Context, string, []byte) (any, error) { return 1, nil })
-	r := newRelay(t, p.addr)
+	r := newTCPRelay(t, p.addr)
 	p.addr = r.addr
 	if err := call(p.a, "b", peer.KindFollow, 1, nil); err != nil {
 		t.Fatal(err)
 	}
 	r.hold()
-	began := time.Now()
+	start := time.Now()
 	err := call(p.a, "b", peer.KindFollow, 1, nil)
-	if took := time.Since(began); !errors.Is(err, peer.ErrUnreachable) || took > 5*time.Second {
-		t.Errorf("after %v: %v", took, err)
+	if took := time.Since(start); !errors.Is(err, peer.ErrUnreachable) || took > 5*time.Second {
+		t.Errorf("call over a silent link failed after %v with %v, want ErrUnreachable within 5s", took, err)
 	}
 	r.release()
 	for try := 0; ; try++ {
 		if err = call(p.a, "b", peer.KindFollow, 1, nil); err == nil {
 			break
 		}
-		if time.Since(began) > 9*time.Second {
-			t.Fatalf("the link is back, %d calls failed: %v", try, err)
+		if time.Since(start) > 9*time.Second {
+			t.Fatalf("%d calls failed after the link was restored, last error: %v", try, err)
 		}
 	}
 }
 
-// A VM that answers nothing gets more calls than it will serve at once. The
-// caller is told so immediately instead of queueing without bound, and calls
-// of others pass.
+// A VM whose handlers block receives more calls than it serves concurrently. The excess
+// calls must fail at once with ErrQueueFull instead of queueing without bound.
 func TestCallsAreBounded(t *testing.T) {
 	p := newPair(t, testToken)
 	block := make(chan struct{})
@@ -172,24 +171,24 @@
 	select {
 	case err := <-failed:
 		if !strings.Contains(fmt.Sprint(err), peer.ErrQueueFull.Error()) {
-			t.Errorf("the refusal says %v", err)
+			t.Errorf("got error %v, want ErrQueueFull", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("2000 calls are held")
+		t.Error("none of 2000 calls was refused within 5s")
 	}
 	close(block)
 	wg.Wait()
 }
 
-// relay forwards one way to an address until it is held: then it swallows
-// everything without closing, as a partition does.
+// tcpRelay forwards connections to an address. While it is held, it discards all data and
+// keeps the connections open, like a network partition.
 type tcpRelay struct {
 	addr string
 	mu   sync.Mutex
 	held bool
 }
 
-func newRelay(t *testing.T, to string) *tcpRelay {
+func newTCPRelay(t *testing.T, to string) *tcpRelay {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -244,7 +243,7 @@
 	r.held = held
 }
 
-// A value far larger than a fragment comes whole, there and back.
+// A value far larger than a fragment must arrive complete in the request and in the reply.
 func TestLargeCall(t *testing.T) {
 	p := newPair(t, testToken)
 	p.b.Handle(peer.KindExplain, func(_ context.Context, _ string, body []byte) (any, error) {
@@ -255,6 +254,6 @@
 	text := strings.Repeat("0123456789", 500_000)
 	var got string
 	if err := call(p.a, "b", peer.KindExplain, text, &got); err != nil || got != text {
-		t.Errorf("%d bytes of %d, %v", len(got), len(text), err)
+		t.Errorf("got %d bytes of %d, error %v", len(got), len(text), err)
 	}
 }
--- a/internal/peer/peertest/meter.go
+++ b/internal/peer/peertest/meter.go
@@ -8,22 +8,24 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// Meter is a Transport that counts the answers to its calls. Safe for concurrent use.
+// Meter is a peer.Transport that counts the calls made over it and the sizes of their replies.
+// It is safe for concurrent use.
 type Meter struct {
 	peer.Transport
 	mu     sync.Mutex
 	counts Counts
 }
 
-// Counts are answers to calls.
+// ReplyCounts holds the number and the sizes of the replies to calls. Failed calls count as
+// well.
 type Counts struct {
 	ByKind  map[peer.Kind]int
 	Answers int
-	Bytes   int // of bodies
-	Largest int // bytes
+	Bytes   int // sum of the encoded sizes
+	Largest int // size of the largest reply, in bytes
 }
 
-// NewMeter counts the answers to calls over t.
+// NewMeter returns a Meter that makes its calls over t.
 func NewMeter(t peer.Transport) *Meter {
 	return &Meter{Transport: t, counts: Counts{ByKind: map[peer.Kind]int{}}}
 }
@@ -44,7 +46,7 @@
 	return err
 }
 
-// Take returns what was counted, and begins anew.
+// ReadAndReset returns the counts since the previous ReadAndReset and resets them to zero.
 func (m *Meter) Take() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -1,7 +1,7 @@
-// Package peertest is a peer.Transport in memory for tests. Its Net loses,
-// delays, repeats and cuts messages, and kills and pauses VMs. It takes time
-// from package time only, so that under testing/synctest a test waits for
-// nothing. Messages pass through the codec: both sides never share memory.
+// Package peertest provides an in-memory peer.Transport for tests. Its Net drops, delays and
+// duplicates messages, cuts links, and kills and pauses VMs. It uses only the clock of package
+// time, so a test under testing/synctest does not wait in real time. Messages are encoded and
+// decoded, because sender and receiver must not share memory.
 package peertest
 
 import (
@@ -15,35 +15,37 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// silenceLimit is how long a call over a cut link lasts at most; peer.Network
-// closes a silent connection after about this time.
-const silenceLimit = 2500 * time.Millisecond
+// callTimeout is the maximum duration of a call, for example over a cut link. peer.Network
+// closes a connection on which nothing arrives after about this time.
+const callTimeout = 2500 * time.Millisecond
 
 type link struct{ from, to string }
 
-// Net joins the Transports of a test. Safe for concurrent use.
+// Net is a simulated network that connects the Transports of a test. It is safe for concurrent
+// use.
 type Net struct {
-	mu      sync.Mutex
-	rand    *rand.Rand
-	vms     map[string]*Transport
-	cut     map[link]bool
-	resumed map[string]chan struct{} // of paused VMs
-	drop    float64
-	repeat  float64
-	least   time.Duration
-	most    time.Duration
+	mu        sync.Mutex
+	rand      *rand.Rand
+	vms       map[string]*Transport
+	cut       map[link]bool
+	paused    map[string]chan struct{} // by paused VM; Resume closes the channel
+	drop      float64
+	duplicate float64
+	minDelay  time.Duration
+	maxDelay  time.Duration
 }
 
-// New returns a Net without faults. Equal seeds lose and delay equally.
+// New returns a Net without faults. The seed determines which messages are dropped and
+// duplicated, and their delays.
 func New(seed uint64) *Net {
 	return &Net{
 		rand: rand.New(rand.NewPCG(seed, 1)), vms: map[string]*Transport{},
-		cut: map[link]bool{}, resumed: map[string]chan struct{}{},
+		cut: map[link]bool{}, paused: map[string]chan struct{}{},
 	}
 }
 
-// VM starts a VM and returns its Transport. An earlier one of the same id is
-// killed: so a test restarts a VM that lost its memory.
+// VM starts a VM and returns its Transport. An earlier VM with the same ID is killed, so a test
+// can use it to restart a VM without its memory.
 func (n *Net) VM(id string) *Transport {
 	n.Kill(id)
 	n.Resume(id)
@@ -55,7 +57,7 @@
 	return t
 }
 
-// Kill ends a VM as a crash does: calls to and from it fail at once.
+// Kill stops a VM like a crash: calls to and from it fail at once.
 func (n *Net) Kill(id string) {
 	n.mu.Lock()
 	t := n.vms[id]
@@ -70,31 +72,31 @@
 func (n *Net) Pause(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.resumed[id] == nil {
-		n.resumed[id] = make(chan struct{})
+	if n.paused[id] == nil {
+		n.paused[id] = make(chan struct{})
 	}
 }
 
-// Resume delivers what Pause held.
+// Resume ends a Pause and delivers the messages that it held.
 func (n *Net) Resume(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if ch := n.resumed[id]; ch != nil {
+	if ch := n.paused[id]; ch != nil {
 		close(ch)
-		delete(n.resumed, id)
+		delete(n.paused, id)
 	}
 }
 
-// Paused returns a channel that Resume closes, or nil where the VM runs. A test
-// holds with it what else the VM's process would do.
+// Paused returns a channel that Resume closes, or nil if the VM is not paused. A test uses it to
+// block the other work of the VM's process.
 func (n *Net) Paused(id string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.resumed[id]
+	return n.paused[id]
 }
 
-// Cut loses every message from one VM to another, silently; the other
-// direction goes on.
+// Cut silently drops every message from one VM to another. The other direction is not
+// affected.
 func (n *Net) Cut(from, to string) { n.setCut(from, to, true) }
 
 // Heal undoes Cut.
@@ -106,14 +108,14 @@
 	n.cut[link{from, to}] = cut
 }
 
-// Deafen loses what others send to a VM, answers included; what it sends arrives.
+// CutInbound drops all messages to a VM, replies included. Messages from it still arrive.
 func (n *Net) Deafen(id string) {
 	for _, other := range n.others(id) {
 		n.Cut(other, id)
 	}
 }
 
-// Isolate cuts a VM off in both directions.
+// Isolate cuts all links of a VM in both directions.
 func (n *Net) Isolate(id string) {
 	n.Deafen(id)
 	for _, other := range n.others(id) {
@@ -140,40 +142,41 @@
 	return out
 }
 
-// SetLoss sets the shares of messages that are lost and that arrive twice.
-func (n *Net) SetLoss(drop, repeat float64) {
+// SetLoss sets the probabilities, from 0 to 1, that a message is dropped and that it is
+// delivered twice.
+func (n *Net) SetLoss(drop, duplicate float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.drop, n.repeat = drop, repeat
+	n.drop, n.duplicate = drop, duplicate
 }
 
-// SetDelay sets the bounds of each message's one-way delay. Unequal bounds also
+// SetDelay sets the bounds of the random one-way delay of each message. Different bounds also
 // reorder messages.
-func (n *Net) SetDelay(least, most time.Duration) {
+func (n *Net) SetDelay(minDelay, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.least, n.most = least, most
+	n.minDelay, n.maxDelay = minDelay, maxDelay
 }
 
-// roll decides the fate of one message.
-func (n *Net) roll(l link) (lost, twice bool, delay time.Duration) {
+// sampleFate draws whether one message is lost or duplicated, and its delay.
+func (n *Net) sampleFate(l link) (lost, duplicated bool, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delay = n.least
-	if n.most > n.least {
-		delay += time.Duration(n.rand.Int64N(int64(n.most - n.least)))
+	delay = n.minDelay
+	if n.maxDelay > n.minDelay {
+		delay += time.Duration(n.rand.Int64N(int64(n.maxDelay - n.minDelay)))
 	}
 	lost = n.cut[l] || n.rand.Float64() < n.drop
-	return lost, n.rand.Float64() < n.repeat, delay
+	return lost, n.rand.Float64() < n.duplicate, delay
 }
 
 func (n *Net) lookup(id string) (*Transport, chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.vms[id], n.resumed[id]
+	return n.vms[id], n.paused[id]
 }
 
-// Transport is one VM's side of a Net.
+// Transport is the peer.Transport of one VM of a Net.
 type Transport struct {
 	net    *Net
 	id     string
@@ -197,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, silenceLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	stop := context.AfterFunc(t.ctx, cancel)
 	defer stop()
@@ -208,15 +211,15 @@
 	return codec.Unmarshal(out, reply)
 }
 
-type answer struct {
+type response struct {
 	data []byte
 	err  error
 }
 
-// exchange carries a request and its answer; either may be lost.
+// exchange delivers a request and its reply. Either may be lost.
 func (t *Transport) exchange(ctx context.Context, vm string, kind peer.Kind, data []byte) ([]byte, error) {
-	there, back := link{t.id, vm}, link{vm, t.id}
-	twice, err := t.net.carry(ctx, there)
+	request, reply := link{t.id, vm}, link{vm, t.id}
+	duplicated, err := t.net.deliver(ctx, request)
 	if err != nil {
 		return nil, err
 	}
@@ -224,18 +227,18 @@
 	if to == nil {
 		return nil, fmt.Errorf("%w: %s", peer.ErrUnreachable, vm)
 	}
-	answers := make(chan answer, 2)
+	responses := make(chan response, 2)
 	serve := func() {
 		out, err := to.serve(t.id, kind, data)
-		answers <- answer{out, err}
+		responses <- response{out, err}
 	}
 	go serve()
-	if twice {
+	if duplicated {
 		go serve()
 	}
 	select {
-	case a := <-answers:
-		if _, err := t.net.carry(ctx, back); err != nil {
+	case a := <-responses:
+		if _, err := t.net.deliver(ctx, reply); err != nil {
 			return nil, err
 		}
 		return a.data, a.err
@@ -246,13 +249,13 @@
 	}
 }
 
-// carry takes one message over a link: it waits for its delay and for paused
-// ends, and reports whether the message arrives twice.
-func (n *Net) carry(ctx context.Context, l link) (bool, error) {
+// deliver simulates one message on a link. It waits for the delay and until neither VM is
+// paused, and reports whether the message is duplicated.
+func (n *Net) deliver(ctx context.Context, l link) (bool, error) {
 	if l.from == l.to {
 		return false, ctx.Err()
 	}
-	lost, twice, delay := n.roll(l)
+	lost, duplicated, delay := n.sampleFate(l)
 	if lost {
 		<-ctx.Done()
 		return false, fmt.Errorf("%w: %s: %w", peer.ErrUnreachable, l.to, ctx.Err())
@@ -276,7 +279,7 @@
 	if ctx.Err() != nil {
 		return false, fmt.Errorf("%w: %s: %w", peer.ErrUnreachable, l.to, ctx.Err())
 	}
-	return twice, nil
+	return duplicated, nil
 }
 
 func (t *Transport) serve(from string, kind peer.Kind, data []byte) ([]byte, error) {
--- a/internal/peer/peertest/peertest_test.go
+++ b/internal/peer/peertest/peertest_test.go
@@ -12,14 +12,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer/peertest"
 )
 
-// A caller of another VM meets each fault in the form that the network gives it:
-// a dead VM refuses at once, a cut link is silent until the deadline, a deaf VM
-// has executed the call though its caller never hears so.
+// Each simulated fault must look to a caller as it does on a real network. A call to a dead VM
+// fails at once, and a call over a cut link times out. If only the reply is lost, the handler
+// has run although the call fails.
 func TestFaultsShowAsOnANetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := peertest.New(1)
 		a, b := n.VM("a"), n.VM("b")
-		var served atomic.Int32 // a repeated message is served twice at once
+		var served atomic.Int32 // atomic, because a duplicated message is handled twice concurrently
 		b.Handle(peer.KindFollow, func(context.Context, string, []byte) (any, error) {
 			return int(served.Add(1)), nil
 		})
@@ -51,10 +51,10 @@
 			took, err := call()
 			synctest.Wait()
 			if took != c.took || (err != nil) != c.fails || int(served.Load()) != c.served {
-				t.Errorf("%s: took %v, error %v, served %d; want %v, failure %v, %d", c.name, took, err, served.Load(), c.took, c.fails, c.served)
+				t.Errorf("%s: call took %v, error %v, %d calls served; want %v, failure %v, %d served", c.name, took, err, served.Load(), c.took, c.fails, c.served)
 			}
 			if err != nil && !errors.Is(err, peer.ErrUnreachable) {
-				t.Errorf("%s: error %v is not ErrUnreachable", c.name, err)
+				t.Errorf("%s: got error %v, want ErrUnreachable", c.name, err)
 			}
 		}
 	})
--- a/internal/peer/outbox_test.go
+++ b/internal/peer/send_queue_test.go
@@ -7,7 +7,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// encodedFrame is a frame of a kind with so many bytes of content.
+// encodedFrame returns an encoded frame with a body of size bytes.
 func encodedFrame(t *testing.T, kind Kind, size int) []byte {
 	t.Helper()
 	body, err := codec.Marshal(bytes.Repeat([]byte{byte(kind)}, size))
@@ -21,55 +21,55 @@
 	return data
 }
 
-// Guards against a heartbeat that waits behind a large frame.
+// Guards against a heartbeat that waits for all fragments of a large frame.
 func TestControlFrameOvertakesALargeOne(t *testing.T) {
 	for _, large := range []Kind{KindJournal, KindExplain} {
-		o, in := newOutbox(), inbox{}
+		q, in := newSendQueue(), reassembler{}
 		var order []Kind
-		o.put(large, encodedFrame(t, large, 10*fragmentBytes))
+		q.enqueue(large, encodedFrame(t, large, 10*maxFragmentBytes))
 		for written := 0; len(order) < 2 && written < 20; written++ {
-			data, ok, err := o.next(nil, nil)
+			data, ok, err := q.next(nil, nil)
 			if !ok || err != nil {
 				t.Fatal(ok, err)
 			}
-			if len(data) > 2*fragmentBytes {
-				t.Errorf("%d bytes leave at once", len(data))
+			if len(data) > 2*maxFragmentBytes {
+				t.Errorf("got a frame of %d bytes, want at most 2*maxFragmentBytes", len(data))
 			}
 			var f frame
 			if err := codec.Unmarshal(data, &f); err != nil {
 				t.Fatal(err)
 			}
-			whole := f.Kind != kindFragment
-			if !whole {
-				if f, whole, err = in.take(f.Body); err != nil {
+			complete := f.Kind != kindFragment
+			if !complete {
+				if f, complete, err = in.add(f.Body); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if whole {
+			if complete {
 				order = append(order, f.Kind)
 			}
 			if written == 0 {
-				o.put(KindRaft, encodedFrame(t, KindRaft, 100))
+				q.enqueue(KindRaft, encodedFrame(t, KindRaft, 100))
 			}
 		}
 		if len(order) != 2 || order[0] != KindRaft || order[1] != large {
-			t.Errorf("frames come as %v, want the heartbeat before kind %d", order, large)
+			t.Errorf("got frames of kinds %v, want the heartbeat before kind %d", order, large)
 		}
 	}
 }
 
-// Guards against large frames whose fragments mix, and against one that is held up by
-// tokens for ever.
+// Guards against interleaved fragments of several large frames, and against large frames
+// that starve behind a constant load of token frames.
 func TestLargeFramesComeWhole(t *testing.T) {
-	o, in := newOutbox(), inbox{}
-	sizes := []int{fragmentBytes + 1, 5 * fragmentBytes, 100 * fragmentBytes}
+	q, in := newSendQueue(), reassembler{}
+	sizes := []int{maxFragmentBytes + 1, 5 * maxFragmentBytes, 100 * maxFragmentBytes}
 	for _, size := range sizes {
-		o.put(KindJournal, encodedFrame(t, KindJournal, size))
+		q.enqueue(KindJournal, encodedFrame(t, KindJournal, size))
 	}
 	var got []int
 	for range 1000 {
-		o.put(KindFollow, encodedFrame(t, KindFollow, 10))
-		data, _, err := o.next(nil, nil)
+		q.enqueue(KindFollow, encodedFrame(t, KindFollow, 10))
+		data, _, err := q.next(nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -80,11 +80,11 @@
 		if f.Kind != kindFragment {
 			continue
 		}
-		f, whole, err := in.take(f.Body)
+		f, complete, err := in.add(f.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if whole {
+		if complete {
 			var body []byte
 			if err := codec.Unmarshal(f.Body, &body); err != nil || f.Kind != KindJournal {
 				t.Fatal(f.Kind, err)
@@ -93,20 +93,20 @@
 		}
 	}
 	if len(got) != len(sizes) || got[0] != sizes[0] || got[1] != sizes[1] || got[2] != sizes[2] {
-		t.Errorf("frames of %v bytes, want %v", got, sizes)
+		t.Errorf("got frames of %v bytes, want %v", got, sizes)
 	}
 }
 
-// Guards against a VM that sends fragments without end.
+// Guards against unbounded memory for a VM that never sends the last fragment.
 func TestFragmentsAreBounded(t *testing.T) {
-	var in inbox
+	var in reassembler
 	body, err := codec.Marshal(&fragment{Data: make([]byte, maxFrameBytes/4+1), More: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 5 {
-		if _, _, err := in.take(body); (err != nil) != (i >= 3) {
-			t.Errorf("fragment %d: %v", i, err)
+		if _, _, err := in.add(body); (err != nil) != (i >= 3) {
+			t.Errorf("fragment %d: got error %v, want one from fragment 3 on", i, err)
 		}
 	}
 }
--- a/internal/peer/unclaimed.go
+++ b/internal/peer/unclaimed.go
@@ -2,20 +2,20 @@
 
 import "sync"
 
-// Unclaimed counts answers that nobody waited for any more: the call had timed out or
-// was cancelled, and the link carried them for nothing.
+// UnclaimedReplies counts replies to calls that had already timed out or were cancelled.
+// They are bandwidth that was spent in vain.
 type Unclaimed struct {
 	Answers uint64
-	Bytes   uint64 // of bodies
+	Bytes   uint64 // sum of the body sizes
 }
 
-// unclaimed counts by message kind. Safe for concurrent use.
-type unclaimed struct {
+// unclaimedCounter counts unclaimed replies by message kind. It is safe for concurrent use.
+type unclaimedCounter struct {
 	mu     sync.Mutex
 	byKind map[Kind]Unclaimed
 }
 
-func (u *unclaimed) note(kind Kind, size int) {
+func (u *unclaimedCounter) add(kind Kind, size int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.byKind == nil {
@@ -27,7 +27,7 @@
 	u.byKind[kind] = count
 }
 
-// Unclaimed returns what has come too late of one kind of message.
+// UnclaimedReplies returns the unclaimed replies of a message kind since the start.
 func (n *Network) Unclaimed(kind Kind) Unclaimed {
 	n.unclaimed.mu.Lock()
 	defer n.unclaimed.mu.Unlock()
