--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -21,19 +21,20 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("engine")
 
-// Timings and sizes of the client.
+// Timeouts and size limits of the client.
 const (
-	dialTimeout    = 1 * time.Second // engines are a few milliseconds away
-	maxEventBytes  = 1 << 20
-	maxAnswerBytes = 4 << 20
-	idlePerHost    = 64
+	dialTimeout         = 1 * time.Second // the latency to engines is a few milliseconds
+	maxEventBytes       = 1 << 20
+	maxResponseBytes    = 4 << 20
+	maxIdleConnsPerHost = 64
 )
 
-// ErrTruncated is returned when a stream ends before its finish event: the
-// engine died, or the connection was cut.
-var ErrTruncated = Error.New("stream ended before its finish")
+// ErrTruncated is returned when a stream ends before its finish event, because the engine died
+// or the connection was lost.
+var ErrTruncated = Error.New("stream ended before its finish event")
 
-// StatusError is an answer other than 200.
+// StatusError is a response with an unexpected HTTP status. Body holds at most the first 4 KiB
+// of the response.
 type StatusError struct {
 	Status int
 	Body   string
@@ -44,7 +45,7 @@
 	return fmt.Sprintf("engine: status %d: %s", e.Status, e.Body)
 }
 
-// Client talks to engines by address. It is safe for concurrent use.
+// Client calls engines by their address, ip:port. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
@@ -53,15 +54,15 @@
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		DisableCompression:  true,
 	}}}
 }
 
-// Generate runs a completion and calls on for each event until the finish. It
-// returns nil after the finish event, ErrTruncated if the stream ended early,
-// or the error of on.
-func (c *Client) Generate(ctx context.Context, addr string, req Completion, on func(Event) error) error {
+// Generate runs a completion and calls onEvent for each event, the finish event included. It
+// returns nil after the finish event, ErrTruncated if the stream ended early, or the error that
+// onEvent returned.
+func (c *Client) Generate(ctx context.Context, addr string, req Completion, onEvent func(Event) error) error {
 	data, err := json.Marshal(req)
 	if err != nil {
 		return err
@@ -71,21 +72,21 @@
 		return err
 	}
 	r.Header.Set("Content-Type", "application/json")
-	return c.stream(r, on)
+	return c.stream(r, onEvent)
 }
 
-// Attach goes on reading a run that outlived its connection, from the event
-// after the token index from.
-func (c *Client) Attach(ctx context.Context, addr string, attempt Attempt, from int, on func(Event) error) error {
+// Attach resumes reading a run that outlived its connection. The first event is the one after
+// token index from. The errors are those of Generate.
+func (c *Client) Attach(ctx context.Context, addr string, attempt Attempt, from int, onEvent func(Event) error) error {
 	u := "http://" + addr + "/v1/streams/" + url.PathEscape(attempt) + "?from=" + strconv.Itoa(from)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, u, http.NoBody)
 	if err != nil {
 		return err
 	}
-	return c.stream(r, on)
+	return c.stream(r, onEvent)
 }
 
-func (c *Client) stream(r *http.Request, on func(Event) error) error {
+func (c *Client) stream(r *http.Request, onEvent func(Event) error) error {
 	resp, err := c.http.Do(r)
 	if err != nil {
 		return err
@@ -98,7 +99,7 @@
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrTruncated, err)
 		}
-		finished, err := deliver(event.Data, on)
+		finished, err := deliver(event.Data, onEvent)
 		if err != nil || finished {
 			return err
 		}
@@ -106,24 +107,24 @@
 	return ErrTruncated
 }
 
-func deliver(data string, on func(Event) error) (bool, error) {
+func deliver(data string, onEvent func(Event) error) (bool, error) {
 	if data == "[DONE]" {
 		return false, nil
 	}
 	var e Event
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		return false, Error.New("bad event: %w", err)
+		return false, Error.New("event could not be decoded: %w", err)
 	}
 	if len(e.Texts) != len(e.TokenIDs) {
-		return false, Error.New("event with %d tokens and %d texts", len(e.TokenIDs), len(e.Texts))
+		return false, Error.New("event has %d tokens but %d texts", len(e.TokenIDs), len(e.Texts))
 	}
-	if err := on(e); err != nil {
+	if err := onEvent(e); err != nil {
 		return false, err
 	}
 	return e.Finish != "", nil
 }
 
-// Cancel ends a run; an unknown one is no error.
+// Cancel ends a run. It returns nil if the engine does not know the run.
 func (c *Client) Cancel(ctx context.Context, addr string, attempt Attempt) error {
 	err := c.do(ctx, http.MethodDelete, addr, "/v1/streams/"+url.PathEscape(attempt), nil, nil)
 	var status *StatusError
@@ -133,28 +134,28 @@
 	return err
 }
 
-// Load reads the engine's latest report.
+// Load returns the latest load report of the engine.
 func (c *Client) Load(ctx context.Context, addr string) (Load, error) {
 	var out Load
 	err := c.do(ctx, http.MethodGet, addr, "/v1/load", nil, &out)
 	return out, err
 }
 
-// CacheEvents reads the cache events after since.
+// CacheEvents returns a page of cache events after the sequence number since.
 func (c *Client) CacheEvents(ctx context.Context, addr string, since uint64) (CacheEvents, error) {
 	var out CacheEvents
 	err := c.do(ctx, http.MethodGet, addr, "/v1/cache-events?since="+strconv.FormatUint(since, 10), nil, &out)
 	return out, err
 }
 
-// Order gives an engine an order.
+// Order sends an order to an engine and returns the engine's state after it.
 func (c *Client) Order(ctx context.Context, addr string, o Order) (State, error) {
 	var out State
 	err := c.do(ctx, http.MethodPost, addr, "/v1/orders", o, &out)
 	return out, err
 }
 
-// State reads what an engine serves.
+// State returns the role and the loaded models of an engine.
 func (c *Client) State(ctx context.Context, addr string) (State, error) {
 	var out State
 	err := c.do(ctx, http.MethodGet, addr, "/v1/state", nil, &out)
@@ -185,7 +186,7 @@
 	if out == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(out)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out)
 }
 
 func statusError(resp *http.Response) error {
--- a/internal/engine/fuzz_test.go
+++ b/internal/engine/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzDeliver checks that an event from an engine is passed on whole or is an
-// error, and that the end is told only by a finish event.
+// FuzzDeliver checks that an event from an engine is either delivered complete or reported as
+// an error, and that only a finish event ends the stream.
 func FuzzDeliver(f *testing.F) {
 	f.Add(`{"attempt":"a","index":1,"token_ids":[5],"texts":[" x"]}`)
 	f.Add(`{"attempt":"a","index":2,"token_ids":[],"texts":[],"finish_reason":"length"}`)
@@ -16,13 +16,13 @@
 			return nil
 		})
 		if err != nil && finished {
-			t.Errorf("%q: an error and a finish", data)
+			t.Errorf("%q: deliver returned an error and finished, want only one of them", data)
 		}
 		if finished && (got == nil || got.Finish == "") {
-			t.Errorf("%q: finished without a finish event", data)
+			t.Errorf("%q: deliver returned finished without a finish event", data)
 		}
 		if got != nil && len(got.Texts) != len(got.TokenIDs) {
-			t.Errorf("%q: delivered with %d texts for %d tokens", data, len(got.Texts), len(got.TokenIDs))
+			t.Errorf("%q: delivered event has %d texts for %d tokens", data, len(got.Texts), len(got.TokenIDs))
 		}
 	})
 }
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,6 +1,6 @@
-// Package inventory reads the platform's list of VMs and backend servers: HTTP
-// with JSON, GET /v1/inventory. The list lags behind the truth by seconds and is
-// an input among others, never the only proof that something is gone.
+// Package inventory polls the platform's list of VMs and backend servers, a JSON document at
+// GET /v1/inventory. The list lags behind the actual state by seconds. It is one input among
+// others and never the only evidence that a VM or backend server is gone.
 package inventory
 
 import (
@@ -16,12 +16,12 @@
 	"github.com/rs/zerolog"
 )
 
-// Path is where the platform serves its list.
+// Path is the HTTP path of the platform's list.
 const Path = "/v1/inventory"
 
-// Timings and sizes of the reader.
+// Intervals and size limits of the reader.
 const (
-	readEvery    = 1 * time.Second
+	pollInterval = 1 * time.Second
 	readTimeout  = 2 * time.Second
 	maxListBytes = 8 << 20
 )
@@ -35,8 +35,8 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// Backend is one backend server in the platform's list. One that the settings
-// name needs its name and Leaving only.
+// Backend is one backend server in the platform's list. For a server that the settings define,
+// only Name and Leaving are needed.
 type Backend struct {
 	Name    string   `json:"name"`
 	Leaving bool     `json:"leaving"`
@@ -48,26 +48,26 @@
 	Fences  bool     `json:"fences,omitempty"`
 }
 
-// List is the platform's list.
+// List is the platform's list of VMs and backend servers.
 type List struct {
 	VMs      []VM      `json:"vms"`
 	Backends []Backend `json:"backends"`
 }
 
-// Reader keeps the latest list. Safe for concurrent use.
+// Reader polls the list and keeps the latest one. It is safe for concurrent use.
 type Reader struct {
 	url  string
 	log  zerolog.Logger
 	http *http.Client
 
-	mu   sync.Mutex
-	list List
-	etag string
-	at   time.Time
+	mu     sync.Mutex
+	list   List
+	etag   string
+	readAt time.Time
 }
 
-// NewReader returns a Reader of the platform at a base URL; an empty URL has no
-// list.
+// NewReader returns a Reader of the platform's list at a base URL. With an empty URL there is
+// never a list.
 func NewReader(url string, log zerolog.Logger) *Reader {
 	return &Reader{url: url, log: log, http: &http.Client{
 		Timeout:   readTimeout,
@@ -75,16 +75,16 @@
 	}}
 }
 
-// Run reads until ctx ends.
+// Run polls the list until ctx ends.
 func (r *Reader) Run(ctx context.Context) {
 	if r.url == "" {
 		return
 	}
-	tick := time.NewTicker(readEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		if err := r.read(ctx); err != nil && ctx.Err() == nil {
-			r.log.Warn().Err(err).Msg("platform list")
+			r.log.Warn().Err(err).Msg("platform list could not be read; keeping the last one")
 		}
 		select {
 		case <-tick.C:
@@ -99,9 +99,9 @@
 	if err != nil {
 		return err
 	}
-	// Unchanged lists are not sent again where the platform supports it: 330 VMs
-	// that read a list of a thousand rows each second would be the largest part
-	// of all control traffic.
+	// The platform may answer 304 if the list has not changed. Without this, 330 VMs that
+	// read a list of a thousand rows each second would cause the largest part of all
+	// control traffic.
 	if r.etag != "" {
 		req.Header.Set("If-None-Match", r.etag)
 	}
@@ -113,7 +113,7 @@
 	if resp.StatusCode == http.StatusNotModified {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.at = time.Now()
+		r.readAt = time.Now()
 		return nil
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -125,18 +125,19 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list, r.etag, r.at = list, resp.Header.Get("ETag"), time.Now()
+	r.list, r.etag, r.readAt = list, resp.Header.Get("ETag"), time.Now()
 	return nil
 }
 
-// List returns the latest list and its age. ok is false before the first.
+// List returns the latest list and the time since the platform last confirmed it. ok is false
+// until a list has been read. The caller must not modify the list.
 func (r *Reader) List() (list List, age time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list, time.Since(r.at), !r.at.IsZero()
+	return r.list, time.Since(r.readAt), !r.readAt.IsZero()
 }
 
-// VM returns a VM of the latest list.
+// VM returns a VM by its ID, or false if the latest list does not name it.
 func (r *Reader) VM(id string) (VM, bool) {
 	list, _, _ := r.List()
 	for _, vm := range list.VMs {
@@ -147,11 +148,11 @@
 	return VM{}, false
 }
 
-// Lists reports whether the latest list is recent and names a VM; known is false
-// where there is no recent list, and nothing can be said.
+// IsListed reports whether the latest list names a VM. known is false if the list is older than
+// ten polls or none has been read; listed then means nothing.
 func (r *Reader) Lists(id string) (listed, known bool) {
 	_, age, ok := r.List()
-	if !ok || age > 10*readEvery {
+	if !ok || age > 10*pollInterval {
 		return false, false
 	}
 	_, listed = r.VM(id)
--- a/internal/timer/timer.go
+++ b/internal/timer/timer.go
@@ -1,5 +1,4 @@
-// Package timer waits for a time or for the end of a context, whichever comes
-// first.
+// Package timer provides waiting that a context can cancel.
 package timer
 
 import (
@@ -7,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d. It returns the context's error if that ends first.
+// Sleep waits for d and returns nil. If ctx ends first, it returns the error of ctx.
 func Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
