--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client is a caller of the system: it asks which addresses to use,
-// streams generations, and reconnects with Last-Event-ID when a connection
-// breaks. The command line, the demo and the load tool use it.
+// Package client is a client of the system. It discovers the addresses to use, streams
+// generations, and reconnects with Last-Event-ID when a connection breaks. The command line, the
+// demo and the load tool use it.
 package client
 
 import (
@@ -26,13 +26,13 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("client")
 
-// Timings of a caller.
+// Timeouts and limits of a Client.
 const (
-	dialTimeout    = 500 * time.Millisecond
-	silenceLimit   = 3 * time.Second // the system sends a comment each second
-	reconnectPause = 20 * time.Millisecond
-	maxReconnects  = 200
-	maxEventBytes  = 4 << 20
+	dialTimeout       = 500 * time.Millisecond
+	streamIdleTimeout = 3 * time.Second // the system sends an SSE comment each second
+	reconnectPause    = 20 * time.Millisecond
+	maxReconnects     = 200
+	maxEventBytes     = 4 << 20
 )
 
 // Completion is the body of a generation request.
@@ -45,13 +45,13 @@
 	Stream     bool   `json:"stream"`
 }
 
-// Progress is told after each event.
+// Progress describes one received event. Index is the number of tokens received so far.
 type Progress struct {
 	Index int
-	Gap   time.Duration // since the event before, or the start
+	Gap   time.Duration // since the previous event, or since the start
 }
 
-// Answer is a whole answer.
+// Answer is the answer to a generation. It is incomplete if Complete returned an error.
 type Answer struct {
 	TokenIDs   []int32
 	Text       string
@@ -61,40 +61,40 @@
 	LongestGap time.Duration // between events after the first
 }
 
-// Client calls the system. Addresses are tried in order, each failure moving on
-// to the next; the one that failed last is asked last from then on.
+// Client calls the system with the key of a workspace. It uses the first address that has never
+// failed, or else the address whose last failure is the oldest. It is safe for concurrent use.
 type Client struct {
-	source func(ctx context.Context) ([]string, error)
-	key    string
-	http   *http.Client
+	addresses func(ctx context.Context) ([]string, error)
+	key       string
+	http      *http.Client
 
 	mu     sync.Mutex
 	failed map[string]time.Time
 }
 
-// New returns a Client of fixed addresses for a workspace key.
+// New returns a Client that uses fixed addresses. key is the key of the workspace.
 func New(addrs []string, key string) *Client {
 	return newClient(func(context.Context) ([]string, error) { return addrs, nil }, key)
 }
 
-// NewLocated returns a Client that uses the addresses of a Locator.
+// NewLocated returns a Client that uses the addresses and the workspace key of a Locator.
 func NewLocated(l *Locator) *Client { return newClient(l.Addresses, l.key) }
 
-func newClient(source func(context.Context) ([]string, error), key string) *Client {
-	return &Client{source: source, key: key, failed: map[string]time.Time{}, http: &http.Client{
+func newClient(addresses func(context.Context) ([]string, error), key string) *Client {
+	return &Client{addresses: addresses, key: key, failed: map[string]time.Time{}, http: &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			DisableCompression:  true,
 			MaxIdleConnsPerHost: 256,
 		},
-		// A service's redirect is its answer: following it would call again.
+		// A redirect is the response of the service. Following it would be a second call.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// next returns the address to use now.
+// next returns the address for the next attempt.
 func (c *Client) next(ctx context.Context) (string, error) {
-	addrs, err := c.source(ctx)
+	addrs, err := c.addresses(ctx)
 	if err != nil {
 		return "", err
 	}
@@ -106,7 +106,7 @@
 	return slices.MinFunc(addrs, func(a, b string) int { return c.failed[a].Compare(c.failed[b]) }), nil
 }
 
-func (c *Client) fail(addr string) {
+func (c *Client) markFailed(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failed[addr] = time.Now()
@@ -119,19 +119,21 @@
 	Finish   string  `json:"finish_reason"`
 }
 
-type call struct {
-	c        *Client
-	key      string
-	body     []byte
-	answer   Answer
-	lastID   string
-	lastAt   time.Time
-	started  time.Time
-	progress func(Progress)
+type completionCall struct {
+	c           *Client
+	key         string
+	body        []byte
+	answer      Answer
+	lastID      string
+	lastEventAt time.Time
+	started     time.Time
+	progress    func(Progress)
 }
 
-// Complete runs a generation under an Idempotency-Key and returns its whole
-// answer, reconnecting as often as needed. A refusal is a *result.Error.
+// Complete runs a generation and returns its complete answer. key is the Idempotency-Key. When a
+// connection breaks, Complete reconnects, at most maxReconnects times, and resumes after the last
+// event. It calls progress after each event unless progress is nil. If the system refuses the
+// request, the error is a *result.Error. With an error, the answer holds what has arrived.
 func (c *Client) Complete(ctx context.Context, key string, body Completion, progress func(Progress)) (*Answer, error) {
 	body.Stream = true
 	data, err := json.Marshal(body)
@@ -139,43 +141,44 @@
 		return nil, err
 	}
 	now := time.Now()
-	k := &call{c: c, key: key, body: data, lastAt: now, started: now, progress: progress}
+	k := &completionCall{c: c, key: key, body: data, lastEventAt: now, started: now, progress: progress}
 	for range maxReconnects {
 		var addr string
 		if addr, err = c.next(ctx); err == nil {
-			err = k.once(ctx, addr)
+			err = k.attempt(ctx, addr)
 		}
 		if err == nil {
 			return &k.answer, nil
 		}
-		if final(err) || ctx.Err() != nil {
+		if isFinal(err) || ctx.Err() != nil {
 			return &k.answer, err
 		}
-		c.fail(addr)
+		c.markFailed(addr)
 		k.answer.Reconnects++
 		_ = timer.Sleep(ctx, reconnectPause)
 	}
 	return &k.answer, err
 }
 
-// elsewhere are the refusals of one VM that another VM may not share.
-var elsewhere = []result.Code{result.NotFresh, result.ShuttingDown, result.ControlUnavail, result.KeepersUnavail, result.NoBackendServer}
+// otherAddressCodes are the result codes of refusals that concern one VM only. Another VM may
+// accept the request.
+var otherAddressCodes = []result.Code{result.NotFresh, result.ShuttingDown, result.ControlUnavail, result.KeepersUnavail, result.NoBackendServer}
 
-// final reports whether err is an answer of the system, rather than a broken
-// connection or the refusal of one VM. A refusal that says when to come back is
-// the caller's to obey: trying other addresses at once would make a retry storm.
-func final(err error) bool {
+// isFinal reports whether err is a refusal by the system, as opposed to a broken connection or a
+// refusal by one VM. A refusal that states when to retry is final too: the caller waits for that
+// time, because retries on other addresses at once would cause a retry storm.
+func isFinal(err error) bool {
 	var coded *result.Error
-	return errors.As(err, &coded) && !slices.Contains(elsewhere, coded.Code)
+	return errors.As(err, &coded) && !slices.Contains(otherAddressCodes, coded.Code)
 }
 
-var errCut = Error.New("connection ended before the answer")
+var errDisconnected = Error.New("connection closed before the end of the answer")
 
-func (k *call) once(ctx context.Context, addr string) error {
+func (k *completionCall) attempt(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silenceLimit, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(streamIdleTimeout, cancel)
+	defer idleTimer.Stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/completions", bytes.NewReader(k.body))
 	if err != nil {
 		return err
@@ -193,20 +196,20 @@
 	if resp.StatusCode != http.StatusOK {
 		return decodeError(resp)
 	}
-	body := &touchReader{resp.Body, func() { silence.Reset(silenceLimit) }}
+	body := &activityReader{resp.Body, func() { idleTimer.Reset(streamIdleTimeout) }}
 	for e, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return err
 		}
-		done, err := k.on(e)
+		done, err := k.handleEvent(e)
 		if done || err != nil {
 			return err
 		}
 	}
-	return errCut
+	return errDisconnected
 }
 
-func (k *call) on(e sse.Event) (bool, error) {
+func (k *completionCall) handleEvent(e sse.Event) (bool, error) {
 	if e.Data == "[DONE]" {
 		return true, nil
 	}
@@ -221,16 +224,16 @@
 	if err := json.Unmarshal([]byte(e.Data), &body); err != nil {
 		return false, err
 	}
-	return k.take(e.LastEventID, body)
+	return k.appendEvent(e.LastEventID, body)
 }
 
-func (k *call) take(id string, e event) (bool, error) {
+func (k *completionCall) appendEvent(id string, e event) (bool, error) {
 	if e.Index != len(k.answer.TokenIDs)+len(e.TokenIDs) {
-		return false, Error.New("event ends at %d behind %d tokens", e.Index, len(k.answer.TokenIDs))
+		return false, Error.New("event ends at index %d, which does not match the %d tokens received before", e.Index, len(k.answer.TokenIDs))
 	}
 	now := time.Now()
-	gap := now.Sub(k.lastAt)
-	k.lastAt = now
+	gap := now.Sub(k.lastEventAt)
+	k.lastEventAt = now
 	if len(k.answer.TokenIDs) == 0 {
 		k.answer.FirstToken = now.Sub(k.started)
 	} else {
@@ -249,39 +252,40 @@
 func decodeError(resp *http.Response) error {
 	var coded result.Error
 	if err := json.NewDecoder(resp.Body).Decode(&coded); err != nil {
-		return Error.New("status %d without a coded error", resp.StatusCode)
+		return Error.New("status %d without a result code", resp.StatusCode)
 	}
 	return &coded
 }
 
-// touchReader calls touch whenever bytes arrive, comments included.
-type touchReader struct {
+// activityReader calls onRead whenever data arrives, SSE comments included.
+type activityReader struct {
 	r interface {
 		Read(p []byte) (int, error)
 	}
-	touch func()
+	onRead func()
 }
 
 // Read implements io.Reader.
-func (t *touchReader) Read(p []byte) (int, error) {
+func (t *activityReader) Read(p []byte) (int, error) {
 	n, err := t.r.Read(p)
 	if n > 0 {
-		t.touch()
+		t.onRead()
 	}
 	return n, err
 }
 
-// CallAnswer is a plain service's answer.
+// ServiceResponse is the response of a service. Body holds at most maxCallBodyBytes.
 type CallAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-const maxCallAnswer = 8 << 20
+const maxCallBodyBytes = 8 << 20
 
-// Call sends a call to a plain service. A connection that breaks is tried again
-// at the next address under the same Idempotency-Key: the system runs it once.
+// Call sends a request to a service. key is the Idempotency-Key. If a connection breaks, Call
+// retries at the next address under the same key, so the system runs the request only once. A
+// response with status 4xx or 5xx is returned as an error.
 func (c *Client) Call(ctx context.Context, method, service, path, key string) (*CallAnswer, error) {
 	var err error
 	for range maxReconnects {
@@ -290,10 +294,10 @@
 		if addr, err = c.next(ctx); err == nil {
 			answer, err = c.callOnce(ctx, method, addr, "/v1/services/"+service+path, key)
 		}
-		if err == nil || final(err) || ctx.Err() != nil {
+		if err == nil || isFinal(err) || ctx.Err() != nil {
 			return answer, err
 		}
-		c.fail(addr)
+		c.markFailed(addr)
 		_ = timer.Sleep(ctx, reconnectPause)
 	}
 	return nil, err
@@ -314,7 +318,7 @@
 	if resp.StatusCode/100 == 4 || resp.StatusCode/100 == 5 {
 		return nil, decodeError(resp)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxCallAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxCallBodyBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/client/control.go
+++ b/internal/client/control.go
@@ -7,13 +7,13 @@
 	"net/url"
 )
 
-// Control returns the control group as its leader sees it.
+// Control returns the state of the control group as its leader reports it, as raw JSON.
 func (o *Operator) Control(ctx context.Context) (out json.RawMessage, err error) {
 	return out, o.call(ctx, http.MethodGet, "/v1/control", nil, nil, &out)
 }
 
-// RemoveControl takes the vote from a control VM that will not come back, and
-// returns the group without it.
+// RemoveControl removes a control VM that will not return from the voters of the control group.
+// It returns the state of the group without it.
 func (o *Operator) RemoveControl(ctx context.Context, vm string) (out json.RawMessage, err error) {
 	return out, o.call(ctx, http.MethodDelete, "/v1/control/"+url.PathEscape(vm), nil, nil, &out)
 }
--- a/internal/client/discover.go
+++ b/internal/client/discover.go
@@ -17,25 +17,26 @@
 	maxEntryBytes   = 64 << 10
 )
 
-// Entry is the system's answer to which addresses a caller should use.
+// Entry is a response of the discovery endpoint: the addresses that a caller should use.
 type Entry struct {
-	Addresses []string // in order of use
-	TTL       time.Duration
+	Addresses []string      // ip:port, in order of preference
+	TTL       time.Duration // how long the caller may use the addresses
 	Version   uint64
 }
 
-// Discover asks the addresses in turn for the entry of a workspace's key. zone
-// and name may be empty; name tells callers on one host apart.
+// Discover requests the entry for a workspace key from the addresses in turn and returns the
+// first one. If all fail, it returns the last error. zone and name may be empty; name
+// distinguishes callers on the same host.
 func Discover(ctx context.Context, addrs []string, key, zone, name string) (*Entry, error) {
-	failure := errors.New("client: no address to ask")
+	lastErr := errors.New("client: no address to discover from")
 	for _, addr := range addrs {
 		e, err := discoverAt(ctx, addr, key, zone, name)
 		if err == nil {
 			return e, nil
 		}
-		failure = err
+		lastErr = err
 	}
-	return nil, failure
+	return nil, lastErr
 }
 
 func discoverAt(ctx context.Context, addr, key, zone, name string) (*Entry, error) {
@@ -67,48 +68,49 @@
 		Version   uint64   `json:"version"`
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxEntryBytes)).Decode(&out); err != nil {
-		return nil, fmt.Errorf("client: entry answer: %w", err)
+		return nil, fmt.Errorf("client: entry response could not be decoded: %w", err)
 	}
 	if len(out.Addresses) == 0 {
-		return nil, errors.New("client: entry answer without addresses")
+		return nil, errors.New("client: entry response without addresses")
 	}
 	return &Entry{out.Addresses, time.Duration(out.TTLMS) * time.Millisecond, out.Version}, nil
 }
 
-// Locator keeps an entry answer for its time to live. Safe for concurrent use.
+// Locator caches an Entry for its TTL. It is safe for concurrent use.
 type Locator struct {
-	known           []string
+	seeds           []string
 	key, zone, name string
 
-	mu    sync.Mutex
-	entry *Entry
-	until time.Time
+	mu      sync.Mutex
+	entry   *Entry
+	expires time.Time
 }
 
-// NewLocator returns a Locator that first asks the known addresses.
-func NewLocator(known []string, key, zone, name string) *Locator {
-	return &Locator{known: known, key: key, zone: zone, name: name}
+// NewLocator returns a Locator that sends its first request to the seed addresses. The other
+// arguments are those of Discover.
+func NewLocator(seeds []string, key, zone, name string) *Locator {
+	return &Locator{seeds: seeds, key: key, zone: zone, name: name}
 }
 
-// Addresses returns the addresses to use now. Where nobody answers, the last
-// ones are as good as any: a caller that is refused everywhere asks again.
+// Addresses returns the addresses to use now, and refreshes the entry if it has expired. If no
+// address answers, it returns the addresses of the expired entry, since they may still work.
 func (l *Locator) Addresses(ctx context.Context) ([]string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.entry != nil && time.Now().Before(l.until) {
+	if l.entry != nil && time.Now().Before(l.expires) {
 		return l.entry.Addresses, nil
 	}
-	ask := l.known
+	candidates := l.seeds
 	if l.entry != nil {
-		ask = append(append([]string{}, l.entry.Addresses...), l.known...)
+		candidates = append(append([]string{}, l.entry.Addresses...), l.seeds...)
 	}
-	e, err := Discover(ctx, ask, l.key, l.zone, l.name)
+	e, err := Discover(ctx, candidates, l.key, l.zone, l.name)
 	if err != nil {
 		if l.entry != nil {
 			return l.entry.Addresses, nil
 		}
 		return nil, err
 	}
-	l.entry, l.until = e, time.Now().Add(e.TTL)
+	l.entry, l.expires = e, time.Now().Add(e.TTL)
 	return e.Addresses, nil
 }
--- a/internal/client/operator.go
+++ b/internal/client/operator.go
@@ -20,18 +20,18 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Timings of an operator's client. An address gets longer to answer than a
-// change of leader takes; a change is resent over all addresses until it is
-// answered, always with the same Idempotency-Key, so it is made once.
+// Timeouts and retries of an Operator. The timeout of a request is longer than a change of leader
+// takes. A change is retried on all addresses until one answers. All retries have the same
+// Idempotency-Key, so the change is made only once.
 const (
-	operatorTimeout = 10 * time.Second
-	waitTimeout     = 70 * time.Second // ?wait=in-force
-	operatorRounds  = 5
-	operatorPause   = 200 * time.Millisecond
+	operatorTimeout    = 10 * time.Second
+	waitTimeout        = 70 * time.Second // ?wait=in-force
+	operatorRounds     = 5                // over all addresses
+	operatorRetryPause = 200 * time.Millisecond
 )
 
-// Operator calls the operators' API. Addresses are tried in order, each failure
-// moving on to the next. It is not safe for concurrent use.
+// Operator is a client of the operators' API. It tries the addresses in order until one gives a
+// final answer. It is not safe for concurrent use.
 type Operator struct {
 	addrs []string
 	token string
@@ -39,14 +39,16 @@
 	http  *http.Client
 }
 
-// NewOperator returns an Operator. who is its name in the history.
+// NewOperator returns an Operator. An empty token sends no Authorization header. who is the name
+// under which the history records the changes.
 func NewOperator(addrs []string, token, who string) *Operator {
 	return &Operator{addrs: addrs, token: token, who: who, http: &http.Client{Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 	}}}
 }
 
-// Written is the answer to a change.
+// ChangeResult is the response to a Change. Version is the new version of the row, or 0 if
+// the row was removed.
 type Written struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
@@ -54,17 +56,18 @@
 	InForce bool   `json:"in_force"`
 }
 
-// Change is a change of a row. IfMatch 0 creates it.
+// Change is a change of one row. The change is made only if the row has version IfMatch; with
+// IfMatch 0, only if the row does not exist.
 type Change struct {
 	List    string // "plans" or "allowances"
 	Name    string
 	Row     any // nil removes it
 	IfMatch uint64
-	Key     string // Idempotency-Key; empty: a new one
-	Wait    bool   // until it is in force
+	Key     string // Idempotency-Key; empty: a new one is generated
+	Wait    bool   // wait until the change is in force
 }
 
-// Do makes a change.
+// Do makes a change. A refusal is a *result.Error.
 func (o *Operator) Do(ctx context.Context, c Change) (Written, error) {
 	header := http.Header{"Idempotency-Key": {cmp.Or(c.Key, rand.Text())}}
 	if c.IfMatch == 0 {
@@ -90,7 +93,8 @@
 	return out, o.call(ctx, method, path, header, body, &out)
 }
 
-// Plans returns the first list and the version of both lists.
+// Plans returns the rows of the list of plans and the version that both lists share. With wait,
+// it waits until that version is in force.
 func (o *Operator) Plans(ctx context.Context, wait bool) ([]plan.CustomerRow, uint64, error) {
 	var out struct {
 		Version uint64             `json:"version"`
@@ -104,7 +108,7 @@
 	return out.Rows, out.Version, err
 }
 
-// Allowances returns the second list.
+// Allowances returns the rows of the list of allowances.
 func (o *Operator) Allowances(ctx context.Context) ([]plan.AllowanceRow, error) {
 	var out struct {
 		Rows []plan.AllowanceRow `json:"allowances"`
@@ -113,23 +117,23 @@
 	return out.Rows, err
 }
 
-// PlanRow is a row of the first list, with what the workspace has in use.
+// PlanRow is a row of the list of plans with the current usage of its workspace.
 type PlanRow struct {
 	plan.CustomerRow
 	Use plan.Usage `json:"use"`
 }
 
-// Plan returns a row of the first list.
+// Plan returns the row of a workspace from the list of plans.
 func (o *Operator) Plan(ctx context.Context, workspace string) (out PlanRow, err error) {
 	return out, o.call(ctx, http.MethodGet, "/v1/plans/"+url.PathEscape(workspace), nil, nil, &out)
 }
 
-// Allowance returns a row of the second list.
+// Allowance returns the row with this name from the list of allowances.
 func (o *Operator) Allowance(ctx context.Context, name string) (out plan.AllowanceRow, err error) {
 	return out, o.call(ctx, http.MethodGet, "/v1/allowances/"+url.PathEscape(name), nil, nil, &out)
 }
 
-// HistoryEntry is one change of a row.
+// HistoryEntry records one change of a row. Diff has one line per changed field.
 type HistoryEntry struct {
 	Version uint64   `json:"version"`
 	AtMS    int64    `json:"at_ms"`
@@ -139,7 +143,7 @@
 	Diff    []string `json:"diff"`
 }
 
-// History returns the changes of a row, newest first.
+// History returns the changes of a row, newest first. list is "plans" or "allowances".
 func (o *Operator) History(ctx context.Context, list, name string) ([]HistoryEntry, error) {
 	var out struct {
 		History []HistoryEntry `json:"history"`
@@ -148,12 +152,13 @@
 	return out.History, err
 }
 
-// Status returns the answer of GET /v1/status as it came.
+// Status returns the response of GET /v1/status as raw JSON.
 func (o *Operator) Status(ctx context.Context) (out json.RawMessage, err error) {
 	return out, o.call(ctx, http.MethodGet, "/v1/status", nil, nil, &out)
 }
 
-// Explanation is what was decided for a request.
+// Explanation holds the decisions that VMs recorded for a request. Missing names the VMs that
+// could not be reached.
 type Explanation struct {
 	Workspace string         `json:"workspace"`
 	Request   string         `json:"request_id"`
@@ -161,14 +166,14 @@
 	Missing   []string       `json:"unreachable_vms,omitempty"`
 }
 
-// Explain returns what was decided for a request.
+// Explain returns the decisions recorded for a request of a workspace.
 func (o *Operator) Explain(ctx context.Context, workspace, request string) (out Explanation, err error) {
 	path := "/v1/explain/" + url.PathEscape(request) + "?workspace=" + url.QueryEscape(workspace)
 	return out, o.call(ctx, http.MethodGet, path, nil, nil, &out)
 }
 
-// call tries each address in turn until one gives a final answer. An answer
-// that says nothing about the outcome is not final.
+// call tries each address in turn until one gives a final answer. Result codes from 3000
+// on are not final: the system was not ready, or the outcome is unknown.
 func (o *Operator) call(ctx context.Context, method, path string, header http.Header, body []byte, out any) error {
 	if len(o.addrs) == 0 {
 		return errors.New("client: no operator address")
@@ -179,10 +184,10 @@
 			select {
 			case <-ctx.Done():
 				return errors.Join(ctx.Err(), err)
-			case <-time.After(operatorPause):
+			case <-time.After(operatorRetryPause):
 			}
 		}
-		err = o.once(ctx, o.addrs[try%len(o.addrs)], method, path, header, body, out)
+		err = o.attempt(ctx, o.addrs[try%len(o.addrs)], method, path, header, body, out)
 		var coded *result.Error
 		if err == nil || errors.As(err, &coded) && coded.Code < 3000 || ctx.Err() != nil {
 			return err
@@ -191,7 +196,7 @@
 	return err
 }
 
-func (o *Operator) once(ctx context.Context, addr, method, path string, header http.Header, body []byte, out any) error {
+func (o *Operator) attempt(ctx context.Context, addr, method, path string, header http.Header, body []byte, out any) error {
 	timeout := operatorTimeout
 	if strings.Contains(path, "wait=") {
 		timeout = waitTimeout
--- a/internal/client/rollouts.go
+++ b/internal/client/rollouts.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Rollout is the state of a service's newest roll-out.
+// Rollout is the state of the latest roll-out of a service.
 type Rollout struct {
 	Service string             `json:"service"`
 	To      string             `json:"to"`
@@ -20,8 +20,8 @@
 	Shares  map[string]float64 `json:"shares,omitempty"`
 }
 
-// StartRollout orders a roll-out. The same order again changes nothing, so that it may be
-// sent again after a lost answer.
+// StartRollout orders a roll-out of a service to a version over the duration d. Repeating
+// the same order changes nothing, so it may be retried after a lost response.
 func (o *Operator) StartRollout(ctx context.Context, service, to string, d time.Duration) (out Rollout, err error) {
 	body, err := json.Marshal(map[string]any{"service": service, "to": to, "duration_ms": d.Milliseconds()})
 	if err != nil {
@@ -30,7 +30,7 @@
 	return out, o.call(ctx, http.MethodPost, "/v1/rollouts", nil, body, &out)
 }
 
-// Rollout returns the newest roll-out of a service.
+// Rollout returns the latest roll-out of a service.
 func (o *Operator) Rollout(ctx context.Context, service string) (out Rollout, err error) {
 	return out, o.call(ctx, http.MethodGet, "/v1/rollouts/"+url.PathEscape(service), nil, nil, &out)
 }
