--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -275,7 +275,7 @@
 }
 
 // ServiceResponse is the response of a service. Body holds at most maxCallBodyBytes.
-type CallAnswer struct {
+type ServiceResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -286,11 +286,11 @@
 // Call sends a request to a service. key is the Idempotency-Key. If a connection breaks, Call
 // retries at the next address under the same key, so the system runs the request only once. A
 // response with status 4xx or 5xx is returned as an error.
-func (c *Client) Call(ctx context.Context, method, service, path, key string) (*CallAnswer, error) {
+func (c *Client) Call(ctx context.Context, method, service, path, key string) (*ServiceResponse, error) {
 	var err error
 	for range maxReconnects {
 		var addr string
-		var answer *CallAnswer
+		var answer *ServiceResponse
 		if addr, err = c.next(ctx); err == nil {
 			answer, err = c.callOnce(ctx, method, addr, "/v1/services/"+service+path, key)
 		}
@@ -303,7 +303,7 @@
 	return nil, err
 }
 
-func (c *Client) callOnce(ctx context.Context, method, addr, path, key string) (*CallAnswer, error) {
+func (c *Client) callOnce(ctx context.Context, method, addr, path, key string) (*ServiceResponse, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, http.NoBody)
 	if err != nil {
 		return nil, err
@@ -322,5 +322,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &CallAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+	return &ServiceResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
--- a/internal/client/operator.go
+++ b/internal/client/operator.go
@@ -49,11 +49,11 @@
 
 // ChangeResult is the response to a Change. Version is the new version of the row, or 0 if
 // the row was removed.
-type Written struct {
-	Name    string `json:"name"`
-	Version uint64 `json:"version"`
-	Lists   uint64 `json:"lists_version"`
-	InForce bool   `json:"in_force"`
+type ChangeResult struct {
+	Name         string `json:"name"`
+	Version      uint64 `json:"version"`
+	ListsVersion uint64 `json:"lists_version"`
+	InForce      bool   `json:"in_force"`
 }
 
 // Change is a change of one row. The change is made only if the row has version IfMatch; with
@@ -68,7 +68,7 @@
 }
 
 // Do makes a change. A refusal is a *result.Error.
-func (o *Operator) Do(ctx context.Context, c Change) (Written, error) {
+func (o *Operator) Do(ctx context.Context, c Change) (ChangeResult, error) {
 	header := http.Header{"Idempotency-Key": {cmp.Or(c.Key, rand.Text())}}
 	if c.IfMatch == 0 {
 		header.Set("If-None-Match", "*")
@@ -81,7 +81,7 @@
 	} else {
 		data, err := json.Marshal(c.Row)
 		if err != nil {
-			return Written{}, err
+			return ChangeResult{}, err
 		}
 		body = data
 	}
@@ -89,7 +89,7 @@
 	if c.Wait {
 		path += "?wait=in-force"
 	}
-	var out Written
+	var out ChangeResult
 	return out, o.call(ctx, method, path, header, body, &out)
 }
 
--- a/internal/client/routes.go
+++ b/internal/client/routes.go
@@ -8,12 +8,12 @@
 
 // PutRoutes puts a route list in force. The list contains its version, so a retry after a lost
 // response is the same change.
-func (o *Operator) PutRoutes(ctx context.Context, list []byte) (out RoutesWritten, err error) {
+func (o *Operator) PutRoutes(ctx context.Context, list []byte) (out RoutesResult, err error) {
 	return out, o.call(ctx, http.MethodPut, "/v1/routes", nil, list, &out)
 }
 
 // RoutesResult is the response to PutRoutes.
-type RoutesWritten struct {
+type RoutesResult struct {
 	Version uint64 `json:"version"`
 	InForce uint64 `json:"in_force"` // higher than Version if a later list has superseded this one
 }
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -71,7 +71,7 @@
 }
 
 // CacheBlockTokens is the block size of prefix caches, in tokens.
-const CacheBlock = 16
+const CacheBlockTokens = 16
 
 // Order instructs an engine to load or unload a model or to change its role.
 type Order struct {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -150,7 +150,7 @@
 
 // IsListed reports whether the latest list names a VM. known is false if the list is older than
 // ten polls or none has been read; listed then means nothing.
-func (r *Reader) Lists(id string) (listed, known bool) {
+func (r *Reader) IsListed(id string) (listed, known bool) {
 	_, age, ok := r.List()
 	if !ok || age > 10*pollInterval {
 		return false, false
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -211,7 +211,7 @@
 	n.members.draining = n.draining.Load
 	n.members.lease = n.s.FreshnessTTL
 	n.network = peer.NewNetwork(n.s.Self.ID, n.s.PeerToken, n.members.peerAddr, n.log)
-	n.network.Handle(peer.KindMembership, n.answerProbe)
+	n.network.Handle(peer.KindProbe, n.answerProbe)
 }
 
 // followMembers registers the list with the control group's state and follows
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -110,7 +110,7 @@
 	change.Wait = false
 	router := client.NewOperator([]string{s.Nodes[4].OperatorAddr()}, "", "test")
 	again, err := router.Do(t.Context(), change)
-	if err != nil || again.Version != first.Version || again.Lists != first.Lists {
+	if err != nil || again.Version != first.Version || again.ListsVersion != first.ListsVersion {
 		t.Errorf("resend got %+v, %v; the first answer was %+v", again, err, first)
 	}
 	change.Key = "another"
--- a/internal/peer/close_test.go
+++ b/internal/peer/close_test.go
@@ -13,7 +13,7 @@
 // marks the network as closed while a dial is in progress, the other side accepts before the
 // dial is cancelled, and the new connection is closed by a goroutine that holds the lock
 // needed to remove it.
-func TestCloseWhileAConnectionOpens(t *testing.T) {
+func TestCloseWhileDialing(t *testing.T) {
 	b := NewNetwork("b", "shared", nil, zerolog.Nop())
 	server := httptest.NewServer(b)
 	defer server.Close()
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -26,29 +26,29 @@
 // Message kinds. Each subsystem has a range of 20 numbers. Kinds from KindControl on are
 // sent in LaneControl.
 const (
-	kindFragment   Kind = 1  // part of a large frame
-	KindJournal    Kind = 20 // journal writes and promises, in batches for one keeper
-	KindPromise    Kind = 21
-	KindFollow     Kind = 22
-	KindAdopt      Kind = 23 // planned takeover
-	KindControl    Kind = 40 // proposes commands to the control group
-	KindWatch      Kind = 41
-	KindQuery      Kind = 42
-	KindPiece      Kind = 43 // requests part of a value that is too large for one reply
-	KindRaft       Kind = 60
-	KindMembership Kind = 80
-	KindNotice     Kind = 81 // sent by routers to control VMs several times a second
-	KindKept       Kind = 82 // asks for the backup copy of a stream
-	KindSpent      Kind = 83 // reports spent retry budget to control VMs
-	KindPlace      Kind = 84 // asks for an engine for a stream
-	KindPlaced     Kind = 85 // decision for a stream that had to wait
-	KindUse        Kind = 86 // reports a VM's use of engines, on each change
-	KindRoutes     Kind = 87 // text of the route list, served by observers
-	KindList       Kind = 88 // complete list of backend servers
-	KindRollout    Kind = 89 // orders a roll-out or returns its state, served by observers
-	KindBlame      Kind = 100
-	KindExplain    Kind = 120
-	KindStatus     Kind = 121
+	kindFragment        Kind = 1  // part of a large frame
+	KindJournal         Kind = 20 // journal writes and promises, in batches for one keeper
+	KindPromise         Kind = 21
+	KindFollow          Kind = 22
+	KindAdopt           Kind = 23 // planned takeover
+	KindControl         Kind = 40 // proposes commands to the control group
+	KindWatch           Kind = 41
+	KindQuery           Kind = 42
+	KindPiece           Kind = 43 // requests part of a value that is too large for one reply
+	KindRaft            Kind = 60
+	KindProbe           Kind = 80
+	KindHeartbeat       Kind = 81 // sent by routers to control VMs several times a second
+	KindFindOrphan      Kind = 82 // asks where the backup copy of a stream is
+	KindRetrySpending   Kind = 83 // reports spent retry budget to control VMs
+	KindPlace           Kind = 84 // asks for an engine for a stream
+	KindPlaceDecision   Kind = 85 // decision for a stream that had to wait
+	KindUseReport       Kind = 86 // reports a VM's use of engines, on each change
+	KindRoutes          Kind = 87 // text of the route list, served by observers
+	KindBackendList     Kind = 88 // complete list of backend servers
+	KindRollout         Kind = 89 // orders a roll-out or returns its state, served by observers
+	KindPoisonSuspicion Kind = 100
+	KindExplain         Kind = 120
+	KindStatus          Kind = 121
 )
 
 // Lane is the send queue of a message within a connection.
--- a/internal/peer/network.go
+++ b/internal/peer/network.go
@@ -304,8 +304,8 @@
 	n.start(c)
 }
 
-// Close closes all connections and cancels the contexts of running handlers. Later calls
-// return ErrClosed.
+// Close closes all connections, cancels the handlers of calls from other VMs and refuses new
+// connections.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
--- a/internal/peer/network_test.go
+++ b/internal/peer/network_test.go
@@ -78,7 +78,7 @@
 		} {
 			var remote *peer.RemoteError
 			if err := call(p.a, vm, peer.KindFollow, what, nil); !errors.As(err, &remote) || remote.Code != int(code) {
-				t.Errorf("handler outcome %q on VM %s: got error %v", what, vm, err)
+				t.Errorf("handler outcome %s on VM %s: got error %v", what, vm, err)
 			}
 		}
 		var reply string
@@ -93,7 +93,7 @@
 
 // A client without the shared token and a VM with another protocol version must not reach a
 // handler.
-func TestStrangersAreRefused(t *testing.T) {
+func TestUnauthorizedPeersAreRefused(t *testing.T) {
 	p := newPair(t, "guess")
 	p.b.Handle(peer.KindFollow, func(context.Context, string, []byte) (any, error) {
 		t.Error("handler was called by an unauthorized peer")
--- a/internal/peer/peertest/meter.go
+++ b/internal/peer/peertest/meter.go
@@ -13,21 +13,21 @@
 type Meter struct {
 	peer.Transport
 	mu     sync.Mutex
-	counts Counts
+	counts ReplyCounts
 }
 
 // ReplyCounts holds the number and the sizes of the replies to calls. Failed calls count as
 // well.
-type Counts struct {
+type ReplyCounts struct {
 	ByKind  map[peer.Kind]int
-	Answers int
+	Replies int
 	Bytes   int // sum of the encoded sizes
 	Largest int // size of the largest reply, in bytes
 }
 
 // NewMeter returns a Meter that makes its calls over t.
 func NewMeter(t peer.Transport) *Meter {
-	return &Meter{Transport: t, counts: Counts{ByKind: map[peer.Kind]int{}}}
+	return &Meter{Transport: t, counts: ReplyCounts{ByKind: map[peer.Kind]int{}}}
 }
 
 // Call implements peer.Transport.
@@ -40,17 +40,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.ByKind[kind]++
-	m.counts.Answers++
+	m.counts.Replies++
 	m.counts.Bytes += len(data)
 	m.counts.Largest = max(m.counts.Largest, len(data))
 	return err
 }
 
 // ReadAndReset returns the counts since the previous ReadAndReset and resets them to zero.
-func (m *Meter) Take() Counts {
+func (m *Meter) ReadAndReset() ReplyCounts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := m.counts
-	m.counts = Counts{ByKind: map[peer.Kind]int{}}
+	m.counts = ReplyCounts{ByKind: map[peer.Kind]int{}}
 	return out
 }
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -109,7 +109,7 @@
 }
 
 // CutInbound drops all messages to a VM, replies included. Messages from it still arrive.
-func (n *Net) Deafen(id string) {
+func (n *Net) CutInbound(id string) {
 	for _, other := range n.others(id) {
 		n.Cut(other, id)
 	}
@@ -117,7 +117,7 @@
 
 // Isolate cuts all links of a VM in both directions.
 func (n *Net) Isolate(id string) {
-	n.Deafen(id)
+	n.CutInbound(id)
 	for _, other := range n.others(id) {
 		n.Cut(id, other)
 	}
--- a/internal/peer/send_queue_test.go
+++ b/internal/peer/send_queue_test.go
@@ -60,7 +60,7 @@
 
 // Guards against interleaved fragments of several large frames, and against large frames
 // that starve behind a constant load of token frames.
-func TestLargeFramesComeWhole(t *testing.T) {
+func TestLargeFramesAreReassembled(t *testing.T) {
 	q, in := newSendQueue(), reassembler{}
 	sizes := []int{maxFragmentBytes + 1, 5 * maxFragmentBytes, 100 * maxFragmentBytes}
 	for _, size := range sizes {
--- a/internal/relay/hub.go
+++ b/internal/relay/hub.go
@@ -81,7 +81,7 @@
 	}
 	h.journals = newJournals(ctx, d.Transport, cfg.VM, h.write)
 	h.recovery = newRecoverer(h)
-	d.Transport.Handle(peer.KindBlame, h.recovery.handleBlame)
+	d.Transport.Handle(peer.KindPoisonSuspicion, h.recovery.handleBlame)
 	d.Transport.Handle(peer.KindJournal, h.handleWrites)
 	d.Transport.Handle(peer.KindPromise, h.handlePromise)
 	d.Transport.Handle(peer.KindFollow, h.handleFollow)
--- a/internal/relay/owner_test.go
+++ b/internal/relay/owner_test.go
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		deaf := s.owner("k")
-		s.net.Deafen(deaf)
+		s.net.CutInbound(deaf)
 		began := time.Now()
 		if err := c.read(deaf, testTokens); result.CodeOf(err) != result.KeepersUnavail || result.From(err).Ran == result.RanNo {
 			t.Errorf("the cut-off VM ended the answer with %v", err)
