--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -96,7 +96,7 @@
 			t.Fatal(err)
 		}
 		hub := relay.NewHub(relay.Config{
-			VM: "vm1", Epoch: "vm1#1", OpenTimeout: 4 * time.Second, SilenceLimit: time.Second,
+			VM: "vm1", EpochVM: "vm1#1", OpenTimeout: 4 * time.Second, SilenceLimit: time.Second,
 			CallerKeep: 2 * time.Minute, Limits: generation.DefaultLimits(2 * time.Minute),
 		}, relay.Deps{
 			Transport: peertest.New(1).VM("vm1"), Members: v, Engines: v.engine, Router: v,
--- a/internal/node/generations.go
+++ b/internal/node/generations.go
@@ -18,7 +18,7 @@
 
 func (n *Node) startGenerations() {
 	n.hub = relay.NewHub(relay.Config{
-		VM: n.s.Self.ID, Epoch: n.s.Self.ID + "#" + n.incarnation, Incarnation: n.incarnation,
+		VM: n.s.Self.ID, EpochVM: n.s.Self.ID + "#" + n.incarnation, Incarnation: n.incarnation,
 		OpenTimeout: openTimeout, Objective: objectiveOf(n.s.Objective), CallerKeep: n.s.CallerKeep, DetachKeep: detachKeep,
 		Limits: generation.DefaultLimits(n.s.CallerKeep),
 	}, relay.Deps{
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -167,7 +167,7 @@
 // other VMs stop admitting once their freshness leases have lapsed, since an
 // operator on the far side may have withdrawn the plan: callers get 3004, not
 // run. The answer that was running goes on to its end.
-func TestWithoutTheGroupNothingNewButWhatRuns(t *testing.T) {
+func TestQuorumLossStopsAdmission(t *testing.T) {
 	const lease = time.Second
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
 	o.VMs = 5
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -55,7 +55,7 @@
 	for timer.Sleep(ctx, probeEvery+rand.N(probeJitter)) == nil {
 		view := n.members.present()
 		if view.Version != version {
-			version, watched = view.Version, membership.Watches(n.s.Self.ID, view.VMs)
+			version, watched = view.Version, membership.ProbeTargets(n.s.Self.ID, view.VMs)
 			n.members.forgetOthers(watched)
 		}
 		var round sync.WaitGroup
@@ -103,7 +103,7 @@
 		}
 	}
 	found := make(chan bool, helpers)
-	asked := membership.Spread(n.s.Self.ID+"/"+id, able, helpers)
+	asked := membership.ChooseAcrossZones(n.s.Self.ID+"/"+id, able, helpers)
 	for _, helper := range asked {
 		go func() { found <- n.reaches(ctx, helper.ID, probe{Target: id}, helpTimeout) }()
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -79,7 +79,7 @@
 		return nil, nil
 	}
 	req := r.Request()
-	resume := &recovery.Resume{Deadline: deadline, Priority: req.Priority, Prefill: q.Prefill()}
+	resume := &recovery.Resume{Deadline: deadline, Priority: req.Priority, Prefill: q.PrefillTokens()}
 	return resume, r.hub.recovery.pace(ctx, req.Model, resume)
 }
 
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -60,7 +60,7 @@
 	var hubs []*relay.Hub
 	for _, c := range view.Candidates {
 		h := relay.NewHub(relay.Config{
-			VM: c.VM, Epoch: c.VM + "#1", OpenTimeout: time.Minute, SilenceLimit: time.Minute, CallerKeep: time.Minute,
+			VM: c.VM, EpochVM: c.VM + "#1", OpenTimeout: time.Minute, SilenceLimit: time.Minute, CallerKeep: time.Minute,
 			Limits: generation.DefaultLimits(time.Minute),
 		}, relay.Deps{
 			Transport: net.VM(c.VM), Members: e, Engines: e, Router: e, Log: zerolog.Nop(), Metrics: new(expvar.Map).Init(),
--- a/internal/relay/charge_test.go
+++ b/internal/relay/charge_test.go
@@ -40,7 +40,7 @@
 // One request, whatever happens to it, is reserved once. The reservation is
 // settled by the usage where its owner finished it, and in full where the answer
 // went on elsewhere, or may still do so, since a takeover reserves nothing.
-func TestReservedOnceAndSettled(t *testing.T) {
+func TestReservationIsSettledOnce(t *testing.T) {
 	full := len(testPrompt) + testTokens
 	for name, tc := range map[string]struct {
 		run  func(s *system, c *caller)
@@ -100,7 +100,7 @@
 
 // The plan refuses. The caller gets its code and the promise that nothing ran:
 // no keeper has a journal, and no engine has seen the request.
-func TestRefusedByThePlanDidNotRun(t *testing.T) {
+func TestPlanRefusalRunsNothing(t *testing.T) {
 	inBubble(t, 3, 1, func(s *system) {
 		s.charges.refuse = result.New(result.TokensExhausted)
 		c := s.caller("k")
--- a/internal/relay/deps.go
+++ b/internal/relay/deps.go
@@ -62,7 +62,7 @@
 
 // Prefill is the number of tokens an engine has to compute before the next one,
 // if it has none of them cached.
-func (q *Query) Prefill() int { return q.Request.PromptTokens() + q.Tokens }
+func (q *Query) PrefillTokens() int { return q.Request.PromptTokens() + q.Tokens }
 
 // Choice is an engine with the work placed on it. Done must be called once. The
 // functions may be nil.
@@ -157,7 +157,7 @@
 // Config are the timings of a Hub.
 type Config struct {
 	VM           string
-	Epoch        string        // this VM's name in epochs; unique to its incarnation
+	EpochVM      string        // this VM's name in epochs; unique to its incarnation
 	Incarnation  string        // of this VM's keeper, as the list of VMs gives it
 	OpenTimeout  time.Duration // for a majority of keepers
 	Objective    recovery.Objective
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -167,7 +167,7 @@
 		if err != nil {
 			return found{}, err
 		}
-		f, err := o.takeOver(ctx, replies.Max)
+		f, err := o.takeOver(ctx, replies.MaxEpoch)
 		if !errors.Is(err, generation.ErrDeposed) {
 			return f, err
 		}
--- a/internal/relay/gossip_test.go
+++ b/internal/relay/gossip_test.go
@@ -9,7 +9,7 @@
 
 // One VM tells its neighbours of a death, and each that hears of it for the
 // first time passes it on. All hear, over a bounded number of connections.
-func TestBlameReachesEveryVM(t *testing.T) {
+func TestSuspicionReportReachesEveryVM(t *testing.T) {
 	for _, n := range []int{1, 3, 11, 13, 14, 100, 330} {
 		var all []generation.Candidate
 		for i := range n {
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -113,7 +113,7 @@
 	}
 	q := r.query()
 	left := r.Request().MaxTokens - q.Tokens
-	return recovery.WorthMoving(slowness, left, q.Prefill()) && r.hub.recovery.spendMove(q.Prefill())
+	return recovery.WorthMoving(slowness, left, q.PrefillTokens()) && r.hub.recovery.spendMove(q.PrefillTokens())
 }
 
 // giveUp settles a lane whose answer goes on in the other one.
@@ -152,7 +152,7 @@
 	q := r.query()
 	q.Resume = true
 	q.Avoid = append(q.Avoid, l.choice.Backend.Name)
-	if !r.hub.recovery.spendHedge(q.Prefill()) {
+	if !r.hub.recovery.spendHedge(q.PrefillTokens()) {
 		return nil
 	}
 	choice, err := r.hub.router.Pick(ctx, q)
@@ -165,7 +165,7 @@
 	}
 	r.mu.Lock()
 	h := r.lane(choice, l.completion.Attempt+"-hedge")
-	r.stats.ExtraPrefill += q.Prefill()
+	r.stats.ExtraPrefill += q.PrefillTokens()
 	r.mu.Unlock()
 	r.hub.metrics.Add("hedges", 1)
 	r.hub.note(r.Request().ID, explain.Suspected, fmt.Sprintf("%s is silent; hedged on %s", l.choice.Backend.Name, choice.Backend.Name))
@@ -208,7 +208,7 @@
 		r.hub.metrics.Add("events_of_another_version", 1)
 		return errForeignEvent
 	}
-	r.owner.Pin(e.Version)
+	r.owner.PinVersion(e.Version)
 	return nil
 }
 
--- a/internal/relay/open.go
+++ b/internal/relay/open.go
@@ -68,14 +68,14 @@
 type opener struct {
 	h      *Hub
 	req    generation.Request
-	groups []generation.Group
+	groups []generation.KeeperSet
 	newest generation.Membership
 	resume bool
 }
 
 func (h *Hub) opener(req generation.Request, resuming bool) *opener {
 	views := h.members.Views()
-	return &opener{h: h, req: req, groups: generation.Groups(req.ID, views), newest: views[0], resume: resuming}
+	return &opener{h: h, req: req, groups: generation.KeeperSets(req.ID, views), newest: views[0], resume: resuming}
 }
 
 // nextEpoch is above seen and unlike any other that this VM has used: two
@@ -85,7 +85,7 @@
 		last := o.h.round.Load()
 		next := max(last, seen.Round) + 1
 		if o.h.round.CompareAndSwap(last, next) {
-			return generation.Epoch{Version: o.newest.Version, Round: next, VM: o.h.cfg.Epoch}
+			return generation.Epoch{Version: o.newest.Version, Round: next, VM: o.h.cfg.EpochVM}
 		}
 	}
 }
@@ -101,18 +101,18 @@
 	if !resuming && replies.Ready() {
 		return o.own(ctx, epoch, replies, generation.PromiseReply{})
 	}
-	if resuming && replies.Ready() && replies.Max.IsZero() {
+	if resuming && replies.Ready() && replies.MaxEpoch.IsZero() {
 		return found{}, result.New(result.NotFound)
 	}
-	owner := h.probe(ctx, req.ID, replies.Max.VM)
+	owner := h.probe(ctx, req.ID, replies.MaxEpoch.VM)
 	if owner.Request != nil {
-		h.note(req.ID, explain.Followed, "read from its owner "+vmOf(replies.Max.VM))
-		return found{owner: vmOf(replies.Max.VM), req: owner.Request}, nil
+		h.note(req.ID, explain.Followed, "read from its owner "+vmOf(replies.MaxEpoch.VM))
+		return found{owner: vmOf(replies.MaxEpoch.VM), req: owner.Request}, nil
 	}
 	if owner.Opening && try < politeTries {
 		return found{}, errContended
 	}
-	return o.takeOver(ctx, replies.Max)
+	return o.takeOver(ctx, replies.MaxEpoch)
 }
 
 // takeOver seals the journal against every lower epoch and goes on with it.
@@ -163,7 +163,7 @@
 	run := newRun(h, generation.NewOwner(o.req, epoch, o.groups[0], replies, best.Journal))
 	run.source = best.Source
 	if best.Source != nil {
-		run.owner.Pin(best.Source.Version)
+		run.owner.PinVersion(best.Source.Version)
 	}
 	if err := run.enter(ctx, best.Found); err != nil {
 		return found{}, err
@@ -213,14 +213,14 @@
 	for _, k := range keepers {
 		go func() {
 			p := p
-			p.To = k.Incarnation
+			p.Incarnation = k.Incarnation
 			var reply generation.PromiseReply
 			err := o.h.transport.Call(ctx, k.VM, peer.KindPromise, p, &reply)
 			answers <- answer{k, reply, err}
 		}()
 	}
 	replies := generation.NewReplies(o.groups, o.newest)
-	replies.Fresh = !o.resume
+	replies.CallerHasNoTokens = !o.resume
 	refused := false
 	var grace <-chan time.Time
 	for range keepers {
@@ -234,7 +234,7 @@
 			replies.Add(a.keeper, a.reply)
 			refused = refused || !a.reply.OK
 		}
-		if refused && replies.Heard() || replies.Ready() && (o.resume || len(o.groups) == 1) {
+		if refused && replies.Answered() || replies.Ready() && (o.resume || len(o.groups) == 1) {
 			break
 		}
 		if replies.Ready() && grace == nil {
@@ -251,7 +251,7 @@
 		return nil
 	case replies.Full():
 		return o.full(replies)
-	case replies.Heard():
+	case replies.Answered():
 		return nil
 	case o.resume && replies.Lost():
 		return result.New(result.JournalLost)
@@ -261,7 +261,7 @@
 
 func (o *opener) full(replies *generation.Replies) error {
 	err := result.New(result.KeepersFull)
-	if !replies.Heard() || !replies.Max.IsZero() {
+	if !replies.Answered() || !replies.MaxEpoch.IsZero() {
 		return err.WithRan(result.RanUnknown)
 	}
 	return err
--- a/internal/relay/owner_test.go
+++ b/internal/relay/owner_test.go
@@ -34,7 +34,7 @@
 // again, the paused VM has late tokens of its own stream: its keepers refuse
 // them, and a caller still connected there is served as a reader of the answer
 // that went on elsewhere.
-func TestOwnerPausedAndBack(t *testing.T) {
+func TestPausedOwnerLosesOwnership(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		stays, moves := s.caller("k"), s.caller("k")
 		if err := stays.read("vm0", 50); err != nil {
@@ -60,7 +60,7 @@
 // the first one the moment it runs again. It still believes to own the answer,
 // with fewer tokens than the caller has: it must not call the caller's index
 // wrong before its keepers have confirmed it, and they don't.
-func TestStaleOwnerAsksBeforeItRefuses(t *testing.T) {
+func TestStaleOwnerConfirmsBeforeRefusal(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
 		if err := c.read("vm0", 100); err != nil {
@@ -79,7 +79,7 @@
 // The caller's VM can send but hears nothing, not even acknowledgements. It may
 // release no token, and must tell its caller so in bounded time instead of
 // sending heartbeats for ever; any other VM goes on with the answer.
-func TestOwnerCutOffOneWay(t *testing.T) {
+func TestOwnerInOneWayPartition(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
 		if err := c.read("vm0", 100); err != nil {
@@ -104,7 +104,7 @@
 // Callers of one key come to every VM at the same moment, as after the loss of
 // a VM or by a caller's own retries. They share one generation: one attempt,
 // and the same whole answer for each.
-func TestManyAtOnceShareOneGeneration(t *testing.T) {
+func TestConcurrentCallersShareOneGeneration(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		var wg sync.WaitGroup
 		answers := make([]*caller, 10)
@@ -126,7 +126,7 @@
 
 // A caller reconnects at every index, each time to another VM, while the owner
 // lives: each VM reads from the owner, and no engine does anything twice.
-func TestReconnectAnywhereCostsNothing(t *testing.T) {
+func TestReconnectOnAnyVMRepeatsNoWork(t *testing.T) {
 	inBubble(t, 5, 2, func(s *system) {
 		c := s.caller("k")
 		for i := 0; c.finish == ""; i++ {
--- a/internal/relay/recover_test.go
+++ b/internal/relay/recover_test.go
@@ -142,7 +142,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.table.Pick(&routing.Query{
-		Pool: "m", PromptTokens: q.Prefill(), NewTokens: q.Request.MaxTokens, Avoid: q.Avoid, Resume: q.Resume, Suspect: q.Suspect,
+		Pool: "m", PromptTokens: q.PrefillTokens(), NewTokens: q.Request.MaxTokens, Avoid: q.Avoid, Resume: q.Resume, Suspect: q.Suspect,
 	}, time.Now())
 	if !ok {
 		return relay.Choice{}, result.New(result.NoBackendServer)
@@ -194,7 +194,7 @@
 		router := newTableRouter(len(f.engines))
 		router.slow = f.slow
 		out = append(out, relay.NewHub(relay.Config{
-			VM: id, Epoch: id + "#1", Incarnation: "1", Limits: generation.DefaultLimits(time.Minute), OpenTimeout: 4 * time.Second, CallerKeep: time.Minute, Objective: o,
+			VM: id, EpochVM: id + "#1", Incarnation: "1", Limits: generation.DefaultLimits(time.Minute), OpenTimeout: 4 * time.Second, CallerKeep: time.Minute, Objective: o,
 		}, relay.Deps{
 			Transport: network.VM(id), Members: members, Engines: f, Router: router,
 			Log: zerolog.Nop(), Metrics: new(expvar.Map).Init(),
@@ -268,7 +268,7 @@
 // resume-latency the answer goes on elsewhere within a second and a half; with
 // extra-work within five, as the bound is longer than most pauses. The late
 // tokens of the first engine differ and must not show.
-func TestSilentEngineIsLeftByObjective(t *testing.T) {
+func TestSilentEngineTimeoutByObjective(t *testing.T) {
 	for _, c := range []struct {
 		objective recovery.Objective
 		within    time.Duration
@@ -331,7 +331,7 @@
 // Its caller sends it again under new ids, to another VM. It takes down two
 // engines and no more, and is refused with its code; the innocent answers are
 // whole; after the blame has expired it is taken again.
-func TestPoisonTakesDownTwoEnginesAndNoInnocents(t *testing.T) {
+func TestPoisonRequestKillsOnlyTwoEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(6, func(c *standin.EngineConfig) { c.PoisonWord, c.PoisonAt = "crash", 40 })
 		defer f.stop()
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -75,7 +75,7 @@
 		seenVersion: owner.Epoch.Version,
 		log:         h.log.With().Str("request_id", owner.Request.ID.Key).Str("workspace", owner.Request.ID.Workspace).Logger(),
 	}
-	r.targets.Store(h.journals.targets(r, owner.Group().Keepers))
+	r.targets.Store(h.journals.targets(r, owner.KeeperSet().Keepers))
 	return r
 }
 
@@ -86,7 +86,7 @@
 func (r *Run) keepers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	group := r.owner.Group()
+	group := r.owner.KeeperSet()
 	out := make([]string, 0, len(group.Keepers))
 	for _, k := range group.Keepers {
 		out = append(out, k.VM)
@@ -170,7 +170,7 @@
 	released := r.owner.Released()
 	j := r.owner.Journal()
 	if from > j.Len() {
-		if r.err == nil && touch > 0 && r.owner.Touched() >= touch {
+		if r.err == nil && touch > 0 && r.owner.ConfirmedTouch() >= touch {
 			return Chunk{}, false, nil, result.New(result.BadLastEventID)
 		}
 		return Chunk{}, false, r.changed, r.err
@@ -221,7 +221,7 @@
 
 func (r *Run) visible() visible {
 	_, _, finished := r.owner.Finished()
-	return visible{r.owner.Released(), r.owner.Accepted(), finished, r.owner.Deposed(), r.owner.Touched()}
+	return visible{r.owner.Released(), r.owner.Accepted(), finished, r.owner.Deposed(), r.owner.ConfirmedTouch()}
 }
 
 // wake needs r.mu.
@@ -236,7 +236,7 @@
 	if r.err != nil {
 		return generation.Write{}, false
 	}
-	return r.owner.Next(vm, maxWriteTokens)
+	return r.owner.NextWrite(vm, maxWriteTokens)
 }
 
 // ack takes a keeper's reply. It reports whether the keeper needs more now, and
@@ -249,7 +249,7 @@
 		r.hub.invariantBroken(r.owner.Request.ID)
 		r.stop(result.New(result.InvariantBroken))
 		return false, false
-	case errors.Is(err, generation.ErrMoved):
+	case errors.Is(err, generation.ErrKeepersMoved):
 		r.mu.Lock()
 		r.seenVersion = 0
 		r.mu.Unlock()
--- a/internal/relay/system_test.go
+++ b/internal/relay/system_test.go
@@ -88,9 +88,9 @@
 	m := new(expvar.Map).Init()
 	link := s.net.VM(c.VM)
 	limits := generation.DefaultLimits(callerKeep)
-	limits.Journals = fullAt
+	limits.MaxJournals = fullAt
 	h := relay.NewHub(relay.Config{
-		VM: c.VM, Epoch: c.VM + "#" + c.Incarnation, Incarnation: c.Incarnation, OpenTimeout: 4 * time.Second,
+		VM: c.VM, EpochVM: c.VM + "#" + c.Incarnation, Incarnation: c.Incarnation, OpenTimeout: 4 * time.Second,
 		SilenceLimit: time.Second, CallerKeep: callerKeep, DetachKeep: 6 * time.Second,
 		Limits: limits,
 	}, relay.Deps{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -269,7 +269,7 @@
 
 func (r *reader) checkMarkings(b Backend) {
 	for _, text := range b.Markings {
-		if _, err := call.ParseMarking(text); err != nil {
+		if _, err := call.ParseIdempotencyRule(text); err != nil {
 			r.fail("backend:"+b.Name, "methods", fmt.Sprintf("bad marking %q", text), err.Error())
 		}
 	}
