--- a/internal/peer/peertest/meter.go
+++ b/internal/peer/peertest/meter.go
@@ -8,24 +8,26 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/peer"
 )
 
-// Meter is a Transport that counts the answers to its calls. Safe for concurrent use.
+// Meter is a peer.Transport that counts the calls made over it and the sizes of their replies.
+// It is safe for concurrent use.
 type Meter struct {
 	peer.Transport
 	mu     sync.Mutex
-	counts Counts
+	counts ReplyCounts
 }
 
-// Counts are answers to calls.
-type Counts struct {
+// ReplyCounts holds the number and the sizes of the replies to calls. Failed calls count as
+// well.
+type ReplyCounts struct {
 	ByKind  map[peer.Kind]int
-	Answers int
-	Bytes   int // of bodies
-	Largest int // bytes
+	Replies int
+	Bytes   int // sum of the encoded sizes
+	Largest int // size of the largest reply, in bytes
 }
 
-// NewMeter counts the answers to calls over t.
+// NewMeter returns a Meter that makes its calls over t.
 func NewMeter(t peer.Transport) *Meter {
-	return &Meter{Transport: t, counts: Counts{ByKind: map[peer.Kind]int{}}}
+	return &Meter{Transport: t, counts: ReplyCounts{ByKind: map[peer.Kind]int{}}}
 }
 
 // Call implements peer.Transport.
@@ -38,17 +40,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.ByKind[kind]++
-	m.counts.Answers++
+	m.counts.Replies++
 	m.counts.Bytes += len(data)
 	m.counts.Largest = max(m.counts.Largest, len(data))
 	return err
 }
 
-// Take returns what was counted, and begins anew.
-func (m *Meter) Take() Counts {
+// ReadAndReset returns the counts since the previous ReadAndReset and resets them to zero.
+func (m *Meter) ReadAndReset() ReplyCounts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := m.counts
-	m.counts = Counts{ByKind: map[peer.Kind]int{}}
+	m.counts = ReplyCounts{ByKind: map[peer.Kind]int{}}
 	return out
 }
--- a/internal/peer/unclaimed.go
+++ b/internal/peer/unclaimed.go
@@ -2,33 +2,33 @@
 
 import "sync"
 
-// Unclaimed counts answers that nobody waited for any more: the call had timed out or
-// was cancelled, and the link carried them for nothing.
-type Unclaimed struct {
-	Answers uint64
-	Bytes   uint64 // of bodies
+// UnclaimedReplies counts replies to calls that had already timed out or were cancelled.
+// Their bandwidth is wasted.
+type UnclaimedReplies struct {
+	Count uint64
+	Bytes uint64 // sum of the body sizes
 }
 
-// unclaimed counts by message kind. Safe for concurrent use.
-type unclaimed struct {
+// unclaimedCounter counts unclaimed replies by message kind. It is safe for concurrent use.
+type unclaimedCounter struct {
 	mu     sync.Mutex
-	byKind map[Kind]Unclaimed
+	byKind map[Kind]UnclaimedReplies
 }
 
-func (u *unclaimed) note(kind Kind, size int) {
+func (u *unclaimedCounter) add(kind Kind, size int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.byKind == nil {
-		u.byKind = map[Kind]Unclaimed{}
+		u.byKind = map[Kind]UnclaimedReplies{}
 	}
 	count := u.byKind[kind]
-	count.Answers++
+	count.Count++
 	count.Bytes += uint64(size)
 	u.byKind[kind] = count
 }
 
-// Unclaimed returns what has come too late of one kind of message.
-func (n *Network) Unclaimed(kind Kind) Unclaimed {
+// UnclaimedReplies returns the unclaimed replies of a message kind since the start.
+func (n *Network) UnclaimedReplies(kind Kind) UnclaimedReplies {
 	n.unclaimed.mu.Lock()
 	defer n.unclaimed.mu.Unlock()
 	return n.unclaimed.byKind[kind]
