--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain keeps, in bounded memory, what was decided for each recent
-// request and why, for `amaranthshelf explain`.
+// Package explain records, in bounded memory, the decisions on each recent request and
+// their reasons for `amaranthshelf explain`. It also explains and counts requests by the
+// logs of the VMs.
 package explain
 
 import (
@@ -9,14 +10,14 @@
 	"time"
 )
 
-// Bounds of a Ring: an operator asks about the last minutes, so some thousand
-// requests with a few decisions each are enough, in about 4 MB.
+// Bounds of a Ring. Operators ask about the last minutes, so a few thousand requests with
+// a few decisions each are enough. They take about 4 MB.
 const (
 	DefaultRequests = 4096
 	maxNotes        = 64
 )
 
-// What was decided. The words are part of the operators' interface.
+// Kinds of decisions, the values of Note.What. They are part of the operators' interface.
 const (
 	Accepted  = "accepted"
 	Queued    = "queued"
@@ -30,7 +31,7 @@
 	Finished  = "finished"
 )
 
-// Note is one decision.
+// Note is one decision on a request.
 type Note struct {
 	At   time.Time `cbor:"1,keyasint" json:"at"`
 	VM   string    `cbor:"2,keyasint" json:"vm"`
@@ -38,7 +39,7 @@
 	Why  string    `cbor:"4,keyasint" json:"why"`
 }
 
-// Key names a request within its workspace.
+// Key identifies a request by its workspace and its id there.
 type Key struct {
 	Workspace string `cbor:"1,keyasint"`
 	Request   string `cbor:"2,keyasint"`
@@ -49,7 +50,8 @@
 	notes []Note
 }
 
-// Ring keeps the notes of the most recent requests. Safe for concurrent use.
+// Ring keeps the notes of the requests with the most recent decisions and evicts the
+// least recent ones. It is safe for concurrent use.
 type Ring struct {
 	mu    sync.Mutex
 	limit int
@@ -57,13 +59,13 @@
 	byKey map[Key]*list.Element
 }
 
-// NewRing keeps at most limit requests.
+// NewRing returns a Ring of at most limit requests.
 func NewRing(limit int) *Ring {
 	return &Ring{limit: limit, order: list.New(), byKey: map[Key]*list.Element{}}
 }
 
-// Note adds a decision. Beyond maxNotes the first half stays and the newest
-// replaces the last, so that the beginning and the end can both be read.
+// Note adds a decision on a request. If the request has maxNotes already, the oldest note
+// of the second half is dropped, which keeps both the beginning and the latest decisions.
 func (r *Ring) Note(key Key, n Note) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +91,7 @@
 	}
 }
 
-// Notes returns the decisions on a request in order.
+// Notes returns a copy of the decisions on a request in the order in which they were added.
 func (r *Ring) Notes(key Key) []Note {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -13,7 +13,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Line is one log line of a VM.
+// Line is one log line of a VM. Fields holds all fields but those of time, level, VM and
+// message.
 type Line struct {
 	At      time.Time
 	VM      string
@@ -21,22 +22,24 @@
 	Fields  map[string]any
 }
 
-// Story is what collected logs say of one request.
+// Explanation holds what collected logs contain about one request.
 type Story struct {
-	Lines []Line // of the request, in order of time
-	// Around are lines about the servers that it was sent to, near in time.
-	Around []Line
-	Cause  string // what became of it and why, in a sentence
+	Lines []Line // lines of the request, ordered by time
+	// Nearby holds lines about the request's servers that were written within
+	// nearbyWindow of its own lines.
+	Around []Line `json:"Around"`
+	Cause  string // outcome of the request and its reason, in one sentence
 }
 
-// maxLine bounds a log line.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// near is how far from a request's own lines those about its servers count.
-const near = 3 * time.Second
+// nearbyWindow is the maximum distance of lines about a request's servers from the first
+// and the last line of the request.
+const nearbyWindow = 3 * time.Second
 
-// FromLogs reads log lines of any number of VMs and tells a request's story.
-// Lines that are no JSON are passed over; a prefix before the JSON is allowed.
+// FromLogs reads the log lines of any number of VMs and explains one request. Lines that
+// are not JSON are ignored; a prefix before the JSON is allowed.
 func FromLogs(logs []io.Reader, request string) (Story, error) {
 	var all []Line
 	for _, r := range logs {
@@ -59,7 +62,7 @@
 		}
 	}
 	for _, l := range all {
-		if l.text("request") == "" && s.concerns(l, servers) {
+		if l.text("request") == "" && s.isNearby(l, servers) {
 			s.Around = append(s.Around, l)
 		}
 	}
@@ -70,7 +73,7 @@
 func readLines(r io.Reader) ([]Line, error) {
 	var out []Line
 	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, maxLine)
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		if l, ok := parseLine(scan.Bytes()); ok {
 			out = append(out, l)
@@ -97,7 +100,7 @@
 	return l, err == nil && l.Message != ""
 }
 
-// text is a field as text, or "".
+// text returns the value of a text field, or "".
 func (l *Line) text(field string) string {
 	s, _ := l.Fields[field].(string)
 	return s
@@ -123,36 +126,36 @@
 	return b.String()
 }
 
-func (s *Story) concerns(l Line, servers map[string]bool) bool {
+func (s *Story) isNearby(l Line, servers map[string]bool) bool {
 	if len(s.Lines) == 0 || l.text("server") == "" || !servers[l.text("server")] {
 		return false
 	}
 	first, last := s.Lines[0].At, s.Lines[len(s.Lines)-1].At
-	return l.At.After(first.Add(-near)) && l.At.Before(last.Add(near))
+	return l.At.After(first.Add(-nearbyWindow)) && l.At.Before(last.Add(nearbyWindow))
 }
 
-// cause puts the last decision and what led to it into a sentence.
+// cause describes the last decision and the failure that led to it in one sentence.
 func (s *Story) cause() string {
 	if len(s.Lines) == 0 {
-		return "no line names this request: it did not reach a router, or it went well while ordinary lines were left out"
+		return "no line names this request: it did not reach a router, or it succeeded while the log rate limit left out routine lines"
 	}
 	for i := len(s.Lines) - 1; i >= 0; i-- {
 		l := s.Lines[i]
 		switch l.Message {
 		case "gave up":
 			code := result.Lookup(result.Code(l.number("code")))
-			return fmt.Sprintf("refused with %d %s (%s) after %d arrivals at servers%s", code.Code, code.Name, code.Message, l.number("sends"), s.before(i))
+			return fmt.Sprintf("refused with %d %s (%s) after %d arrivals at servers%s", code.Code, code.Name, code.Message, l.number("sends"), s.lossBefore(i))
 		case "stream broken off":
-			return fmt.Sprintf("broken off behind event %d (%s)%s", l.number("last_event"), l.text("reason"), s.before(i))
+			return fmt.Sprintf("broken off behind event %d (%s)%s", l.number("last_event"), l.text("reason"), s.lossBefore(i))
 		case "stream went on", "stream began", "call sent":
-			return "served" + s.before(i+1)
+			return "served" + s.lossBefore(i+1)
 		}
 	}
-	return "under way"
+	return "in flight"
 }
 
-// before tells the last loss or unsuccessful send ahead of line i.
-func (s *Story) before(i int) string {
+// lossBefore describes the last lost run or unsuccessful send before line i, or returns "".
+func (s *Story) lossBefore(i int) string {
 	for i--; i >= 0; i-- {
 		l := s.Lines[i]
 		switch {
--- a/internal/explain/account_test.go
+++ b/internal/explain/summary_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Each kind of loss is told by the lines that routers write, and counted once.
+// Guards against requests that are counted under a wrong reason, or more than once. The
+// cases are the log lines that routers write for each outcome.
 func TestAccount(t *testing.T) {
 	placed := `"message":"stream placed","send":1,"from_copy":false,"tokens":8600`
 	again := `"message":"stream placed","send":2,"from_copy":false,"tokens":8600`
@@ -25,20 +26,20 @@
 		reread int
 		lines  []string
 	}{
-		{wentWell, 0, []string{placed, ended("whole", 1400, 130, 0)}},
-		{wentWell, 0, []string{placed, lost(40), fromCopy, `"message":"stream went on","from_copy":true`, ended("whole", 1400, 480, 0)}},
-		{neverEnded, 0, []string{placed}},
+		{completedInTime, 0, []string{placed, ended("whole", 1400, 130, 0)}},
+		{completedInTime, 0, []string{placed, lost(40), fromCopy, `"message":"stream went on","from_copy":true`, ended("whole", 1400, 480, 0)}},
+		{noEndLogged, 0, []string{placed}},
 		{restOnly, 0, []string{placed, strings.Replace(ended("whole", 100, 30, 0), "false", "true", 1)}},
-		{lateWaited, 0, []string{placed, ended("whole", 7000, 130, 5200)}},
-		{lateReread, 8600, []string{placed, lost(0), again, ended("whole", 5000, 130, 0)}},
-		{lateRead, 0, []string{placed, ended("whole", 8000, 130, 10)}},
-		{pausedReread, 8600, []string{placed, lost(3), again, `"message":"stream went on","from_copy":false`, ended("whole", 1400, 2400, 0)}},
+		{lateQueued, 0, []string{placed, ended("whole", 7000, 130, 5200)}},
+		{lateRecomputed, 8600, []string{placed, lost(0), again, ended("whole", 5000, 130, 0)}},
+		{latePrefill, 0, []string{placed, ended("whole", 8000, 130, 10)}},
+		{pausedRecomputed, 8600, []string{placed, lost(3), again, `"message":"stream went on","from_copy":false`, ended("whole", 1400, 2400, 0)}},
 		{pausedCopy, 0, []string{placed, lost(3), fromCopy, `"message":"stream went on","from_copy":true`, ended("whole", 1400, 900, 0)}},
-		{pausedAlone, 0, []string{placed, ended("whole", 1400, 2400, 0)}},
-		{"not whole: deadline_too_soon", 0, []string{`"message":"gave up","code":3002`, ended("deadline_too_soon", 0, 0, 900)}},
+		{pausedNoResume, 0, []string{placed, ended("whole", 1400, 2400, 0)}},
+		{"incomplete: deadline_too_soon", 0, []string{`"message":"gave up","code":3002`, ended("deadline_too_soon", 0, 0, 900)}},
 		{"answered", 0, []string{sent("answered", 200)}},
-		{"answered after a further send", 0, []string{sent("unknown", 0), sent("answered", 200)}},
-		{"the server's own failure", 0, []string{sent("answered", 500), sent("answered", 500)}},
+		{"answered after a retry", 0, []string{sent("unknown", 0), sent("answered", 200)}},
+		{"server error", 0, []string{sent("answered", 500), sent("answered", 500)}},
 		{"3002 deadline_too_soon", 0, []string{`"message":"gave up","code":3002`}},
 	}
 	for _, tt := range tests {
@@ -47,13 +48,13 @@
 			for i, l := range tt.lines {
 				fmt.Fprintf(&log, `r1 {"vm":"r1","time":"2026-01-01T00:00:%02dZ","request":"q",%s}`+"\n", i, l)
 			}
-			a, err := NewAccount([]io.Reader{strings.NewReader("not json\n" + log.String())})
+			summary, err := NewAccount([]io.Reader{strings.NewReader("not json\n" + log.String())})
 			if err != nil {
 				t.Fatal(err)
 			}
-			rows := append(a.Streams, a.Calls...)
-			if len(rows) != 1 || rows[0].Reason != tt.want || rows[0].Count != 1 || a.Reread != tt.reread {
-				t.Errorf("account %+v", a)
+			rows := append(summary.Streams, summary.Calls...)
+			if len(rows) != 1 || rows[0].Reason != tt.want || rows[0].Count != 1 || summary.Reread != tt.reread {
+				t.Errorf("got summary %+v, want one request under the expected reason", summary)
 			}
 		})
 	}
