--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// FuzzLoad checks that a file gives valid settings or errors that name a place.
+// FuzzLoad checks that any file yields valid settings or an *Error.
 func FuzzLoad(f *testing.F) {
 	f.Add("[vm]\nid = a\n")
 	f.Add("[vm:x]\nzone = z\npeer = 1.2.3.4:5\n[listen]\npeers=0.0.0.0:1")
@@ -22,7 +22,7 @@
 		s, err := settings.Load(path)
 		var refused *settings.Error
 		if err != nil && !errors.As(err, &refused) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got %v, want a *settings.Error", text, err)
 		}
 		if err == nil && (s.Self.ID == "" || len(s.Self.Roles) == 0) {
 			t.Errorf("%q: accepted without id or roles", text)
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -8,48 +8,49 @@
 	"gopkg.in/ini.v1"
 )
 
-// RoutedKind is what a process of the routed system is.
+// RoutedKind is the kind of a process that takes part in serving routed requests.
 type RoutedKind string
 
-// The two kinds.
+// Kinds of processes.
 const (
 	RoutedRouter  RoutedKind = "router"
 	RoutedControl RoutedKind = "control"
 )
 
-// RoutedBackend is a backend server behind routed requests, from the settings.
+// RoutedBackend is one backend server for routed requests in the settings.
 type RoutedBackend struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
 	Slots   int64
-	Version string // of its software; empty: not stated
+	Version string // of its software; empty if not stated
 }
 
-// Routed is the checked settings file of a process that serves routed requests.
+// Routed is the validated configuration of a router or control process.
 type Routed struct {
 	Kind       RoutedKind
 	ID         string // peer address
 	Zone       string
 	Seeds      []string // peer addresses of control processes
 	DataDir    string   // control
-	FirstStart bool     // control: the whole system starts for the first time
-	Voters     int64    // control: how many the group keeps
+	FirstStart bool     // control: first start of the whole system
+	Voters     int64    // control: number of voters that the control group maintains
 	Grace      time.Duration
-	Callers    string // router
+	Callers    string // router: ip:port of the listener for callers
 	Operators  string
 	Tokens     struct{ Operator, Peer string }
-	Platform   string // base URL of the platform's list
+	Platform   string // base URL of the platform's list of backend servers
 	Backends   []RoutedBackend
-	// RolloutPercent of a service's requests, and RolloutSlack beside them, may reach a new
-	// version that turns out bad.
+	// RolloutPercent and RolloutSlack limit how many requests of a service may reach a bad
+	// new version: this percentage, plus RolloutSlack requests.
 	RolloutPercent int64
 	RolloutSlack   int64
 	LogLevel       string
 }
 
-// LoadRouted reads and checks a settings file.
+// LoadRouted reads and validates a settings file. On errors it returns all of them joined,
+// each an *Error.
 func LoadRouted(path string) (*Routed, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{}, path)
 	if err != nil {
@@ -119,21 +120,21 @@
 	}
 	for _, b := range s.Backends {
 		if b.Service == "" || b.Address == "" {
-			r.fail("backend:"+b.ID, "service", "service or address missing", "a service's name and ip:port")
+			r.fail("backend:"+b.ID, "service", "service or address missing", "a service name and ip:port")
 		}
 	}
 	r.checkLoopback(s.Operators, "operators", s.Tokens.Operator, "operator")
 	r.checkLoopback(s.ID, "id", s.Tokens.Peer, "peer")
 }
 
-// addresses is a list of addresses with commas.
+// addresses accepts a comma-separated list of IP addresses with ports.
 func addresses(p *[]string) setter {
 	return func(v string) (string, bool) {
 		allowed, ok := list(p)(v)
 		for _, item := range *p {
 			var one string
 			if _, valid := address(&one)(item); !valid {
-				return "ip:port, with commas", false
+				return "ip:port, separated by commas", false
 			}
 		}
 		return allowed, ok
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -31,7 +31,7 @@
 		{"no seeds", change("seeds = 127.0.0.1:7502, 127.0.0.1:7503\n", ""), "seeds"},
 		{"seed by name", change("127.0.0.1:7503", "seed:7503"), "ip:port"},
 		{"no callers", change("callers = 127.0.0.1:7510\n", ""), "callers"},
-		{"control without folder", change("kind = router", "kind = control"), "data_dir"},
+		{"control without data folder", change("kind = router", "kind = control"), "data_dir"},
 		{"open to the network without a token", change("id = 127.0.0.1:7512", "id = 10.0.0.1:7512"), "set the token"},
 		{"backend without service", routerINI + "[backend:e1]\naddress = 127.0.0.1:1\n", "backend:e1"},
 		{"cut short", routerINI + "[backend:e", "readable INI"},
@@ -45,15 +45,15 @@
 			s, err := settings.LoadRouted(path)
 			switch {
 			case tt.problem == "" && (err != nil || len(s.Seeds) != 2 || s.Voters != 3):
-				t.Errorf("%+v, %v", s, err)
+				t.Errorf("got %+v, %v, want two seeds and 3 voters", s, err)
 			case tt.problem != "" && (err == nil || !strings.Contains(err.Error(), tt.problem)):
-				t.Errorf("error %v does not say %q", err, tt.problem)
+				t.Errorf("got error %v, want it to contain %q", err, tt.problem)
 			}
 		})
 	}
 }
 
-// The example's files are what the settings allow.
+// Guards against example files that the settings no longer accept.
 func TestRoutedExample(t *testing.T) {
 	for _, name := range []string{"control.ini", "router.ini"} {
 		if _, err := settings.LoadRouted(filepath.Join("../../examples/routed", name)); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the daemon's INI file. Every refusal names
-// file, section, key and what is allowed.
+// Package settings reads and validates the daemon's INI files. Every error names the file,
+// the section, the key and the allowed values.
 package settings
 
 import (
@@ -18,46 +18,46 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/call"
 )
 
-// Role is what a VM does.
+// Role is a role of a VM in the system.
 type Role string
 
-// The two roles; a VM may hold both.
+// Roles of a VM. A VM may hold both.
 const (
 	RoleRouter  Role = "router"
 	RoleControl Role = "control"
 )
 
-// Objective chooses what recovery saves: engine work or the caller's time.
+// Objective selects what recovery minimizes: extra engine work or the caller's wait.
 type Objective string
 
-// The two objectives.
+// Objectives of recovery.
 const (
 	ExtraWork     Objective = "extra-work"
 	ResumeLatency Objective = "resume-latency"
 )
 
-// VM is one VM of the system.
+// VM is the configuration of one VM.
 type VM struct {
 	ID      string
 	Zone    string
 	Roles   []Role
 	Peer    string // ip:port of its peer listener
-	Callers string // ip:port of its callers' listener
+	Callers string // ip:port of its listener for callers
 }
 
-// Has reports whether the VM holds a role.
+// HasRole reports whether the VM holds the role r.
 func (v VM) Has(r Role) bool { return slices.Contains(v.Roles, r) }
 
-// BackendKind tells engines from plain services.
+// BackendKind distinguishes engines from plain services.
 type BackendKind string
 
-// The kinds of backend servers.
+// Kinds of backend servers.
 const (
 	KindEngine  BackendKind = "engine"
 	KindService BackendKind = "service"
 )
 
-// Backend is one backend server known from the settings.
+// Backend is one backend server in the settings.
 type Backend struct {
 	Name     string
 	Kind     BackendKind
@@ -65,11 +65,11 @@
 	Zone     string
 	Models   []string // engines
 	Service  string   // plain services: the service it belongs to
-	Fences   bool     // refuses orders with an old fencing number
+	Fences   bool     // rejects requests with an outdated fencing token
 	Markings []string // plain services: "POST /path idempotent" or "PUT /path once"
 }
 
-// Settings is a checked configuration.
+// Settings is the validated configuration of one VM.
 type Settings struct {
 	Self          VM
 	Operators     string
@@ -90,7 +90,7 @@
 	TraceFile     string
 }
 
-// Error is one refused setting.
+// Error is one invalid setting. Section, Key and Allowed may be empty.
 type Error struct {
 	File, Section, Key string
 	Problem, Allowed   string
@@ -111,7 +111,8 @@
 	return where + ": " + e.Problem + "; allowed: " + e.Allowed
 }
 
-// Default is the embedded configuration: one VM with both roles on loopback.
+// Default returns the configuration without a file: one VM with both roles on loopback.
+// It fails if the user has no cache directory.
 func Default() (*Settings, error) {
 	cache, err := os.UserCacheDir()
 	if err != nil {
@@ -129,7 +130,8 @@
 	}, nil
 }
 
-// Load reads and checks a file over the default.
+// Load reads the file over the default and validates the result. It returns all invalid
+// settings joined, each an *Error.
 func Load(path string) (*Settings, error) {
 	s, err := Default()
 	if err != nil {
@@ -174,7 +176,7 @@
 		r.apply(sec, backendKeys(&b))
 		r.s.Backends = append(r.s.Backends, b)
 	default:
-		keys, ok := r.fixed()[name]
+		keys, ok := r.fixedSections()[name]
 		if !ok {
 			r.fail(name, "", "unknown section", "vm, listen, tokens, platform, policy, log, vm:<id>, backend:<name>")
 			return
@@ -196,12 +198,12 @@
 			continue
 		}
 		if allowed, ok := set(key.String()); !ok {
-			r.fail(sec.Name(), key.Name(), fmt.Sprintf("bad value %q", key.String()), allowed)
+			r.fail(sec.Name(), key.Name(), fmt.Sprintf("invalid value %q", key.String()), allowed)
 		}
 	}
 }
 
-func (r *reader) fixed() map[string]map[string]setter {
+func (r *reader) fixedSections() map[string]map[string]setter {
 	s := r.s
 	return map[string]map[string]setter{
 		ini.DefaultSection: {},
@@ -258,7 +260,7 @@
 		if b.Address == "" {
 			r.fail("backend:"+b.Name, "address", "missing", "ip:port")
 		}
-		r.checkMarkings(b)
+		r.checkIdempotencyRules(b)
 	}
 	if s.Self.Has(RoleControl) && s.DataDir == "" {
 		r.fail("vm", "data_dir", "a control VM needs a data folder", "a folder")
@@ -267,22 +269,22 @@
 	r.checkLoopback(s.Self.Peer, "peers", s.PeerToken, "peer")
 }
 
-func (r *reader) checkMarkings(b Backend) {
+func (r *reader) checkIdempotencyRules(b Backend) {
 	for _, text := range b.Markings {
 		if _, err := call.ParseMarking(text); err != nil {
-			r.fail("backend:"+b.Name, "methods", fmt.Sprintf("bad marking %q", text), err.Error())
+			r.fail("backend:"+b.Name, "methods", fmt.Sprintf("invalid idempotency rule %q", text), err.Error())
 		}
 	}
 }
 
-// checkLoopback refuses an open listener without its token: anybody on the
-// network could otherwise edit plans or pose as a VM.
+// checkLoopback rejects a listener beyond loopback that has no token. Any host on the
+// network could otherwise edit plans or impersonate a VM.
 func (r *reader) checkLoopback(addr, key, token, tokenKey string) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Addr().IsLoopback() || token != "" {
 		return
 	}
-	r.fail("listen", key, "listens off loopback without [tokens] "+tokenKey, "set the token, or listen on 127.0.0.1")
+	r.fail("listen", key, "listens beyond loopback without [tokens] "+tokenKey, "set the token, or listen on 127.0.0.1")
 }
 
 func text(p *string) setter {
@@ -307,7 +309,7 @@
 				*p = append(*p, item)
 			}
 		}
-		return "a list with commas", len(*p) > 0
+		return "a comma-separated list", len(*p) > 0
 	}
 }
 
@@ -317,7 +319,7 @@
 		for item := range strings.SplitSeq(v, ",") {
 			role := Role(strings.TrimSpace(item))
 			if role != RoleRouter && role != RoleControl {
-				return "router, control, or both with a comma", false
+				return "router, control, or both separated by a comma", false
 			}
 			*p = append(*p, role)
 		}
@@ -325,13 +327,13 @@
 	}
 }
 
-// address takes IP numbers only: a name would make the system depend on a
-// resolver at the very moment when the network fails.
+// address accepts IP addresses only. With host names the system would depend on a resolver
+// during network failures.
 func address(p *string) setter {
 	return func(v string) (string, bool) {
 		_, err := netip.ParseAddrPort(v)
 		*p = v
-		return "ip:port with an IP number", err == nil
+		return "ip:port with an IP address", err == nil
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,7 +26,7 @@
 		{"unknown section", "[vms]\nx=1\n", "vms", "", "backend:<name>"},
 		{"unknown key", "[vm]\nzome = a\n", "vm", "zome", "data_dir, id, roles, zone"},
 		{"unknown role", "[vm]\nroles = router, boss\n", "vm", "roles", "router, control"},
-		{"name instead of IP number", "[listen]\ncallers = localhost:80\n", "listen", "callers", "IP number"},
+		{"host name instead of IP address", "[listen]\ncallers = localhost:80\n", "listen", "callers", "IP address"},
 		{"duration too long", "[policy]\nfreshness_lease = 2h\n", "policy", "freshness_lease", "from 1s to 1m0s"},
 		{"unknown objective", "[policy]\nobjective = speed\n", "policy", "objective", "extra-work | resume-latency"},
 		{"backend without address", "[backend:e1]\nmodels = m\n", "backend:e1", "address", "ip:port"},
@@ -42,10 +42,10 @@
 				t.Fatalf("got %v, want a *settings.Error", err)
 			}
 			if refused.Section != tc.section || refused.Key != tc.key || !strings.Contains(refused.Allowed, tc.allowed) {
-				t.Errorf("got section %q key %q allowed %q", refused.Section, refused.Key, refused.Allowed)
+				t.Errorf("got section %q, key %q, allowed %q, want those of the invalid setting", refused.Section, refused.Key, refused.Allowed)
 			}
 			if !strings.HasSuffix(refused.File, "vm.ini") {
-				t.Errorf("file %q", refused.File)
+				t.Errorf("got file %q, want vm.ini", refused.File)
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 	_, err := settings.Load(filepath.Join(t.TempDir(), "none.ini"))
 	var refused *settings.Error
 	if !errors.As(err, &refused) || !strings.HasSuffix(refused.File, "none.ini") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want a *settings.Error of none.ini", err)
 	}
 }
 
@@ -96,12 +96,12 @@
 		t.Fatal(err)
 	}
 	if len(s.VMs) != 2 || s.VMs[0].ID != "vm1" || s.VMs[1].ID != "vm2" || s.VMs[1].Peer != "10.1.0.2:7402" {
-		t.Errorf("VMs %+v", s.VMs)
+		t.Errorf("got VMs %+v, want vm1 and vm2", s.VMs)
 	}
 	if b := s.Backends[0]; b.Name != "engine1" || len(b.Models) != 2 || !b.Fences {
-		t.Errorf("backend %+v", b)
+		t.Errorf("got backend %+v, want engine1 with two models and fences", b)
 	}
 	if s.Objective != settings.ResumeLatency || !s.Self.Has(settings.RoleRouter) {
-		t.Errorf("settings %+v", s)
+		t.Errorf("got settings %+v, want the resume-latency objective and the router role", s)
 	}
 }
