--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -11,42 +11,45 @@
 
 // Bounds of logging under load.
 const (
-	// logQueue lines wait for a slow reader of the output; beyond it the oldest are
-	// lost, and counted. At 300 bytes a line this is a megabyte.
-	logQueue = 4096
-	// ordinaryPerSecond lines about what went well are written; beyond it they are
-	// left out, and counted. Failures are always written.
-	ordinaryPerSecond = 50
+	// logQueueLines is the number of lines that are buffered for a slow reader of the
+	// output. When the buffer is full the oldest lines are dropped and counted. At
+	// 300 bytes per line it takes about 1 MB.
+	logQueueLines = 4096
+	// routineLinesPerSecond limits the lines about successful work. Lines above the limit
+	// are left out and counted. Lines about failures are not limited.
+	routineLinesPerSecond = 50
 )
 
-// Lost counts log lines that were not written.
+// LineCounters counts the log lines that were not written. Its methods return the writer
+// and the logger that drop them. It is safe for concurrent use.
 type Lost struct {
-	Dropped atomic.Uint64 // the output did not take them
-	LeftOut atomic.Uint64 // ordinary ones beyond the bound
+	Dropped atomic.Uint64 // lines that the output did not accept in time
+	LeftOut atomic.Uint64 // routine lines above the rate limit
 }
 
-// Writer hands lines to w beside the caller: a pipe that nobody reads must not
-// stop a request. Close writes what is left.
+// Writer returns a writer that forwards lines to w asynchronously. A pipe without a reader
+// must not block the requests that log. Close writes the buffered lines.
 func (l *Lost) Writer(w io.Writer) io.WriteCloser {
-	d := diode.NewWriter(w, logQueue, 0, func(missed int) { l.Dropped.Add(uint64(missed)) })
+	d := diode.NewWriter(w, logQueueLines, 0, func(missed int) { l.Dropped.Add(uint64(missed)) })
 	return &d
 }
 
-// Ordinary returns a logger for what went well, bounded in lines a second.
+// RoutineLog returns a logger for lines about successful work, limited to
+// routineLinesPerSecond.
 func (l *Lost) Ordinary(log zerolog.Logger) zerolog.Logger {
-	return log.Sample(&ordinary{lost: l, burst: zerolog.BurstSampler{Burst: ordinaryPerSecond, Period: time.Second}})
+	return log.Sample(&routineSampler{counters: l, burst: zerolog.BurstSampler{Burst: routineLinesPerSecond, Period: time.Second}})
 }
 
-type ordinary struct {
-	lost  *Lost
-	burst zerolog.BurstSampler
+type routineSampler struct {
+	counters *Lost
+	burst    zerolog.BurstSampler
 }
 
 // Sample implements zerolog.Sampler.
-func (o *ordinary) Sample(level zerolog.Level) bool {
+func (o *routineSampler) Sample(level zerolog.Level) bool {
 	if o.burst.Sample(level) {
 		return true
 	}
-	o.lost.LeftOut.Add(1)
+	o.counters.LeftOut.Add(1)
 	return false
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -11,54 +11,55 @@
 	"github.com/rs/zerolog"
 )
 
-// A request that logs is not held up by an output that takes nothing: lines beyond
-// the queue are lost and counted.
+// Guards against requests that block on a log output without a reader. Lines above the
+// size of the buffer are dropped and counted.
 func TestFullPipeHoldsNobodyUp(t *testing.T) {
-	var lost Lost
+	var counters Lost
 	r, w := io.Pipe()
-	out := lost.Writer(w)
+	out := counters.Writer(w)
 	log := zerolog.New(out)
-	for range 3 * logQueue {
+	for range 3 * logQueueLines {
 		log.Info().Msg("line")
 	}
 	go func() { _, _ = io.Copy(io.Discard, r) }()
 	if err := out.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if lost.Dropped.Load() == 0 {
-		t.Error("lines beyond the queue are not counted as lost")
+	if counters.Dropped.Load() == 0 {
+		t.Error("got no dropped lines, want those above the size of the buffer counted")
 	}
 }
 
-// Ordinary lines are bounded; failures are not, and what is left out is counted.
+// Guards against a flood of routine lines under load, and against a rate limit that also
+// applies to failures. Lines that are left out are counted.
 func TestOrdinaryLinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var lost Lost
+		var counters Lost
 		var buf bytes.Buffer
 		log := zerolog.New(&buf)
-		usual := lost.Ordinary(log)
-		for range 3 * ordinaryPerSecond {
-			usual.Info().Msg("went well")
+		routine := counters.Ordinary(log)
+		for range 3 * routineLinesPerSecond {
+			routine.Info().Msg("went well")
 			log.Info().Msg("failed")
 		}
-		if n := strings.Count(buf.String(), "went well"); n != ordinaryPerSecond {
-			t.Errorf("%d ordinary lines", n)
+		if n := strings.Count(buf.String(), "went well"); n != routineLinesPerSecond {
+			t.Errorf("got %d routine lines, want 50", n)
 		}
-		if n := strings.Count(buf.String(), "failed"); n != 3*ordinaryPerSecond {
-			t.Errorf("%d failures written", n)
+		if n := strings.Count(buf.String(), "failed"); n != 3*routineLinesPerSecond {
+			t.Errorf("got %d failures, want all 150", n)
 		}
-		if n := lost.LeftOut.Load(); n != 2*ordinaryPerSecond {
-			t.Errorf("%d counted as left out", n)
+		if n := counters.LeftOut.Load(); n != 2*routineLinesPerSecond {
+			t.Errorf("got %d lines counted as left out, want 100", n)
 		}
 	})
 }
 
-// Both ways of reading a counter show one value.
+// Guards against metrics that differ between /metrics and expvar.
 func TestExpvarShowsTheSet(t *testing.T) {
 	set := metrics.NewSet()
 	set.NewCounter(`shelf_refused_total{name="queue full"}`).Add(3)
 	got, ok := Expvar(set)().(map[string]float64)
 	if !ok || got[`shelf_refused_total{name="queue full"}`] != 3 {
-		t.Errorf("%v", got)
+		t.Errorf("got %v, want the counter with value 3", got)
 	}
 }
--- a/internal/telemetry/expvar.go
+++ b/internal/telemetry/expvar.go
@@ -10,7 +10,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Expvar shows a set of counters as expvar does: one source for both.
+// Expvar publishes a set of metrics by expvar, with the same names and values as its
+// Prometheus text.
 func Expvar(set *metrics.Set) expvar.Func {
 	return func() any {
 		var buf bytes.Buffer
@@ -18,7 +19,7 @@
 		out := map[string]float64{}
 		lines := bufio.NewScanner(&buf)
 		for lines.Scan() {
-			name, value, ok := cutLast(lines.Text())
+			name, value, ok := splitLastField(lines.Text())
 			if v, err := strconv.ParseFloat(value, 64); ok && err == nil {
 				out[name] = v
 			}
@@ -27,8 +28,8 @@
 	}
 }
 
-// cutLast splits a line before its last field: a label may hold spaces.
-func cutLast(line string) (name, value string, ok bool) {
+// splitLastField splits a line at its last space, because labels may contain spaces.
+func splitLastField(line string) (name, value string, ok bool) {
 	i := strings.LastIndexByte(line, ' ')
 	if i < 0 || strings.HasPrefix(line, "#") {
 		return "", "", false
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up logs (zerolog), metrics (expvar) and traces
+// Package telemetry sets up the logs (zerolog), metrics (expvar) and traces
 // (OpenTelemetry) of one process.
 package telemetry
 
@@ -21,13 +21,13 @@
 	"github.com/zeebo/errs"
 )
 
-// Lines of several VMs are put in order by their time, to the millisecond.
+// Milliseconds are needed to order the log lines of several VMs by time.
 func init() { zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00" }
 
 // Error is the class of this package's errors.
 var Error = errs.Class("telemetry")
 
-// Logger returns a logger that writes to w as JSON, or for people to read.
+// Logger returns a logger that writes to w: as text if format is "console", else as JSON.
 func Logger(w io.Writer, level, format, vm string) (zerolog.Logger, error) {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -39,15 +39,15 @@
 	return zerolog.New(w).Level(l).With().Timestamp().Str("vm", vm).Logger(), nil
 }
 
-// Tracer starts spans; each carries the request id it belongs to.
+// Tracer starts spans that carry the id of their request.
 type Tracer struct {
 	provider *trace.TracerProvider
 	tracer   oteltrace.Tracer
 	close    func() error
 }
 
-// NewTracer returns a Tracer that writes to a file; an empty path keeps the
-// spans' ids for propagation and exports nothing.
+// NewTracer returns a Tracer that appends spans to a file. With an empty path it exports
+// nothing, but spans still have ids for propagation.
 func NewTracer(vm, path string) (*Tracer, error) {
 	options := []trace.TracerProviderOption{}
 	closeFile := func() error { return nil }
@@ -67,12 +67,12 @@
 	return &Tracer{provider: provider, tracer: provider.Tracer("amaranthshelf/" + vm), close: closeFile}, nil
 }
 
-// Start begins the span of one hop.
+// Start starts the span of one hop of a request.
 func (t *Tracer) Start(ctx context.Context, hop, requestID string) (context.Context, oteltrace.Span) {
 	return t.tracer.Start(ctx, hop, oteltrace.WithAttributes(attribute.String("request.id", requestID)))
 }
 
-// Close writes what is left.
+// Close writes the buffered spans and closes the file.
 func (t *Tracer) Close(ctx context.Context) error {
 	if err := t.provider.Shutdown(ctx); err != nil {
 		return err
@@ -82,21 +82,21 @@
 
 var propagator propagation.TraceContext
 
-// Inject returns the traceparent of ctx's span.
+// Inject returns the traceparent header of the span in ctx.
 func Inject(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	propagator.Inject(ctx, carrier)
 	return carrier["traceparent"]
 }
 
-// Extract returns ctx with the remote span of a traceparent.
+// Extract returns ctx with the remote span of a traceparent header.
 func Extract(ctx context.Context, traceparent string) context.Context {
 	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": traceparent})
 }
 
-// ForRequest returns ctx with a trace that depends on the seed alone, so that a
-// caller who reconnects to another VM, which knows nothing of the first
-// connection, goes on in the same trace.
+// ForRequest returns ctx with a trace id that depends only on the seed. A caller may
+// reconnect to a VM that has no state of the first connection, and must stay in the same
+// trace.
 func ForRequest(ctx context.Context, seed string) context.Context {
 	sum := sha256.Sum256([]byte(seed))
 	return oteltrace.ContextWithRemoteSpanContext(ctx, oteltrace.NewSpanContext(oteltrace.SpanContextConfig{
@@ -106,7 +106,8 @@
 
 var publishMu sync.Mutex
 
-// Metrics returns the expvar map of a VM, published once a process.
+// Metrics returns the expvar map of a VM. The first call for a VM publishes it, and later
+// calls return the same map.
 func Metrics(vm string) *expvar.Map {
 	publishMu.Lock()
 	defer publishMu.Unlock()
