--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,5 +1,5 @@
-// Package result holds the numbered result codes that callers and operators
-// see. The table in docs/RESULT-CODES.md is checked against Table by a test.
+// Package result defines the result codes that callers and operators receive. A test
+// compares Table with docs/RESULT-CODES.md.
 package result
 
 import (
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Ran says whether a call that ended in an error was executed. RanNo is a
-// promise: the call did not run and will not run later.
+// Ran states whether a call that ended in an error was executed. RanNo is a guarantee: the
+// call did not run and will not run later.
 type Ran string
 
-// The three answers to "did my call run?".
+// Values of Ran.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Code is a number from docs/RESULT-CODES.md. Codes are never reused.
+// Code is a result code from docs/RESULT-CODES.md. Codes are never reused.
 type Code int
 
-// Codes 1xxx: the request itself is at fault; resending it unchanged is futile.
+// Codes 1xxx: the request is invalid. A retry of the unchanged request fails again.
 const (
 	MalformedBody     Code = 1001
 	BodyTooLarge      Code = 1002
@@ -59,14 +59,14 @@
 	NoRollout         Code = 1032
 )
 
-// Codes 2xxx: the plan's allowance does not admit the request now.
+// Codes 2xxx: the request exceeds the plan's allowance at this time.
 const (
 	TokensExhausted   Code = 2001
 	RequestsExhausted Code = 2002
 	ConcurrencyLimit  Code = 2003
 )
 
-// Codes 3xxx: the system is full, or not ready; a later resend may succeed.
+// Codes 3xxx: the system is overloaded or not ready. A later retry may succeed.
 const (
 	QueueFull        Code = 3001
 	DeadlineTooSoon  Code = 3002
@@ -87,7 +87,7 @@
 	LargerThanEngine Code = 3018
 )
 
-// Codes 4xxx: something failed after the request was accepted.
+// Codes 4xxx: a failure occurred after the request was accepted.
 const (
 	JournalLost     Code = 4001
 	PoisonRequest   Code = 4002
@@ -101,10 +101,10 @@
 	StreamBroken    Code = 4011
 )
 
-// Internal is the code of a fault of this system that has no code of its own.
+// Internal is the code of internal errors without a more specific code.
 const Internal Code = 5000
 
-// Row describes one code.
+// Row is the definition of one code: its name, HTTP status and defaults of an Error.
 type Row struct {
 	Code    Code
 	Name    string
@@ -113,7 +113,7 @@
 	Message string
 }
 
-// Error is the typed error that travels to the caller as JSON.
+// Error is an error with a result code. It is sent to the caller as JSON.
 type Error struct {
 	Code       Code
 	Message    string
@@ -122,26 +122,26 @@
 	RetryAfter time.Duration
 }
 
-// New returns an Error of the code with its table's defaults.
+// New returns an Error with the code's defaults in Table.
 func New(code Code) *Error {
 	row := Lookup(code)
 	return &Error{Code: code, Message: row.Message, Ran: row.Ran}
 }
 
-// Newf is New with a message of its own.
+// Newf is like New, with a formatted message instead of the default.
 func Newf(code Code, format string, args ...any) *Error {
 	e := New(code)
 	e.Message = fmt.Sprintf(format, args...)
 	return e
 }
 
-// WithRetryAfter sets when the caller may try again.
+// WithRetryAfter sets the delay after which the caller may retry, and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// WithRan overrides the table's promise about execution.
+// WithRan overrides the code's default of Ran, and returns e.
 func (e *Error) WithRan(r Ran) *Error {
 	e.Ran = r
 	return e
@@ -152,13 +152,14 @@
 	return fmt.Sprintf("%d %s: %s", e.Code, Lookup(e.Code).Name, e.Message)
 }
 
-// Is makes errors.Is compare by code.
+// Is implements the comparison of errors.Is: errors with the same code are equal.
 func (e *Error) Is(target error) bool {
 	var t *Error
 	return errors.As(target, &t) && t.Code == e.Code
 }
 
-// From finds the Error within err; any other error becomes Internal.
+// From returns the Error in err's chain, or else an Error with the code Internal and the
+// text of err.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -167,7 +168,7 @@
 	return Newf(Internal, "%v", err)
 }
 
-// CodeOf returns the code within err, or Internal.
+// CodeOf returns the code of the Error in err's chain, or Internal.
 func CodeOf(err error) Code { return From(err).Code }
 
 type body struct {
@@ -179,7 +180,7 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// MarshalJSON gives the wire form of docs/RESULT-CODES.md.
+// MarshalJSON implements json.Marshaler in the format of docs/RESULT-CODES.md.
 func (e *Error) MarshalJSON() ([]byte, error) {
 	return json.Marshal(body{
 		Code: e.Code, Name: Lookup(e.Code).Name, Message: e.Message,
@@ -187,7 +188,7 @@
 	})
 }
 
-// UnmarshalJSON reads the wire form.
+// UnmarshalJSON implements json.Unmarshaler in the format of docs/RESULT-CODES.md.
 func (e *Error) UnmarshalJSON(data []byte) error {
 	var b body
 	if err := json.Unmarshal(data, &b); err != nil {
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -10,8 +10,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// A code missing from the page, or described there in other words, is found by
-// comparing the page's rows to the table in both directions.
+// Guards against codes that are missing on the page, are listed only there, or are
+// described there in other words.
 func TestDocsTableAgreesWithCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/RESULT-CODES.md")
 	if err != nil {
@@ -29,7 +29,7 @@
 		coded = append(coded, fmt.Sprintf("| %d | %s | %d | %s | %s |", r.Code, r.Name, r.Status, r.Ran, r.Message))
 	}
 	if got, want := strings.Join(documented, "\n"), strings.Join(coded, "\n"); got != want {
-		t.Errorf("docs/RESULT-CODES.md has:\n%s\nthe code has:\n%s", got, want)
+		t.Errorf("got rows in docs/RESULT-CODES.md:\n%s\nwant those of Table:\n%s", got, want)
 	}
 }
 
@@ -38,7 +38,7 @@
 	codes := map[result.Code]bool{}
 	for _, r := range result.Table {
 		if names[r.Name] || codes[r.Code] {
-			t.Errorf("%d %s stands twice", r.Code, r.Name)
+			t.Errorf("got code %d or name %s twice in Table, want both unique", r.Code, r.Name)
 		}
 		names[r.Name], codes[r.Code] = true, true
 	}
--- a/internal/result/resulthttp/resulthttp.go
+++ b/internal/result/resulthttp/resulthttp.go
@@ -1,6 +1,6 @@
-// Package resulthttp is where coded errors meet HTTP: what a body that cannot be
-// read comes to, and answers. It stands apart so that the pure packages, which
-// return such errors, need no HTTP.
+// Package resulthttp reads HTTP request bodies with coded errors and writes coded errors as
+// HTTP responses. It is separate from package result because packages without I/O return
+// coded errors and must not import net/http.
 package resulthttp
 
 import (
@@ -14,7 +14,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Write answers an HTTP request with err.
+// Write writes err as the response. An error without a code is written as Internal, and one
+// without a request id gets requestID.
 func Write(w http.ResponseWriter, requestID string, err error) {
 	e := *result.From(err)
 	if e.RequestID == "" {
@@ -29,18 +30,19 @@
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	w.WriteHeader(result.Lookup(e.Code).Status)
-	// The status is out: a caller that hangs up now loses only this text.
+	// The status is already sent. A caller that disconnects now loses only the body.
 	_ = json.NewEncoder(w).Encode(&e)
 }
 
-// WriteJSON answers an HTTP request with v.
+// WriteJSON writes v as the response with status 200.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The asker is gone if this fails; it asks again.
+	// On an error the client has disconnected; it will retry.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// ReadBody reads a whole body of at most limit bytes. Errors are coded.
+// ReadBody reads the complete body of at most limit bytes. Its errors have the codes
+// result.BodyTooLarge and result.MalformedBody.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
--- a/internal/result/table.go
+++ b/internal/result/table.go
@@ -1,6 +1,7 @@
 package result
 
-// Statuses of HTTP (RFC 9110), by number so that this package needs no HTTP.
+// HTTP status codes (RFC 9110, RFC 6585). They are repeated here because this package must
+// not import net/http.
 const (
 	statusBadRequest            = 400
 	statusUnauthorized          = 401
@@ -22,7 +23,7 @@
 	statusGatewayTimeout        = 504
 )
 
-// Table lists every code once, in order.
+// Table defines every code once, in ascending order.
 var Table = []Row{
 	{MalformedBody, "malformed_body", statusBadRequest, RanNo, "the body is not valid JSON of the documented form"},
 	{BodyTooLarge, "body_too_large", statusRequestEntityTooLarge, RanNo, "the body exceeds the size limit"},
@@ -101,7 +102,7 @@
 	return m
 }()
 
-// Lookup returns the row of a code, or that of Internal.
+// Lookup returns the row of a code. For an unknown code it returns the row of Internal.
 func Lookup(code Code) Row {
 	if row, ok := rows[code]; ok {
 		return row
