--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -23,11 +23,11 @@
 }
 
 // Explanation holds what collected logs contain about one request.
-type Story struct {
+type Explanation struct {
 	Lines []Line // lines of the request, ordered by time
 	// Nearby holds lines about the request's servers that were written within
 	// nearbyWindow of its own lines.
-	Around []Line `json:"Around"`
+	Nearby []Line `json:"Around"`
 	Cause  string // outcome of the request and its reason, in one sentence
 }
 
@@ -40,17 +40,17 @@
 
 // FromLogs reads the log lines of any number of VMs and explains one request. Lines that
 // are not JSON are ignored; a prefix before the JSON is allowed.
-func FromLogs(logs []io.Reader, request string) (Story, error) {
+func FromLogs(logs []io.Reader, request string) (Explanation, error) {
 	var all []Line
 	for _, r := range logs {
 		lines, err := readLines(r)
 		if err != nil {
-			return Story{}, err
+			return Explanation{}, err
 		}
 		all = append(all, lines...)
 	}
 	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
-	var s Story
+	var s Explanation
 	servers := map[string]bool{}
 	for _, l := range all {
 		if l.text("request") != request {
@@ -63,7 +63,7 @@
 	}
 	for _, l := range all {
 		if l.text("request") == "" && s.isNearby(l, servers) {
-			s.Around = append(s.Around, l)
+			s.Nearby = append(s.Nearby, l)
 		}
 	}
 	s.Cause = s.cause()
@@ -126,7 +126,7 @@
 	return b.String()
 }
 
-func (s *Story) isNearby(l Line, servers map[string]bool) bool {
+func (s *Explanation) isNearby(l Line, servers map[string]bool) bool {
 	if len(s.Lines) == 0 || l.text("server") == "" || !servers[l.text("server")] {
 		return false
 	}
@@ -135,7 +135,7 @@
 }
 
 // cause describes the last decision and the failure that led to it in one sentence.
-func (s *Story) cause() string {
+func (s *Explanation) cause() string {
 	if len(s.Lines) == 0 {
 		return "no line names this request: it did not reach a router, or it succeeded while the log rate limit left out routine lines"
 	}
@@ -155,7 +155,7 @@
 }
 
 // lossBefore describes the last lost run or unsuccessful send before line i, or returns "".
-func (s *Story) lossBefore(i int) string {
+func (s *Explanation) lossBefore(i int) string {
 	for i--; i >= 0; i-- {
 		l := s.Lines[i]
 		switch {
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -12,18 +12,19 @@
 
 // Summary counts all routed requests in collected logs by outcome: those that completed
 // in time, and the others by the reason for their failure or delay.
-type Account struct {
+type Summary struct {
 	Streams, Calls []Row
 	// RecomputedTokens is the number of prompt tokens that were prefilled again after a
 	// run was lost.
-	Reread int `json:"Reread"`
+	RecomputedTokens int `json:"Reread"`
 }
 
 // Row is the number of requests with the same reason.
 type Row struct {
 	Reason string
 	Count  int
-	// First and Last are the arrival times of the first and the last of these requests.
+	// First and Last are the earliest and the latest time at which one of these requests
+	// appears in the logs for the first time.
 	First, Last time.Time
 }
 
@@ -41,12 +42,12 @@
 )
 
 // Summarize reads the log lines of any number of VMs. Lines that are not JSON are ignored.
-func NewAccount(logs []io.Reader) (Account, error) {
+func Summarize(logs []io.Reader) (Summary, error) {
 	requests := map[string]*requestOutcome{}
 	for _, r := range logs {
 		lines, err := readLines(r)
 		if err != nil {
-			return Account{}, err
+			return Summary{}, err
 		}
 		for _, l := range lines {
 			id := l.text("request")
@@ -61,10 +62,10 @@
 			q.addLine(l)
 		}
 	}
-	var summary Account
+	var summary Summary
 	streams, calls := map[string]*Row{}, map[string]*Row{}
 	for _, q := range requests {
-		summary.Reread += q.recomputedTokens
+		summary.RecomputedTokens += q.recomputedTokens
 		switch {
 		case q.isStream:
 			countReason(streams, q.streamReason(), q.began)
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -9,7 +9,7 @@
 
 // Guards against requests that are counted under a wrong reason, or more than once. The
 // cases are the log lines that routers write for each outcome.
-func TestAccount(t *testing.T) {
+func TestSummary(t *testing.T) {
 	placed := `"message":"stream placed","send":1,"from_copy":false,"tokens":8600`
 	again := `"message":"stream placed","send":2,"from_copy":false,"tokens":8600`
 	fromCopy := `"message":"stream placed","send":2,"from_copy":true,"tokens":8600`
@@ -48,12 +48,12 @@
 			for i, l := range tt.lines {
 				fmt.Fprintf(&log, `r1 {"vm":"r1","time":"2026-01-01T00:00:%02dZ","request":"q",%s}`+"\n", i, l)
 			}
-			summary, err := NewAccount([]io.Reader{strings.NewReader("not json\n" + log.String())})
+			summary, err := Summarize([]io.Reader{strings.NewReader("not json\n" + log.String())})
 			if err != nil {
 				t.Fatal(err)
 			}
 			rows := append(summary.Streams, summary.Calls...)
-			if len(rows) != 1 || rows[0].Reason != tt.want || rows[0].Count != 1 || summary.Reread != tt.reread {
+			if len(rows) != 1 || rows[0].Reason != tt.want || rows[0].Count != 1 || summary.RecomputedTokens != tt.reread {
 				t.Errorf("got summary %+v, want one request under the expected reason", summary)
 			}
 		})
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -29,19 +29,19 @@
 
 // Routed is the validated configuration of a router or control process.
 type Routed struct {
-	Kind       RoutedKind
-	ID         string // peer address
-	Zone       string
-	Seeds      []string // peer addresses of control processes
-	DataDir    string   // control
-	FirstStart bool     // control: first start of the whole system
-	Voters     int64    // control: number of voters that the control group maintains
-	Grace      time.Duration
-	Callers    string // router: ip:port of the listener for callers
-	Operators  string
-	Tokens     struct{ Operator, Peer string }
-	Platform   string // base URL of the platform's list of backend servers
-	Backends   []RoutedBackend
+	Kind         RoutedKind
+	ID           string // peer address
+	Zone         string
+	Seeds        []string // peer addresses of control processes
+	DataDir      string   // control
+	FirstStart   bool     // control: first start of the whole system
+	TargetVoters int64    // control: number of voters that the control group maintains
+	Grace        time.Duration
+	Endpoint     string // router: ip:port of the listener for callers
+	Operators    string
+	Tokens       struct{ Operator, Peer string }
+	Platform     string // base URL of the platform's list of backend servers
+	Backends     []RoutedBackend
 	// RolloutPercent and RolloutSlack limit how many requests of a service may reach a bad
 	// new version: this percentage, plus RolloutSlack requests.
 	RolloutPercent int64
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, &Error{File: path, Problem: err.Error(), Allowed: "a readable INI file"}
 	}
-	s := &Routed{Kind: RoutedRouter, Voters: 3, Grace: 30 * time.Second, RolloutPercent: 10, RolloutSlack: 50, LogLevel: "info"}
+	s := &Routed{Kind: RoutedRouter, TargetVoters: 3, Grace: 30 * time.Second, RolloutPercent: 10, RolloutSlack: 50, LogLevel: "info"}
 	r := &reader{file: path}
 	keys := s.keys()
 	for _, sec := range f.Sections() {
@@ -83,10 +83,10 @@
 		"process": {
 			"kind": oneOf((*string)(&s.Kind), string(RoutedRouter), string(RoutedControl)),
 			"id":   address(&s.ID), "zone": word(&s.Zone), "seeds": addresses(&s.Seeds), "data_dir": text(&s.DataDir),
-			"first_start": boolean(&s.FirstStart), "voters": integer(&s.Voters, 1, 7),
+			"first_start": boolean(&s.FirstStart), "voters": integer(&s.TargetVoters, 1, 7),
 			"grace": duration(&s.Grace, time.Second, time.Hour),
 		},
-		"listen":   {"callers": address(&s.Callers), "operators": address(&s.Operators)},
+		"listen":   {"callers": address(&s.Endpoint), "operators": address(&s.Operators)},
 		"tokens":   {"operator": text(&s.Tokens.Operator), "peer": text(&s.Tokens.Peer)},
 		"platform": {"url": text(&s.Platform)},
 		"rollouts": {"percent": integer(&s.RolloutPercent, 1, 100), "slack": integer(&s.RolloutSlack, 0, 1<<20)},
@@ -109,7 +109,7 @@
 		{"listen", "operators", s.Operators},
 	}
 	if s.Kind == RoutedRouter {
-		required = append(required, struct{ section, key, value string }{"listen", "callers", s.Callers})
+		required = append(required, struct{ section, key, value string }{"listen", "callers", s.Endpoint})
 	} else {
 		required = append(required, struct{ section, key, value string }{"process", "data_dir", s.DataDir})
 	}
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -44,7 +44,7 @@
 			}
 			s, err := settings.LoadRouted(path)
 			switch {
-			case tt.problem == "" && (err != nil || len(s.Seeds) != 2 || s.Voters != 3):
+			case tt.problem == "" && (err != nil || len(s.Seeds) != 2 || s.TargetVoters != 3):
 				t.Errorf("got %+v, %v, want two seeds and 3 voters", s, err)
 			case tt.problem != "" && (err == nil || !strings.Contains(err.Error(), tt.problem)):
 				t.Errorf("got error %v, want it to contain %q", err, tt.problem)
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -22,26 +22,26 @@
 
 // LineCounters counts the log lines that were not written. Its methods return the writer
 // and the logger that drop them. It is safe for concurrent use.
-type Lost struct {
-	Dropped atomic.Uint64 // lines that the output did not accept in time
-	LeftOut atomic.Uint64 // routine lines above the rate limit
+type LineCounters struct {
+	Dropped     atomic.Uint64 // lines that the output did not accept in time
+	RateLimited atomic.Uint64 // routine lines above the rate limit
 }
 
 // Writer returns a writer that forwards lines to w asynchronously. A pipe without a reader
 // must not block the requests that log. Close writes the buffered lines.
-func (l *Lost) Writer(w io.Writer) io.WriteCloser {
+func (l *LineCounters) Writer(w io.Writer) io.WriteCloser {
 	d := diode.NewWriter(w, logQueueLines, 0, func(missed int) { l.Dropped.Add(uint64(missed)) })
 	return &d
 }
 
 // RoutineLog returns a logger for lines about successful work, limited to
 // routineLinesPerSecond.
-func (l *Lost) Ordinary(log zerolog.Logger) zerolog.Logger {
+func (l *LineCounters) RoutineLog(log zerolog.Logger) zerolog.Logger {
 	return log.Sample(&routineSampler{counters: l, burst: zerolog.BurstSampler{Burst: routineLinesPerSecond, Period: time.Second}})
 }
 
 type routineSampler struct {
-	counters *Lost
+	counters *LineCounters
 	burst    zerolog.BurstSampler
 }
 
@@ -50,6 +50,6 @@
 	if o.burst.Sample(level) {
 		return true
 	}
-	o.counters.LeftOut.Add(1)
+	o.counters.RateLimited.Add(1)
 	return false
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -13,8 +13,8 @@
 
 // Guards against requests that block on a log output without a reader. Lines above the
 // size of the buffer are dropped and counted.
-func TestFullPipeHoldsNobodyUp(t *testing.T) {
-	var counters Lost
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	var counters LineCounters
 	r, w := io.Pipe()
 	out := counters.Writer(w)
 	log := zerolog.New(out)
@@ -32,12 +32,12 @@
 
 // Guards against a flood of routine lines under load, and against a rate limit that also
 // applies to failures. Lines that are left out are counted.
-func TestOrdinaryLinesAreBounded(t *testing.T) {
+func TestRoutineLinesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var counters Lost
+		var counters LineCounters
 		var buf bytes.Buffer
 		log := zerolog.New(&buf)
-		routine := counters.Ordinary(log)
+		routine := counters.RoutineLog(log)
 		for range 3 * routineLinesPerSecond {
 			routine.Info().Msg("went well")
 			log.Info().Msg("failed")
@@ -48,14 +48,14 @@
 		if n := strings.Count(buf.String(), "failed"); n != 3*routineLinesPerSecond {
 			t.Errorf("got %d failures, want all 150", n)
 		}
-		if n := counters.LeftOut.Load(); n != 2*routineLinesPerSecond {
+		if n := counters.RateLimited.Load(); n != 2*routineLinesPerSecond {
 			t.Errorf("got %d lines counted as left out, want 100", n)
 		}
 	})
 }
 
 // Guards against metrics that differ between /metrics and expvar.
-func TestExpvarShowsTheSet(t *testing.T) {
+func TestExpvarShowsMetrics(t *testing.T) {
 	set := metrics.NewSet()
 	set.NewCounter(`shelf_refused_total{name="queue full"}`).Add(3)
 	got, ok := Expvar(set)().(map[string]float64)
