--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -276,8 +276,8 @@
 	self := n.s.Self
 	_, err := n.proposeMember(ctx, &membership.Command{Join: &membership.Join{
 		VM: membership.VM{
-			ID: self.ID, Incarnation: n.incarnation, Zone: self.Zone, Peer: self.Peer, Callers: self.Callers,
-			Router: self.Has(settings.RoleRouter), Control: self.Has(settings.RoleControl),
+			ID: self.ID, Incarnation: n.incarnation, Zone: self.Zone, Peer: self.Peer, Callers: self.Endpoint,
+			Router: self.HasRole(settings.RoleRouter), Control: self.HasRole(settings.RoleControl),
 		},
 		Expected: len(n.s.VMs),
 	}})
@@ -357,7 +357,7 @@
 	var view membership.View
 	for _, vm := range m.vms {
 		view.VMs = append(view.VMs, membership.VM{
-			ID: vm.ID, Zone: vm.Zone, Router: vm.Has(settings.RoleRouter), Callers: vm.Callers, State: membership.Live,
+			ID: vm.ID, Zone: vm.Zone, Router: vm.HasRole(settings.RoleRouter), Callers: vm.Endpoint, State: membership.Live,
 		})
 	}
 	return view
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -86,7 +86,7 @@
 	for _, b := range []struct {
 		l    *net.Listener
 		addr *string
-	}{{&n.callers, &s.Self.Callers}, {&n.operators, &s.Operators}, {&n.peers, &s.Self.Peer}} {
+	}{{&n.callers, &s.Self.Endpoint}, {&n.operators, &s.Operators}, {&n.peers, &s.Self.Peer}} {
 		l, err := net.Listen("tcp", *b.addr)
 		if err != nil {
 			n.closeListeners()
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -187,7 +187,7 @@
 	for _, e := range s.Engines {
 		e.Slow(8)
 	}
-	caller := client.New([]string{s.Nodes[4].Self().Callers}, testKey)
+	caller := client.New([]string{s.Nodes[4].Self().Endpoint}, testKey)
 	lost := make(chan time.Time, 1)
 	var once sync.Once
 	var wg sync.WaitGroup
@@ -207,7 +207,7 @@
 	s.Nodes[0].Kill()
 	s.Nodes[1].Kill()
 	for i := 0; ; i++ {
-		refusal := post(t, s.Nodes[4].Self().Callers, fmt.Sprint("new", i))
+		refusal := post(t, s.Nodes[4].Self().Endpoint, fmt.Sprint("new", i))
 		after := time.Since(began)
 		if refusal.Code == result.NotFresh {
 			t.Logf("nothing admitted after %v", after)
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -18,7 +18,7 @@
 func markings(backends []settings.Backend) map[string][]call.Marking {
 	out := map[string][]call.Marking{}
 	for _, b := range backends {
-		for _, text := range b.Markings {
+		for _, text := range b.IdempotencyRules {
 			if m, err := call.ParseMarking(text); err == nil {
 				out[b.Service] = append(out[b.Service], m)
 			}
