--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -22,9 +22,9 @@
 		return fmt.Sprintf(`"message":"call sent","sent":%q,"status":%d`, what, status)
 	}
 	tests := []struct {
-		want   string
-		reread int
-		lines  []string
+		want       string
+		recomputed int
+		lines      []string
 	}{
 		{completedInTime, 0, []string{placed, ended("whole", 1400, 130, 0)}},
 		{completedInTime, 0, []string{placed, lost(40), fromCopy, `"message":"stream went on","from_copy":true`, ended("whole", 1400, 480, 0)}},
@@ -53,7 +53,7 @@
 				t.Fatal(err)
 			}
 			rows := append(summary.Streams, summary.Calls...)
-			if len(rows) != 1 || rows[0].Reason != tt.want || rows[0].Count != 1 || summary.RecomputedTokens != tt.reread {
+			if len(rows) != 1 || rows[0].Reason != tt.want || rows[0].Count != 1 || summary.RecomputedTokens != tt.recomputed {
 				t.Errorf("got summary %+v, want one request under the expected reason", summary)
 			}
 		})
