--- a/internal/call/bench_test.go
+++ b/internal/call/bench_test.go
@@ -12,8 +12,8 @@
 // for it afterwards.
 func BenchmarkClaimAndFinish(b *testing.B) {
 	l := call.DefaultLimits()
-	l.MaxClaims, l.MaxKeys, l.TotalBytes = 1<<30, 1<<30, 1<<40
-	part := call.NewPart(l)
+	l.MaxClaims, l.MaxKeys, l.MaxTotalBytes = 1<<30, 1<<30, 1<<40
+	part := call.NewStateMachine(l)
 	answer := &call.Answer{Status: 201, Body: make([]byte, 200)}
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -89,7 +89,7 @@
 }
 
 // Look asks what became of a call, and claims nothing.
-type Look struct {
+type Lookup struct {
 	Ref     Ref    `cbor:"1,keyasint"`
 	Request Digest `cbor:"2,keyasint"`
 }
@@ -114,15 +114,15 @@
 // evidence that the claimant's incarnation has ended; without it the group's own
 // clock must show that the claim is old.
 type Seal struct {
-	Ref      Ref    `cbor:"1,keyasint"`
-	Claimant string `cbor:"2,keyasint"`
-	Gone     bool   `cbor:"3,keyasint"`
+	Ref          Ref    `cbor:"1,keyasint"`
+	Claimant     string `cbor:"2,keyasint"`
+	ClaimantGone bool   `cbor:"3,keyasint"`
 }
 
 // Command is one command of the part; exactly one field is set.
 type Command struct {
 	Claim  *Claim  `cbor:"1,keyasint,omitempty"`
-	Look   *Look   `cbor:"2,keyasint,omitempty"`
+	Lookup *Lookup `cbor:"2,keyasint,omitempty"`
 	Renew  *Renew  `cbor:"3,keyasint,omitempty"`
 	Finish *Finish `cbor:"4,keyasint,omitempty"`
 	Seal   *Seal   `cbor:"5,keyasint,omitempty"`
@@ -133,14 +133,14 @@
 
 // The verdicts. The numbers are in replies between VMs.
 const (
-	Malformed  Verdict = 0 // not a command of this part
-	Permitted  Verdict = 1 // the sender may dispatch, once
-	Standing   Verdict = 2 // see State: running elsewhere, or final
-	Unclaimed  Verdict = 3 // Look: the key is free
-	KeyReused  Verdict = 4 // the key belongs to a different request
-	KeyExpired Verdict = 5 // the key's claim is no longer kept, or its own time is too old
-	KeyAhead   Verdict = 6 // the key's own time is in the future
-	Full       Verdict = 7 // no room for a new claim
+	Malformed   Verdict = 0 // not a command of this part
+	Permitted   Verdict = 1 // the sender may dispatch, once
+	Claimed     Verdict = 2 // see State: running elsewhere, or final
+	Unclaimed   Verdict = 3 // Look: the key is free
+	KeyReused   Verdict = 4 // the key belongs to a different request
+	KeyExpired  Verdict = 5 // the key's claim is no longer kept, or its own time is too old
+	KeyInFuture Verdict = 6 // the key's own time is in the future
+	Full        Verdict = 7 // no room for a new claim
 )
 
 // Reply answers a command.
--- a/internal/call/fuzz_test.go
+++ b/internal/call/fuzz_test.go
@@ -13,9 +13,9 @@
 	ref := call.Ref{Workspace: "coop", Service: "dispatch", Key: "k"}
 	for _, cmd := range []*call.Command{
 		{Claim: &call.Claim{Ref: ref, Claimant: "vm2"}},
-		{Look: &call.Look{Ref: ref}},
+		{Lookup: &call.Lookup{Ref: ref}},
 		{Renew: &call.Renew{Ref: ref, Claimant: "vm1", Attempt: 1}},
-		{Seal: &call.Seal{Ref: ref, Claimant: "vm1", Gone: true}},
+		{Seal: &call.Seal{Ref: ref, Claimant: "vm1", ClaimantGone: true}},
 		{Finish: &call.Finish{Ref: ref, Claimant: "vm1", State: call.NotRun}},
 	} {
 		data, err := codec.Marshal(cmd)
@@ -29,7 +29,7 @@
 		g.claim("coop", "k", "vm1")
 		g.finish("k", "vm1", call.Done, &call.Answer{Status: 201})
 		g.part.Apply(g.now, data)
-		g.want("after any command", g.claim("coop", "k", "vm2"), call.Standing, call.Done)
-		_ = call.NewPart(call.DefaultLimits()).Restore(data)
+		g.want("after any command", g.claim("coop", "k", "vm2"), call.Claimed, call.Done)
+		_ = call.NewStateMachine(call.DefaultLimits()).Restore(data)
 	})
 }
--- a/internal/call/limits.go
+++ b/internal/call/limits.go
@@ -6,14 +6,14 @@
 // its answer (BenchmarkClaimAndFinish); with every bound of DefaultLimits reached
 // the part holds about 75 MB on each control VM.
 type Limits struct {
-	Retention   time.Duration // a claim and its answer are kept this long after the claim
-	KeyMemory   time.Duration // a used key is refused, not run, at least this long
-	SealAfter   time.Duration // age after which a claim without news may be sealed
-	MaxClaims   int           // kept at once
-	MaxKeys     int           // digests of used keys
-	AnswerBytes int           // of one answer; larger ones are kept without their body
-	TotalBytes  int           // of all answers, running claims counted at AnswerBytes
-	MaxAttempts int           // permissions of one claim
+	ClaimRetention time.Duration // a claim and its answer are kept this long after the claim
+	KeyRetention   time.Duration // a used key is refused, not run, at least this long
+	SealAfter      time.Duration // age after which a claim without news may be sealed
+	MaxClaims      int           // kept at once
+	MaxKeys        int           // digests of used keys
+	MaxAnswerBytes int           // of one answer; larger ones are kept without their body
+	MaxTotalBytes  int           // of all answers, running claims counted at AnswerBytes
+	MaxAttempts    int           // permissions of one claim
 }
 
 // DefaultLimits returns the limits of a control VM.
@@ -24,8 +24,8 @@
 // MaxKeys: 24 new calls a second for a whole day, at 8 bytes each.
 func DefaultLimits() Limits {
 	return Limits{
-		Retention: 10 * time.Minute, KeyMemory: 24 * time.Hour, SealAfter: 70 * time.Second,
-		MaxClaims: 1 << 16, MaxKeys: 1 << 21, AnswerBytes: 16 << 10, TotalBytes: 32 << 20,
+		ClaimRetention: 10 * time.Minute, KeyRetention: 24 * time.Hour, SealAfter: 70 * time.Second,
+		MaxClaims: 1 << 16, MaxKeys: 1 << 21, MaxAnswerBytes: 16 << 10, MaxTotalBytes: 32 << 20,
 		MaxAttempts: 3,
 	}
 }
--- a/internal/call/part.go
+++ b/internal/call/part.go
@@ -27,7 +27,7 @@
 
 // Part holds the claims. It implements control.Part and is not safe for
 // concurrent use; the control group's machine serialises commands.
-type Part struct {
+type StateMachine struct {
 	limits Limits
 	claims map[Ref]*claim
 	order  []*claim // by claim time
@@ -39,22 +39,22 @@
 }
 
 // NewPart returns an empty Part.
-func NewPart(l Limits) *Part {
-	return &Part{
-		limits: l, claims: map[Ref]*claim{}, keys: newKeyMemory(l.KeyMemory + clockSlack),
+func NewStateMachine(l Limits) *StateMachine {
+	return &StateMachine{
+		limits: l, claims: map[Ref]*claim{}, keys: newKeyMemory(l.KeyRetention + clockSlack),
 		bytes: map[string]int{}, counts: map[string]int{},
 	}
 }
 
 // Version is constant: claims are asked for and not watched, so that a call on
 // one VM costs the others nothing.
-func (p *Part) Version() uint64 { return 0 }
+func (p *StateMachine) Version() uint64 { return 0 }
 
 // Changes implements control.Part; see Version.
-func (p *Part) Changes(uint64) []byte { return nil }
+func (p *StateMachine) Changes(uint64) []byte { return nil }
 
 // Apply executes an encoded Command.
-func (p *Part) Apply(nowMS int64, data []byte) []byte {
+func (p *StateMachine) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	reply := Reply{Verdict: Malformed}
 	if err := codec.Unmarshal(data, &cmd); err == nil {
@@ -68,14 +68,14 @@
 }
 
 // Execute executes a command at the group's time.
-func (p *Part) Execute(nowMS int64, cmd *Command) Reply {
+func (p *StateMachine) Execute(nowMS int64, cmd *Command) Reply {
 	p.clock.advance(nowMS)
 	p.expire()
 	switch {
 	case cmd.Claim != nil:
 		return p.claim(nowMS, cmd.Claim)
-	case cmd.Look != nil:
-		return p.look(nowMS, cmd.Look)
+	case cmd.Lookup != nil:
+		return p.look(nowMS, cmd.Lookup)
 	case cmd.Renew != nil:
 		return p.renew(nowMS, cmd.Renew)
 	case cmd.Finish != nil:
@@ -87,8 +87,8 @@
 	}
 }
 
-func (p *Part) claim(nowMS int64, c *Claim) Reply {
-	if standing := p.look(nowMS, &Look{Ref: c.Ref, Request: c.Request}); standing.Verdict != Unclaimed {
+func (p *StateMachine) claim(nowMS int64, c *Claim) Reply {
+	if standing := p.look(nowMS, &Lookup{Ref: c.Ref, Request: c.Request}); standing.Verdict != Unclaimed {
 		return standing
 	}
 	if p.full(c.Ref.Workspace) {
@@ -101,12 +101,12 @@
 	p.claims[c.Ref] = cl
 	p.order = append(p.order, cl)
 	p.counts[c.Ref.Workspace]++
-	p.charge(c.Ref.Workspace, p.limits.AnswerBytes)
+	p.charge(c.Ref.Workspace, p.limits.MaxAnswerBytes)
 	p.keys.add(p.clock.MS, c.Ref.Workspace, keyDigest(c.Ref))
 	return Reply{Verdict: Permitted, State: Granted, Claimant: cl.claimant, Attempt: 1}
 }
 
-func (p *Part) look(nowMS int64, l *Look) Reply {
+func (p *StateMachine) look(nowMS int64, l *Lookup) Reply {
 	if cl := p.claims[l.Ref]; cl != nil {
 		if cl.request != l.Request {
 			return Reply{Verdict: KeyReused}
@@ -120,10 +120,10 @@
 	}
 	if ms, ok := stamp(l.Ref.Key); ok {
 		switch {
-		case ms <= nowMS-p.limits.KeyMemory.Milliseconds():
+		case ms <= nowMS-p.limits.KeyRetention.Milliseconds():
 			return Reply{Verdict: KeyExpired}
 		case ms > nowMS+clockSlack.Milliseconds():
-			return Reply{Verdict: KeyAhead}
+			return Reply{Verdict: KeyInFuture}
 		}
 	}
 	return Reply{Verdict: Unclaimed}
@@ -131,12 +131,12 @@
 
 func (cl *claim) standing(nowMS int64) Reply {
 	return Reply{
-		Verdict: Standing, State: cl.state, Claimant: cl.claimant, Attempt: cl.attempt,
+		Verdict: Claimed, State: cl.state, Claimant: cl.claimant, Attempt: cl.attempt,
 		AgeMS: nowMS - cl.grantedMS, Answer: cl.answer,
 	}
 }
 
-func (p *Part) renew(nowMS int64, r *Renew) Reply {
+func (p *StateMachine) renew(nowMS int64, r *Renew) Reply {
 	cl := p.claims[r.Ref]
 	if cl == nil {
 		return Reply{Verdict: KeyExpired}
@@ -150,7 +150,7 @@
 	return Reply{Verdict: Permitted, State: Granted, Claimant: cl.claimant, Attempt: cl.attempt}
 }
 
-func (p *Part) finish(nowMS int64, f *Finish) Reply {
+func (p *StateMachine) finish(nowMS int64, f *Finish) Reply {
 	cl := p.claims[f.Ref]
 	if cl == nil {
 		return Reply{Verdict: KeyExpired}
@@ -162,25 +162,25 @@
 	return cl.standing(nowMS)
 }
 
-func (p *Part) seal(nowMS int64, s *Seal) Reply {
+func (p *StateMachine) seal(nowMS int64, s *Seal) Reply {
 	cl := p.claims[s.Ref]
 	if cl == nil {
 		return Reply{Verdict: KeyExpired}
 	}
 	old := nowMS-cl.grantedMS >= p.limits.SealAfter.Milliseconds()
-	if cl.state == Granted && cl.claimant == s.Claimant && (old || s.Gone) {
+	if cl.state == Granted && cl.claimant == s.Claimant && (old || s.ClaimantGone) {
 		p.end(cl, Unknown, nil)
 	}
 	return cl.standing(nowMS)
 }
 
 // end makes a claim final and swaps its reservation for the answer's size.
-func (p *Part) end(cl *claim, s State, a *Answer) {
+func (p *StateMachine) end(cl *claim, s State, a *Answer) {
 	cl.state = s
 	if s == Done {
-		cl.answer = a.bounded(p.limits.AnswerBytes)
+		cl.answer = a.bounded(p.limits.MaxAnswerBytes)
 	}
-	p.charge(cl.ref.Workspace, cl.answer.size()-p.limits.AnswerBytes)
+	p.charge(cl.ref.Workspace, cl.answer.size()-p.limits.MaxAnswerBytes)
 }
 
 // bounded returns the answer without a body that is too large to be kept.
@@ -198,7 +198,7 @@
 	return out
 }
 
-func (p *Part) charge(workspace string, n int) {
+func (p *StateMachine) charge(workspace string, n int) {
 	p.total += n
 	if p.bytes[workspace] += n; p.bytes[workspace] == 0 {
 		delete(p.bytes, workspace)
@@ -206,20 +206,20 @@
 }
 
 // full reports whether a new claim of the workspace would pass a bound.
-func (p *Part) full(workspace string) bool {
+func (p *StateMachine) full(workspace string) bool {
 	l := &p.limits
-	need := l.AnswerBytes
+	need := l.MaxAnswerBytes
 	return len(p.claims) >= l.MaxClaims || p.counts[workspace] >= l.MaxClaims/workspaceShare ||
-		p.total+need > l.TotalBytes || p.bytes[workspace]+need > l.TotalBytes/workspaceShare ||
+		p.total+need > l.MaxTotalBytes || p.bytes[workspace]+need > l.MaxTotalBytes/workspaceShare ||
 		p.keys.total >= l.MaxKeys || p.keys.of[workspace] >= l.MaxKeys/workspaceShare
 }
 
 // maxExpired bounds the work that one command does for expired claims.
 const maxExpired = 256
 
-func (p *Part) expire() {
+func (p *StateMachine) expire() {
 	n := 0
-	for n < len(p.order) && p.clock.MS-p.order[n].claimedMS >= p.limits.Retention.Milliseconds() {
+	for n < len(p.order) && p.clock.MS-p.order[n].claimedMS >= p.limits.ClaimRetention.Milliseconds() {
 		if n == maxExpired {
 			break
 		}
@@ -236,13 +236,13 @@
 
 // forget drops a claim; its key stays in the key memory, so that a late resend
 // is refused.
-func (p *Part) forget(cl *claim) {
+func (p *StateMachine) forget(cl *claim) {
 	if !p.keys.has(keyDigest(cl.ref)) {
 		panic(&InvariantError{fmt.Sprintf("key %q forgotten before its claim", cl.ref.Key)})
 	}
 	held := cl.answer.size()
 	if cl.state == Granted {
-		held = p.limits.AnswerBytes
+		held = p.limits.MaxAnswerBytes
 	}
 	p.charge(cl.ref.Workspace, -held)
 	if p.counts[cl.ref.Workspace]--; p.counts[cl.ref.Workspace] == 0 {
--- a/internal/call/part_test.go
+++ b/internal/call/part_test.go
@@ -13,12 +13,12 @@
 
 type group struct {
 	t    *testing.T
-	part *call.Part
+	part *call.StateMachine
 	now  int64
 }
 
 func newGroup(t *testing.T, l call.Limits) *group {
-	return &group{t, call.NewPart(l), startMS}
+	return &group{t, call.NewStateMachine(l), startMS}
 }
 
 func (g *group) claim(workspace, key, claimant string) call.Reply {
@@ -37,7 +37,7 @@
 func (g *group) pass(d time.Duration) {
 	for end := g.now + d.Milliseconds(); g.now < end; {
 		g.now = min(end, g.now+50_000)
-		g.part.Execute(g.now, &call.Command{Look: &call.Look{}})
+		g.part.Execute(g.now, &call.Command{Lookup: &call.Lookup{}})
 	}
 }
 
@@ -55,27 +55,27 @@
 	l := call.DefaultLimits()
 	g := newGroup(t, l)
 	g.want("claim", g.claim("coop", "k", "vm1"), call.Permitted, call.Granted)
-	g.want("finish", g.finish("k", "vm1", call.Done, &call.Answer{Status: 201}), call.Standing, call.Done)
-	g.pass(l.Retention - time.Minute)
-	g.want("kept", g.claim("coop", "k", "vm2"), call.Standing, call.Done)
+	g.want("finish", g.finish("k", "vm1", call.Done, &call.Answer{Status: 201}), call.Claimed, call.Done)
+	g.pass(l.ClaimRetention - time.Minute)
+	g.want("kept", g.claim("coop", "k", "vm2"), call.Claimed, call.Done)
 	g.pass(2 * time.Minute)
 	snapshot, err := g.part.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.part = call.NewPart(l)
+	g.part = call.NewStateMachine(l)
 	if err := g.part.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	g.want("expired", g.claim("coop", "k", "vm2"), call.KeyExpired, 0)
 	g.want("another workspace", g.claim("society", "k", "vm2"), call.Permitted, call.Granted)
-	g.pass(l.KeyMemory - l.Retention - 2*time.Minute)
+	g.pass(l.KeyRetention - l.ClaimRetention - 2*time.Minute)
 	g.want("a day later", g.claim("coop", "k", "vm3"), call.KeyExpired, 0)
 	again, err := g.part.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.part = call.NewPart(l)
+	g.part = call.NewStateMachine(l)
 	if err := g.part.Restore(again); err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 		g.pass(11 * time.Hour)
 		g.want("late resend", g.claim("coop", key, "vm2"), call.KeyExpired, 0)
 	}
-	g.want("from the future", g.claim("coop", stamped(g.now+3_600_000), "vm1"), call.KeyAhead, 0)
+	g.want("from the future", g.claim("coop", stamped(g.now+3_600_000), "vm1"), call.KeyInFuture, 0)
 }
 
 // A new leader's wall clock is two days ahead. The resend must still be refused
@@ -110,7 +110,7 @@
 	g := newGroup(t, call.DefaultLimits())
 	g.claim("coop", "k", "vm1")
 	g.now += (48 * time.Hour).Milliseconds()
-	g.want("resend", g.claim("coop", "k", "vm2"), call.Standing, call.Granted)
+	g.want("resend", g.claim("coop", "k", "vm2"), call.Claimed, call.Granted)
 }
 
 // What each party may still do once a claim has ended: nothing. The claimant
@@ -121,16 +121,16 @@
 	ref := call.Ref{Workspace: "coop", Service: "dispatch", Key: "k"}
 	g.claim("coop", "k", "vm1")
 	seal := func(gone bool) call.Reply {
-		return g.part.Execute(g.now, &call.Command{Seal: &call.Seal{Ref: ref, Claimant: "vm1", Gone: gone}})
+		return g.part.Execute(g.now, &call.Command{Seal: &call.Seal{Ref: ref, Claimant: "vm1", ClaimantGone: gone}})
 	}
-	g.want("too early", seal(false), call.Standing, call.Granted)
-	g.want("own claim again", g.claim("coop", "k", "vm1"), call.Standing, call.Granted)
+	g.want("too early", seal(false), call.Claimed, call.Granted)
+	g.want("own claim again", g.claim("coop", "k", "vm1"), call.Claimed, call.Granted)
 	g.now += l.SealAfter.Milliseconds()
-	g.want("seal", seal(false), call.Standing, call.Unknown)
+	g.want("seal", seal(false), call.Claimed, call.Unknown)
 	renew := g.part.Execute(g.now, &call.Command{Renew: &call.Renew{Ref: ref, Claimant: "vm1", Attempt: 1}})
-	g.want("renew", renew, call.Standing, call.Unknown)
-	g.want("late finish", g.finish("k", "vm1", call.Done, &call.Answer{Status: 201}), call.Standing, call.Unknown)
-	g.want("late not-run", g.finish("k", "vm1", call.NotRun, nil), call.Standing, call.Unknown)
+	g.want("renew", renew, call.Claimed, call.Unknown)
+	g.want("late finish", g.finish("k", "vm1", call.Done, &call.Answer{Status: 201}), call.Claimed, call.Unknown)
+	g.want("late not-run", g.finish("k", "vm1", call.NotRun, nil), call.Claimed, call.Unknown)
 }
 
 // A hot workspace fills its share of each bound: it is refused new claims, all
@@ -139,7 +139,7 @@
 	base := call.DefaultLimits()
 	for name, limit := range map[string]func(*call.Limits){
 		"claims": func(l *call.Limits) { l.MaxClaims = 8 },
-		"bytes":  func(l *call.Limits) { l.TotalBytes = 8 * l.AnswerBytes },
+		"bytes":  func(l *call.Limits) { l.MaxTotalBytes = 8 * l.MaxAnswerBytes },
 		"keys":   func(l *call.Limits) { l.MaxKeys = 8 },
 	} {
 		l := base
@@ -148,23 +148,23 @@
 		for i := range 4 {
 			key := fmt.Sprint("k", i)
 			g.want(name, g.claim("coop", key, "vm1"), call.Permitted, call.Granted)
-			g.finish(key, "vm1", call.Done, &call.Answer{Status: 201, Body: make([]byte, l.AnswerBytes)})
+			g.finish(key, "vm1", call.Done, &call.Answer{Status: 201, Body: make([]byte, l.MaxAnswerBytes)})
 		}
 		g.want(name+" full", g.claim("coop", "k9", "vm1"), call.Full, 0)
 		g.want(name+" other workspace", g.claim("society", "k9", "vm1"), call.Permitted, call.Granted)
 		r := g.claim("coop", "k0", "vm2")
-		if r.State != call.Done || len(r.Answer.Body) != l.AnswerBytes {
+		if r.State != call.Done || len(r.Answer.Body) != l.MaxAnswerBytes {
 			t.Errorf("%s: an answer was dropped: %+v", name, r)
 		}
-		g.pass(l.KeyMemory + 2*time.Hour)
+		g.pass(l.KeyRetention + 2*time.Hour)
 		g.want(name+" room again", g.claim("coop", "k9", "vm1"), call.Permitted, call.Granted)
 	}
 }
 
 func TestMarkings(t *testing.T) {
-	var ms []call.Marking
+	var ms []call.IdempotencyRule
 	for _, s := range []string{"POST /search* idempotent", "PUT /counter once"} {
-		m, err := call.ParseMarking(s)
+		m, err := call.ParseIdempotencyRule(s)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -188,7 +188,7 @@
 		}
 	}
 	for _, s := range []string{"", "POST /x", "post /x once", "POST x once", "POST /x twice"} {
-		if _, err := call.ParseMarking(s); err == nil {
+		if _, err := call.ParseIdempotencyRule(s); err == nil {
 			t.Errorf("%q was accepted", s)
 		}
 	}
--- a/internal/call/snapshot.go
+++ b/internal/call/snapshot.go
@@ -37,7 +37,7 @@
 }
 
 // Snapshot implements control.Part. Equal states give equal bytes.
-func (p *Part) Snapshot() ([]byte, error) {
+func (p *StateMachine) Snapshot() ([]byte, error) {
 	out := partRecord{Clock: p.clock}
 	for _, c := range p.order {
 		out.Claims = append(out.Claims, claimRecord{
@@ -68,12 +68,12 @@
 }
 
 // Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+func (p *StateMachine) Restore(data []byte) error {
 	var in partRecord
 	if err := codec.Unmarshal(data, &in); err != nil {
 		return fmt.Errorf("call: snapshot: %w", err)
 	}
-	fresh := NewPart(p.limits)
+	fresh := NewStateMachine(p.limits)
 	fresh.clock = in.Clock
 	for _, h := range in.Hours {
 		if err := fresh.keys.restore(h); err != nil {
@@ -104,14 +104,14 @@
 	return nil
 }
 
-func (p *Part) restore(r claimRecord) {
+func (p *StateMachine) restore(r claimRecord) {
 	c := &claim{r.Ref, r.Request, r.Claimant, r.State, r.Attempt, r.ClaimedMS, r.GrantedMS, r.Answer}
 	p.claims[c.ref] = c
 	p.order = append(p.order, c)
 	p.counts[c.ref.Workspace]++
 	held := c.answer.size()
 	if c.state == Granted {
-		held = p.limits.AnswerBytes
+		held = p.limits.MaxAnswerBytes
 	}
 	p.charge(c.ref.Workspace, held)
 }
--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -8,16 +8,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func benchOwner(b *testing.B) (*Owner, []*Keeper, Group) {
+func benchOwner(b *testing.B) (*Owner, []*Keeper, KeeperSet) {
 	b.Helper()
-	group := Group{Newest: 1}
+	group := KeeperSet{NewestVersion: 1}
 	replies := NewReplies(nil, Membership{})
 	epoch := Epoch{Version: 1, Round: 1, VM: "vm1#abcdefgh"}
 	var keepers []*Keeper
 	for _, vm := range []string{"vm1", "vm2", "vm3", "vm4", "vm5"} {
 		id := KeeperID{vm, "life"}
 		k := NewKeeper(id.Incarnation, DefaultLimits(time.Minute))
-		replies.Add(id, k.Promise(Promise{ID: machineID, Epoch: epoch, To: id.Incarnation}, time.Time{}))
+		replies.Add(id, k.Promise(Promise{ID: machineID, Epoch: epoch, Incarnation: id.Incarnation}, time.Time{}))
 		group.Keepers = append(group.Keepers, id)
 		keepers = append(keepers, k)
 	}
@@ -32,7 +32,7 @@
 	b.ReportAllocs()
 	var o *Owner
 	var keepers []*Keeper
-	var group Group
+	var group KeeperSet
 	var attempt AttemptID
 	tokens, texts := []int32{7}, []string{" t7"}
 	for i := range b.N {
@@ -44,7 +44,7 @@
 			b.Fatal(err)
 		}
 		for k, id := range group.Keepers {
-			w, _ := o.Next(id.VM, 512)
+			w, _ := o.NextWrite(id.VM, 512)
 			if err := o.Ack(id.VM, keepers[k].Write(w, now)); err != nil {
 				b.Fatal(err)
 			}
@@ -62,7 +62,7 @@
 	var batch []Write
 	for range journals {
 		batch = append(batch, Write{
-			ID: RequestID{"coop", "5f0c4e7a-diag"}, Epoch: Epoch{3, 17, "vm1#abcdefgh"}, To: "abcdefgh",
+			ID: RequestID{"coop", "5f0c4e7a-diag"}, Epoch: Epoch{3, 17, "vm1#abcdefgh"}, Incarnation: "abcdefgh",
 			Span: Span{From: 512, Tokens: []int32{70123}, Texts: []string{" boiler"}},
 		})
 	}
@@ -90,7 +90,7 @@
 	}
 	b.ReportAllocs()
 	for range b.N {
-		if len(Place(machineID, vms)) != KeepersMany {
+		if len(Place(machineID, vms)) != MaxKeepers {
 			b.Fatal("too few")
 		}
 	}
--- a/internal/generation/keeper.go
+++ b/internal/generation/keeper.go
@@ -6,14 +6,14 @@
 // holds may grow, and one that is taken over or re-placed may still come while
 // the reserve lasts: refusing it would lose an accepted answer.
 type Limits struct {
-	Journals int
-	Bytes    int64
+	MaxJournals int
+	MaxBytes    int64
 
-	PromiseUse   time.Duration // how long after its promise an installation is taken
-	PromiseKeep  time.Duration // of a promise that no journal followed
-	FinishedKeep time.Duration // of a finished journal
-	AbandonKeep  time.Duration // of an unfinished one that no owner touches
-	EpochKeep    time.Duration // of the epoch of what was forgotten
+	PromiseValidity    time.Duration // how long after its promise an installation is taken
+	PromiseRetention   time.Duration // of a promise that no journal followed
+	FinishedRetention  time.Duration // of a finished journal
+	AbandonedRetention time.Duration // of an unfinished one that no owner touches
+	EpochRetention     time.Duration // of the epoch of what was forgotten
 }
 
 // DefaultLimits suit a small VM. 20,000 journals are far above the running
@@ -28,9 +28,9 @@
 // have begun and released since. Three times leaves room for clocks that drift.
 func DefaultLimits(callerKeep time.Duration) Limits {
 	return Limits{
-		Journals: 20_000, Bytes: 128 << 20,
-		PromiseUse: 20 * time.Second, PromiseKeep: time.Minute, FinishedKeep: callerKeep, AbandonKeep: callerKeep + 30*time.Second,
-		EpochKeep: callerKeep + 5*time.Minute,
+		MaxJournals: 20_000, MaxBytes: 128 << 20,
+		PromiseValidity: 20 * time.Second, PromiseRetention: time.Minute, FinishedRetention: callerKeep, AbandonedRetention: callerKeep + 30*time.Second,
+		EpochRetention: callerKeep + 5*time.Minute,
 	}
 }
 
@@ -88,7 +88,7 @@
 
 // SetFloor makes the keeper refuse owners that place by a version older than
 // any that lookups still ask: nobody would find what they write.
-func (k *Keeper) SetFloor(version uint64) { k.floor = max(k.floor, version) }
+func (k *Keeper) SetMinVersion(version uint64) { k.floor = max(k.floor, version) }
 
 // refuses checks what holds for every message. An answer given for another life
 // of this VM would count a memory that is gone.
@@ -97,13 +97,13 @@
 	case to != "" && to != k.incarnation:
 		return OtherIncarnation
 	case version < k.floor:
-		return TooOld
+		return VersionTooOld
 	}
 	return Accepted
 }
 
 func (k *Keeper) full(known bool) bool {
-	journals, bytes := k.limits.Journals, k.limits.Bytes
+	journals, bytes := k.limits.MaxJournals, k.limits.MaxBytes
 	if known {
 		journals += journals / reserve
 		bytes += bytes / reserve
@@ -130,7 +130,7 @@
 
 // Promise handles p.
 func (k *Keeper) Promise(p Promise, now time.Time) PromiseReply {
-	if refusal := k.refuses(p.To, p.Epoch.Version); refusal != Accepted {
+	if refusal := k.refuses(p.Incarnation, p.Epoch.Version); refusal != Accepted {
 		return PromiseReply{Refusal: refusal}
 	}
 	r := k.records[p.ID]
@@ -138,7 +138,7 @@
 		return PromiseReply{OK: true}
 	}
 	if old := k.remnants[p.ID].epoch; r == nil && !old.Less(p.Epoch) && !old.IsZero() {
-		return PromiseReply{Refusal: Outbid, Promised: old}
+		return PromiseReply{Refusal: HigherEpochPromised, Promised: old}
 	}
 	if r == nil {
 		if k.full(!p.IfAbsent) {
@@ -150,10 +150,10 @@
 		return r.show(true, Accepted)
 	}
 	if p.IfAbsent && !r.promised.IsZero() && r.promised != p.Epoch {
-		return r.show(false, Outbid)
+		return r.show(false, HigherEpochPromised)
 	}
 	if p.Epoch.Less(r.promised) {
-		return r.show(false, Outbid)
+		return r.show(false, HigherEpochPromised)
 	}
 	r.promise(p.Epoch, now)
 	reply := r.show(true, Accepted)
@@ -187,15 +187,15 @@
 	refuse := func(why Refusal, promised Epoch) WriteReply {
 		return WriteReply{ID: w.ID, Epoch: w.Epoch, Refusal: why, Promised: promised}
 	}
-	if refusal := k.refuses(w.To, w.Epoch.Version); refusal != Accepted {
+	if refusal := k.refuses(w.Incarnation, w.Epoch.Version); refusal != Accepted {
 		return refuse(refusal, Epoch{})
 	}
 	r := k.records[w.ID]
 	if r == nil && !w.Reserve {
-		return refuse(Unpromised, Epoch{})
+		return refuse(NoPromise, Epoch{})
 	}
 	if old := k.remnants[w.ID].epoch; r == nil && !old.Less(w.Epoch) && !old.IsZero() {
-		return refuse(Outbid, old)
+		return refuse(HigherEpochPromised, old)
 	}
 	if r == nil {
 		if k.full(true) {
@@ -205,12 +205,12 @@
 	}
 	switch {
 	case w.Epoch.Less(r.promised):
-		return refuse(Outbid, r.promised)
+		return refuse(HigherEpochPromised, r.promised)
 	case w.Reserve:
 		r.promise(w.Epoch, now)
 		return WriteReply{ID: w.ID, Epoch: w.Epoch, Promised: r.promised, Reserved: true}
-	case w.Install && !r.takes(w.Epoch, now, k.limits.PromiseUse):
-		return refuse(Unpromised, r.promised)
+	case w.Install && !r.takes(w.Epoch, now, k.limits.PromiseValidity):
+		return refuse(NoPromise, r.promised)
 	case w.Install:
 		r.install(w)
 		k.resize(r)
@@ -219,7 +219,7 @@
 	default:
 		grown, err := r.extend(w)
 		if err != nil {
-			return refuse(Broken, r.promised)
+			return refuse(BreaksInvariant, r.promised)
 		}
 		r.bytes += grown
 		k.bytes += grown
@@ -285,7 +285,7 @@
 		if r.request != nil && r.journal.finish == "" {
 			abandoned++
 		}
-		if len(k.remnants) >= epochsPerJournal*k.limits.Journals {
+		if len(k.remnants) >= epochsPerJournal*k.limits.MaxJournals {
 			break
 		}
 		k.remnants[id] = remnant{r.promised, now}
@@ -293,7 +293,7 @@
 		delete(k.records, id)
 	}
 	for id, r := range k.remnants {
-		if now.Sub(r.at) >= k.limits.EpochKeep {
+		if now.Sub(r.at) >= k.limits.EpochRetention {
 			delete(k.remnants, id)
 		}
 	}
@@ -303,10 +303,10 @@
 func (k *Keeper) keeps(r *record) time.Duration {
 	switch {
 	case r.request == nil:
-		return k.limits.PromiseKeep
+		return k.limits.PromiseRetention
 	case r.journal.finish != "":
-		return k.limits.FinishedKeep
+		return k.limits.FinishedRetention
 	default:
-		return k.limits.AbandonKeep
+		return k.limits.AbandonedRetention
 	}
 }
--- a/internal/generation/machine_test.go
+++ b/internal/generation/machine_test.go
@@ -41,7 +41,7 @@
 	p       *process
 	epoch   Epoch
 	asked   time.Time
-	groups  []Group
+	groups  []KeeperSet
 	replies *Replies
 	owner   *Owner
 }
@@ -90,7 +90,7 @@
 	c.starts++
 	id := KeeperID{fmt.Sprint("vm", i), fmt.Sprint("life", c.starts)}
 	limits := DefaultLimits(time.Hour)
-	limits.AbandonKeep = 1000 * time.Hour // every journal has an owner that will be back
+	limits.AbandonedRetention = 1000 * time.Hour // every journal has an owner that will be back
 	return &process{KeeperID: id, keeper: NewKeeper(id.Incarnation, limits), version: len(c.views) - 1}
 }
 
@@ -131,7 +131,7 @@
 // seal asks every keeper of every retained set for a promise.
 func (c *cluster) seal(h *holder) {
 	views := c.known(h.p)
-	h.groups = Groups(machineID, views)
+	h.groups = KeeperSets(machineID, views)
 	h.replies = NewReplies(h.groups, views[0])
 	h.asked = c.now
 	h.p.round++
@@ -146,7 +146,7 @@
 			asked[k] = true
 			m := &message{to: k, sent: c.now}
 			m.run = func(p *process) {
-				reply := p.keeper.Promise(Promise{ID: machineID, Epoch: epoch, To: k.Incarnation}, c.now)
+				reply := p.keeper.Promise(Promise{ID: machineID, Epoch: epoch, Incarnation: k.Incarnation}, c.now)
 				m.then = func() {
 					h.p.round = max(h.p.round, reply.Promised.Round)
 					if replies == h.replies && c.now.Sub(h.asked) < answerCounts {
@@ -170,7 +170,7 @@
 	h.replies = nil
 	best, _ := replies.Best()
 	if h.owner != nil {
-		if h.owner.Replace(h.epoch, h.groups[0], replies) != nil {
+		if h.owner.MoveTo(h.epoch, h.groups[0], replies) != nil {
 			return
 		}
 		best.Journal = *h.owner.Journal()
@@ -200,8 +200,8 @@
 	if h.owner == nil {
 		return
 	}
-	for _, k := range h.owner.Group().Keepers {
-		w, ok := h.owner.Next(k.VM, 2)
+	for _, k := range h.owner.KeeperSet().Keepers {
+		w, ok := h.owner.NextWrite(k.VM, 2)
 		if !ok {
 			continue
 		}
--- a/internal/generation/messages.go
+++ b/internal/generation/messages.go
@@ -5,14 +5,14 @@
 
 // Refusals.
 const (
-	Accepted         Refusal = iota
-	Outbid                   // it has promised a higher epoch, shown in Promised
-	Unpromised               // it holds no promise of this epoch, or too old a one
-	NeedsInstall             // it lacks the journal, or tokens before the span
-	OtherIncarnation         // the message is for an earlier or later life of this VM
-	Full                     // it takes no new journals
-	TooOld                   // the epoch's membership version is no longer kept
-	Broken                   // the write breaks an invariant
+	Accepted            Refusal = iota
+	HigherEpochPromised         // it has promised a higher epoch, shown in Promised
+	NoPromise                   // it holds no promise of this epoch, or too old a one
+	NeedsInstall                // it lacks the journal, or tokens before the span
+	OtherIncarnation            // the message is for an earlier or later life of this VM
+	Full                        // it takes no new journals
+	VersionTooOld               // the epoch's membership version is no longer kept
+	BreaksInvariant             // the write breaks an invariant
 )
 
 // Source is the attempt whose tokens end the journal: a new owner may attach to
@@ -31,17 +31,17 @@
 // journal whole and carries the request; every owner begins so, behind its
 // promises. A write without tokens keeps the journal from being forgotten.
 type Write struct {
-	ID      RequestID `cbor:"1,keyasint"`
-	Epoch   Epoch     `cbor:"2,keyasint"`
-	Request *Request  `cbor:"3,keyasint,omitempty"`
-	To      string    `cbor:"4,keyasint,omitempty"` // incarnation of the keeper meant
-	Install bool      `cbor:"5,keyasint,omitempty"`
-	Span    Span      `cbor:"6,keyasint"`
-	Finish  string    `cbor:"7,keyasint,omitempty"`
-	Usage   Usage     `cbor:"8,keyasint,omitzero"`
-	Reserve bool      `cbor:"9,keyasint,omitempty"` // asks for a promise, and writes nothing
-	Source  *Source   `cbor:"10,keyasint,omitempty"`
-	Touch   uint64    `cbor:"11,keyasint,omitempty"` // echoed
+	ID          RequestID `cbor:"1,keyasint"`
+	Epoch       Epoch     `cbor:"2,keyasint"`
+	Request     *Request  `cbor:"3,keyasint,omitempty"`
+	Incarnation string    `cbor:"4,keyasint,omitempty"` // incarnation of the keeper meant
+	Install     bool      `cbor:"5,keyasint,omitempty"`
+	Span        Span      `cbor:"6,keyasint"`
+	Finish      string    `cbor:"7,keyasint,omitempty"`
+	Usage       Usage     `cbor:"8,keyasint,omitzero"`
+	Reserve     bool      `cbor:"9,keyasint,omitempty"` // asks for a promise, and writes nothing
+	Source      *Source   `cbor:"10,keyasint,omitempty"`
+	Touch       uint64    `cbor:"11,keyasint,omitempty"` // echoed
 }
 
 // Size is about the write's size in bytes when it is encoded.
@@ -80,8 +80,8 @@
 	Epoch Epoch     `cbor:"2,keyasint"`
 	Peek  bool      `cbor:"3,keyasint,omitempty"`
 
-	IfAbsent bool   `cbor:"4,keyasint,omitempty"`
-	To       string `cbor:"5,keyasint,omitempty"` // incarnation of the keeper meant
+	IfAbsent    bool   `cbor:"4,keyasint,omitempty"`
+	Incarnation string `cbor:"5,keyasint,omitempty"` // incarnation of the keeper meant
 }
 
 // PromiseReply answers a Promise. Accepted is the epoch of the last write; the
--- a/internal/generation/owner.go
+++ b/internal/generation/owner.go
@@ -9,7 +9,7 @@
 var ErrDeposed = errors.New("generation: another owner has taken over")
 
 // ErrMoved is returned when a keeper knows a newer list of VMs than this owner.
-var ErrMoved = errors.New("generation: the journal's keepers have moved")
+var ErrKeepersMoved = errors.New("generation: the journal's keepers have moved")
 
 // ErrStaleAttempt is returned for tokens of an attempt that is not the current
 // one, or that do not follow the journal's end.
@@ -23,7 +23,7 @@
 	Epoch   Epoch
 
 	journal  Journal
-	group    Group
+	group    KeeperSet
 	keepers  []replica // in the group's order
 	attempt  int
 	source   Source
@@ -48,13 +48,13 @@
 
 // NewOwner returns the owner of a new journal, or of one taken over. replies
 // tells which keepers have promised its epoch.
-func NewOwner(req Request, epoch Epoch, group Group, replies *Replies, journal Journal) *Owner {
+func NewOwner(req Request, epoch Epoch, group KeeperSet, replies *Replies, journal Journal) *Owner {
 	o := &Owner{Request: req, journal: journal}
 	o.place(epoch, group, replies)
 	return o
 }
 
-func (o *Owner) place(epoch Epoch, group Group, replies *Replies) {
+func (o *Owner) place(epoch Epoch, group KeeperSet, replies *Replies) {
 	o.Epoch, o.group, o.keepers = epoch, group, make([]replica, 0, len(group.Keepers))
 	for _, k := range group.Keepers {
 		o.keepers = append(o.keepers, replica{id: k, promised: replies.Promised(k)})
@@ -71,7 +71,7 @@
 }
 
 // Group is the journal's present keeper set.
-func (o *Owner) Group() Group { return o.group }
+func (o *Owner) KeeperSet() KeeperSet { return o.group }
 
 // BeginSeal stops the writes of the present epoch while the owner seals its
 // journal for another keeper set.
@@ -80,7 +80,7 @@
 // Replace moves the journal to another keeper set under a new epoch, once
 // replies are Ready. The attempt goes on. Where the keepers show a journal of a
 // higher epoch than this owner's, somebody else has taken over.
-func (o *Owner) Replace(epoch Epoch, group Group, replies *Replies) error {
+func (o *Owner) MoveTo(epoch Epoch, group KeeperSet, replies *Replies) error {
 	if best, ok := replies.Best(); o.deposed || (ok && o.Epoch.Less(best.Accepted)) {
 		o.deposed = true
 		return ErrDeposed
@@ -103,7 +103,7 @@
 func (o *Owner) SetSource(s Source) {
 	s.Number = 2 * o.attempt
 	o.source = s
-	o.Pin(o.Version())
+	o.PinVersion(o.Version())
 }
 
 // Version is the model version that the answer is made of; empty before its first
@@ -113,7 +113,7 @@
 // Pin notes the model version that the answer is made of, once, with or before
 // its first token: every later attempt, also of another owner, runs that version.
 // Without it an answer begun by one version could go on with tokens of another.
-func (o *Owner) Pin(version string) {
+func (o *Owner) PinVersion(version string) {
 	if version == "" {
 		return
 	}
@@ -151,14 +151,14 @@
 }
 
 // Touched is the highest touch that a majority has answered.
-func (o *Owner) Touched() uint64 {
+func (o *Owner) ConfirmedTouch() uint64 {
 	return majorityOf(o, func(r *replica) uint64 { return r.touch })
 }
 
 // majorityOf is the highest value that a majority of the keepers has reached.
 // Only those that hold the journal count.
 func majorityOf[T int | uint64](o *Owner, value func(*replica) T) T {
-	var reached [KeepersMany]T
+	var reached [MaxKeepers]T
 	n := 0
 	for i := range o.keepers {
 		r := &o.keepers[i]
@@ -181,12 +181,12 @@
 // Next returns the write that brings a keeper up to date, and false if it has
 // everything. maxTokens bounds the size of one write after the installation;
 // that one is whole, since a part of it would hide tokens that a keeper had.
-func (o *Owner) Next(vm string, maxTokens int) (Write, bool) {
+func (o *Owner) NextWrite(vm string, maxTokens int) (Write, bool) {
 	r := o.replica(vm)
 	if r == nil || o.deposed || o.sealing {
 		return Write{}, false
 	}
-	w := Write{ID: o.Request.ID, Epoch: o.Epoch, To: r.id.Incarnation, Touch: o.touch}
+	w := Write{ID: o.Request.ID, Epoch: o.Epoch, Incarnation: r.id.Incarnation, Touch: o.touch}
 	switch {
 	case r.installed:
 		return o.extension(w, r, maxTokens)
@@ -272,7 +272,7 @@
 			continue
 		}
 		if touched == 0 {
-			touched = o.Touched()
+			touched = o.ConfirmedTouch()
 		}
 		if touched >= r.confirm {
 			r.promised, r.confirm = true, 0
@@ -282,7 +282,7 @@
 
 func (o *Owner) refused(r *replica, reply WriteReply) error {
 	switch reply.Refusal {
-	case Outbid:
+	case HigherEpochPromised:
 		if o.sealing && reply.Promised.VM == o.Epoch.VM {
 			return nil // this owner's own seal
 		}
@@ -294,9 +294,9 @@
 		return ErrDeposed
 	case NeedsInstall:
 		*r = replica{id: r.id, promised: r.promised}
-	case TooOld:
-		return ErrMoved
-	case Broken:
+	case VersionTooOld:
+		return ErrKeepersMoved
+	case BreaksInvariant:
 		return &InvariantError{"a keeper refused a write that breaks an invariant"}
 	default:
 		*r = replica{id: r.id}
@@ -310,7 +310,7 @@
 }
 
 // Behind reports whether a majority of keepers still lacks something.
-func (o *Owner) Behind() bool {
+func (o *Owner) ReplicationPending() bool {
 	_, _, finished := o.Finished()
 	return o.sealing || !o.Accepted() || o.released < o.journal.Len() || (o.journal.Finish != "" && !finished)
 }
--- a/internal/generation/owner_test.go
+++ b/internal/generation/owner_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-var testLimits = Limits{Journals: 4, Bytes: 1 << 20, PromiseUse: time.Second, PromiseKeep: 3 * time.Second, FinishedKeep: time.Minute, AbandonKeep: time.Hour, EpochKeep: time.Hour}
+var testLimits = Limits{MaxJournals: 4, MaxBytes: 1 << 20, PromiseValidity: time.Second, PromiseRetention: 3 * time.Second, FinishedRetention: time.Minute, AbandonedRetention: time.Hour, EpochRetention: time.Hour}
 
 // three keepers a, b, c of one journal, and owners that reach the named ones.
 type trio struct {
 	t       *testing.T
 	keepers map[string]*Keeper
-	group   Group
+	group   KeeperSet
 	now     time.Time
 }
 
 func newTrio(t *testing.T) *trio {
-	tr := &trio{t: t, keepers: map[string]*Keeper{}, group: Group{Newest: 1}, now: time.Unix(0, 0)}
+	tr := &trio{t: t, keepers: map[string]*Keeper{}, group: KeeperSet{NewestVersion: 1}, now: time.Unix(0, 0)}
 	for _, vm := range []string{"a", "b", "c"} {
 		tr.keepers[vm] = NewKeeper("1", testLimits)
 		tr.group.Keepers = append(tr.group.Keepers, KeeperID{vm, "1"})
@@ -29,9 +29,9 @@
 func (tr *trio) open(round uint64, vms ...string) *Owner {
 	tr.t.Helper()
 	epoch := Epoch{Version: 1, Round: round, VM: fmt.Sprint("owner", round)}
-	replies := NewReplies([]Group{tr.group}, Membership{})
+	replies := NewReplies([]KeeperSet{tr.group}, Membership{})
 	for _, vm := range vms {
-		replies.Add(KeeperID{vm, "1"}, tr.keepers[vm].Promise(Promise{ID: machineID, Epoch: epoch, To: "1"}, tr.now))
+		replies.Add(KeeperID{vm, "1"}, tr.keepers[vm].Promise(Promise{ID: machineID, Epoch: epoch, Incarnation: "1"}, tr.now))
 	}
 	if !replies.Ready() {
 		tr.t.Fatalf("round %d: no majority of promises", round)
@@ -43,7 +43,7 @@
 func (tr *trio) write(o *Owner, vms ...string) error {
 	var errs []error
 	for _, vm := range vms {
-		for w, ok := o.Next(vm, 10); ok; w, ok = o.Next(vm, 10) {
+		for w, ok := o.NextWrite(vm, 10); ok; w, ok = o.NextWrite(vm, 10) {
 			reply := tr.keepers[vm].Write(w, tr.now)
 			errs = append(errs, o.Ack(vm, reply))
 			if !reply.OK() {
@@ -67,7 +67,7 @@
 func TestForgottenPromiseIsNotUsed(t *testing.T) {
 	tr := newTrio(t)
 	paused := tr.open(2, "a", "b", "c")
-	for _, passed := range []time.Duration{testLimits.PromiseKeep, testLimits.EpochKeep} {
+	for _, passed := range []time.Duration{testLimits.PromiseRetention, testLimits.EpochRetention} {
 		tr.now = tr.now.Add(passed)
 		tr.keepers["b"].Sweep(tr.now)
 		tr.keepers["c"].Sweep(tr.now)
@@ -97,9 +97,9 @@
 	old := tr.open(5, "a", "b")
 	generateToken(old, 7)
 	_ = tr.write(old, "a", "b")
-	tr.now = tr.now.Add(testLimits.AbandonKeep)
+	tr.now = tr.now.Add(testLimits.AbandonedRetention)
 	tr.keepers["b"].Sweep(tr.now)
-	lower := Promise{ID: machineID, Epoch: Epoch{1, 4, "owner4"}, To: "1", IfAbsent: true}
+	lower := Promise{ID: machineID, Epoch: Epoch{1, 4, "owner4"}, Incarnation: "1", IfAbsent: true}
 	if reply := tr.keepers["b"].Promise(lower, tr.now); reply.OK || reply.Promised.Round != 5 {
 		t.Errorf("a keeper that forgot a journal takes a lower epoch: %+v", reply)
 	}
@@ -122,7 +122,7 @@
 	tr := newTrio(t)
 	o := tr.open(1, "a", "b")
 	generateToken(o, 7)
-	if _, ok := o.Next("c", 10); ok {
+	if _, ok := o.NextWrite("c", 10); ok {
 		t.Error("a keeper is asked for a promise before the owner has its majority")
 	}
 	_ = tr.write(o, "a", "b", "c")
@@ -150,7 +150,7 @@
 			t.Fatalf("install %d refused: %d", i, reply.Refusal)
 		}
 	}
-	for i := range testLimits.Journals {
+	for i := range testLimits.MaxJournals {
 		promise(i, true)
 	}
 	if got := promise(9, true).Refusal; got != Full {
@@ -167,7 +167,7 @@
 	for _, c := range []struct {
 		after time.Duration
 		left  int
-	}{{testLimits.PromiseKeep, 2}, {testLimits.FinishedKeep, 1}, {testLimits.AbandonKeep, 0}} {
+	}{{testLimits.PromiseRetention, 2}, {testLimits.FinishedRetention, 1}, {testLimits.AbandonedRetention, 0}} {
 		k.Sweep(now.Add(c.after))
 		if k.Len() != c.left {
 			t.Errorf("after %v: %d journals, want %d", c.after, k.Len(), c.left)
@@ -190,7 +190,7 @@
 	first := Place(machineID, vms)
 	after := Membership{Version: 2, Candidates: without(vms, first[0], first[1])}
 	last := Membership{Version: 3, Candidates: without(after.Candidates, first[2])}
-	groups := Groups(machineID, []Membership{last, after, before})
+	groups := KeeperSets(machineID, []Membership{last, after, before})
 	if len(groups) != 3 {
 		t.Fatalf("%d distinct sets, want 3", len(groups))
 	}
@@ -206,7 +206,7 @@
 	if lost.Ready() || !lost.Lost() {
 		t.Error("a journal that nobody re-placed is lost with its set, and must not start anew")
 	}
-	lost.Fresh = true
+	lost.CallerHasNoTokens = true
 	if !lost.Ready() {
 		t.Error("a new request must not wait for a set that is gone")
 	}
--- a/internal/generation/placement.go
+++ b/internal/generation/placement.go
@@ -11,8 +11,8 @@
 // Replication factors of a journal (design section 4): five keepers survive any
 // two VMs at once, or a zone; a small system keeps three.
 const (
-	KeepersMany = 5
-	KeepersFew  = 3
+	MaxKeepers           = 5
+	MinReplicatedKeepers = 3
 )
 
 // KeeperID names a keeper: a VM in one incarnation. After a restart the same VM
@@ -43,7 +43,7 @@
 type Membership struct {
 	Version    uint64
 	Candidates []Candidate
-	Settled    bool
+	Migrated   bool
 }
 
 // Has reports whether the list names this keeper.
@@ -57,24 +57,24 @@
 
 // Group is a set of keepers that a journal has, or had by an older version of
 // the list. Newest is the last version that gives this set.
-type Group struct {
-	Keepers []KeeperID
-	Newest  uint64
-	Settled bool // as that version
+type KeeperSet struct {
+	Keepers       []KeeperID
+	NewestVersion uint64
+	Migrated      bool // as that version
 }
 
 // Majority is the number of keepers that any other majority shares one with.
-func (g *Group) Majority() int { return len(g.Keepers)/2 + 1 }
+func (g *KeeperSet) Majority() int { return len(g.Keepers)/2 + 1 }
 
 // Groups returns the distinct keeper sets of a journal over the versions,
 // newest first. The first is where the journal belongs now.
-func Groups(id RequestID, views []Membership) []Group {
-	var out []Group
+func KeeperSets(id RequestID, views []Membership) []KeeperSet {
+	var out []KeeperSet
 	for _, v := range views {
 		keepers := Place(id, v.Candidates)
-		same := func(g Group) bool { return SameKeepers(g.Keepers, keepers) }
+		same := func(g KeeperSet) bool { return SameKeepers(g.Keepers, keepers) }
 		if !slices.ContainsFunc(out, same) {
-			out = append(out, Group{Keepers: keepers, Newest: v.Version, Settled: v.Settled})
+			out = append(out, KeeperSet{Keepers: keepers, NewestVersion: v.Version, Migrated: v.Migrated})
 		}
 	}
 	return out
@@ -94,12 +94,12 @@
 }
 
 // Keepers returns how many keepers a journal has among n VMs.
-func Keepers(n int) int {
+func KeeperCount(n int) int {
 	switch {
-	case n >= KeepersMany:
-		return KeepersMany
-	case n >= KeepersFew:
-		return KeepersFew
+	case n >= MaxKeepers:
+		return MaxKeepers
+	case n >= MinReplicatedKeepers:
+		return MinReplicatedKeepers
 	default:
 		return 1
 	}
@@ -116,7 +116,7 @@
 	if len(staying) == 0 {
 		staying = vms
 	}
-	n := Keepers(len(staying))
+	n := KeeperCount(len(staying))
 	ranked := rank(id, staying)
 	chosen := bestOfZones(ranked, n)
 	if len(chosen) < n {
--- a/internal/generation/replies.go
+++ b/internal/generation/replies.go
@@ -7,14 +7,14 @@
 // accepted under a newer version: its owner had sealed them, so nothing was
 // released through them since, and what was released before is in that journal.
 type Replies struct {
-	groups []Group
+	groups []KeeperSet
 	seen   map[KeeperID]bool // heard at all
 	ok     map[KeeperID]bool
 	best   PromiseReply
 	full   int
 
 	// Max is the highest epoch promised anywhere.
-	Max Epoch
+	MaxEpoch Epoch
 	// Fresh is the opening of a request whose caller holds no token. It asks every
 	// set and uses what it hears, but does without those that are settled, or have
 	// lost their majority to dead VMs: else a few VMs lost within the history's
@@ -22,14 +22,14 @@
 	// whose owner died a while ago unread, or lives on the far side of a cut. A
 	// second one then starts; the two never mix, since a caller with tokens of the
 	// first is refused by their digest.
-	Fresh bool
+	CallerHasNoTokens bool
 	// Newest is the list by which keepers count as gone.
-	Newest Membership
+	Membership Membership
 }
 
 // NewReplies returns an empty set of replies.
-func NewReplies(groups []Group, newest Membership) *Replies {
-	return &Replies{groups: groups, Newest: newest, seen: map[KeeperID]bool{}, ok: map[KeeperID]bool{}}
+func NewReplies(groups []KeeperSet, newest Membership) *Replies {
+	return &Replies{groups: groups, Membership: newest, seen: map[KeeperID]bool{}, ok: map[KeeperID]bool{}}
 }
 
 // Add takes one keeper's reply.
@@ -38,8 +38,8 @@
 		return
 	}
 	r.seen[k] = true
-	if r.Max.Less(reply.Promised) {
-		r.Max = reply.Promised
+	if r.MaxEpoch.Less(reply.Promised) {
+		r.MaxEpoch = reply.Promised
 	}
 	if reply.Refusal == Full {
 		r.full++
@@ -80,7 +80,7 @@
 func (r *Replies) Ready() bool { return r.each(r.ok) }
 
 // Heard reports whether a majority of every needed set has answered at all.
-func (r *Replies) Heard() bool { return r.each(r.seen) }
+func (r *Replies) Answered() bool { return r.each(r.seen) }
 
 func (r *Replies) each(in map[KeeperID]bool) bool {
 	for i := range r.groups {
@@ -92,11 +92,11 @@
 	return true
 }
 
-func (r *Replies) needs(g *Group) bool {
-	if r.best.Found && g.Newest < r.best.Accepted.Version {
+func (r *Replies) needs(g *KeeperSet) bool {
+	if r.best.Found && g.NewestVersion < r.best.Accepted.Version {
 		return false
 	}
-	return !r.Fresh || !g.Settled && !r.lost(g)
+	return !r.CallerHasNoTokens || !g.Migrated && !r.lost(g)
 }
 
 // Lost reports whether the journal is gone for good: a needed set has lost its
@@ -117,14 +117,14 @@
 	return lost
 }
 
-func (r *Replies) lost(g *Group) bool {
+func (r *Replies) lost(g *KeeperSet) bool {
 	left := 0
 	for _, k := range g.Keepers {
 		// A keeper of the settings' list has no incarnation and may not have joined
 		// yet: nothing tells that it is gone.
 		switch {
-		case r.Fresh && r.Newest.dead(k):
-		case k.Incarnation == "", r.Newest.Has(k):
+		case r.CallerHasNoTokens && r.Membership.dead(k):
+		case k.Incarnation == "", r.Membership.Has(k):
 			left++
 		}
 	}
@@ -140,7 +140,7 @@
 // Best returns the journal to go on with, and false where no keeper has one.
 func (r *Replies) Best() (PromiseReply, bool) { return r.best, r.best.Found }
 
-func count(g *Group, in map[KeeperID]bool) int {
+func count(g *KeeperSet, in map[KeeperID]bool) int {
 	n := 0
 	for _, k := range g.Keepers {
 		if in[k] {
--- a/internal/generation/replies_test.go
+++ b/internal/generation/replies_test.go
@@ -39,10 +39,10 @@
 		{"caller with tokens, set long superseded", false, true, list("c", "d", "e"), false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := generation.NewReplies([]generation.Group{
-				{Keepers: present, Newest: 9}, {Keepers: old, Newest: 5, Settled: tc.settled},
+			r := generation.NewReplies([]generation.KeeperSet{
+				{Keepers: present, NewestVersion: 9}, {Keepers: old, NewestVersion: 5, Migrated: tc.settled},
 			}, tc.newest)
-			r.Fresh = tc.fresh
+			r.CallerHasNoTokens = tc.fresh
 			for _, k := range present {
 				r.Add(k, generation.PromiseReply{OK: true})
 			}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -19,7 +19,7 @@
 // seconds the engine gets no new work, a hundred requests in a row and over several
 // of its own load reports, which say nothing of it, and the entry leaves the VM
 // out. The callers' answers are whole throughout.
-func TestPlatformsLeavingTakesEffectWithinSeconds(t *testing.T) {
+func TestLeavingServersGetNoNewWork(t *testing.T) {
 	t.Parallel()
 	p, err := standin.ServePlatform("127.0.0.1:0", time.Second)
 	if err != nil {
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -90,7 +90,7 @@
 // A VM is killed and comes back at once, at another address and without its
 // memory. It joins under a new incarnation before anybody has found the old one
 // dead: within seconds the entry names the new address alone, and the VM serves.
-func TestReplacedVMIsInWithinSeconds(t *testing.T) {
+func TestReplacedVMJoinsWithinSeconds(t *testing.T) {
 	t.Parallel()
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
 	o.VMs = 4
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -127,7 +127,7 @@
 }
 
 func (n *Node) startCallers() {
-	gw := gateway.New(gateway.Config{MaxBodyBytes: n.s.MaxBodyBytes, Heartbeat: heartbeat, Leaving: n.leaving},
+	gw := gateway.New(gateway.Config{MaxBodyBytes: n.s.MaxBodyBytes, Heartbeat: heartbeat, Draining: n.leaving},
 		n.hub, n.plans, n.router, n.tracer, n.log)
 	r := mux.NewRouter().UseEncodedPath()
 	gw.Routes(r)
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -110,7 +110,7 @@
 	change.Wait = false
 	router := client.NewOperator([]string{s.Nodes[4].OperatorAddr()}, "", "test")
 	again, err := router.Do(t.Context(), change)
-	if err != nil || again.Version != first.Version || again.Lists != first.Lists {
+	if err != nil || again.Version != first.Version || again.ListsVersion != first.ListsVersion {
 		t.Errorf("resend got %+v, %v; the first answer was %+v", again, err, first)
 	}
 	change.Key = "another"
@@ -167,7 +167,7 @@
 // other VMs stop admitting once their freshness leases have lapsed, since an
 // operator on the far side may have withdrawn the plan: callers get 3004, not
 // run. The answer that was running goes on to its end.
-func TestWithoutTheGroupNothingNewButWhatRuns(t *testing.T) {
+func TestQuorumLossStopsAdmission(t *testing.T) {
 	const lease = time.Second
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
 	o.VMs = 5
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -15,11 +15,11 @@
 )
 
 // markings are checked with the settings: a bad one cannot get here.
-func markings(backends []settings.Backend) map[string][]call.Marking {
-	out := map[string][]call.Marking{}
+func markings(backends []settings.Backend) map[string][]call.IdempotencyRule {
+	out := map[string][]call.IdempotencyRule{}
 	for _, b := range backends {
 		for _, text := range b.IdempotencyRules {
-			if m, err := call.ParseMarking(text); err == nil {
+			if m, err := call.ParseIdempotencyRule(text); err == nil {
 				out[b.Service] = append(out[b.Service], m)
 			}
 		}
@@ -30,10 +30,10 @@
 // startServices registers the claims with the control group's state and makes
 // the dispatcher of calls.
 func (n *Node) startServices() {
-	n.machine.Register(control.CallsStateMachine, call.NewPart(call.DefaultLimits()))
+	n.machine.Register(control.CallsStateMachine, call.NewStateMachine(call.DefaultLimits()))
 	n.services = service.NewDispatcher(
 		service.Config{
-			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, Markings: markings(n.s.Backends),
+			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, IdempotencyRules: markings(n.s.Backends),
 		},
 		service.Deps{
 			Control: n.control, Sender: service.NewClient(), Backends: n.backends, Incarnations: n.members,
--- a/internal/node/settle_test.go
+++ b/internal/node/settle_test.go
@@ -18,7 +18,7 @@
 // One second after the replacements they are not.
 func TestOlderListsSettleAfterTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		part := membership.NewPart()
+		part := membership.NewStateMachine()
 		m := newMembers("vm1", "a", nil, inventory.NewReader("", zerolog.Nop()), zerolog.Nop())
 		m.lease = 3 * time.Second
 		join := func(id, incarnation string) {
@@ -38,7 +38,7 @@
 		join("vm3", "b")
 		settled := func() (n int) {
 			for _, v := range m.Views() {
-				if v.Settled {
+				if v.Migrated {
 					n++
 				}
 			}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -211,7 +211,7 @@
 		r.hub.metrics.Add("events_of_another_version", 1)
 		return errForeignEvent
 	}
-	r.owner.Pin(e.Version)
+	r.owner.PinVersion(e.Version)
 	return nil
 }
 
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -168,7 +168,7 @@
 		if err != nil {
 			return location{}, err
 		}
-		f, err := o.takeOver(ctx, replies.Max)
+		f, err := o.takeOver(ctx, replies.MaxEpoch)
 		if !errors.Is(err, generation.ErrDeposed) {
 			return f, err
 		}
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -154,7 +154,7 @@
 			ID: w.ID, Epoch: w.Epoch, Promised: w.Epoch, Held: w.Span.End(), Finished: w.Finish != "", Touch: w.Touch, Source: 1,
 		}
 		if w.ID.Key == "k0" && w.Span.End() > 10 {
-			reply.Refusal = generation.Broken
+			reply.Refusal = generation.BreaksInvariant
 		}
 		out.Replies = append(out.Replies, reply)
 	}
--- a/internal/relay/maintenance.go
+++ b/internal/relay/maintenance.go
@@ -57,7 +57,7 @@
 func (h *Hub) setFloor(oldest uint64) {
 	h.keeperMu.Lock()
 	defer h.keeperMu.Unlock()
-	h.keeper.SetFloor(oldest)
+	h.keeper.SetMinVersion(oldest)
 }
 
 func (h *Hub) sweep(now time.Time) {
@@ -101,8 +101,8 @@
 	}
 	oldest := views[len(views)-1].Version
 	expiring := len(views) > 1 && r.owner.Epoch.Version <= oldest
-	groups := generation.Groups(r.owner.Request.ID, views[:1])
-	if generation.SameKeepers(r.owner.Group().Keepers, groups[0].Keepers) && !expiring {
+	groups := generation.KeeperSets(r.owner.Request.ID, views[:1])
+	if generation.SameKeepers(r.owner.KeeperSet().Keepers, groups[0].Keepers) && !expiring {
 		r.seenVersion = views[0].Version
 		return false
 	}
@@ -146,7 +146,7 @@
 			run.replaced(o, next, replies)
 			return
 		}
-		if err == nil && epoch.Less(replies.Max) && vmOf(replies.Max.VM) != h.cfg.VM {
+		if err == nil && epoch.Less(replies.MaxEpoch) && vmOf(replies.MaxEpoch.VM) != h.cfg.VM {
 			run.stop(generation.ErrDeposed)
 			return
 		}
@@ -157,7 +157,7 @@
 }
 
 func (r *Run) replaced(o *opener, epoch generation.Epoch, replies *generation.Replies) {
-	err := r.update(func() error { return r.owner.Replace(epoch, o.groups[0], replies) })
+	err := r.update(func() error { return r.owner.MoveTo(epoch, o.groups[0], replies) })
 	if err != nil {
 		r.stop(err)
 		return
@@ -177,7 +177,7 @@
 	defer h.forget(run)
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	touch := min(maxTouchInterval, h.cfg.Limits.AbandonKeep/touchesPerKeep)
+	touch := min(maxTouchInterval, h.cfg.Limits.AbandonedRetention/touchesPerKeep)
 	touched, caughtUp := time.Now(), time.Now()
 	for {
 		select {
@@ -208,7 +208,7 @@
 func (r *Run) idleOrBehind(now time.Time, keep time.Duration) (idle, behind bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.readers == 0 && now.Sub(r.unreadSince) >= keep, r.owner.Behind()
+	return r.readers == 0 && now.Sub(r.unreadSince) >= keep, r.owner.ReplicationPending()
 }
 
 func (r *Run) touch() uint64 {
--- a/internal/relay/open.go
+++ b/internal/relay/open.go
@@ -69,14 +69,14 @@
 type opener struct {
 	h      *Hub
 	req    generation.Request
-	groups []generation.Group
+	groups []generation.KeeperSet
 	newest generation.Membership
 	resume bool
 }
 
 func (h *Hub) opener(req generation.Request, resuming bool) *opener {
 	views := h.members.Views()
-	return &opener{h: h, req: req, groups: generation.Groups(req.ID, views), newest: views[0], resume: resuming}
+	return &opener{h: h, req: req, groups: generation.KeeperSets(req.ID, views), newest: views[0], resume: resuming}
 }
 
 // nextEpoch returns an epoch that is higher than seen and that this VM has never used
@@ -103,18 +103,18 @@
 	if !resuming && replies.Ready() {
 		return o.becomeOwner(ctx, epoch, replies, generation.PromiseReply{})
 	}
-	if resuming && replies.Ready() && replies.Max.IsZero() {
+	if resuming && replies.Ready() && replies.MaxEpoch.IsZero() {
 		return location{}, result.New(result.NotFound)
 	}
-	owner := h.probe(ctx, req.ID, replies.Max.VM)
+	owner := h.probe(ctx, req.ID, replies.MaxEpoch.VM)
 	if owner.Request != nil {
-		h.note(req.ID, explain.Followed, "read from its owner "+vmOf(replies.Max.VM))
-		return location{owner: vmOf(replies.Max.VM), req: owner.Request}, nil
+		h.note(req.ID, explain.Followed, "read from its owner "+vmOf(replies.MaxEpoch.VM))
+		return location{owner: vmOf(replies.MaxEpoch.VM), req: owner.Request}, nil
 	}
 	if owner.Opening && try < triesBeforeTakeover {
 		return location{}, errContended
 	}
-	return o.takeOver(ctx, replies.Max)
+	return o.takeOver(ctx, replies.MaxEpoch)
 }
 
 // takeOver seals the journal against every lower epoch and continues it on this VM.
@@ -166,7 +166,7 @@
 	run := newRun(h, generation.NewOwner(o.req, epoch, o.groups[0], replies, best.Journal))
 	run.source = best.Source
 	if best.Source != nil {
-		run.owner.Pin(best.Source.Version)
+		run.owner.PinVersion(best.Source.Version)
 	}
 	if err := run.admit(ctx, best.Found); err != nil {
 		return location{}, err
@@ -217,14 +217,14 @@
 	for _, k := range keepers {
 		go func() {
 			p := p
-			p.To = k.Incarnation
+			p.Incarnation = k.Incarnation
 			var reply generation.PromiseReply
 			err := o.h.transport.Call(ctx, k.VM, peer.KindPromise, p, &reply)
 			answers <- answer{k, reply, err}
 		}()
 	}
 	replies := generation.NewReplies(o.groups, o.newest)
-	replies.Fresh = !o.resume
+	replies.CallerHasNoTokens = !o.resume
 	refused := false
 	var grace <-chan time.Time
 	for range keepers {
@@ -238,7 +238,7 @@
 			replies.Add(a.keeper, a.reply)
 			refused = refused || !a.reply.OK
 		}
-		if refused && replies.Heard() || replies.Ready() && (o.resume || len(o.groups) == 1) {
+		if refused && replies.Answered() || replies.Ready() && (o.resume || len(o.groups) == 1) {
 			break
 		}
 		if replies.Ready() && grace == nil {
@@ -255,7 +255,7 @@
 		return nil
 	case replies.Full():
 		return o.fullError(replies)
-	case replies.Heard():
+	case replies.Answered():
 		return nil
 	case o.resume && replies.Lost():
 		return result.New(result.JournalLost)
@@ -265,7 +265,7 @@
 
 func (o *opener) fullError(replies *generation.Replies) error {
 	err := result.New(result.KeepersFull)
-	if !replies.Heard() || !replies.Max.IsZero() {
+	if !replies.Answered() || !replies.MaxEpoch.IsZero() {
 		return err.WithRan(result.RanUnknown)
 	}
 	return err
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -76,7 +76,7 @@
 		seenVersion: owner.Epoch.Version,
 		log:         h.log.With().Str("request_id", owner.Request.ID.Key).Str("workspace", owner.Request.ID.Workspace).Logger(),
 	}
-	r.targets.Store(h.replicator.targets(r, owner.Group().Keepers))
+	r.targets.Store(h.replicator.targets(r, owner.KeeperSet().Keepers))
 	return r
 }
 
@@ -87,7 +87,7 @@
 func (r *Run) keepers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	group := r.owner.Group()
+	group := r.owner.KeeperSet()
 	out := make([]string, 0, len(group.Keepers))
 	for _, k := range group.Keepers {
 		out = append(out, k.VM)
@@ -171,7 +171,7 @@
 	released := r.owner.Released()
 	j := r.owner.Journal()
 	if from > j.Len() {
-		if r.err == nil && touch > 0 && r.owner.Touched() >= touch {
+		if r.err == nil && touch > 0 && r.owner.ConfirmedTouch() >= touch {
 			return Chunk{}, false, nil, result.New(result.BadLastEventID)
 		}
 		return Chunk{}, false, r.changed, r.err
@@ -222,7 +222,7 @@
 
 func (r *Run) visible() visible {
 	_, _, finished := r.owner.Finished()
-	return visible{r.owner.Released(), r.owner.Accepted(), finished, r.owner.Deposed(), r.owner.Touched()}
+	return visible{r.owner.Released(), r.owner.Accepted(), finished, r.owner.Deposed(), r.owner.ConfirmedTouch()}
 }
 
 // wake wakes all waiting readers and openers. It needs r.mu.
@@ -237,7 +237,7 @@
 	if r.err != nil {
 		return generation.Write{}, false
 	}
-	return r.owner.Next(vm, maxWriteTokens)
+	return r.owner.NextWrite(vm, maxWriteTokens)
 }
 
 // ack applies a keeper's reply. It reports whether the keeper needs more writes now,
@@ -250,7 +250,7 @@
 		r.hub.invariantBroken(r.owner.Request.ID)
 		r.stop(result.New(result.InvariantBroken))
 		return false, false
-	case errors.Is(err, generation.ErrMoved):
+	case errors.Is(err, generation.ErrKeepersMoved):
 		r.mu.Lock()
 		r.seenVersion = 0
 		r.mu.Unlock()
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -25,7 +25,7 @@
 	defer h.keeperMu.Unlock()
 	for _, w := range batch.Writes {
 		reply := h.keeper.Write(w, now)
-		if reply.Refusal == generation.Broken {
+		if reply.Refusal == generation.BreaksInvariant {
 			h.invariantBroken(w.ID)
 		}
 		out.Replies = append(out.Replies, reply)
--- a/internal/relay/system_test.go
+++ b/internal/relay/system_test.go
@@ -88,7 +88,7 @@
 	m := new(expvar.Map).Init()
 	link := s.net.VM(c.VM)
 	limits := generation.DefaultLimits(callerKeep)
-	limits.Journals = maxJournals
+	limits.MaxJournals = maxJournals
 	h := relay.NewHub(relay.Config{
 		VM: c.VM, EpochVM: c.VM + "#" + c.Incarnation, Incarnation: c.Incarnation, OpenTimeout: 4 * time.Second,
 		SilenceLimit: time.Second, CallerKeep: callerKeep, DetachKeep: 6 * time.Second,
--- a/internal/routedlocal/operators_test.go
+++ b/internal/routedlocal/operators_test.go
@@ -32,8 +32,8 @@
 	testOperators(t, ctx, s, o)
 }
 
-func testOperators(t *testing.T, ctx context.Context, s *System, c routed.Operable) {
-	h := routed.OperatorRoutes(c, nil, "secret", metrics.NewSet())
+func testOperators(t *testing.T, ctx context.Context, s *System, c routed.ControlProcess) {
+	h := routed.OperatorHandler(c, nil, "secret", metrics.NewSet())
 	list, err := os.ReadFile("../../examples/routed/routes.json")
 	check(t, err)
 	ask := func(method, path, token, body string) (int, string) {
@@ -55,7 +55,7 @@
 		}
 	}
 	check(t, s.Ready(ctx))
-	for len(c.Entrances(len(s.Fronts))) < len(s.Fronts) {
+	for len(c.Endpoints(len(s.Fronts))) < len(s.Fronts) {
 		check(t, timer.Sleep(ctx, putPause))
 	}
 	tests := []struct {
--- a/internal/service/claimed.go
+++ b/internal/service/claimed.go
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	kept := a
-	if a != nil && len(a.Body) > call.DefaultLimits().AnswerBytes {
+	if a != nil && len(a.Body) > call.DefaultLimits().MaxAnswerBytes {
 		kept = &call.Answer{Status: a.Status, Headers: a.Headers, NoBody: true}
 	}
 	cmd := &call.Command{Finish: &call.Finish{Ref: cl.c.ref(), Claimant: cl.claimant, State: s, Answer: kept}}
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithTimeout(ctx, waitFor)
 	defer cancel()
 	for pause := pollFirst; ; pause = min(2*pause, pollMost) {
-		if r.Verdict != call.Standing || r.State.Final() {
+		if r.Verdict != call.Claimed || r.State.Final() {
 			return d.final(c, &r)
 		}
 		if sealed, ok := d.trySeal(ctx, c, &r); ok {
@@ -172,7 +172,7 @@
 		return call.Reply{}, false
 	}
 	reply, err := d.propose(ctx, claimTimeout, &call.Command{Seal: &call.Seal{
-		Ref: c.ref(), Claimant: r.Claimant, Gone: gone,
+		Ref: c.ref(), Claimant: r.Claimant, ClaimantGone: gone,
 	}})
 	if err != nil || !reply.State.Final() {
 		return call.Reply{}, false
@@ -194,13 +194,13 @@
 
 func verdictError(r *call.Reply) *result.Error {
 	switch r.Verdict {
-	case call.Standing:
+	case call.Claimed:
 		return stateError(r)
 	case call.KeyReused:
 		return result.New(result.KeyReused)
 	case call.KeyExpired:
 		return result.New(result.KeyExpired)
-	case call.KeyAhead:
+	case call.KeyInFuture:
 		return result.Newf(result.InvalidKey, "the time within this UUIDv7 lies in the future")
 	case call.Full:
 		return result.New(result.ClaimsFull).WithRetryAfter(fullPause)
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -148,7 +148,7 @@
 
 func newMachine() *control.ReplicatedState {
 	m := control.NewReplicatedState()
-	m.Register(control.CallsStateMachine, call.NewPart(call.DefaultLimits()))
+	m.Register(control.CallsStateMachine, call.NewStateMachine(call.DefaultLimits()))
 	return m
 }
 
--- a/internal/service/dispatch.go
+++ b/internal/service/dispatch.go
@@ -74,10 +74,10 @@
 
 // Config names a Dispatcher's VM.
 type Config struct {
-	VM          string
-	Incarnation string
-	Zone        string
-	Markings    map[string][]call.Marking // by service
+	VM               string
+	Incarnation      string
+	Zone             string
+	IdempotencyRules map[string][]call.IdempotencyRule // by service
 }
 
 // Deps are what a Dispatcher uses.
@@ -107,7 +107,7 @@
 
 // Idempotent reports whether a call may be repeated.
 func (d *Dispatcher) Idempotent(service, method, path string) bool {
-	return call.Idempotent(d.Markings[service], method, path)
+	return call.Idempotent(d.IdempotencyRules[service], method, path)
 }
 
 // Relay runs an idempotent call, on another backend server again where the
@@ -204,7 +204,7 @@
 }
 
 func (d *Dispatcher) look(ctx context.Context, c *Call) (call.Reply, error) {
-	return d.propose(ctx, claimTimeout, &call.Command{Look: &call.Look{Ref: c.ref(), Request: c.digest()}})
+	return d.propose(ctx, claimTimeout, &call.Command{Lookup: &call.Lookup{Ref: c.ref(), Request: c.digest()}})
 }
 
 func (d *Dispatcher) propose(ctx context.Context, limit time.Duration, cmd *call.Command) (call.Reply, error) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -271,7 +271,7 @@
 
 func (r *reader) checkIdempotencyRules(b Backend) {
 	for _, text := range b.IdempotencyRules {
-		if _, err := call.ParseMarking(text); err != nil {
+		if _, err := call.ParseIdempotencyRule(text); err != nil {
 			r.fail("backend:"+b.Name, "methods", fmt.Sprintf("invalid idempotency rule %q", text), err.Error())
 		}
 	}
