--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -278,8 +278,8 @@
 	self := n.s.Self
 	_, err := n.proposeMember(ctx, &membership.Command{Join: &membership.Join{
 		VM: membership.VM{
-			ID: self.ID, Incarnation: n.incarnation, Zone: self.Zone, PeerAddr: self.Peer, Endpoint: self.Callers,
-			Router: self.Has(settings.RoleRouter), Control: self.Has(settings.RoleControl),
+			ID: self.ID, Incarnation: n.incarnation, Zone: self.Zone, PeerAddr: self.Peer, Endpoint: self.Endpoint,
+			Router: self.HasRole(settings.RoleRouter), Control: self.HasRole(settings.RoleControl),
 		},
 		Expected: len(n.s.VMs),
 	}})
@@ -359,7 +359,7 @@
 	var view membership.View
 	for _, vm := range m.vms {
 		view.VMs = append(view.VMs, membership.VM{
-			ID: vm.ID, Zone: vm.Zone, Router: vm.Has(settings.RoleRouter), Endpoint: vm.Callers, State: membership.Live,
+			ID: vm.ID, Zone: vm.Zone, Router: vm.HasRole(settings.RoleRouter), Endpoint: vm.Endpoint, State: membership.Live,
 		})
 	}
 	return view
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -8,54 +8,55 @@
 	"gopkg.in/ini.v1"
 )
 
-// RoutedKind is what a process of the routed system is.
+// RoutedKind is the kind of a process that takes part in serving routed requests.
 type RoutedKind string
 
-// The two kinds.
+// Kinds of processes.
 const (
 	RoutedRouter  RoutedKind = "router"
 	RoutedControl RoutedKind = "control"
 )
 
-// RoutedBackend is a backend server behind routed requests, from the settings.
+// RoutedBackend is one backend server for routed requests in the settings.
 type RoutedBackend struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
 	Slots   int64
-	Version string // of its software; empty: not stated
+	Version string // of its software; empty if not stated
 }
 
-// Routed is the checked settings file of a process that serves routed requests.
+// Routed is the validated configuration of a router or control process.
 type Routed struct {
-	Kind       RoutedKind
-	ID         string // peer address
-	Zone       string
-	Seeds      []string // peer addresses of control processes
-	DataDir    string   // control
-	FirstStart bool     // control: the whole system starts for the first time
-	Voters     int64    // control: how many the group keeps
-	Grace      time.Duration
-	Callers    string // router
-	Operators  string
-	Tokens     struct{ Operator, Peer string }
-	Platform   string // base URL of the platform's list
-	Backends   []RoutedBackend
-	// RolloutPercent of a service's requests, and RolloutSlack beside them, may reach a new
-	// version that turns out bad.
+	Kind         RoutedKind
+	ID           string // peer address
+	Zone         string
+	Seeds        []string // peer addresses of control processes
+	DataDir      string   // control
+	FirstStart   bool     // control: first start of the whole system
+	TargetVoters int64    // control: number of voters that the control group maintains
+	Grace        time.Duration
+	Endpoint     string // router: ip:port of the listener for callers
+	Operators    string
+	Tokens       struct{ Operator, Peer string }
+	Platform     string // base URL of the platform's list of backend servers
+	Backends     []RoutedBackend
+	// RolloutPercent and RolloutSlack limit how many requests of a service may reach a bad
+	// new version: this percentage, plus RolloutSlack requests.
 	RolloutPercent int64
 	RolloutSlack   int64
 	LogLevel       string
 }
 
-// LoadRouted reads and checks a settings file.
+// LoadRouted reads and validates a settings file. On errors it returns all of them joined,
+// each an *Error.
 func LoadRouted(path string) (*Routed, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{}, path)
 	if err != nil {
 		return nil, &Error{File: path, Problem: err.Error(), Allowed: "a readable INI file"}
 	}
-	s := &Routed{Kind: RoutedRouter, Voters: 3, Grace: 30 * time.Second, RolloutPercent: 10, RolloutSlack: 50, LogLevel: "info"}
+	s := &Routed{Kind: RoutedRouter, TargetVoters: 3, Grace: 30 * time.Second, RolloutPercent: 10, RolloutSlack: 50, LogLevel: "info"}
 	r := &reader{file: path}
 	keys := s.keys()
 	for _, sec := range f.Sections() {
@@ -82,10 +83,10 @@
 		"process": {
 			"kind": oneOf((*string)(&s.Kind), string(RoutedRouter), string(RoutedControl)),
 			"id":   address(&s.ID), "zone": word(&s.Zone), "seeds": addresses(&s.Seeds), "data_dir": text(&s.DataDir),
-			"first_start": boolean(&s.FirstStart), "voters": integer(&s.Voters, 1, 7),
+			"first_start": boolean(&s.FirstStart), "voters": integer(&s.TargetVoters, 1, 7),
 			"grace": duration(&s.Grace, time.Second, time.Hour),
 		},
-		"listen":   {"callers": address(&s.Callers), "operators": address(&s.Operators)},
+		"listen":   {"callers": address(&s.Endpoint), "operators": address(&s.Operators)},
 		"tokens":   {"operator": text(&s.Tokens.Operator), "peer": text(&s.Tokens.Peer)},
 		"platform": {"url": text(&s.Platform)},
 		"rollouts": {"percent": integer(&s.RolloutPercent, 1, 100), "slack": integer(&s.RolloutSlack, 0, 1<<20)},
@@ -108,7 +109,7 @@
 		{"listen", "operators", s.Operators},
 	}
 	if s.Kind == RoutedRouter {
-		required = append(required, struct{ section, key, value string }{"listen", "callers", s.Callers})
+		required = append(required, struct{ section, key, value string }{"listen", "callers", s.Endpoint})
 	} else {
 		required = append(required, struct{ section, key, value string }{"process", "data_dir", s.DataDir})
 	}
@@ -119,21 +120,21 @@
 	}
 	for _, b := range s.Backends {
 		if b.Service == "" || b.Address == "" {
-			r.fail("backend:"+b.ID, "service", "service or address missing", "a service's name and ip:port")
+			r.fail("backend:"+b.ID, "service", "service or address missing", "a service name and ip:port")
 		}
 	}
 	r.checkLoopback(s.Operators, "operators", s.Tokens.Operator, "operator")
 	r.checkLoopback(s.ID, "id", s.Tokens.Peer, "peer")
 }
 
-// addresses is a list of addresses with commas.
+// addresses accepts a comma-separated list of IP addresses with ports.
 func addresses(p *[]string) setter {
 	return func(v string) (string, bool) {
 		allowed, ok := list(p)(v)
 		for _, item := range *p {
 			var one string
 			if _, valid := address(&one)(item); !valid {
-				return "ip:port, with commas", false
+				return "ip:port, separated by commas", false
 			}
 		}
 		return allowed, ok
