--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -6,66 +6,66 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/routing"
 )
 
-// baseline is a router without the modules: every request goes at once to a
-// random engine, whose queue is in order of arrival; nothing is limited or
-// refused. A silent stream is given up after a fixed time.
+// baseline is a router without the modules. It sends every request at once to a random
+// engine, which queues in order of arrival. Nothing is limited or refused. A silent
+// stream is given up after a fixed timeout.
 type baseline struct{ w *world }
 
-type baseRun struct {
+type baselineRun struct {
 	r *request
 	a *attempt
 
-	ended bool
-	last  time.Time
+	ended       bool
+	lastTokenAt time.Time
 }
 
-func (b *baseline) ask(r *request) {
-	u := &baseRun{r: r}
-	r.state = u
+func (b *baseline) submit(r *request) {
+	u := &baselineRun{r: r}
+	r.routerState = u
 	b.start(u)
 }
 
-func (b *baseline) leave(r *request) {
-	if u, ok := r.state.(*baseRun); ok && !u.ended {
+func (b *baseline) cancel(r *request) {
+	if u, ok := r.routerState.(*baselineRun); ok && !u.ended {
 		u.ended = true
 		u.a.engine.cancel(u.a)
 	}
 }
 
-func (b *baseline) start(u *baseRun) {
+func (b *baseline) start(u *baselineRun) {
 	if u.ended {
 		return
 	}
 	e := b.w.engines[b.w.rng.IntN(len(b.w.engines))]
 	first := u.a == nil
 
-	u.a = &attempt{r: u.r, engine: e, from: u.r.journal, extra: !first, token: b.token(u), broken: func(*attempt) { b.start(u) }}
+	u.a = &attempt{r: u.r, engine: e, tokensBefore: u.r.tokensReceived, extra: !first, onToken: b.tokenHandler(u), onReset: func(*attempt) { b.start(u) }}
 	if b.w.policy.Restart {
-		u.a.from = 0
+		u.a.tokensBefore = 0
 	}
-	u.last = b.w.Now()
+	u.lastTokenAt = b.w.Now()
 	switch {
-	case e.dead && e.mute:
+	case e.dead && e.silent:
 		b.w.After(dialTimeout, func() { b.start(u) })
 	case e.dead:
-		b.w.After(refusedAfter, func() { b.start(u) })
+		b.w.After(resetDelay, func() { b.start(u) })
 	default:
 		e.submit(u.a)
 		b.watch(u, u.a)
 	}
 }
 
-func (b *baseline) token(u *baseRun) func(*attempt) {
+func (b *baseline) tokenHandler(u *baselineRun) func(*attempt) {
 	return func(a *attempt) {
 		if u.ended || a != u.a {
 			return
 		}
-		u.last = b.w.Now()
-		if a.from+a.made <= u.r.journal {
-			return // a restart: the caller has this one
+		u.lastTokenAt = b.w.Now()
+		if a.tokensBefore+a.generated <= u.r.tokensReceived {
+			return // after a restart: the caller already has this token
 		}
 		if a.extra {
-			b.w.out.redeem(routing.DecodeWeight) // a new token is useful
+			b.w.out.countAsUseful(routing.DecodeWeight) // a new token is useful work
 		}
 		b.w.received(u.r)
 		if u.r.ended {
@@ -75,19 +75,19 @@
 	}
 }
 
-// watch gives a stream up that has been silent for the fixed time. A stream
-// without a first token is left alone: its engine may have a queue.
-func (b *baseline) watch(u *baseRun, a *attempt) {
+// watch gives up a stream that has been silent for the fixed timeout. A first attempt
+// without a token is kept, because it may wait in its engine's queue.
+func (b *baseline) watch(u *baselineRun, a *attempt) {
 	limit := b.w.policy.Silence
 	b.w.After(limit, func() { b.check(u, a) })
 }
 
-func (b *baseline) check(u *baseRun, a *attempt) {
+func (b *baseline) check(u *baselineRun, a *attempt) {
 	if u.ended || u.a != a {
 		return
 	}
-	left := u.last.Add(b.w.policy.Silence).Sub(b.w.Now())
-	if left > 0 || (a.made == 0 && !a.extra) {
+	left := u.lastTokenAt.Add(b.w.policy.Silence).Sub(b.w.Now())
+	if left > 0 || (a.generated == 0 && !a.extra) {
 		b.w.After(max(left, 100*time.Millisecond), func() { b.check(u, a) })
 		return
 	}
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -9,51 +9,51 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/routing"
 )
 
-// EngineFigures are the speed of a modelled engine: continuous batching with
-// chunked prefill.
+// EngineParams are the speed and the sizes of a modelled engine, which batches
+// continuously and prefills in chunks.
 type EngineFigures struct {
-	StepBase   time.Duration // of a decoding step with an empty batch
+	StepBase   time.Duration // duration of a decoding step with an empty batch
 	StepPerRun time.Duration // added by each stream in the batch
-	Prefill    time.Duration // added by each prompt token that is not cached
-	Chunk      int           // prompt tokens prefilled in one step at most
+	Prefill    time.Duration // added by each prompt token that is prefilled
+	Chunk      int           // at most, prompt tokens prefilled in one step
 	MaxBatch   int
-	CacheLimit int // blocks of routing.BlockTokens
-	ReportLag  time.Duration
+	CacheLimit int           // blocks of routing.BlockTokens
+	ReportLag  time.Duration // age of the load reports that routers get
 }
 
-// DefaultFigures are those of an engine of today: 33 ms a step with a full
-// batch (30 tokens/s a stream, some 970 a second in all), 10,000 tokens/s of
-// prefill.
+// DefaultEngineParams model a present-day engine. A step of a full batch takes 33 ms,
+// which gives 30 tokens/s per stream and some 970 tokens/s in all. Prefill runs at
+// 10,000 tokens/s.
 var DefaultFigures = EngineFigures{
 	StepBase: 20 * time.Millisecond, StepPerRun: 400 * time.Microsecond, Prefill: 100 * time.Microsecond,
 	Chunk: 2048, MaxBatch: 32, CacheLimit: 2000, ReportLag: 500 * time.Millisecond,
 }
 
-// seconds is the engine time that a request takes beside a full batch.
+// seconds returns the engine time that a request takes in a full batch.
 func (f *EngineFigures) seconds(prompt, tokens float64) float64 {
 	perToken := (f.StepBase + time.Duration(f.MaxBatch)*f.StepPerRun).Seconds() / float64(f.MaxBatch)
 	return prompt*f.Prefill.Seconds() + tokens*perToken
 }
 
 type engineModel struct {
-	w        *world
-	id       int
-	name     string
-	zone     string
-	dead     bool
-	mute     bool // dead without a reset: connections hang
-	paused   time.Time
-	slow     float64
-	leaving  bool
-	queue    []*attempt
-	batch    []*attempt
-	stepping bool
-	epoch    int // of the present life
-	cache    map[uint64]bool
-	order    []uint64
-	log      []engine.CacheEvent
-	seq      uint64
-	reports  []report
+	w           *world
+	id          int
+	name        string
+	zone        string
+	dead        bool
+	silent      bool // died without a reset: connections hang
+	pausedUntil time.Time
+	slowFactor  float64
+	leaving     bool
+	queue       []*attempt
+	batch       []*attempt
+	stepping    bool
+	epoch       int // incremented at each death
+	cache       map[uint64]bool
+	cacheOrder  []uint64
+	eventLog    []engine.CacheEvent
+	eventSeq    uint64
+	reports     []report
 }
 
 type report struct {
@@ -61,27 +61,27 @@
 	load engine.Load
 }
 
-// attempt is a run of a request on an engine.
+// attempt is one run of a request on an engine.
 type attempt struct {
-	r        *request
-	engine   *engineModel
-	from     int // tokens before it
-	made     int // tokens generated
-	prefill  int // tokens left to prefill
-	extra    bool
-	priority int
-	done     bool
-	token    func(*attempt) // a token was generated
-	broken   func(*attempt) // the engine died with a reset
+	r            *request
+	engine       *engineModel
+	tokensBefore int // tokens that earlier attempts delivered
+	generated    int
+	prefillLeft  int  // tokens
+	extra        bool // not the first attempt of the request
+	priority     int
+	done         bool
+	onToken      func(*attempt)
+	onReset      func(*attempt) // called if the engine dies with a reset
 }
 
 func (e *engineModel) submit(a *attempt) {
-	total := a.r.prompt + a.from
-	a.prefill = max(0, total-e.cached(a.r.blocks))
-	e.learn(a.r.blocks)
+	total := a.r.prompt + a.tokensBefore
+	a.prefillLeft = max(0, total-e.cached(a.r.blockDigests))
+	e.cacheBlocks(a.r.blockDigests)
 	e.queue = append(e.queue, a)
 	slices.SortStableFunc(e.queue, func(a, b *attempt) int { return cmp.Compare(b.priority, a.priority) })
-	e.kick()
+	e.startStep()
 }
 
 func (e *engineModel) cancel(a *attempt) {
@@ -91,46 +91,46 @@
 	e.batch = slices.DeleteFunc(e.batch, same)
 }
 
-func (e *engineModel) kick() {
+func (e *engineModel) startStep() {
 	if e.stepping || e.dead || len(e.queue)+len(e.batch) == 0 {
 		return
 	}
 	e.stepping = true
-	for len(e.queue) > 0 && len(e.batch) < e.w.figures.MaxBatch {
+	for len(e.queue) > 0 && len(e.batch) < e.w.engineParams.MaxBatch {
 		e.batch = append(e.batch, e.queue[0])
 		e.queue = e.queue[1:]
 	}
-	f := &e.w.figures
+	f := &e.w.engineParams
 	chunk := f.Chunk
 	var decoding []*attempt
 	for _, a := range e.batch {
-		if a.prefill == 0 {
+		if a.prefillLeft == 0 {
 			decoding = append(decoding, a)
 			continue
 		}
-		n := min(a.prefill, chunk)
+		n := min(a.prefillLeft, chunk)
 		chunk -= n
-		a.prefill -= n
-		e.w.out.work(a, float64(n))
-		if a.prefill == 0 && n > 0 {
-			decoding = append(decoding, a) // its first token comes with this step
+		a.prefillLeft -= n
+		e.w.out.countWork(a, float64(n))
+		if a.prefillLeft == 0 && n > 0 {
+			decoding = append(decoding, a) // this step also generates its first token
 		}
 	}
 	took := f.StepBase + time.Duration(len(e.batch))*f.StepPerRun + time.Duration(f.Chunk-chunk)*f.Prefill
-	if e.slow > 1 {
-		took = time.Duration(float64(took) * e.slow)
+	if e.slowFactor > 1 {
+		took = time.Duration(float64(took) * e.slowFactor)
 	}
 	epoch := e.epoch
-	e.w.After(took, func() { e.finish(epoch, decoding, took) })
+	e.w.After(took, func() { e.finishStep(epoch, decoding, took) })
 }
 
-// finish ends a step: each decoding stream gets a token.
-func (e *engineModel) finish(epoch int, decoding []*attempt, took time.Duration) {
+// finishStep ends a step: each decoding stream gets a token.
+func (e *engineModel) finishStep(epoch int, decoding []*attempt, took time.Duration) {
 	if e.dead || epoch != e.epoch {
 		return
 	}
-	if wait := e.paused.Sub(e.w.Now()); wait > 0 {
-		e.w.After(wait, func() { e.finish(epoch, decoding, took) })
+	if wait := e.pausedUntil.Sub(e.w.Now()); wait > 0 {
+		e.w.After(wait, func() { e.finishStep(epoch, decoding, took) })
 		return
 	}
 	e.report(took)
@@ -138,34 +138,34 @@
 		if a.done {
 			continue
 		}
-		a.made++
-		e.w.out.work(a, routing.DecodeWeight)
-		a.token(a)
+		a.generated++
+		e.w.out.countWork(a, routing.DecodeWeight)
+		a.onToken(a)
 	}
 	e.stepping = false
-	e.kick()
+	e.startStep()
 }
 
 func (e *engineModel) report(took time.Duration) {
 	queued := 0
 	for _, a := range e.queue {
-		queued += a.prefill/routing.DecodeWeight + a.r.tokens - a.from
+		queued += a.prefillLeft/routing.DecodeWeight + a.r.tokens - a.tokensBefore
 	}
 	e.reports = append(e.reports, report{e.w.Now(), engine.Load{
 		Running: len(e.batch), Queued: len(e.queue), QueuedTokens: queued, StepMS: float64(took) / float64(time.Millisecond),
 	}})
-	for len(e.reports) > 1 && e.w.Now().Sub(e.reports[1].at) >= e.w.figures.ReportLag {
+	for len(e.reports) > 1 && e.w.Now().Sub(e.reports[1].at) >= e.w.engineParams.ReportLag {
 		e.reports = e.reports[1:]
 	}
 }
 
-// poll returns the engine's lagging report, or false where none answers.
+// poll returns a load report that is ReportLag old, or false if the engine does not answer.
 func (e *engineModel) poll() (engine.Load, bool) {
-	if e.dead || e.paused.After(e.w.Now()) {
+	if e.dead || e.pausedUntil.After(e.w.Now()) {
 		return engine.Load{}, false
 	}
 	if len(e.batch)+len(e.queue) == 0 {
-		e.reports = []report{{e.w.Now().Add(-e.w.figures.ReportLag), engine.Load{}}}
+		e.reports = []report{{e.w.Now().Add(-e.w.engineParams.ReportLag), engine.Load{}}}
 	}
 	if len(e.reports) == 0 {
 		return engine.Load{}, true
@@ -177,8 +177,8 @@
 }
 
 func (e *engineModel) cacheEvents(since uint64) engine.CacheEvents {
-	page := engine.CacheEvents{Next: e.seq}
-	for _, ev := range e.log {
+	page := engine.CacheEvents{Next: e.eventSeq}
+	for _, ev := range e.eventLog {
 		if ev.Seq > since {
 			page.Events = append(page.Events, ev)
 		}
@@ -197,53 +197,53 @@
 	return n
 }
 
-func (e *engineModel) learn(blocks []uint64) {
+func (e *engineModel) cacheBlocks(blocks []uint64) {
 	for _, d := range blocks {
 		if e.cache[d] {
 			continue
 		}
-		if len(e.order) >= e.w.figures.CacheLimit {
-			e.event("evict", e.order[0])
-			delete(e.cache, e.order[0])
-			e.order = e.order[1:]
+		if len(e.cacheOrder) >= e.w.engineParams.CacheLimit {
+			e.logCacheEvent("evict", e.cacheOrder[0])
+			delete(e.cache, e.cacheOrder[0])
+			e.cacheOrder = e.cacheOrder[1:]
 		}
 		e.cache[d] = true
-		e.order = append(e.order, d)
-		e.event("add", d)
+		e.cacheOrder = append(e.cacheOrder, d)
+		e.logCacheEvent("add", d)
 	}
 }
 
-const maxLog = 4096
+const maxCacheEvents = 4096
 
-func (e *engineModel) event(op string, d uint64) {
-	e.seq++
-	e.log = append(e.log, engine.CacheEvent{Seq: e.seq, Op: op, Prefix: d})
-	if len(e.log) > maxLog {
-		e.log = e.log[1:]
+func (e *engineModel) logCacheEvent(op string, d uint64) {
+	e.eventSeq++
+	e.eventLog = append(e.eventLog, engine.CacheEvent{Seq: e.eventSeq, Op: op, Prefix: d})
+	if len(e.eventLog) > maxCacheEvents {
+		e.eventLog = e.eventLog[1:]
 	}
 }
 
-// die ends the engine. mute: without a reset, as a lost host does.
+// die kills the engine. A silent death sends no reset, like the loss of a host.
 func (e *engineModel) die(mute bool) {
 	lost := append(slices.Clone(e.batch), e.queue...)
-	e.dead, e.mute, e.stepping = true, mute, false
+	e.dead, e.silent, e.stepping = true, mute, false
 	e.epoch++
 	e.queue, e.batch, e.reports = nil, nil, nil
-	e.cache, e.order, e.log, e.seq = map[uint64]bool{}, nil, nil, 0
+	e.cache, e.cacheOrder, e.eventLog, e.eventSeq = map[uint64]bool{}, nil, nil, 0
 	if mute {
 		return
 	}
 	for _, a := range lost {
 		if !a.done {
 			a.done = true
-			a.broken(a)
+			a.onReset(a)
 		}
 	}
 }
 
-func (e *engineModel) revive() { e.dead, e.mute = false, false }
+func (e *engineModel) revive() { e.dead, e.silent = false, false }
 
-// streams are the attempts that have given tokens.
-func (e *engineModel) streams() []*attempt {
-	return slices.DeleteFunc(slices.Clone(e.batch), func(a *attempt) bool { return a.made == 0 })
+// activeStreams returns the attempts that have generated tokens.
+func (e *engineModel) activeStreams() []*attempt {
+	return slices.DeleteFunc(slices.Clone(e.batch), func(a *attempt) bool { return a.generated == 0 })
 }
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -5,99 +5,100 @@
 	"time"
 )
 
-// Outcome is what callers received in one run, and what it cost.
+// Outcome holds what callers received in one run, and the work that it cost.
 type Outcome struct {
-	records  []*record
-	resumes  []time.Duration
-	poisoned int     // refused as poison
-	useful   float64 // cost of work that an unbroken run needs
-	extra    float64 // cost of work beyond it
+	records         []*record
+	resumeLatencies []time.Duration
+	refusedAsPoison int
+	usefulWork      float64 // cost of the work that runs without an interruption need
+	extraWork       float64 // cost of the work beyond it
 }
 
-// record is the account of one request over all its tries.
+// record holds the result of one request over all its tries.
 type record struct {
-	workspace string
-	class     string
-	asked     time.Duration // since the start
-	tokens    int
-	ending    ending
-	wait      time.Duration // to the first token, from the first try
-	tries     int
-	early     []time.Duration // from a try to its refusal
+	workspace        string
+	class            string
+	submittedAt      time.Duration // since the start of the run
+	tokens           int
+	ending           ending
+	firstTokenWait   time.Duration // from the first try
+	tries            int
+	refusalLatencies []time.Duration // one per refused try
 }
 
 type ending int
 
 const (
-	unfinished ending = iota // when the run ended
-	served                   // the whole answer, to a caller who had not given up
-	gaveUp                   // lost patience without any answer
-	refusedLast
+	unfinished  ending = iota // at the end of the run
+	served                    // complete answer, to a caller that had not given up
+	gaveUp                    // the maximum wait passed without any answer
+	refusedLast               // the last try was refused
 )
 
-// work counts what an engine computes: of first attempts as useful, of later
-// ones as extra until a new token comes of it.
-func (o *Outcome) work(a *attempt, cost float64) {
+// countWork counts the cost of what an engine computes. First attempts count as useful
+// work. Later ones count as extra work until countAsUseful moves it.
+func (o *Outcome) countWork(a *attempt, cost float64) {
 	if a.extra {
-		o.extra += cost
+		o.extraWork += cost
 	} else {
-		o.useful += cost
+		o.usefulWork += cost
 	}
 }
 
-// redeem counts cost as useful that was taken for extra work.
-func (o *Outcome) redeem(cost float64) {
-	o.useful += cost
-	o.extra -= cost
+// countAsUseful moves cost from extra work to useful work. Later attempts call it for
+// each token that the caller did not have yet.
+func (o *Outcome) countAsUseful(cost float64) {
+	o.usefulWork += cost
+	o.extraWork -= cost
 }
 
-// Filter chooses requests; empty fields choose all. From and To bound when the
-// caller first asked.
+// Filter selects requests. Empty fields select all. From and To bound the time of the
+// first try, since the start of the run.
 type Filter struct {
 	Workspace string
 	Class     string
 	From, To  time.Duration
 }
 
-func (f *Filter) takes(r *record) bool {
+func (f *Filter) matches(r *record) bool {
 	switch {
 	case f.Workspace != "" && f.Workspace != r.workspace, f.Class != "" && f.Class != r.class:
 		return false
-	case r.asked < f.From, f.To > 0 && r.asked >= f.To:
+	case r.submittedAt < f.From, f.To > 0 && r.submittedAt >= f.To:
 		return false
 	}
 	return true
 }
 
-// Total is the account of a group of requests.
+// Total holds the results of a group of requests.
 type Total struct {
-	Offered  int // requests, whatever the number of tries
+	Offered  int // requests, each counted once over all its tries
 	Served   int
 	GaveUp   int
-	Refused  int // callers whose last answer was a refusal
+	Refused  int // requests whose last try was refused
 	Tries    int
-	Refusals int             // of single tries
-	Tokens   int             // of answers served
-	Waits    []time.Duration // of those served, sorted
-	Early    []time.Duration // from a try to its refusal, sorted
+	Refusals int             // refused tries
+	Tokens   int             // of complete answers
+	Waits    []time.Duration // for the first token, of the requests served, sorted
+	Early    []time.Duration // of refused tries, sorted
 }
 
-// Total adds up the requests that f chooses.
+// Total sums up the requests that f selects.
 func (o *Outcome) Total(f Filter) Total {
 	var sum Total
 	for _, r := range o.records {
-		if !f.takes(r) {
+		if !f.matches(r) {
 			continue
 		}
 		sum.Offered++
 		sum.Tries += r.tries
-		sum.Refusals += len(r.early)
-		sum.Early = append(sum.Early, r.early...)
+		sum.Refusals += len(r.refusalLatencies)
+		sum.Early = append(sum.Early, r.refusalLatencies...)
 		switch r.ending {
 		case served:
 			sum.Served++
 			sum.Tokens += r.tokens
-			sum.Waits = append(sum.Waits, r.wait)
+			sum.Waits = append(sum.Waits, r.firstTokenWait)
 		case gaveUp:
 			sum.GaveUp++
 		case refusedLast:
@@ -110,7 +111,7 @@
 	return sum
 }
 
-// ServedShare is the part of the callers who got their whole answer.
+// ServedShare returns the share of requests that got a complete answer.
 func (t *Total) ServedShare() float64 {
 	if t.Offered == 0 {
 		return 0
@@ -118,7 +119,7 @@
 	return float64(t.Served) / float64(t.Offered)
 }
 
-// Quantile of sorted values; 0 without any.
+// Quantile returns the q quantile of sorted values, or 0 if there are none.
 func Quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -126,16 +127,16 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// ExtraShare is the work beyond an unbroken run over that of one.
+// ExtraShare returns the extra work relative to the useful work.
 func (o *Outcome) ExtraShare() float64 {
-	if o.useful == 0 {
+	if o.usefulWork == 0 {
 		return 0
 	}
-	return o.extra / o.useful
+	return o.extraWork / o.usefulWork
 }
 
-// Fairness is Jain's index over the workspaces' served shares: 1 when all fare
-// alike.
+// Fairness returns Jain's index over the workspaces' served shares. It is 1 if all
+// workspaces have the same share.
 func (o *Outcome) Fairness(f Filter) float64 {
 	names := o.Workspaces()
 	var sum, squares float64
@@ -151,7 +152,7 @@
 	return sum * sum / (float64(len(names)) * squares)
 }
 
-// Workspaces lists the names in order.
+// Workspaces returns the names of all workspaces, sorted.
 func (o *Outcome) Workspaces() []string {
 	var names []string
 	for _, r := range o.records {
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -7,17 +7,17 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/recovery"
 )
 
-// Policy is what a run is made with: the project's modules or a baseline.
+// Policy selects what the routers of a run use: the project's modules or a baseline.
 type Policy struct {
 	Name      string
-	System    bool // the modules; else a baseline
+	System    bool // use the project's modules; false: a baseline
 	Objective recovery.Objective
-	Silence   time.Duration // of a baseline
-	Restart   bool          // a baseline that generates from the prompt again
+	Silence   time.Duration // after which a baseline gives up a silent stream
+	Restart   bool          // a baseline generates the answer again from the prompt
 	Routers   int
 }
 
-// The policies that are compared.
+// policies returns the policies that the recovery experiment compares.
 func policies(routers int) []Policy {
 	return []Policy{
 		{Name: "extra-work", System: true, Objective: recovery.ExtraWork, Routers: routers},
@@ -27,20 +27,21 @@
 	}
 }
 
-// System is the project's modules; Baseline is one queue in order of arrival at
-// a random engine, without limits.
+// System returns the policy that uses the project's modules with objective o.
 func System(o recovery.Objective, routers int) Policy {
 	return Policy{Name: "system", System: true, Objective: o, Routers: routers}
 }
 
-// Baseline is described at System.
+// Baseline returns a policy that sends each request at once to a random engine, which
+// queues in order of arrival. Nothing is limited or refused, and a stream that is
+// silent for 5 s restarts from the prompt.
 func Baseline(routers int) Policy {
 	return Policy{Name: "baseline", Silence: 5 * time.Second, Restart: true, Routers: routers}
 }
 
-// build makes the engines and routers of a world.
+// build adds engines, spread over the zones, and the policy's routers to the world.
 func (w *world) build(engines, zones int) {
-	w.blamed = &blameBoard{recovery.NewPoisonSuspicion()}
+	w.poisonSuspicion = &sharedPoisonSuspicion{recovery.NewPoisonSuspicion()}
 	for i := range engines {
 		w.engines = append(w.engines, &engineModel{
 			w: w, id: i, name: fmt.Sprint("e", i), zone: fmt.Sprint("z", i%zones), cache: map[uint64]bool{},
--- a/internal/experiment/recovery.go
+++ b/internal/experiment/recovery.go
@@ -7,66 +7,66 @@
 	"time"
 )
 
-// Figures of the recovery experiment.
+// Parameters of the recovery experiment.
 const (
 	recoveryEngines = 24
 	recoveryRouters = 11
-	recoveryLoad    = 0.7
+	recoveryLoad    = 0.7 // share of the engines' capacity
 	recoverySeeds   = 10
-	recoveryPrompt  = 1000
-	recoveryTokens  = 500
+	recoveryPrompt  = 1000 // tokens, mean
+	recoveryTokens  = 500  // generated, mean
 	faultAt         = 60 * time.Second
 	recoveryLength  = 240 * time.Second
 )
 
-// Fault is something that happens to engines.
+// Fault is a fault of one or several engines, at times relative to its injection.
 type Fault struct {
-	Name  string
-	start func(w *world)
+	Name   string
+	inject func(w *world)
 }
 
 func faults() []Fault {
 	return []Fault{
-		{"one dies (reset)", func(w *world) { w.strike(0, func(e *engineModel) { e.die(false) }) }},
-		{"one dies (silent)", func(w *world) { w.strike(0, func(e *engineModel) { e.die(true) }) }},
-		{"pause of 2 s", func(w *world) { w.strike(0, func(e *engineModel) { e.paused = w.Now().Add(2 * time.Second) }) }},
-		{"pause of 20 s", func(w *world) { w.strike(0, func(e *engineModel) { e.paused = w.Now().Add(20 * time.Second) }) }},
+		{"one dies (reset)", func(w *world) { w.hitEngine(0, func(e *engineModel) { e.die(false) }) }},
+		{"one dies (silent)", func(w *world) { w.hitEngine(0, func(e *engineModel) { e.die(true) }) }},
+		{"pause of 2 s", func(w *world) { w.hitEngine(0, func(e *engineModel) { e.pausedUntil = w.Now().Add(2 * time.Second) }) }},
+		{"pause of 20 s", func(w *world) { w.hitEngine(0, func(e *engineModel) { e.pausedUntil = w.Now().Add(20 * time.Second) }) }},
 		{"three in a row (reset)", func(w *world) {
 			for i := range 3 {
-				w.After(time.Duration(i)*5*time.Second, func() { w.strike(i, func(e *engineModel) { e.die(false) }) })
+				w.After(time.Duration(i)*5*time.Second, func() { w.hitEngine(i, func(e *engineModel) { e.die(false) }) })
 			}
 		}},
 	}
 }
 
-// strike notes the streams that an engine is giving tokens to, and hits it.
-func (w *world) strike(i int, hit func(*engineModel)) {
+// hitEngine marks the active streams of engine i as interrupted, and applies hit to it.
+func (w *world) hitEngine(i int, hit func(*engineModel)) {
 	e := w.engines[i]
-	for _, a := range e.streams() {
-		if !a.r.ended && a.r.lost.IsZero() {
-			a.r.lost = w.Now()
+	for _, a := range e.activeStreams() {
+		if !a.r.ended && a.r.interruptedAt.IsZero() {
+			a.r.interruptedAt = w.Now()
 		}
 	}
 	hit(e)
 }
 
-// Row is the account of one fault under one policy, over all seeds.
+// Row holds the results of one fault under one policy, over all seeds.
 type Row struct {
 	Fault    string        `json:"fault"`
 	Policy   string        `json:"policy"`
-	Streams  int           `json:"streams"` // that were hit
+	Streams  int           `json:"streams"` // hit by the fault
 	Median   time.Duration `json:"resume_latency_median_ns"`
 	P99      time.Duration `json:"resume_latency_p99_ns"`
 	Max      time.Duration `json:"resume_latency_max_ns"`
-	Extra    float64       `json:"extra_work_share"` // of all work in the run
+	Extra    float64       `json:"extra_work_share"` // relative to the work of runs without an interruption
 	Served   float64       `json:"served_share"`
 	Poisoned int           `json:"refused_as_poison"`
 }
 
-// workers is how many runs go on at once: a run is one thread and some 50 MB.
-const workers = 4
+// maxParallelRuns bounds the concurrent runs. A run uses one thread and some 50 MB.
+const maxParallelRuns = 4
 
-// Recovery runs every fault under every policy.
+// Recovery runs every fault under every policy. It calls progress after each pair.
 func Recovery(progress func(string)) []Row {
 	var rows []Row
 	var jobs []func() Row
@@ -76,7 +76,7 @@
 		}
 	}
 	results := make([]chan Row, len(jobs))
-	slots := make(chan struct{}, workers)
+	slots := make(chan struct{}, maxParallelRuns)
 	for i, job := range jobs {
 		results[i] = make(chan Row, 1)
 		go func() {
@@ -100,12 +100,12 @@
 	served, offered := 0, 0
 	for seed := range uint64(recoverySeeds) {
 		out := recoveryRun(f, p, seed+1)
-		resumes = append(resumes, out.resumes...)
-		useful += out.useful
-		extra += out.extra
-		g := out.Total(Filter{})
-		served, offered = served+g.Served, offered+g.Offered
-		row.Poisoned += out.poisoned
+		resumes = append(resumes, out.resumeLatencies...)
+		useful += out.usefulWork
+		extra += out.extraWork
+		total := out.Total(Filter{})
+		served, offered = served+total.Served, offered+total.Offered
+		row.Poisoned += out.refusedAsPoison
 	}
 	slices.Sort(resumes)
 	row.Streams = len(resumes)
@@ -118,17 +118,17 @@
 func recoveryRun(f Fault, p Policy, seed uint64) *Outcome {
 	w := newWorld(p, seed)
 	w.build(recoveryEngines, 3)
-	rate := recoveryLoad * recoveryEngines / w.figures.seconds(recoveryPrompt, recoveryTokens)
-	w.offer(Load{
+	rate := recoveryLoad * recoveryEngines / w.engineParams.seconds(recoveryPrompt, recoveryTokens)
+	w.startLoad(Load{
 		Name: "desk", Rate: rate, Prompt: recoveryPrompt, Tokens: recoveryTokens, Prefix: 256,
 		Patience: time.Minute, To: faultAt + 30*time.Second,
 	}, seed)
-	w.After(faultAt, func() { f.start(w) })
+	w.After(faultAt, func() { f.inject(w) })
 	w.run(recoveryLength)
 	return w.out
 }
 
-// RecoveryTable prints rows for people.
+// RecoveryTable formats rows as a Markdown table.
 func RecoveryTable(rows []Row) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d engines at %.0f%% load, %d routers, %d seeds; resume latency of the streams that were hit.\n\n",
--- a/internal/experiment/recovery_test.go
+++ b/internal/experiment/recovery_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Callers whose engine dies or falls silent see their answer go on within six
-// seconds under both objectives. Each objective is better than the other at
-// what it saves, and both repeat less work than a restart from the prompt.
+// Guards against slow or wasteful recovery after an engine dies or pauses. Under both
+// objectives answers resume within 6 s. Each objective beats the other at what it
+// optimises, and extra-work repeats less work than a restart from the prompt.
 func TestRecoveryKeepsItsObjectives(t *testing.T) {
 	if testing.Short() {
 		t.Skip("four runs of four virtual minutes")
@@ -17,28 +17,28 @@
 	mean := func(f Fault, p Policy) (time.Duration, float64) {
 		out := recoveryRun(f, p, 1)
 		if g := out.Total(Filter{}); g.Served != g.Offered {
-			t.Errorf("%s, %s: %d of %d answers whole", f.Name, p.Name, g.Served, g.Offered)
+			t.Errorf("%s, %s: got %d complete answers, want %d", f.Name, p.Name, g.Served, g.Offered)
 		}
 		var sum time.Duration
-		for _, d := range out.resumes {
+		for _, d := range out.resumeLatencies {
 			sum += d
 			if p.System && d > 6*time.Second {
-				t.Errorf("%s, %s: an answer went on after %s", f.Name, p.Name, d)
+				t.Errorf("%s, %s: answer resumed after %s, want at most 6 s", f.Name, p.Name, d)
 			}
 		}
-		return sum / time.Duration(len(out.resumes)), out.ExtraShare()
+		return sum / time.Duration(len(out.resumeLatencies)), out.ExtraShare()
 	}
 	pause := faults()[2]
-	slow, little := mean(pause, extraWork)
-	fast, more := mean(pause, latency)
-	if fast >= slow || little >= more {
-		t.Errorf("pause of 2 s: extra-work %s and %.4f, resume-latency %s and %.4f", slow, little, fast, more)
+	extraWorkLatency, extraWorkShare := mean(pause, extraWork)
+	resumeLatency, resumeLatencyShare := mean(pause, latency)
+	if resumeLatency >= extraWorkLatency || extraWorkShare >= resumeLatencyShare {
+		t.Errorf("pause of 2 s: mean resume latency and extra work: extra-work %s, %.4f; resume-latency %s, %.4f; want each objective to win at its own", extraWorkLatency, extraWorkShare, resumeLatency, resumeLatencyShare)
 	}
 	reset := faults()[0]
-	_, ours := mean(reset, extraWork)
-	_, theirs := mean(reset, restart)
-	if ours >= theirs {
-		t.Errorf("reset: %.4f extra work, with a restart from the prompt %.4f", ours, theirs)
+	_, resumedShare := mean(reset, extraWork)
+	_, restartedShare := mean(reset, restart)
+	if resumedShare >= restartedShare {
+		t.Errorf("reset: got %.4f extra work, want less than %.4f of a restart from the prompt", resumedShare, restartedShare)
 	}
 }
 
@@ -48,7 +48,7 @@
 		t.Skip("two runs of four virtual minutes")
 	}
 	a, b := run(), run()
-	if a.useful != b.useful || a.extra != b.extra || len(a.resumes) != len(b.resumes) {
-		t.Errorf("two runs of one seed differ: %v %v, %v %v", a.useful, b.useful, a.extra, b.extra)
+	if a.usefulWork != b.usefulWork || a.extraWork != b.extraWork || len(a.resumeLatencies) != len(b.resumeLatencies) {
+		t.Errorf("runs with the same seed differ: useful work %v and %v, extra work %v and %v", a.usefulWork, b.usefulWork, a.extraWork, b.extraWork)
 	}
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -9,7 +9,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/recovery"
 )
 
-// Scenario is a load and faults, to be run under any policy.
+// Scenario describes a system, its load and its faults. It runs under any policy.
 type Scenario struct {
 	Engines, Zones, Routers int
 	Objective               recovery.Objective
@@ -18,30 +18,31 @@
 	Faults                  []ScenarioFault
 }
 
-// ScenarioFault happens to one engine ("e3") or to a zone ("z1").
+// ScenarioFault is a fault of one engine ("e3") or of all engines of a zone ("z1").
 type ScenarioFault struct {
-	At     time.Duration
-	What   string // one of FaultNames
+	At     time.Duration // since the start of the run
+	What   string        // one of FaultNames
 	Target string
-	For    time.Duration // pause
-	Factor float64       // slow
+	For    time.Duration // of the fault "pause"
+	Factor float64       // factor on the step time, of the fault "slow"
 }
 
-// FaultNames are the faults a scenario may bring about.
+// FaultNames lists the kinds of ScenarioFault. "die" resets connections, "vanish" leaves
+// them hanging, and "leave" makes the engine report that it is leaving.
 var FaultNames = []string{"die", "vanish", "pause", "slow", "leave", "revive"}
 
-// RateOf is the rate of requests of these mean sizes that takes a share of the
-// engines' capacity.
+// RateOf returns the requests per second, of these mean sizes in tokens, that use the
+// given share of the engines' capacity.
 func (s *Scenario) RateOf(share float64, prompt, tokens int) float64 {
 	f := DefaultFigures
 	return share * float64(s.Engines) / f.seconds(float64(prompt), float64(tokens))
 }
 
-// drain is how long a run goes on after the last arrival, so that its requests
-// have an ending.
-const drain = 5 * time.Minute
+// drainTime is how long a run continues after the last arrival. It lets the remaining
+// requests end.
+const drainTime = 5 * time.Minute
 
-// Run plays the scenario under a policy; nobody arrives after length.
+// Run simulates the scenario under a policy. No request arrives after length.
 func (s *Scenario) Run(p Policy, length time.Duration) *Outcome {
 	w := newWorld(p, s.Seed)
 	w.build(s.Engines, s.Zones)
@@ -49,29 +50,29 @@
 		if l.To == 0 || l.To > length {
 			l.To = length
 		}
-		w.offer(l, s.Seed)
+		w.startLoad(l, s.Seed)
 	}
 	for _, f := range s.Faults {
-		w.After(f.At, func() { w.inflict(f) })
+		w.After(f.At, func() { w.applyFault(f) })
 	}
-	w.run(length + drain)
+	w.run(length + drainTime)
 	return w.out
 }
 
-func (w *world) inflict(f ScenarioFault) {
+func (w *world) applyFault(f ScenarioFault) {
 	for i, e := range w.engines {
 		if e.name != f.Target && e.zone != f.Target {
 			continue
 		}
 		switch f.What {
 		case "die":
-			w.strike(i, func(e *engineModel) { e.die(false) })
+			w.hitEngine(i, func(e *engineModel) { e.die(false) })
 		case "vanish":
-			w.strike(i, func(e *engineModel) { e.die(true) })
+			w.hitEngine(i, func(e *engineModel) { e.die(true) })
 		case "pause":
-			w.strike(i, func(e *engineModel) { e.paused = w.Now().Add(f.For) })
+			w.hitEngine(i, func(e *engineModel) { e.pausedUntil = w.Now().Add(f.For) })
 		case "slow":
-			e.slow = f.Factor
+			e.slowFactor = f.Factor
 		case "leave":
 			e.leaving = true
 		case "revive":
@@ -80,10 +81,10 @@
 	}
 }
 
-// Resumes are the resume latencies of the streams that faults hit, sorted.
-func (o *Outcome) Resumes() []time.Duration { return slices.Sorted(slices.Values(o.resumes)) }
+// ResumeLatencies returns the resume latencies of the streams that faults hit, sorted.
+func (o *Outcome) Resumes() []time.Duration { return slices.Sorted(slices.Values(o.resumeLatencies)) }
 
-// Table prints outcomes side by side, by class.
+// Table formats the outcomes of several policies by request class.
 func Table(names []string, outs []*Outcome) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-10s %-6s %8s %8s %8s %8s %9s %9s %9s %9s\n",
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -13,14 +13,14 @@
 // Load is the traffic of one workspace.
 type Load struct {
 	Name     string
-	Share    int     // of fair queueing
-	Rate     float64 // requests a second
-	Prompt   int     // tokens, mean
-	Tokens   int     // generated, mean
-	Prefix   int     // tokens of the prompt that all its requests share
-	Patience time.Duration
-	Tries    int // of a refused or impatient caller, at most
-	From, To time.Duration
+	Share    int           // weight in fair queueing
+	Rate     float64       // requests per second
+	Prompt   int           // mean tokens of a prompt
+	Tokens   int           // mean tokens generated
+	Prefix   int           // prompt tokens that all requests of the load share
+	Patience time.Duration // for the first token, per try
+	Tries    int           // at most, of a caller that was refused or gave up waiting
+	From, To time.Duration // arrivals, since the start of the run
 }
 
 func (l *Load) withDefaults() Load {
@@ -36,37 +36,37 @@
 	return out
 }
 
-// request is one request of a caller, over all its tries.
+// request is one request of a caller over all its tries.
 type request struct {
-	load   *Load
-	id     int
-	class  admission.Class
-	prompt int
-	tokens int
-	blocks []uint64
-	router router
-	rng    *rand.Rand
-
-	asked   time.Time // first try
-	tried   time.Time // last try
-	tries   int
-	first   time.Time // first token to the caller
-	journal int       // tokens that the caller has
-	ended   bool
-	record  *record
-	state   any // of the router that has it
-	lost    time.Time
+	load         *Load
+	id           int
+	class        admission.Class
+	prompt       int
+	tokens       int
+	blockDigests []uint64
+	router       router
+	rng          *rand.Rand
+
+	firstTryAt     time.Time
+	lastTryAt      time.Time
+	tries          int
+	firstTokenAt   time.Time
+	tokensReceived int
+	ended          bool
+	record         *record
+	routerState    any       // owned by the router
+	interruptedAt  time.Time // by a fault; zero after the next token
 }
 
-// router takes requests of callers.
+// router is a simulated router.
 type router interface {
-	ask(r *request)
-	leave(r *request) // the caller is gone
+	submit(r *request)
+	cancel(r *request) // the caller has left
 }
 
-// offer starts the arrivals of a load: a Poisson process. Sizes come from a
-// generator of the load's own, so that every policy sees the same requests.
-func (w *world) offer(l Load, seed uint64) {
+// startLoad schedules the arrivals of a load as a Poisson process. Each load has its
+// own random source, which gives every policy the same requests.
+func (w *world) startLoad(l Load, seed uint64) {
 	l = l.withDefaults()
 	rng := rand.New(rand.NewPCG(seed, hash(l.Name)))
 	var next func()
@@ -90,8 +90,8 @@
 	return h
 }
 
-// sizeSpread is the sigma of the lognormal sizes: one in a hundred is about
-// four times the mean.
+// sizeSpread is the sigma of the lognormal distribution of sizes. About one size in a
+// hundred exceeds four times the mean.
 const sizeSpread = 0.7
 
 func size(rng *rand.Rand, mean int) int {
@@ -100,7 +100,7 @@
 }
 
 func (w *world) arrive(l *Load, id int, rng *rand.Rand) {
-	r := &request{load: l, id: id, tokens: size(rng, l.Tokens), asked: w.Now()}
+	r := &request{load: l, id: id, tokens: size(rng, l.Tokens), firstTryAt: w.Now()}
 	r.prompt = l.Prefix + size(rng, max(1, l.Prompt-l.Prefix))
 	r.rng = rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 	r.router = w.routers[rng.IntN(len(w.routers))]
@@ -110,45 +110,45 @@
 		if (n+1)*routing.BlockTokens > l.Prefix {
 			key = fmt.Sprint(l.Name, "/", n, "/", id)
 		}
-		r.blocks = append(r.blocks, hash(key))
+		r.blockDigests = append(r.blockDigests, hash(key))
 	}
-	r.record = &record{workspace: l.Name, class: r.class.String(), asked: w.elapsed(), tokens: r.tokens}
+	r.record = &record{workspace: l.Name, class: r.class.String(), submittedAt: w.elapsed(), tokens: r.tokens}
 	w.out.records = append(w.out.records, r.record)
 	w.try(r)
 }
 
-// try sends the request; a caller without a first token within its patience
-// leaves, and comes again if it has tries left.
+// try sends the request. A caller without a first token within its maximum wait leaves,
+// and retries if it has tries left.
 func (w *world) try(r *request) {
 	r.tries++
-	r.tried = w.Now()
+	r.lastTryAt = w.Now()
 	r.record.tries++
 	n := r.tries
 	w.After(r.load.Patience, func() {
-		if r.tries == n && r.first.IsZero() && !r.ended {
-			r.router.leave(r)
-			w.again(r, 500*time.Millisecond, gaveUp)
+		if r.tries == n && r.firstTokenAt.IsZero() && !r.ended {
+			r.router.cancel(r)
+			w.retry(r, 500*time.Millisecond, gaveUp)
 		}
 	})
-	r.router.ask(r)
+	r.router.submit(r)
 }
 
-// refused tells the caller that its try was refused, and when to come again.
+// refused records that the current try was refused. The caller retries after retryAfter.
 func (w *world) refused(r *request, retryAfter time.Duration) {
-	r.record.early = append(r.record.early, w.Now().Sub(r.tried))
-	w.again(r, retryAfter, refusedLast)
+	r.record.refusalLatencies = append(r.record.refusalLatencies, w.Now().Sub(r.lastTryAt))
+	w.retry(r, retryAfter, refusedLast)
 }
 
-// again lets a caller come back after a pause, or ends its request. A caller
-// waits for its answer no longer than its patience for each of its tries.
-func (w *world) again(r *request, pause time.Duration, last ending) {
+// retry schedules the caller's next try after a pause, or ends the request with the
+// given ending. The total wait is bounded by the maximum wait times the number of tries.
+func (w *world) retry(r *request, pause time.Duration, last ending) {
 	total := time.Duration(r.load.Tries) * r.load.Patience
-	if r.tries >= r.load.Tries || w.Now().Add(pause).Sub(r.asked) > total {
+	if r.tries >= r.load.Tries || w.Now().Add(pause).Sub(r.firstTryAt) > total {
 		r.ended = true
 		r.record.ending = last
 		return
 	}
-	r.tries++ // the try under way is over
+	r.tries++ // invalidates the timer of the current try
 	n := r.tries
 	w.After(pause, func() {
 		if !r.ended && r.tries == n {
@@ -158,19 +158,19 @@
 	})
 }
 
-// received gives the caller a token.
+// received delivers a token to the caller.
 func (w *world) received(r *request) {
-	if r.first.IsZero() {
-		r.first = w.Now()
+	if r.firstTokenAt.IsZero() {
+		r.firstTokenAt = w.Now()
 	}
-	r.journal++
-	if !r.lost.IsZero() {
-		w.out.resumes = append(w.out.resumes, w.Now().Sub(r.lost))
-		r.lost = time.Time{}
+	r.tokensReceived++
+	if !r.interruptedAt.IsZero() {
+		w.out.resumeLatencies = append(w.out.resumeLatencies, w.Now().Sub(r.interruptedAt))
+		r.interruptedAt = time.Time{}
 	}
-	if r.journal >= r.tokens {
+	if r.tokensReceived >= r.tokens {
 		r.ended = true
 		r.record.ending = served
-		r.record.wait = r.first.Sub(r.asked)
+		r.record.firstTokenWait = r.firstTokenAt.Sub(r.firstTryAt)
 	}
 }
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -1,8 +1,7 @@
-// Package experiment runs the admission, routing and recovery modules against a
-// model of engines and callers on a virtual clock, beside baselines without
-// them. It serves `amaranthshelf experiment` and the load scenarios. The model
-// has no network; decisions are those of the real modules, and every run with
-// the same seed gives the same figures.
+// Package experiment simulates callers, routers and engines on a virtual clock. It
+// compares the real admission, routing and recovery modules with baselines that do
+// without them, for `amaranthshelf experiment` and the load scenarios. The model has
+// no network. Runs with the same seed give the same results.
 package experiment
 
 import (
@@ -12,27 +11,27 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/virtualtime"
 )
 
-// world is one run: clock, engines, routers, callers.
+// world is the state of one simulated run: clock, engines, routers and results.
 type world struct {
 	*virtualtime.Queue
 
-	rng     *rand.Rand
-	policy  Policy
-	figures EngineFigures
-	engines []*engineModel
-	routers []router
-	out     *Outcome
-	blamed  *blameBoard
+	rng             *rand.Rand
+	policy          Policy
+	engineParams    EngineFigures
+	engines         []*engineModel
+	routers         []router
+	out             *Outcome
+	poisonSuspicion *sharedPoisonSuspicion
 }
 
-// began is the virtual time at which every run starts.
-var began = time.Unix(1_000_000, 0)
+// startTime is the virtual time at the start of every run.
+var startTime = time.Unix(1_000_000, 0)
 
 func newWorld(p Policy, seed uint64) *world {
-	return &world{Queue: virtualtime.New(began), policy: p, rng: rand.New(rand.NewPCG(seed, 7)), out: &Outcome{}, figures: DefaultFigures}
+	return &world{Queue: virtualtime.New(startTime), policy: p, rng: rand.New(rand.NewPCG(seed, 7)), out: &Outcome{}, engineParams: DefaultFigures}
 }
 
-func (w *world) elapsed() time.Duration { return w.Now().Sub(began) }
+func (w *world) elapsed() time.Duration { return w.Now().Sub(startTime) }
 
-// run plays events until the given time since the start.
-func (w *world) run(until time.Duration) { w.Run(began.Add(until)) }
+// run executes events until the given time since the start.
+func (w *world) run(until time.Duration) { w.Run(startTime.Add(until)) }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -61,7 +61,7 @@
 	return s, nil
 }
 
-func (s *System) zone(i int) string { return fmt.Sprintf("zone%d", i%s.o.Zones+1) }
+func (s *System) zoneName(i int) string { return fmt.Sprintf("zone%d", i%s.o.Zones+1) }
 
 func (s *System) startEngines() error {
 	for i := range s.o.Engines {
@@ -76,7 +76,7 @@
 		}
 		s.Engines = append(s.Engines, e)
 		s.backends = append(s.backends, settings.Backend{
-			Name: name, Kind: settings.KindEngine, Address: e.Addr, Zone: s.zone(i), Models: []string{s.o.Model}, Fences: cfg.Fences,
+			Name: name, Kind: settings.KindEngine, Address: e.Addr, Zone: s.zoneName(i), Models: []string{s.o.Model}, Fences: cfg.Fences,
 		})
 	}
 	return nil
@@ -90,7 +90,7 @@
 		}
 		s.Services = append(s.Services, service)
 		s.backends = append(s.backends, settings.Backend{
-			Name: fmt.Sprintf("%s%d", name, i+1), Kind: settings.KindService, Address: service.Addr, Zone: s.zone(i), Service: name,
+			Name: fmt.Sprintf("%s%d", name, i+1), Kind: settings.KindService, Address: service.Addr, Zone: s.zoneName(i), Service: name,
 		})
 	}
 	return nil
@@ -165,7 +165,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conf.Self.ID, conf.Self.Zone = fmt.Sprintf("vm%d", i+1), s.zone(i)
+	conf.Self.ID, conf.Self.Zone = fmt.Sprintf("vm%d", i+1), s.zoneName(i)
 	conf.Self.Callers, conf.Self.Peer, conf.Operators = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	conf.DataDir = fmt.Sprintf("%s/vm%d", s.dir, i+1)
 	conf.Backends = s.backends
--- a/internal/local/publish.go
+++ b/internal/local/publish.go
@@ -31,7 +31,7 @@
 			return err
 		}
 	}
-	return applied(ctx, o)
+	return waitApplied(ctx, o)
 }
 
 // Operator is a client of the operators' API on every VM.
@@ -52,8 +52,8 @@
 
 const statusPause = 20 * time.Millisecond
 
-// applied waits until every VM is fresh and holds the present lists.
-func applied(ctx context.Context, o *client.Operator) error {
+// waitApplied waits until every VM is fresh and holds the present lists.
+func waitApplied(ctx context.Context, o *client.Operator) error {
 	_, version, err := o.Plans(ctx, false)
 	if err != nil {
 		return err
--- a/internal/local/ready.go
+++ b/internal/local/ready.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	readyWithin = 10 * time.Second
-	readyPause  = 10 * time.Millisecond
+	readyTimeout = 10 * time.Second
+	readyPause   = 10 * time.Millisecond
 )
 
 // awaitReady waits until every VM admits requests. A VM that has not got its
 // first lease rightly refuses: callers of a system that has just started would
 // see that as a fault of what they test.
 func (s *System) awaitReady() error {
-	ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	var errs []error
 	for _, n := range s.Nodes {
 		for !ready(ctx, n.OperatorAddr()) {
 			if ctx.Err() != nil {
-				errs = append(errs, fmt.Errorf("local: %s not ready after %s", n.Self().ID, readyWithin))
+				errs = append(errs, fmt.Errorf("local: %s not ready after %s", n.Self().ID, readyTimeout))
 				break
 			}
 			_ = timer.Sleep(ctx, readyPause)
--- a/internal/measure/gateway.go
+++ b/internal/measure/gateway.go
@@ -99,27 +99,27 @@
 
 func promptOf(key string) string { return key + strings.Repeat(" log line", 10) }
 
-type stream func(ctx context.Context, i int, key string, on func()) error
+type streamFunc func(ctx context.Context, i int, key string, on func()) error
 
-type pathRun struct {
+type pathMeasurement struct {
 	mu         sync.Mutex
 	first, gap *hdrhistogram.Histogram
 	err        error
 }
 
 // measurePath runs the streams at once and samples the heap at mid-run.
-func measurePath(ctx context.Context, streams, tokens int, name string, run stream) (Path, error) {
+func measurePath(ctx context.Context, streams, tokens int, name string, run streamFunc) (Path, error) {
 	const histMax = int64(time.Minute / time.Microsecond)
-	p := &pathRun{first: hdrhistogram.New(1, histMax, 3), gap: hdrhistogram.New(1, histMax, 3)}
-	idle := heap()
+	p := &pathMeasurement{first: hdrhistogram.New(1, histMax, 3), gap: hdrhistogram.New(1, histMax, 3)}
+	idle := liveHeapBytes()
 	cpu := cpuTime()
 	var wg sync.WaitGroup
 	for i := range streams {
-		wg.Go(func() { p.one(ctx, i, fmt.Sprintf("%s-%d", name, i), run) })
+		wg.Go(func() { p.runStream(ctx, i, fmt.Sprintf("%s-%d", name, i), run) })
 	}
 	half := time.NewTimer(time.Duration(tokens) * 20 * time.Millisecond / 2)
 	<-half.C
-	busy := heap()
+	busy := liveHeapBytes()
 	wg.Wait()
 	used := cpuTime() - cpu
 	return Path{
@@ -129,7 +129,7 @@
 	}, p.err
 }
 
-func (p *pathRun) one(ctx context.Context, i int, key string, run stream) {
+func (p *pathMeasurement) runStream(ctx context.Context, i int, key string, run streamFunc) {
 	start := time.Now()
 	last := time.Time{}
 	err := run(ctx, i, key, func() {
@@ -152,8 +152,8 @@
 
 func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 
-// heap is the live heap and the stacks, after a collection.
-func heap() int64 {
+// liveHeapBytes is the live heap and the stacks, after a collection.
+func liveHeapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/routedlocal/badinput_test.go
+++ b/internal/routedlocal/badinput_test.go
@@ -12,14 +12,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/forward"
 )
 
-// raw sends text on a connection of its own and returns the status of the answer;
+// sendRaw sends text on a connection of its own and returns the status of the answer;
 // 0: the connection was closed without one.
-func raw(t *testing.T, front, text string) int {
+func sendRaw(t *testing.T, front, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", front)
 	check(t, err)
 	defer c.Close()
-	check(t, c.SetDeadline(time.Now().Add(limit)))
+	check(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	// The answer may come before all is written, and the rest is not read then.
 	go func() { _, _ = c.Write([]byte(text)) }()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -63,7 +63,7 @@
 	}()
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := raw(t, front, tt.text); got != tt.status {
+			if got := sendRaw(t, front, tt.text); got != tt.status {
 				t.Errorf("status %d, want %d", got, tt.status)
 			}
 		})
--- a/internal/routedlocal/calls.go
+++ b/internal/routedlocal/calls.go
@@ -15,8 +15,8 @@
 // DeskService answers calls, under /book/ once each, under /look/ as often as wanted.
 const DeskService = "desk"
 
-// deskWork is how long a call takes.
-const deskWork = 20 * time.Millisecond
+// deskCallTime is how long a call takes.
+const deskCallTime = 20 * time.Millisecond
 
 // Spoil takes a call over, and reports whether it did.
 type Spoil func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool
@@ -37,12 +37,12 @@
 
 // AddDesk starts three servers of a version of the desk.
 func (s *System) AddDesk(version string, spoil Spoil) error {
-	for i := range zones {
+	for i := range zoneCount {
 		e := &routedengine.Server{
 			Backend: upstream.Backend{
 				ID: fmt.Sprintf("desk-%s-%d", version, i), Service: DeskService, Zone: fmt.Sprint("zone", i), Slots: 8, Version: version,
 			},
-			WorkTime: deskWork, Answer: spoil,
+			WorkTime: deskCallTime, Answer: spoil,
 		}
 		if err := s.AddServer(e); err != nil {
 			return err
--- a/internal/routedlocal/operators_test.go
+++ b/internal/routedlocal/operators_test.go
@@ -56,7 +56,7 @@
 	}
 	check(t, s.Ready(ctx))
 	for len(c.Entrances(len(s.Fronts))) < len(s.Fronts) {
-		check(t, timer.Sleep(ctx, putPause))
+		check(t, timer.Sleep(ctx, retryPause))
 	}
 	tests := []struct {
 		name, method, path, token, body string
--- a/internal/routedlocal/rollout_test.go
+++ b/internal/routedlocal/rollout_test.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	deskCallers  = 8
-	deskPause    = 20 * time.Millisecond // of one caller
-	rolloutTakes = 8 * time.Second
+	deskCallers     = 8
+	callInterval    = 20 * time.Millisecond // of one caller
+	rolloutDuration = 8 * time.Second
 )
 
 // desk is a service of calls with two versions of its servers, and callers.
 type desk struct {
-	t     *testing.T
-	s     *System
-	ctx   context.Context
-	calls [2]atomic.Int64 // that reached each version
-	sent  atomic.Int64    // by callers
-	lost  atomic.Int64    // not answered well
-	ids   atomic.Int64
-	end   context.CancelFunc
-	work  sync.WaitGroup
+	t      *testing.T
+	s      *System
+	ctx    context.Context
+	calls  [2]atomic.Int64 // that reached each version
+	sent   atomic.Int64    // by callers
+	failed atomic.Int64    // not answered well
+	ids    atomic.Int64
+	end    context.CancelFunc
+	work   sync.WaitGroup
 }
 
 func startDesk(t *testing.T) *desk {
@@ -64,28 +64,28 @@
 // call sends calls, one after the other, until the test ends.
 func (d *desk) call(i int) {
 	path := []string{"/book/1", "/look/1"}[i%2]
-	for timer.Sleep(d.ctx, deskPause) == nil {
+	for timer.Sleep(d.ctx, callInterval) == nil {
 		d.sent.Add(1)
 		status, err := Call(d.ctx, d.s.Fronts[i%len(d.s.Fronts)], path, fmt.Sprint("d", d.ids.Add(1)))
 		if d.ctx.Err() == nil && (err != nil || status != http.StatusOK) {
-			d.lost.Add(1)
+			d.failed.Add(1)
 		}
 	}
 }
 
-// order orders the roll-out to v2 through any control process.
-func (d *desk) order() {
-	o := rollout.Order{Service: DeskService, To: "v2", Duration: rolloutTakes}
+// orderRollout orders the roll-out to v2 through any control process.
+func (d *desk) orderRollout() {
+	o := rollout.Order{Service: DeskService, To: "v2", Duration: rolloutDuration}
 	for i := 0; ; i++ {
 		if _, err := d.s.Controls[i%len(d.s.Controls)].PutRollout(d.ctx, o); err == nil {
 			return
 		}
-		check(d.t, timer.Sleep(d.ctx, putPause))
+		check(d.t, timer.Sleep(d.ctx, retryPause))
 	}
 }
 
-// outcome waits until the roll-out is over.
-func (d *desk) outcome() rollout.Record {
+// waitForOutcome waits until the roll-out is over.
+func (d *desk) waitForOutcome() rollout.Record {
 	for i := 0; ; i++ {
 		one, cancel := context.WithTimeout(d.ctx, time.Second)
 		r, err := d.s.Controls[i%len(d.s.Controls)].Rollout(one, DeskService)
@@ -93,14 +93,14 @@
 		if err == nil && r.Phase.Over() {
 			return r
 		}
-		check(d.t, timer.Sleep(d.ctx, putPause))
+		check(d.t, timer.Sleep(d.ctx, retryPause))
 	}
 }
 
-// settle waits until every router applies what was decided.
-func (d *desk) settle() { check(d.t, timer.Sleep(d.ctx, time.Second)) }
+// waitForRouters waits until every router applies what was decided.
+func (d *desk) waitForRouters() { check(d.t, timer.Sleep(d.ctx, time.Second)) }
 
-func failOf(part int) Spoil {
+func failEvery(part int) Spoil {
 	var n atomic.Int64
 	return func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		if n.Add(1)%int64(part) != 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func slowBy(d time.Duration) Spoil {
+func delayBy(d time.Duration) Spoil {
 	return func(_ *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
 		_ = timer.Sleep(r.Context(), d)
 		return false
@@ -124,19 +124,19 @@
 	t.Parallel()
 	d := startDesk(t)
 	d.add(1, nil)
-	d.settle()
+	d.waitForRouters()
 	if n := d.calls[1].Load(); n > 0 {
 		t.Errorf("%d calls reached a version that nobody ordered", n)
 	}
 	began := time.Now()
-	d.order()
-	d.order()
-	if r := d.outcome(); r.Phase != rollout.Completed || r.Number != 1 || time.Since(began) > rolloutTakes {
+	d.orderRollout()
+	d.orderRollout()
+	if r := d.waitForOutcome(); r.Phase != rollout.Completed || r.Number != 1 || time.Since(began) > rolloutDuration {
 		t.Errorf("after %v: %+v", time.Since(began), r)
 	}
 	d.s.RemoveServers(DeskService, "v1")
-	d.settle()
-	if n := d.lost.Load(); n > 0 {
+	d.waitForRouters()
+	if n := d.failed.Load(); n > 0 {
 		t.Errorf("%d calls of %d were lost", n, d.sent.Load())
 	}
 }
@@ -148,9 +148,9 @@
 		name  string
 		spoil Spoil
 	}{
-		{"all calls fail", failOf(1)},
-		{"every third call fails", failOf(3)},
-		{"slow", slowBy(8 * deskWork)},
+		{"all calls fail", failEvery(1)},
+		{"every third call fails", failEvery(3)},
+		{"slow", delayBy(8 * deskCallTime)},
 		{"one route fails", func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 			if r.URL.Path != "/look/1" {
 				return false
@@ -163,17 +163,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			d := startDesk(t)
-			d.order()
+			d.orderRollout()
 			d.add(1, tt.spoil)
 			before := d.sent.Load()
-			r := d.outcome()
-			d.settle()
+			r := d.waitForOutcome()
+			d.waitForRouters()
 			after := d.calls[1].Load()
 			allowed := rollout.DefaultLimits.Share*float64(d.sent.Load()-before) + rollout.DefaultLimits.Slack
 			if r.Phase != rollout.Reverted || float64(after) > allowed {
 				t.Errorf("%d calls reached it, %.0f may: %+v", after, allowed, r)
 			}
-			d.settle()
+			d.waitForRouters()
 			if n := d.calls[1].Load(); n > after {
 				t.Errorf("%d calls reached it after it was reverted", n-after)
 			}
@@ -186,11 +186,11 @@
 func TestRolloutOutlivesItsLeader(t *testing.T) {
 	t.Parallel()
 	d := startDesk(t)
-	d.order()
+	d.orderRollout()
 	d.add(1, nil)
-	check(t, timer.Sleep(d.ctx, rolloutTakes/4))
+	check(t, timer.Sleep(d.ctx, rolloutDuration/4))
 	check(t, d.s.StopLeader())
-	if r := d.outcome(); r.Phase != rollout.Completed {
+	if r := d.waitForOutcome(); r.Phase != rollout.Completed {
 		t.Errorf("%+v", r)
 	}
 }
@@ -199,12 +199,12 @@
 func TestNoMajorityNoStep(t *testing.T) {
 	t.Parallel()
 	d := startDesk(t)
-	d.order()
+	d.orderRollout()
 	d.add(1, nil)
-	check(t, timer.Sleep(d.ctx, rolloutTakes/4))
+	check(t, timer.Sleep(d.ctx, rolloutDuration/4))
 	d.s.Controls[1].Close()
 	d.s.Controls[2].Close()
-	check(t, timer.Sleep(d.ctx, rolloutTakes))
+	check(t, timer.Sleep(d.ctx, rolloutDuration))
 	total, reached := d.sent.Load(), d.calls[1].Load()
 	if allowed := rollout.DefaultLimits.Share*float64(total) + rollout.DefaultLimits.Slack; float64(reached) > allowed {
 		t.Errorf("%d of %d calls reached the new version, %.0f may", reached, total, allowed)
@@ -228,10 +228,10 @@
 	}}
 	list.Services[0].Engine = &routes.EngineTraits{Slots: 128, KVTokens: 8_800_000, KeepCopies: true, CopiesOnOrder: true, CopyLife: 4 * time.Second}
 	add := func(version string) {
-		for i := range 4 * zones {
+		for i := range 4 * zoneCount {
 			check(t, s.AddServer(&routedengine.Server{
 				Backend: upstream.Backend{
-					ID: fmt.Sprint(version, "-", i), Service: DeskService, Zone: fmt.Sprint("zone", i%zones), Slots: 128, Version: version,
+					ID: fmt.Sprint(version, "-", i), Service: DeskService, Zone: fmt.Sprint("zone", i%zoneCount), Slots: 128, Version: version,
 				},
 				// Read anew, a prompt takes longer than a pause may be.
 				Events: 2 * Events, ReadTime: time.Second, EventTime: 20 * time.Millisecond, CopyTime: 20 * time.Millisecond,
@@ -264,7 +264,7 @@
 	check(t, err)
 	add("v2")
 	d := &desk{t: t, s: s, ctx: ctx}
-	if r := d.outcome(); r.Phase != rollout.Completed {
+	if r := d.waitForOutcome(); r.Phase != rollout.Completed {
 		cancel()
 		work.Wait()
 		t.Fatalf("%+v", r)
--- a/internal/routedlocal/system.go
+++ b/internal/routedlocal/system.go
@@ -33,10 +33,10 @@
 
 // Sizes of a system.
 const (
-	controls = 3
-	routers  = 2
-	zones    = 3
-	engines  = 6
+	controlCount = 3
+	routerCount  = 2
+	zoneCount    = 3
+	engineCount  = 6
 	// Events is how many events each stream has.
 	Events = 60
 )
@@ -54,10 +54,10 @@
 	Routers  []*routed.Router
 	Fronts   []string // callers' addresses
 
-	mu    sync.Mutex
-	rows  []upstream.Backend
-	seeds []string // control VMs
-	dir   string
+	mu       sync.Mutex
+	backends []upstream.Backend
+	seeds    []string // control VMs
+	dir      string
 }
 
 // Start starts three control processes, two routers and two engines in each of
@@ -71,14 +71,14 @@
 		}
 		s.Stop()
 		// Another process may have taken an address that was free a moment ago.
-		if !errors.Is(err, syscall.EADDRINUSE) || try == startTries {
+		if !errors.Is(err, syscall.EADDRINUSE) || try == maxStartTries {
 			return nil, err
 		}
 	}
 }
 
-// startTries bounds how often a system is started on other addresses.
-const startTries = 5
+// maxStartTries bounds how often a system is started on other addresses.
+const maxStartTries = 5
 
 func (s *System) start() error {
 	dir, err := os.MkdirTemp("", "shelf-routed")
@@ -89,24 +89,24 @@
 	if err := s.startEngines(); err != nil {
 		return err
 	}
-	addrs, err := freeAddrs(controls + 2*routers)
+	addrs, err := freeAddrs(controlCount + 2*routerCount)
 	if err != nil {
 		return err
 	}
-	seeds := addrs[:controls]
+	seeds := addrs[:controlCount]
 	s.seeds = seeds
 	for _, id := range seeds {
 		c, err := routed.StartControl(routed.ControlOptions{
 			Common: common(id, seeds), Dir: filepath.Join(dir, strings.ReplaceAll(id, ":", "-")),
-			FirstStart: true, Voters: controls, ReadBackends: s.read,
+			FirstStart: true, Voters: controlCount, ReadBackends: s.readBackends,
 		})
 		if err != nil {
 			return err
 		}
 		s.Controls = append(s.Controls, c)
 	}
-	for i := range routers {
-		if err := s.startRouter(addrs[controls+2*i], addrs[controls+2*i+1], seeds[:1]); err != nil {
+	for i := range routerCount {
+		if err := s.startRouter(addrs[controlCount+2*i], addrs[controlCount+2*i+1], seeds[:1]); err != nil {
 			return err
 		}
 	}
@@ -114,15 +114,15 @@
 }
 
 func (s *System) startEngines() error {
-	for i := range engines {
+	for i := range engineCount {
 		e := &routedengine.Server{
-			Backend: upstream.Backend{ID: fmt.Sprint("engine", i), Service: Service, Zone: fmt.Sprint("zone", i%zones), Slots: 8},
+			Backend: upstream.Backend{ID: fmt.Sprint("engine", i), Service: Service, Zone: fmt.Sprint("zone", i%zoneCount), Slots: 8},
 			Events:  Events, ReadTime: 50 * time.Millisecond, EventTime: 10 * time.Millisecond,
 		}
 		if err := s.Net.ListenTCP(e); err != nil {
 			return err
 		}
-		s.rows = append(s.rows, e.Backend)
+		s.backends = append(s.backends, e.Backend)
 	}
 	return nil
 }
@@ -134,7 +134,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows = append(s.rows, e.Backend)
+	s.backends = append(s.backends, e.Backend)
 	return nil
 }
 
@@ -142,7 +142,7 @@
 func (s *System) RemoveServers(service, version string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows = slices.DeleteFunc(s.rows, func(b upstream.Backend) bool {
+	s.backends = slices.DeleteFunc(s.backends, func(b upstream.Backend) bool {
 		gone := b.Service == service && b.Version == version
 		if gone {
 			s.Net.At(b.Address).Set(routedengine.Dead)
@@ -171,10 +171,10 @@
 	}
 }
 
-func (s *System) read(context.Context) ([]upstream.Backend, error) {
+func (s *System) readBackends(context.Context) ([]upstream.Backend, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.rows), nil
+	return slices.Clone(s.backends), nil
 }
 
 // freeAddrs are loopback addresses that were free a moment ago.
@@ -226,8 +226,8 @@
 	return errors.New("routedlocal: no control process leads")
 }
 
-// putPause is between two tries to put a list in force.
-const putPause = 50 * time.Millisecond
+// retryPause is between two tries to put a list in force.
+const retryPause = 50 * time.Millisecond
 
 // Put puts a list with one route in force, through any control process that can.
 func (s *System) Put(ctx context.Context, version uint64, prefix string) error {
@@ -252,7 +252,7 @@
 		if err == nil {
 			return nil
 		}
-		if timer.Sleep(ctx, putPause) != nil {
+		if timer.Sleep(ctx, retryPause) != nil {
 			return err
 		}
 	}
@@ -268,7 +268,7 @@
 		if ready {
 			return nil
 		}
-		if err := timer.Sleep(ctx, putPause); err != nil {
+		if err := timer.Sleep(ctx, retryPause); err != nil {
 			return err
 		}
 	}
@@ -302,10 +302,10 @@
 	if resp.StatusCode != http.StatusOK {
 		return Received{}, fmt.Errorf("routedlocal: status %d", resp.StatusCode)
 	}
-	return read(resp.Body, seen), nil
+	return readStream(resp.Body, seen), nil
 }
 
-func read(body io.Reader, seen func(n int)) Received {
+func readStream(body io.Reader, seen func(n int)) Received {
 	var out Received
 	br := bufio.NewReader(body)
 	last := time.Now()
--- a/internal/routedlocal/system_test.go
+++ b/internal/routedlocal/system_test.go
@@ -8,15 +8,15 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// limit is far more than any step of these tests takes.
-const limit = 30 * time.Second
+// testTimeout is far more than any step of these tests takes.
+const testTimeout = 30 * time.Second
 
 func start(t *testing.T) (*System, context.Context) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("real connections and real time")
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	s, err := Start()
 	if err != nil {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -68,7 +68,7 @@
 	errs  []error
 }
 
-func parse(args []string, allowed ...string) *options {
+func parseOptions(args []string, allowed ...string) *options {
 	o := &options{words: map[string]string{}}
 	for _, arg := range args {
 		name, value, ok := strings.Cut(arg, "=")
@@ -99,7 +99,7 @@
 
 func (o *options) number(name string, p *float64) {
 	if v, ok := o.words[name]; ok {
-		x, err := value(v)
+		x, err := parseValue(v)
 		o.errs = append(o.errs, err)
 		*p = x
 	}
@@ -107,8 +107,8 @@
 
 func (o *options) err() error { return errors.Join(o.errs...) }
 
-// value reads a number, a percentage, or a duration in seconds.
-func value(text string) (float64, error) {
+// parseValue reads a number, a percentage, or a duration in seconds.
+func parseValue(text string) (float64, error) {
 	if pct, ok := strings.CutSuffix(text, "%"); ok {
 		x, err := strconv.ParseFloat(pct, 64)
 		return x / 100, err
@@ -121,7 +121,7 @@
 }
 
 func (s *Script) system(args []string) error {
-	o := parse(args, "engines", "zones", "routers", "objective", "seed")
+	o := parseOptions(args, "engines", "zones", "routers", "objective", "seed")
 	c := &s.scenario
 	c.Engines, c.Zones, c.Routers, c.Seed = 24, 3, 11, 1
 	o.integer("engines", &c.Engines)
@@ -144,7 +144,7 @@
 	if len(args) == 0 {
 		return errors.New("workspace: a name is missing")
 	}
-	o := parse(args[1:], "load", "rate", "prompt", "tokens", "prefix", "share", "patience", "tries", "from", "to")
+	o := parseOptions(args[1:], "load", "rate", "prompt", "tokens", "prefix", "share", "patience", "tries", "from", "to")
 	l := experiment.Load{Name: args[0], Prompt: 500, Tokens: 200}
 	o.integer("prompt", &l.Prompt)
 	o.integer("tokens", &l.Tokens)
@@ -172,7 +172,7 @@
 		return fmt.Errorf("fault AT %s TARGET", strings.Join(experiment.FaultNames, "|"))
 	}
 	at, err := time.ParseDuration(args[0])
-	o := parse(args[3:], "for", "factor")
+	o := parseOptions(args[3:], "for", "factor")
 	o.errs = append(o.errs, err)
 	f := experiment.ScenarioFault{At: at, What: args[1], Target: args[2], Factor: 4, For: time.Second}
 	o.duration("for", &f.For)
@@ -206,36 +206,36 @@
 	}
 	metric, filters := args[1], args[2:len(args)-2]
 	op, want := args[len(args)-2], args[len(args)-1]
-	o := parse(filters, "workspace", "class", "from", "to")
+	o := parseOptions(filters, "workspace", "class", "from", "to")
 	f := experiment.Filter{Workspace: o.words["workspace"], Class: o.words["class"]}
 	o.duration("from", &f.From)
 	o.duration("to", &f.To)
 	if err := o.err(); err != nil {
 		return "", err
 	}
-	got, err := measure(out, metric, f)
+	got, err := metricValue(out, metric, f)
 	if err != nil {
 		return "", err
 	}
-	limit, err := s.limit(want, metric, f)
+	limit, err := s.expectedValue(want, metric, f)
 	if err != nil {
 		return "", err
 	}
 	text := fmt.Sprintf("%s %s %s: %.4g %s %.4g", args[0], metric, strings.Join(filters, " "), got, op, limit)
-	if !holds(got, op, limit) {
+	if !compare(got, op, limit) {
 		return "", errors.New("does not hold: " + text)
 	}
 	return text, nil
 }
 
-func (s *Script) limit(want, metric string, f experiment.Filter) (float64, error) {
+func (s *Script) expectedValue(want, metric string, f experiment.Filter) (float64, error) {
 	if want == "baseline" {
-		return measure(s.outcomes["baseline"], metric, f)
+		return metricValue(s.outcomes["baseline"], metric, f)
 	}
-	return value(want)
+	return parseValue(want)
 }
 
-func holds(got float64, op string, limit float64) bool {
+func compare(got float64, op string, limit float64) bool {
 	switch op {
 	case "<":
 		return got < limit
@@ -249,7 +249,7 @@
 	return false
 }
 
-func measure(out *experiment.Outcome, metric string, f experiment.Filter) (float64, error) {
+func metricValue(out *experiment.Outcome, metric string, f experiment.Filter) (float64, error) {
 	t := out.Total(f)
 	share := func(n int) float64 { return float64(n) / float64(max(1, t.Offered)) }
 	switch metric {
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -40,8 +40,8 @@
 	return out
 }
 
-// use returns how many of the tokens were cached and caches the rest.
-func (c *prefixCache) use(tokens []int32) int {
+// insert returns how many of the tokens were cached and caches the rest.
+func (c *prefixCache) insert(tokens []int32) int {
 	cached, broken := 0, false
 	for _, d := range blockDigests(tokens) {
 		if e, ok := c.blocks[d]; ok {
@@ -65,13 +65,13 @@
 		last := c.order.Back()
 		gone := c.order.Remove(last).(uint64)
 		delete(c.blocks, gone)
-		c.log("evict", gone)
+		c.logEvent("evict", gone)
 	}
 	c.blocks[d] = c.order.PushFront(d)
-	c.log("add", d)
+	c.logEvent("add", d)
 }
 
-func (c *prefixCache) log(op string, d uint64) {
+func (c *prefixCache) logEvent(op string, d uint64) {
 	c.seq++
 	c.events = append(c.events, timedEvent{time.Now(), engine.CacheEvent{Seq: c.seq, Op: op, Prefix: d}})
 	if over := len(c.events) - maxCacheEvents; over > 0 {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -57,23 +57,23 @@
 type Engine struct {
 	cfg EngineConfig
 
-	mu      sync.Mutex
-	wake    chan struct{}
-	quit    chan struct{}
-	ended   chan struct{}
-	dead    bool
-	deaths  int
-	queue   []*run
-	batch   []*run
-	runs    map[engine.Attempt]*run
-	cache   *prefixCache
-	state   engine.State
-	reports []timedLoad
-	seq     uint64
-	arrived uint64
-	faults  faults
-	stats   EngineStats
-	onDeath func()
+	mu       sync.Mutex
+	wake     chan struct{}
+	quit     chan struct{}
+	ended    chan struct{}
+	dead     bool
+	deaths   int
+	queue    []*run
+	batch    []*run
+	runs     map[engine.Attempt]*run
+	cache    *prefixCache
+	state    engine.State
+	reports  []timedLoad
+	seq      uint64
+	arrivals uint64
+	faults   faults
+	stats    EngineStats
+	onDeath  func()
 }
 
 type timedLoad struct {
@@ -82,19 +82,19 @@
 }
 
 type run struct {
-	req      engine.Completion
-	version  string
-	chain    chain
-	arrived  uint64
-	prefill  int
-	tokens   []int32 // Generated included
-	finish   string
-	usage    engine.Usage
-	changed  chan struct{}
-	err      error
-	readers  int
-	detached time.Time
-	stalled  bool
+	req           engine.Completion
+	version       string
+	digest        answerDigest
+	arrivalSeq    uint64
+	prefillTokens int
+	tokens        []int32 // Generated included
+	finish        string
+	usage         engine.Usage
+	changed       chan struct{}
+	err           error
+	readers       int
+	detachedAt    time.Time
+	stalled       bool
 }
 
 // NewEngine starts an engine.
@@ -113,7 +113,7 @@
 	e.reports = nil
 }
 
-func (e *Engine) poke() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -130,29 +130,29 @@
 	if r := e.runs[c.Attempt]; r != nil {
 		return r, nil
 	}
-	version, err := e.serves(&c)
+	version, err := e.servedVersion(&c)
 	if err != nil {
 		return nil, err
 	}
-	e.arrived++
+	e.arrivals++
 	r := &run{
-		req: c, version: version, chain: startChain(&c, version), arrived: e.arrived,
+		req: c, version: version, digest: promptDigest(&c, version), arrivalSeq: e.arrivals,
 		tokens: slices.Clone(c.Generated), changed: make(chan struct{}),
 	}
 	for _, t := range c.Generated {
-		r.chain = r.chain.with(t)
+		r.digest = r.digest.with(t)
 	}
 	e.runs[c.Attempt] = r
 	e.queue = append(e.queue, r)
 	slices.SortStableFunc(e.queue, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(b.req.Priority, a.req.Priority), cmp.Compare(a.arrived, b.arrived))
+		return cmp.Or(cmp.Compare(b.req.Priority, a.req.Priority), cmp.Compare(a.arrivalSeq, b.arrivalSeq))
 	})
 	e.stats.Starts++
-	e.poke()
+	e.wakeLoop()
 	return r, nil
 }
 
-func (e *Engine) serves(c *engine.Completion) (string, error) {
+func (e *Engine) servedVersion(c *engine.Completion) (string, error) {
 	for _, m := range e.state.Models {
 		if !m.Ready || m.Name != c.Model || (c.Version != "" && c.Version != m.Version) {
 			continue
@@ -195,7 +195,7 @@
 	if pause := e.faults.pausedUntil.Sub(now); pause > 0 {
 		return pause, true
 	}
-	e.reap(now)
+	e.reapDetached(now)
 	prefill := e.admit()
 	if e.dead || len(e.batch) == 0 {
 		return 0, false
@@ -219,11 +219,11 @@
 		r := e.queue[0]
 		e.queue = e.queue[1:]
 		whole := append(PromptTokens(&r.req), r.tokens...)
-		cached := e.cache.use(whole)
-		r.prefill = len(whole) - cached
+		cached := e.cache.insert(whole)
+		r.prefillTokens = len(whole) - cached
 		r.usage = engine.Usage{Prompt: len(whole) - len(r.tokens), Cached: cached}
-		e.stats.PrefillTokens += r.prefill
-		prefill += r.prefill
+		e.stats.PrefillTokens += r.prefillTokens
+		prefill += r.prefillTokens
 		e.batch = append(e.batch, r)
 	}
 	return prefill
@@ -239,8 +239,8 @@
 		if e.cfg.ByAttempt {
 			choice = xxhash.Sum64String(fmt.Sprint(r.req.Attempt, len(r.tokens)))
 		}
-		t := r.chain.next(choice)
-		r.chain = r.chain.with(t)
+		t := r.digest.next(choice)
+		r.digest = r.digest.with(t)
 		r.tokens = append(r.tokens, t)
 		r.usage.Completion++
 		e.stats.GeneratedTotal++
@@ -264,20 +264,20 @@
 	r.changed = make(chan struct{})
 }
 
-// reap ends runs that nobody has read for their detach time, and forgets
+// reapDetached ends runs that nobody has read for their detach time, and forgets
 // finished ones.
-func (e *Engine) reap(now time.Time) {
+func (e *Engine) reapDetached(now time.Time) {
 	for id, r := range e.runs {
-		if r.readers > 0 || r.detached.IsZero() {
+		if r.readers > 0 || r.detachedAt.IsZero() {
 			continue
 		}
-		if now.Sub(r.detached) >= time.Duration(r.req.DetachMS)*time.Millisecond {
-			e.end(id, r)
+		if now.Sub(r.detachedAt) >= time.Duration(r.req.DetachMS)*time.Millisecond {
+			e.endRun(id, r)
 		}
 	}
 }
 
-func (e *Engine) end(id engine.Attempt, r *run) {
+func (e *Engine) endRun(id engine.Attempt, r *run) {
 	delete(e.runs, id)
 	same := func(o *run) bool { return o == r }
 	e.queue = slices.DeleteFunc(e.queue, same)
@@ -297,7 +297,7 @@
 	if r == nil {
 		return false
 	}
-	e.end(id, r)
+	e.endRun(id, r)
 	return true
 }
 
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -82,12 +82,12 @@
 	r.HandleFunc("/v1/cache-events", s.getCacheEvents).Methods(http.MethodGet)
 	r.HandleFunc("/v1/orders", s.postOrder).Methods(http.MethodPost)
 	r.HandleFunc("/v1/state", s.getState).Methods(http.MethodGet)
-	r.Use(s.pausing)
+	r.Use(s.waitWhilePaused)
 	return r
 }
 
-// pausing holds every answer while the engine is paused.
-func (s *EngineServer) pausing(next http.Handler) http.Handler {
+// waitWhilePaused holds every answer while the engine is paused.
+func (s *EngineServer) waitWhilePaused(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.Engine.mu.Lock()
 		wait := time.Until(s.faults.pausedUntil)
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -16,7 +16,7 @@
 		return engine.State{}, errDead
 	}
 	if e.cfg.Fences && o.Fence < e.state.Fence {
-		return engine.State{}, errOldFence
+		return engine.State{}, errStaleFence
 	}
 	e.state.Fence = max(e.state.Fence, o.Fence)
 	if !e.cfg.Fences {
--- a/internal/standin/engine_stream.go
+++ b/internal/standin/engine_stream.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	return e.follow(ctx, r, len(c.Generated), on)
+	return e.streamEvents(ctx, r, len(c.Generated), on)
 }
 
 // Attach goes on reading a run.
@@ -29,7 +29,7 @@
 	if r == nil {
 		return errNoRun
 	}
-	return e.follow(ctx, r, from, on)
+	return e.streamEvents(ctx, r, from, on)
 }
 
 // Cancel ends a run.
@@ -38,11 +38,11 @@
 	return nil
 }
 
-func (e *Engine) follow(ctx context.Context, r *run, from int, on func(engine.Event) error) error {
-	e.join(r)
-	defer e.leave(r)
+func (e *Engine) streamEvents(ctx context.Context, r *run, from int, on func(engine.Event) error) error {
+	e.attachReader(r)
+	defer e.detachReader(r)
 	for {
-		event, ok, changed, err := e.next(r, from)
+		event, ok, changed, err := e.nextEvent(r, from)
 		if err != nil {
 			return err
 		}
@@ -54,7 +54,7 @@
 				return ctx.Err()
 			}
 		}
-		if err := e.hold(ctx); err != nil {
+		if err := e.delayEvent(ctx); err != nil {
 			return err
 		}
 		if err := on(event); err != nil {
@@ -67,10 +67,10 @@
 	}
 }
 
-// hold waits while the engine is paused or answers late.
-func (e *Engine) hold(ctx context.Context) error {
+// delayEvent waits while the engine is paused or answers late.
+func (e *Engine) delayEvent(ctx context.Context) error {
 	e.mu.Lock()
-	wait := max(time.Until(e.faults.pausedUntil), e.faults.late)
+	wait := max(time.Until(e.faults.pausedUntil), e.faults.eventDelay)
 	e.mu.Unlock()
 	if wait <= 0 {
 		return ctx.Err()
@@ -83,28 +83,28 @@
 	}
 }
 
-func (e *Engine) join(r *run) {
+func (e *Engine) attachReader(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.readers++
-	r.detached = time.Time{}
+	r.detachedAt = time.Time{}
 }
 
-// leave marks a run that nobody reads; it outlives that by its detach time.
-func (e *Engine) leave(r *run) {
+// detachReader marks a run that nobody reads; it outlives that by its detach time.
+func (e *Engine) detachReader(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.readers--
 	if r.readers > 0 {
 		return
 	}
-	r.detached = time.Now()
+	r.detachedAt = time.Now()
 	if r.req.DetachMS == 0 || r.finish != "" {
-		e.end(r.req.Attempt, r)
+		e.endRun(r.req.Attempt, r)
 	}
 }
 
-func (e *Engine) next(r *run, from int) (engine.Event, bool, <-chan struct{}, error) {
+func (e *Engine) nextEvent(r *run, from int) (engine.Event, bool, <-chan struct{}, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.err != nil {
@@ -113,7 +113,7 @@
 	if len(r.tokens) <= from && r.finish == "" {
 		return engine.Event{}, false, r.changed, nil
 	}
-	event := engine.Event{Attempt: e.label(r), Index: len(r.tokens), TokenIDs: append([]int32(nil), r.tokens[from:]...), Texts: []string{}, Version: r.version}
+	event := engine.Event{Attempt: e.attemptLabel(r), Index: len(r.tokens), TokenIDs: append([]int32(nil), r.tokens[from:]...), Texts: []string{}, Version: r.version}
 	for _, t := range event.TokenIDs {
 		event.Texts = append(event.Texts, TextOf(t))
 	}
@@ -124,9 +124,9 @@
 	return event, true, nil, nil
 }
 
-// label is the run's attempt id, or another run's where answers are crossed.
-func (e *Engine) label(r *run) engine.Attempt {
-	if !e.faults.crossed {
+// attemptLabel is the run's attempt id, or another run's where answers are crossed.
+func (e *Engine) attemptLabel(r *run) engine.Attempt {
+	if !e.faults.swapAttemptIDs {
 		return r.req.Attempt
 	}
 	for id := range e.runs {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -13,31 +13,31 @@
 var Error = errs.Class("standin")
 
 var (
-	errDead      = Error.New("engine is dead")
-	errNotServed = Error.New("not served")
-	errCancelled = Error.New("cancelled")
-	errNoRun     = Error.New("no such run")
-	errOldFence  = Error.New("order with an old fencing number")
+	errDead       = Error.New("engine is dead")
+	errNotServed  = Error.New("not served")
+	errCancelled  = Error.New("cancelled")
+	errNoRun      = Error.New("no such run")
+	errStaleFence = Error.New("order with an old fencing number")
 )
 
 type faults struct {
-	pausedUntil time.Time
-	slow        float64
-	stall       string        // runs whose attempt id holds it
-	late        time.Duration // each event is written this late
-	crossed     bool          // events carry another run's attempt id
-	leaving     bool
+	pausedUntil     time.Time
+	slowFactor      float64
+	stalledAttempts string        // runs whose attempt id holds it
+	eventDelay      time.Duration // each event is written this late
+	swapAttemptIDs  bool          // events carry another run's attempt id
+	leaving         bool
 }
 
 func (f *faults) slowness() float64 {
-	if f.slow == 0 {
+	if f.slowFactor == 0 {
 		return 1
 	}
-	return f.slow
+	return f.slowFactor
 }
 
 func (f *faults) stalls(a engine.Attempt) bool {
-	return f.stall != "" && strings.Contains(a, f.stall)
+	return f.stalledAttempts != "" && strings.Contains(a, f.stalledAttempts)
 }
 
 // Kill makes the engine die without notice: its runs, queue and cache are gone.
@@ -83,35 +83,35 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.pausedUntil = time.Now().Add(d)
-	e.poke()
+	e.wakeLoop()
 }
 
 // Slow multiplies the step time.
 func (e *Engine) Slow(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults.slow = factor
+	e.faults.slowFactor = factor
 }
 
 // Stall stops the runs whose attempt id contains part; empty: none from now on.
 func (e *Engine) Stall(part string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults.stall = part
+	e.faults.stalledAttempts = part
 }
 
 // Late delays each event.
 func (e *Engine) Late(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults.late = d
+	e.faults.eventDelay = d
 }
 
 // Cross makes events carry the attempt id of another run.
 func (e *Engine) Cross(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults.crossed = on
+	e.faults.swapAttemptIDs = on
 }
 
 // Leave makes reports say that the engine is leaving.
--- a/internal/standin/routedengine/copies.go
+++ b/internal/standin/routedengine/copies.go
@@ -5,15 +5,15 @@
 	"net/http"
 )
 
-// keepOf keeps a copy of another engine's run up to an event.
-func (s *Server) keepOf(id string, n uint64) {
+// keepCopyOf keeps a copy of another engine's run up to an event.
+func (s *Server) keepCopyOf(id string, n uint64) {
 	if s != nil {
-		s.keep(s.Address+"/"+id, n)
+		s.storeCopy(s.Address+"/"+id, n)
 	}
 }
 
-func (s *Server) keep(name string, n uint64) {
-	if s.is(Dead) {
+func (s *Server) storeCopy(name string, n uint64) {
+	if s.inState(Dead) {
 		return
 	}
 	s.mu.Lock()
@@ -21,28 +21,28 @@
 	s.copies[name] = n
 }
 
-// copyOut copies the memory of a run to another engine.
-func (s *Server) copyOut(w http.ResponseWriter, r *http.Request) {
+// copyOnOrder copies the memory of a run to another engine.
+func (s *Server) copyOnOrder(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodDelete {
-		s.Net.drop(s.Address + "/" + r.URL.Query().Get("name"))
+		s.Net.dropCopy(s.Address + "/" + r.URL.Query().Get("name"))
 		return
 	}
 	id := r.URL.Query().Get("run")
 	s.mu.Lock()
-	made, runs := s.made[id]
+	made, runs := s.eventsMade[id]
 	s.mu.Unlock()
 	target := s.Net.At(r.URL.Query().Get("to"))
-	if !runs || target == nil || target.is(Dead) {
+	if !runs || target == nil || target.inState(Dead) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	s.pause(r, s.CopyTime)
-	target.keep(s.Address+"/copy-of-"+id, uint64(made))
+	target.storeCopy(s.Address+"/copy-of-"+id, uint64(made))
 	_, _ = fmt.Fprint(w, "copy-of-"+id)
 }
 
-// takeCopy uses up the copy that "address/id" names.
-func (s *Server) takeCopy(from string) bool {
+// consumeCopy uses up the copy that "address/id" names.
+func (s *Server) consumeCopy(from string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.copies[from]
@@ -50,8 +50,8 @@
 	return ok
 }
 
-// drop forgets a copy wherever it is kept.
-func (n *Net) drop(name string) {
+// dropCopy forgets a copy wherever it is kept.
+func (n *Net) dropCopy(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range n.servers {
--- a/internal/standin/routedengine/engine.go
+++ b/internal/standin/routedengine/engine.go
@@ -22,9 +22,9 @@
 
 // Net is a network in memory with its servers.
 type Net struct {
-	mu      sync.Mutex
-	servers map[string]*Server // by address
-	listens []net.Listener
+	mu        sync.Mutex
+	servers   map[string]*Server // by address
+	listeners []net.Listener
 }
 
 // NewNet returns an empty network.
@@ -41,7 +41,7 @@
 	if s == nil {
 		return nil, errRefused
 	}
-	if s.is(Dark) {
+	if s.inState(Dark) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -66,7 +66,7 @@
 	s.Address = l.Addr().String()
 	n.Add(s)
 	n.mu.Lock()
-	n.listens = append(n.listens, l)
+	n.listeners = append(n.listeners, l)
 	n.mu.Unlock()
 	go func() {
 		for {
@@ -95,7 +95,7 @@
 func (n *Net) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.listens {
+	for _, l := range n.listeners {
 		_ = l.Close()
 	}
 	for _, s := range n.servers {
@@ -166,27 +166,27 @@
 	// Answer, if set, takes a call over and reports whether it did.
 	Answer func(s *Server, w http.ResponseWriter, r *http.Request) bool
 
-	mu     sync.Mutex
-	state  State
-	wake   chan struct{} // closed when the state changes
-	conns  map[net.Conn]bool
-	runs   []Run
-	active map[string]bool   // by request id, of streams here
-	made   map[string]int    // by request id, of runs under way
-	copies map[string]uint64 // by address/id, last event of a kept copy
+	mu         sync.Mutex
+	state      State
+	wake       chan struct{} // closed when the state changes
+	conns      map[net.Conn]bool
+	runs       []Run
+	active     map[string]bool   // by request id, of streams here
+	eventsMade map[string]int    // by request id, of runs under way
+	copies     map[string]uint64 // by address/id, last event of a kept copy
 }
 
 // Add puts a server on the network and starts it.
 func (n *Net) Add(s *Server) *Server {
 	s.Net, s.wake, s.conns = n, make(chan struct{}), map[net.Conn]bool{}
-	s.active, s.made, s.copies = map[string]bool{}, map[string]int{}, map[string]uint64{}
+	s.active, s.eventsMade, s.copies = map[string]bool{}, map[string]int{}, map[string]uint64{}
 	n.mu.Lock()
 	n.servers[s.Address] = s
 	n.mu.Unlock()
 	return s
 }
 
-func (s *Server) is(state State) bool {
+func (s *Server) inState(state State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state == state
@@ -201,7 +201,7 @@
 	conns := s.conns
 	if state == Dead {
 		s.conns, s.copies = map[net.Conn]bool{}, map[string]uint64{}
-		s.made, s.active = map[string]int{}, map[string]bool{}
+		s.eventsMade, s.active = map[string]int{}, map[string]bool{}
 	}
 	s.mu.Unlock()
 	if state != Dead {
@@ -252,12 +252,12 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
-	case s.is(Dark):
+	case s.inState(Dark):
 		<-r.Context().Done()
 	case r.URL.Path == forward.PlainReportURI:
 		s.report(w)
 	case r.URL.Path == forward.PlainCopyURI:
-		s.copyOut(w, r)
+		s.copyOnOrder(w, r)
 	case r.Header.Get(forward.HeaderInstance) != s.ID:
 		s.refuse(w, r, http.StatusMisdirectedRequest)
 	case s.Answer != nil && s.Answer(s, w, r):
@@ -287,7 +287,7 @@
 func (s *Server) report(w http.ResponseWriter) {
 	s.mu.Lock()
 	out := forward.Report{Made: map[string]int{}, Complete: true}
-	for id, n := range s.made {
+	for id, n := range s.eventsMade {
 		out.Made[id] = n
 	}
 	for id := range s.active {
@@ -327,7 +327,7 @@
 	case <-r.Context().Done():
 		return false
 	}
-	for s.is(Dark) {
+	for s.inState(Dark) {
 		s.mu.Lock()
 		wake := s.wake
 		s.mu.Unlock()
@@ -345,14 +345,14 @@
 	after, _ := strconv.ParseUint(r.Header.Get(forward.HeaderLastEvent), 10, 64)
 	anew := true
 	if from := r.Header.Get(forward.HeaderCopyFrom); from != "" {
-		if !s.takeCopy(from) {
+		if !s.consumeCopy(from) {
 			s.refuse(w, r, http.StatusServiceUnavailable)
 			return
 		}
 		anew = false
 	}
 	s.Note(r, after+1, anew)
-	defer s.begin(id)()
+	defer s.markActive(id)()
 	if anew && !s.pause(r, s.ReadTime) {
 		return
 	}
@@ -367,14 +367,14 @@
 		if http.NewResponseController(w).Flush() != nil {
 			return
 		}
-		s.progress(id, int(n-after))
-		keeper.keepOf(id, n)
+		s.setProgress(id, int(n-after))
+		keeper.keepCopyOf(id, n)
 	}
-	s.progress(id, 0)
+	s.setProgress(id, 0)
 }
 
-// begin notes a stream as here until the function that it returns is called.
-func (s *Server) begin(id string) (end func()) {
+// markActive notes a stream as here until the function that it returns is called.
+func (s *Server) markActive(id string) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	active := s.active
@@ -386,12 +386,12 @@
 	}
 }
 
-func (s *Server) progress(id string, made int) {
+func (s *Server) setProgress(id string, made int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.made[id] = made
+	s.eventsMade[id] = made
 	if made == 0 {
-		delete(s.made, id)
+		delete(s.eventsMade, id)
 	}
 }
 
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -25,11 +25,11 @@
 type Service struct {
 	Addr string
 
-	server *http.Server
-	mu     sync.Mutex
-	runs   map[string]int
-	next   BreakPoint
-	hold   time.Duration
+	server      *http.Server
+	mu          sync.Mutex
+	runs        map[string]int
+	nextBreak   BreakPoint
+	answerDelay time.Duration
 }
 
 // ServeService starts a service on addr.
@@ -48,14 +48,14 @@
 func (s *Service) Break(at BreakPoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next = at
+	s.nextBreak = at
 }
 
 // HoldAnswers makes each call run at once and answer this much later.
 func (s *Service) HoldAnswers(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hold = d
+	s.answerDelay = d
 }
 
 // Runs is how often calls with a key ran.
@@ -83,8 +83,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	s.mu.Lock()
-	at, hold := s.next, s.hold
-	s.next = BreakNever
+	at, hold := s.nextBreak, s.answerDelay
+	s.nextBreak = BreakNever
 	s.mu.Unlock()
 	if at == BreakBefore {
 		panic(http.ErrAbortHandler)
--- a/internal/standin/token.go
+++ b/internal/standin/token.go
@@ -16,8 +16,8 @@
 // adapter and the whole prefix, so a token that does not belong to its prefix
 // shows; the choice part is free, so sampling may differ by attempt.
 const (
-	chains  = 1000
-	choices = 32
+	digestValues = 1000
+	sampleValues = 32
 )
 
 // PromptTokens returns the prompt's tokens; text has one token a byte.
@@ -30,28 +30,28 @@
 	return out
 }
 
-// chain digests the prefix of an answer.
-type chain uint64
+// answerDigest digests the prefix of an answer.
+type answerDigest uint64
 
-func startChain(c *engine.Completion, version string) chain {
+func promptDigest(c *engine.Completion, version string) answerDigest {
 	d := xxhash.New()
 	_, _ = d.WriteString(c.Model + "\x00" + version + "\x00" + c.Adapter)
-	h := chain(d.Sum64())
+	h := answerDigest(d.Sum64())
 	for _, t := range PromptTokens(c) {
 		h = h.with(t)
 	}
 	return h
 }
 
-func (h chain) with(token int32) chain {
+func (h answerDigest) with(token int32) answerDigest {
 	var b [12]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(h))
 	binary.LittleEndian.PutUint32(b[8:], uint32(token))
-	return chain(xxhash.Sum64(b[:]))
+	return answerDigest(xxhash.Sum64(b[:]))
 }
 
-func (h chain) next(choice uint64) int32 {
-	return int32(uint64(h)%chains*choices + choice%choices)
+func (h answerDigest) next(choice uint64) int32 {
+	return int32(uint64(h)%digestValues*sampleValues + choice%sampleValues)
 }
 
 // TextOf is the text of a token.
@@ -60,9 +60,9 @@
 // Verify checks an answer token by token: each must follow from its prefix, and
 // a whole answer has MaxTokens of them.
 func Verify(c engine.Completion, version string, tokens []int32, whole bool) error {
-	h := startChain(&c, version)
+	h := promptDigest(&c, version)
 	for i, t := range tokens {
-		if want := int32(uint64(h) % chains); t/choices != want {
+		if want := int32(uint64(h) % digestValues); t/sampleValues != want {
 			return Error.New("token %d is %d, which does not follow from its prefix", i+1, t)
 		}
 		h = h.with(t)
