--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -224,13 +224,13 @@
 }
 
 // die kills the engine. A silent death sends no reset, like the loss of a host.
-func (e *engineModel) die(mute bool) {
+func (e *engineModel) die(silent bool) {
 	lost := append(slices.Clone(e.batch), e.queue...)
-	e.dead, e.silent, e.stepping = true, mute, false
+	e.dead, e.silent, e.stepping = true, silent, false
 	e.epoch++
 	e.queue, e.batch, e.reports = nil, nil, nil
 	e.cache, e.cacheOrder, e.eventLog, e.eventSeq = map[uint64]bool{}, nil, nil, 0
-	if mute {
+	if silent {
 		return
 	}
 	for _, a := range lost {
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -8,8 +8,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/generation"
 )
 
-// prefixCache is an engine's prompt prefix cache: blocks of engine.CacheBlock
-// tokens, least recently used out first.
+// prefixCache is an engine's prompt prefix cache. It holds blocks of
+// engine.CacheBlockTokens tokens and evicts the least recently used.
 type prefixCache struct {
 	limit  int // blocks
 	order  *list.List
@@ -27,7 +27,7 @@
 	return &prefixCache{limit: limitTokens / engine.CacheBlock, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// blockDigests returns the digest of each whole block's prefix.
+// blockDigests returns the digest of the prefix that ends with each full block.
 func blockDigests(tokens []int32) []uint64 {
 	var out []uint64
 	var d uint64
@@ -40,7 +40,7 @@
 	return out
 }
 
-// insert returns how many of the tokens were cached and caches the rest.
+// insert caches the tokens and returns how many of them were cached before.
 func (c *prefixCache) insert(tokens []int32) int {
 	cached, broken := 0, false
 	for _, d := range blockDigests(tokens) {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,26 +15,27 @@
 
 const maxCacheEvents = 4096
 
-// EngineConfig sets the speed and habits of a stand-in engine.
+// EngineConfig sets the speed, the sizes and the faults of a stand-in engine.
 type EngineConfig struct {
 	Name       string
 	Models     []engine.Model
-	StepBase   time.Duration // of one decoding step with an empty batch
+	StepBase   time.Duration // duration of a decoding step with an empty batch
 	StepPerRun time.Duration // added by each run in the batch
 	Prefill    time.Duration // added by each prompt token that is not cached
 	MaxBatch   int
-	CacheLimit int // tokens
-	ReportLag  time.Duration
-	EventLag   time.Duration // cache events are published this late
-	EventGap   int           // every n-th cache event is lost; 0: none
-	Fences     bool          // refuses orders with an old fencing number
-	LoadTime   time.Duration // of one model
-	ByAttempt  bool          // sampling differs by attempt
-	PoisonWord string        // a prompt with it kills the engine
-	PoisonAt   int           // at this token of its answer
+	CacheLimit int           // tokens
+	ReportLag  time.Duration // age of the load reports that load returns
+	EventLag   time.Duration // delay until a cache event is published
+	EventGap   int           // every n-th cache event is not published; 0: all are
+	Fences     bool          // refuse orders with a stale fencing number
+	LoadTime   time.Duration // until a model that is loaded is ready
+	ByAttempt  bool          // attempts sample differently
+	PoisonWord string        // a prompt that contains it kills the engine; empty: none
+	PoisonAt   int           // number of answer tokens after which it does
 }
 
-// DefaultEngine is an engine that is fast enough for tests and the demo.
+// DefaultEngine returns the configuration of an engine that is fast enough for tests and
+// the demo.
 func DefaultEngine(name, model string) EngineConfig {
 	return EngineConfig{
 		Name: name, Models: []engine.Model{{Name: model, Version: "1", Ready: true}},
@@ -44,16 +45,16 @@
 	}
 }
 
-// EngineStats counts an engine's work.
+// EngineStats counts an engine's work over all its lives.
 type EngineStats struct {
-	Starts         int // runs started
-	PrefillTokens  int // prompt tokens computed, cached ones left out
-	GeneratedTotal int // tokens generated
+	Starts         int
+	PrefillTokens  int // prompt tokens computed, without cached ones
+	GeneratedTotal int
 	Cancelled      int
 }
 
-// Engine is a stand-in model engine with continuous batching. Its methods are
-// what engines offer; Faults changes how it behaves. Safe for concurrent use.
+// Engine is a stand-in model engine with continuous batching. It offers the API of
+// engines and methods that inject faults. It is safe for concurrent use.
 type Engine struct {
 	cfg EngineConfig
 
@@ -87,7 +88,7 @@
 	digest        answerDigest
 	arrivalSeq    uint64
 	prefillTokens int
-	tokens        []int32 // Generated included
+	tokens        []int32 // includes the tokens that the request brought along
 	finish        string
 	usage         engine.Usage
 	changed       chan struct{}
@@ -97,7 +98,7 @@
 	stalled       bool
 }
 
-// NewEngine starts an engine.
+// NewEngine starts an engine. The caller stops it with Stop.
 func NewEngine(cfg EngineConfig) *Engine {
 	e := &Engine{cfg: cfg, wake: make(chan struct{}, 1), quit: make(chan struct{}), ended: make(chan struct{})}
 	e.reset()
@@ -120,7 +121,7 @@
 	}
 }
 
-// submit queues a run, or returns the one that already has its attempt id.
+// submit queues a run. It returns the existing run if the attempt id is known.
 func (e *Engine) submit(c engine.Completion) (*run, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -186,8 +187,8 @@
 	}
 }
 
-// step admits, decodes one token for each run of the batch, and returns how
-// long that took, and whether there was anything to do.
+// step admits queued runs and decodes one token for each run of the batch. It returns
+// the duration of the step and whether there was any work.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -218,10 +219,10 @@
 	for len(e.queue) > 0 && len(e.batch) < e.cfg.MaxBatch {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
-		whole := append(PromptTokens(&r.req), r.tokens...)
-		cached := e.cache.insert(whole)
-		r.prefillTokens = len(whole) - cached
-		r.usage = engine.Usage{Prompt: len(whole) - len(r.tokens), Cached: cached}
+		prefix := append(PromptTokens(&r.req), r.tokens...)
+		cached := e.cache.insert(prefix)
+		r.prefillTokens = len(prefix) - cached
+		r.usage = engine.Usage{Prompt: len(prefix) - len(r.tokens), Cached: cached}
 		e.stats.PrefillTokens += r.prefillTokens
 		prefill += r.prefillTokens
 		e.batch = append(e.batch, r)
@@ -264,7 +265,7 @@
 	r.changed = make(chan struct{})
 }
 
-// reapDetached ends runs that nobody has read for their detach time, and forgets
+// reapDetached ends the runs that have had no reader for their detach time, and removes
 // finished ones.
 func (e *Engine) reapDetached(now time.Time) {
 	for id, r := range e.runs {
@@ -289,7 +290,7 @@
 	}
 }
 
-// cancel ends a run and reports whether there was one.
+// cancel ends a run and reports whether it existed.
 func (e *Engine) cancel(id engine.Attempt) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -321,7 +322,7 @@
 	e.reports = e.reports[cut:]
 }
 
-// load is the newest report that is at least ReportLag old.
+// load returns the newest load report that is at least ReportLag old.
 func (e *Engine) load() engine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -342,21 +343,21 @@
 	return out
 }
 
-// Stats returns the engine's counters, kept over its deaths.
+// Stats returns the engine's counters, which survive its deaths.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// Stop ends the engine for good, once.
+// Stop ends the engine for good. It must be called only once.
 func (e *Engine) Stop() {
 	e.Kill()
 	close(e.quit)
 	<-e.ended
 }
 
-// Running is the number of runs in the batch and the queue.
+// Running returns the number of runs in the batch and the queue.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -19,8 +19,8 @@
 
 const maxEngineBody = 8 << 20
 
-// EngineServer serves an Engine on a loopback port. When the engine dies its
-// listener and connections close; Revive brings it back on the same address.
+// EngineServer serves an Engine on a loopback port. If the engine dies, its listener and
+// connections close. Revive restarts it on the same address.
 type EngineServer struct {
 	*Engine
 	Addr string
@@ -29,7 +29,7 @@
 	server *http.Server
 }
 
-// ServeEngine starts an engine on addr ("127.0.0.1:0": the kernel picks).
+// ServeEngine starts an engine on addr. "127.0.0.1:0" uses a port that the kernel picks.
 func ServeEngine(cfg EngineConfig, addr string) (*EngineServer, error) {
 	s := &EngineServer{Engine: NewEngine(cfg), Addr: addr}
 	s.onDeath = s.closeServer
@@ -59,7 +59,7 @@
 	_ = s.server.Close()
 }
 
-// Revive starts a dead engine again, empty.
+// Revive restarts a dead engine without runs and with an empty cache.
 func (s *EngineServer) Revive() error {
 	s.Engine.mu.Lock()
 	s.dead = false
@@ -86,7 +86,7 @@
 	return r
 }
 
-// waitWhilePaused holds every answer while the engine is paused.
+// waitWhilePaused delays every answer while the engine is paused.
 func (s *EngineServer) waitWhilePaused(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.Engine.mu.Lock()
@@ -118,7 +118,7 @@
 	id, _ := url.PathUnescape(mux.Vars(r)["attempt"])
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil || from < 0 {
-		http.Error(w, "from: a number", http.StatusBadRequest)
+		http.Error(w, "from must be a non-negative integer", http.StatusBadRequest)
 		return
 	}
 	s.stream(w, func(on func(engine.Event) error) error {
@@ -126,8 +126,8 @@
 	})
 }
 
-// stream writes events until run returns. Before the first event an error is an
-// HTTP status; after it the connection just ends, as a dying engine's does.
+// stream writes events until run returns. An error before the first event becomes an
+// HTTP status. A later one aborts the connection, like the death of an engine.
 func (s *EngineServer) stream(w http.ResponseWriter, run func(on func(engine.Event) error) error) {
 	started := false
 	flush := http.NewResponseController(w)
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -7,8 +7,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/engine"
 )
 
-// Order changes what the engine serves. An engine that fences refuses numbers
-// below the highest it has seen; one that does not takes every order.
+// Order changes what the engine serves. An engine that enforces fencing refuses numbers
+// below the highest that it has seen. Any other engine accepts every order.
 func (e *Engine) Order(o engine.Order) (engine.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -35,7 +35,8 @@
 	return e.copyState(), nil
 }
 
-// loadModel needs e.mu. The model is ready after the engine's load time.
+// loadModel adds a model, which is ready after the engine's load time. The caller holds
+// e.mu.
 func (e *Engine) loadModel(o engine.Order) {
 	for i := range e.state.Models {
 		m := &e.state.Models[i]
@@ -65,7 +66,7 @@
 	}
 }
 
-// State is what the engine serves.
+// State returns the models that the engine serves, its role and its fencing number.
 func (e *Engine) State() engine.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,8 +79,8 @@
 	return out
 }
 
-// cacheEvents returns the events after since that are old enough to be
-// published, without those that are lost.
+// cacheEvents returns the events after since that are at least EventLag old. It leaves
+// out every DropEveryNthEvent-th.
 func (e *Engine) cacheEvents(since uint64) engine.CacheEvents {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine_stream.go
+++ b/internal/standin/engine_stream.go
@@ -9,7 +9,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/engine"
 )
 
-// Generate runs a completion without a network, as engine.Client does with one.
+// Generate runs a completion in process. It has the signature of engine.Client.Generate.
 func (e *Engine) Generate(ctx context.Context, _ string, c engine.Completion, on func(engine.Event) error) error {
 	r, err := e.submit(c)
 	if errors.Is(err, errNotServed) {
@@ -21,7 +21,7 @@
 	return e.streamEvents(ctx, r, len(c.Generated), on)
 }
 
-// Attach goes on reading a run.
+// Attach reads the events of a run that follow the token at index from.
 func (e *Engine) Attach(ctx context.Context, _ string, id engine.Attempt, from int, on func(engine.Event) error) error {
 	e.mu.Lock()
 	r := e.runs[id]
@@ -67,7 +67,7 @@
 	}
 }
 
-// delayEvent waits while the engine is paused or answers late.
+// delayEvent waits while the engine is paused, and for the delay of events.
 func (e *Engine) delayEvent(ctx context.Context) error {
 	e.mu.Lock()
 	wait := max(time.Until(e.faults.pausedUntil), e.faults.eventDelay)
@@ -90,7 +90,8 @@
 	r.detachedAt = time.Time{}
 }
 
-// detachReader marks a run that nobody reads; it outlives that by its detach time.
+// detachReader removes a reader of a run. A run without readers is kept for its detach
+// time.
 func (e *Engine) detachReader(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,7 +125,8 @@
 	return event, true, nil, nil
 }
 
-// attemptLabel is the run's attempt id, or another run's where answers are crossed.
+// attemptLabel returns the run's attempt id, or that of another run if attempt ids are
+// swapped.
 func (e *Engine) attemptLabel(r *run) engine.Attempt {
 	if !e.faults.swapAttemptIDs {
 		return r.req.Attempt
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -15,7 +15,7 @@
 	return engine.Completion{Attempt: attempt, Model: "m", Prompt: "a prompt of more than sixteen bytes", MaxTokens: max}
 }
 
-// collect reads a whole answer, or what came before an error.
+// collect returns the tokens of an answer, up to the first error.
 func collect(ctx context.Context, e *standin.Engine, c engine.Completion) ([]int32, error) {
 	var out []int32
 	err := e.Generate(ctx, "", c, func(ev engine.Event) error {
@@ -56,8 +56,8 @@
 	})
 }
 
-// Two attempts that sample differently each give a sound answer; the tail of one
-// behind the head of the other does not follow from its prefix.
+// Guards against a Verify that misses a splice of two generations. Two attempts that
+// sample differently each pass, but the head of one with the tail of the other fails.
 func TestSpliceOfTwoGenerationsShows(t *testing.T) {
 	inBubble(t, func(c *standin.EngineConfig) { c.ByAttempt = true }, func(t *testing.T, e *standin.Engine) {
 		first, err1 := collect(t.Context(), e, completion("a", 40))
@@ -72,7 +72,7 @@
 		}
 		spliced := append(first[:20:20], second[20:]...)
 		if standin.Verify(completion("", 40), "1", spliced, true) == nil {
-			t.Error("a spliced answer passed the check")
+			t.Error("spliced answer passed Verify, want an error")
 		}
 	})
 }
@@ -82,10 +82,10 @@
 		time.AfterFunc(50*time.Millisecond, e.Kill)
 		got, err := collect(t.Context(), e, completion("a", 1000))
 		if err == nil || len(got) == 0 || len(got) == 1000 {
-			t.Errorf("%d tokens, error %v; want a part and an error", len(got), err)
+			t.Errorf("got %d tokens, error %v; want part of the answer and an error", len(got), err)
 		}
 		if _, err := collect(t.Context(), e, completion("b", 1)); err == nil {
-			t.Error("a dead engine answered")
+			t.Error("dead engine answered, want an error")
 		}
 	})
 }
@@ -109,7 +109,7 @@
 			t.Error(err)
 		}
 		if s := e.Stats(); s.GeneratedTotal != 100 || s.Starts != 1 {
-			t.Errorf("%+v: the run was not kept", s)
+			t.Errorf("got stats %+v, want 1 run and 100 generated tokens", s)
 		}
 	})
 }
@@ -123,13 +123,13 @@
 		_, _ = collect(ctx, e, c)
 		synctest.Wait()
 		if e.Running() != 1 {
-			t.Fatal("the run ended with its connection")
+			t.Fatal("run ended with its connection, want it running")
 		}
 		timer := time.NewTimer(300 * time.Millisecond)
 		<-timer.C
 		synctest.Wait()
 		if e.Running() != 0 || e.Stats().Cancelled != 1 {
-			t.Errorf("running %d, stats %+v; want a cancelled run", e.Running(), e.Stats())
+			t.Errorf("got %d runs, stats %+v; want 0 runs, 1 of them cancelled", e.Running(), e.Stats())
 		}
 	})
 }
@@ -144,7 +144,7 @@
 		prompt := len(completion("", 1).Prompt)
 		want := prompt + prompt%engine.CacheBlock
 		if got := e.Stats().PrefillTokens; got != want {
-			t.Errorf("prefilled %d tokens, want %d: whole blocks once, the rest twice", got, want)
+			t.Errorf("got %d tokens prefilled, want %d: full blocks once, the rest twice", got, want)
 		}
 	})
 }
@@ -155,8 +155,8 @@
 		fences  bool
 		wantErr bool
 	}{
-		{"an engine that fences refuses an old number", true, true},
-		{"an engine that does not takes it", false, false},
+		{"an engine that enforces fencing refuses a stale number", true, true},
+		{"an engine that does not accepts it", false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inBubble(t, func(c *standin.EngineConfig) { c.Fences = tc.fences }, func(t *testing.T, e *standin.Engine) {
@@ -165,7 +165,7 @@
 				}
 				_, err := e.Order(engine.Order{Fence: 4, Op: "unload", Model: "m", Version: "1"})
 				if (err != nil) != tc.wantErr {
-					t.Errorf("error %v, want one: %v", err, tc.wantErr)
+					t.Errorf("got error %v, want an error: %t", err, tc.wantErr)
 				}
 			})
 		})
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -14,17 +14,17 @@
 
 var (
 	errDead       = Error.New("engine is dead")
-	errNotServed  = Error.New("not served")
-	errCancelled  = Error.New("cancelled")
+	errNotServed  = Error.New("model or adapter is not served")
+	errCancelled  = Error.New("run was cancelled")
 	errNoRun      = Error.New("no such run")
-	errStaleFence = Error.New("order with an old fencing number")
+	errStaleFence = Error.New("order has a stale fencing number")
 )
 
 type faults struct {
 	pausedUntil     time.Time
 	slowFactor      float64
-	stalledAttempts string        // runs whose attempt id holds it
-	eventDelay      time.Duration // each event is written this late
+	stalledAttempts string        // stalls runs whose attempt id contains it; empty: none
+	eventDelay      time.Duration // of each event
 	swapAttemptIDs  bool          // events carry another run's attempt id
 	leaving         bool
 }
@@ -40,14 +40,14 @@
 	return f.stalledAttempts != "" && strings.Contains(a, f.stalledAttempts)
 }
 
-// Kill makes the engine die without notice: its runs, queue and cache are gone.
+// Kill makes the engine die without notice. Its runs, queue and cache are lost.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.die()
 }
 
-// die needs e.mu.
+// die kills the engine. The caller holds e.mu.
 func (e *Engine) die() {
 	if e.dead {
 		return
@@ -64,21 +64,21 @@
 	}
 }
 
-// Deaths counts how often the engine died.
+// Deaths returns how often the engine has died.
 func (e *Engine) Deaths() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.deaths
 }
 
-// Alive reports whether the engine lives.
+// Alive reports whether the engine is running.
 func (e *Engine) Alive() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.dead
 }
 
-// Pause stops decoding and answering for a while; connections stay open.
+// Pause stops decoding and answering for d. Connections stay open.
 func (e *Engine) Pause(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,35 +86,36 @@
 	e.wakeLoop()
 }
 
-// Slow multiplies the step time.
+// Slow multiplies the duration of each step by factor.
 func (e *Engine) Slow(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.slowFactor = factor
 }
 
-// Stall stops the runs whose attempt id contains part; empty: none from now on.
+// StallAttempts stops the runs whose attempt id contains part. An empty part stalls no
+// further runs.
 func (e *Engine) Stall(part string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.stalledAttempts = part
 }
 
-// Late delays each event.
+// DelayEvents delays each event by d.
 func (e *Engine) Late(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.eventDelay = d
 }
 
-// Cross makes events carry the attempt id of another run.
+// SwapAttemptIDs makes events carry the attempt id of another run.
 func (e *Engine) Cross(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.swapAttemptIDs = on
 }
 
-// Leave makes reports say that the engine is leaving.
+// ReportLeaving makes load reports state that the engine is leaving.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -14,8 +14,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/inventory"
 )
 
-// Platform is a stand-in for the platform's list, which lags. Safe for
-// concurrent use.
+// Platform is a stand-in for the platform's inventory, which lags behind changes. It is
+// safe for concurrent use.
 type Platform struct {
 	URL string
 
@@ -30,7 +30,7 @@
 	list inventory.List
 }
 
-// ServePlatform starts a platform on addr whose list shows each change lag late.
+// ServePlatform starts a platform on addr. Its list shows each change after lag.
 func ServePlatform(addr string, lag time.Duration) (*Platform, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -42,17 +42,17 @@
 	return p, nil
 }
 
-// Set changes the list; the first one shows at once.
+// Set changes the list. The first list shows at once.
 func (p *Platform) Set(list inventory.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lists = append(p.lists, timedList{time.Now(), list})
 }
 
-// Close stops the platform.
+// Close stops the server.
 func (p *Platform) Close() { _ = p.server.Close() }
 
-// ServeHTTP answers with the list as it was lag ago.
+// ServeHTTP implements http.Handler. It serves the list as it was before the lag.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != inventory.Path {
 		http.NotFound(w, r)
--- a/internal/standin/routedengine/copies.go
+++ b/internal/standin/routedengine/copies.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// keepCopyOf keeps a copy of another engine's run up to an event.
+// keepCopyOf stores a copy of another engine's run up to an event.
 func (s *Server) keepCopyOf(id string, n uint64) {
 	if s != nil {
 		s.storeCopy(s.Address+"/"+id, n)
@@ -21,7 +21,7 @@
 	s.copies[name] = n
 }
 
-// copyOnOrder copies the memory of a run to another engine.
+// copyOnOrder copies the memory of a run to another engine, or drops such a copy.
 func (s *Server) copyOnOrder(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodDelete {
 		s.Net.dropCopy(s.Address + "/" + r.URL.Query().Get("name"))
@@ -41,7 +41,8 @@
 	_, _ = fmt.Fprint(w, "copy-of-"+id)
 }
 
-// consumeCopy uses up the copy that "address/id" names.
+// consumeCopy removes the copy that from names as "address/id". It reports whether the
+// server had one.
 func (s *Server) consumeCopy(from string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +51,7 @@
 	return ok
 }
 
-// dropCopy forgets a copy wherever it is kept.
+// dropCopy removes a copy from all servers.
 func (n *Net) dropCopy(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/standin/routedengine/engine.go
+++ b/internal/standin/routedengine/engine.go
@@ -1,8 +1,8 @@
-// Package routedengine is a stand-in for the backend servers behind routed
-// requests: engines that stream numbered events, keep copies of each other's runs
-// and go on behind an event, and plain servers. They die, fall silent, refuse and
-// answer wrongly on order. They live on a network in memory, so that tests run in
-// virtual time.
+// Package routedengine provides stand-ins for the backend servers of routed requests:
+// plain servers, and engines that stream numbered events, keep backup copies of each
+// other's runs and resume after an event. Tests make them die, stop answering, refuse
+// and answer wrongly. They use a network in memory, which lets tests run in virtual
+// time.
 package routedengine
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Net is a network in memory with its servers.
+// Net is an in-memory network with its servers. It is safe for concurrent use.
 type Net struct {
 	mu        sync.Mutex
 	servers   map[string]*Server // by address
@@ -30,10 +30,11 @@
 // NewNet returns an empty network.
 func NewNet() *Net { return &Net{servers: map[string]*Server{}} }
 
-// errRefused is what a dead server's machine answers.
+// errRefused is the error of a dial to a dead server.
 var errRefused = errors.New("routedengine: connection refused")
 
-// Dial connects to the server at an address. A dark one never answers.
+// Dial connects to the server at an address. A dial to an unresponsive server blocks
+// until ctx is done.
 func (n *Net) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	s := n.servers[addr]
@@ -52,8 +53,8 @@
 	return near, nil
 }
 
-// ListenTCP puts a server on the network and on its address; without one on a
-// loopback address of its own.
+// ListenTCP adds a server to the network and listens on its address, or on a free
+// loopback port if it has none.
 func (n *Net) ListenTCP(s *Server) error {
 	addr := s.Address
 	if addr == "" {
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// Move has a server known by another address, where a proxy stands before it.
+// ChangeAddress registers a server under another address, such as that of a proxy in
+// front of it.
 func (n *Net) Move(s *Server, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -91,7 +93,7 @@
 	n.servers[addr] = s
 }
 
-// Close ends all servers and their listeners.
+// Close kills all servers and closes their listeners.
 func (n *Net) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,7 +105,7 @@
 	}
 }
 
-// LoseZoneOf ends all servers of the zone where a request runs.
+// KillZoneOf kills all servers of the zone where a request runs.
 func (n *Net) LoseZoneOf(request string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,7 +124,7 @@
 	}
 }
 
-// List is the list of backend servers that names all of them.
+// Backends returns the list entries of all servers, in no particular order.
 func (n *Net) List() []upstream.Backend {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,37 +135,38 @@
 	return out
 }
 
-// State is how a server is.
+// State is the state of a server.
 type State int
 
 // The states.
 const (
 	Alive State = iota
-	Dead        // every connection is reset, new ones are refused
-	Dark        // nothing comes from it any more
+	Dead        // existing connections are reset, new ones are refused
+	Dark        // connections stay open, but nothing is answered
 )
 
-// Run is one request as a server began it.
+// Run records a request that a server started.
 type Run struct {
 	RequestID string
 	Path      string
 	Body      string
 	Header    http.Header
-	From      uint64 // first event made
-	ReadAnew  bool   // the whole prompt was read
+	From      uint64 // id of the first event that the run generates
+	ReadAnew  bool   // the prompt was prefilled; false: resumed from a copy
 }
 
-// Server is one stand-in. Set its fields before the first request.
+// Server is a stand-in for a backend server. Its exported fields must be set before the
+// first request.
 type Server struct {
 	upstream.Backend
 	Net *Net
 
-	Events    int           // of a stream
-	ReadTime  time.Duration // until the first event, where the prompt is read
+	Events    int           // number of events of a stream; 0: the server answers calls
+	ReadTime  time.Duration // of the prompt, before the first event
 	EventTime time.Duration // between events
-	WorkTime  time.Duration // of a call
-	CopyTime  time.Duration // of a copy on order
-	// Answer, if set, takes a call over and reports whether it did.
+	WorkTime  time.Duration // duration of a call
+	CopyTime  time.Duration // duration of a copy on order
+	// Intercept, if set, may answer a request, and reports whether it did.
 	Answer func(s *Server, w http.ResponseWriter, r *http.Request) bool
 
 	mu         sync.Mutex
@@ -171,12 +174,12 @@
 	wake       chan struct{} // closed when the state changes
 	conns      map[net.Conn]bool
 	runs       []Run
-	active     map[string]bool   // by request id, of streams here
-	eventsMade map[string]int    // by request id, of runs under way
-	copies     map[string]uint64 // by address/id, last event of a kept copy
+	active     map[string]bool   // streams that run here, by request id
+	eventsMade map[string]int    // events of running streams, by request id
+	copies     map[string]uint64 // last event of each backup copy, by "address/id"
 }
 
-// Add puts a server on the network and starts it.
+// Add starts a server on the network and returns it.
 func (n *Net) Add(s *Server) *Server {
 	s.Net, s.wake, s.conns = n, make(chan struct{}), map[net.Conn]bool{}
 	s.active, s.eventsMade, s.copies = map[string]bool{}, map[string]int{}, map[string]uint64{}
@@ -192,7 +195,7 @@
 	return s.state == state
 }
 
-// Set changes the state. Death resets every connection and forgets every copy.
+// Set changes the state. Dead resets every connection and drops every copy.
 func (s *Server) Set(state State) {
 	s.mu.Lock()
 	s.state = state
@@ -212,28 +215,28 @@
 	}
 }
 
-// Runs are the requests that the server began to run.
+// Runs returns the requests that the server has started, in order.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// Copies is how many copies of other engines' runs are kept here.
+// Copies returns the number of backup copies of other engines' runs.
 func (s *Server) Copies() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.copies)
 }
 
-// DropCopies forgets all kept copies, as an engine that lacks memory does.
+// DropCopies drops all backup copies, like an engine that lacks memory.
 func (s *Server) DropCopies() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.copies = map[string]uint64{}
 }
 
-// accept serves a connection, unless the server is dead by now.
+// accept serves a connection. It returns false if the server is dead.
 func (s *Server) accept(c net.Conn) bool {
 	s.mu.Lock()
 	alive := s.state != Dead
@@ -268,7 +271,7 @@
 	}
 }
 
-// Refuse answers that the request has not run.
+// Refuse answers that the request did not run.
 func (s *Server) Refuse(w http.ResponseWriter, r *http.Request) {
 	s.refuse(w, r, http.StatusServiceUnavailable)
 }
@@ -299,19 +302,19 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-// Note records that a request runs here.
-func (s *Server) Note(r *http.Request, from uint64, anew bool) {
+// RecordRun records that a request runs here. from is the id of its first event.
+func (s *Server) Note(r *http.Request, from uint64, prefilled bool) {
 	body := make([]byte, max(0, r.ContentLength))
 	_, _ = r.Body.Read(body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, Run{
 		RequestID: r.Header.Get(forward.HeaderRequestID), Path: r.RequestURI, Body: string(body),
-		Header: r.Header.Clone(), From: from, ReadAnew: anew,
+		Header: r.Header.Clone(), From: from, ReadAnew: prefilled,
 	})
 }
 
-// Call runs a request with one answer.
+// AnswerCall runs a call and answers it with a status.
 func (s *Server) Call(w http.ResponseWriter, r *http.Request, status int) {
 	s.Note(r, 0, false)
 	s.pause(r, s.WorkTime)
@@ -320,7 +323,8 @@
 	_, _ = fmt.Fprintf(w, "answer of %s to %s", s.ID, r.Header.Get(forward.HeaderRequestID))
 }
 
-// pause waits; false: the caller has gone. A dark server waits until it is not.
+// pause waits for d, and while the server is unresponsive. It returns false if the
+// caller has left.
 func (s *Server) pause(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -343,20 +347,20 @@
 func (s *Server) stream(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(forward.HeaderRequestID)
 	after, _ := strconv.ParseUint(r.Header.Get(forward.HeaderLastEvent), 10, 64)
-	anew := true
+	prefill := true
 	if from := r.Header.Get(forward.HeaderCopyFrom); from != "" {
 		if !s.consumeCopy(from) {
 			s.refuse(w, r, http.StatusServiceUnavailable)
 			return
 		}
-		anew = false
+		prefill = false
 	}
-	s.Note(r, after+1, anew)
+	s.Note(r, after+1, prefill)
 	defer s.markActive(id)()
-	if anew && !s.pause(r, s.ReadTime) {
+	if prefill && !s.pause(r, s.ReadTime) {
 		return
 	}
-	keeper := s.Net.At(r.Header.Get(forward.HeaderCopyTo))
+	backup := s.Net.At(r.Header.Get(forward.HeaderCopyTo))
 	s.sign(w, r)
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := after + 1; n <= uint64(s.Events); n++ {
@@ -368,12 +372,12 @@
 			return
 		}
 		s.setProgress(id, int(n-after))
-		keeper.keepCopyOf(id, n)
+		backup.keepCopyOf(id, n)
 	}
 	s.setProgress(id, 0)
 }
 
-// markActive notes a stream as here until the function that it returns is called.
+// markActive marks a stream as running here until end is called.
 func (s *Server) markActive(id string) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -395,14 +399,14 @@
 	}
 }
 
-// At returns the server at an address, or nil.
+// ServerAt returns the server at an address, or nil.
 func (n *Net) At(addr string) *Server {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.servers[addr]
 }
 
-// oneConn is a listener with one connection.
+// oneConn is a listener that accepts a single connection.
 type oneConn struct {
 	conn net.Conn
 	once sync.Once
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// BreakPoint says where a service breaks the connection of its next call.
+// BreakPoint states where a service breaks the connection of its next call.
 type BreakPoint int
 
-// Break points.
+// The break points.
 const (
 	BreakNever  BreakPoint = iota
 	BreakBefore            // before the call runs
@@ -20,8 +20,8 @@
 	BreakWithin            // after it ran, in the middle of the answer
 )
 
-// Service is a stand-in for a plain service such as a dispatch desk. It counts
-// how often each key ran. Safe for concurrent use.
+// Service is a stand-in for a plain service such as a dispatch desk. It counts the runs
+// of each idempotency key. It is safe for concurrent use.
 type Service struct {
 	Addr string
 
@@ -44,21 +44,21 @@
 	return s, nil
 }
 
-// Break sets where the next call's connection breaks.
+// BreakNextCall sets where the connection of the next call breaks.
 func (s *Service) Break(at BreakPoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextBreak = at
 }
 
-// HoldAnswers makes each call run at once and answer this much later.
+// DelayAnswers makes each call run at once and answer after d.
 func (s *Service) HoldAnswers(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answerDelay = d
 }
 
-// Runs is how often calls with a key ran.
+// Runs returns how often calls with an idempotency key ran.
 func (s *Service) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	Bytes  int    `json:"bytes"`
 }
 
-// ServeHTTP runs a call.
+// ServeHTTP implements http.Handler. It runs a call and returns a serviceAnswer.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/standin/token.go
+++ b/internal/standin/token.go
@@ -1,6 +1,6 @@
-// Package standin holds stand-ins for what the system meets from outside:
-// model engines, plain services and the platform's lists. Tests, the demo and
-// the load tool use them; the daemon never does.
+// Package standin provides stand-ins for external systems: model engines, plain
+// services and the platform's inventory. Tests, the demo and the load tool use them.
+// The daemon never does.
 package standin
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/engine"
 )
 
-// A token is chain*choices + choice. The chain part depends on model, version,
-// adapter and the whole prefix, so a token that does not belong to its prefix
-// shows; the choice part is free, so sampling may differ by attempt.
+// A token is digest*sampleValues + sample. The digest part depends on model, version,
+// adapter and all earlier tokens, which lets Verify detect a token that does not belong
+// to its prefix. The sample part is free, which allows attempts to sample differently.
 const (
 	digestValues = 1000
 	sampleValues = 32
 )
 
-// PromptTokens returns the prompt's tokens; text has one token a byte.
+// PromptTokens returns the tokens of the prompt. Text has one token per byte.
 func PromptTokens(c *engine.Completion) []int32 {
 	out := make([]int32, 0, len(c.PromptIDs)+len(c.Prompt))
 	out = append(out, c.PromptIDs...)
@@ -30,7 +30,7 @@
 	return out
 }
 
-// answerDigest digests the prefix of an answer.
+// answerDigest is a digest of the prompt and the tokens generated so far.
 type answerDigest uint64
 
 func promptDigest(c *engine.Completion, version string) answerDigest {
@@ -54,12 +54,12 @@
 	return int32(uint64(h)%digestValues*sampleValues + choice%sampleValues)
 }
 
-// TextOf is the text of a token.
+// TextOf returns the text of a token.
 func TextOf(token int32) string { return fmt.Sprintf(" t%d", token) }
 
-// Verify checks an answer token by token: each must follow from its prefix, and
-// a whole answer has MaxTokens of them.
-func Verify(c engine.Completion, version string, tokens []int32, whole bool) error {
+// Verify checks that each token of an answer follows from its prefix, and that a
+// complete answer has MaxTokens tokens.
+func Verify(c engine.Completion, version string, tokens []int32, complete bool) error {
 	h := promptDigest(&c, version)
 	for i, t := range tokens {
 		if want := int32(uint64(h) % digestValues); t/sampleValues != want {
@@ -67,8 +67,8 @@
 		}
 		h = h.with(t)
 	}
-	if whole && len(tokens) != c.MaxTokens {
-		return Error.New("%d tokens, want %d", len(tokens), c.MaxTokens)
+	if complete && len(tokens) != c.MaxTokens {
+		return Error.New("got %d tokens, want %d", len(tokens), c.MaxTokens)
 	}
 	return nil
 }
