--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -40,17 +40,17 @@
 
 func TestResumeContinuesTheSameAnswer(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *standin.Engine) {
-		whole, err := collect(t.Context(), e, completion("a", 40))
+		answer, err := collect(t.Context(), e, completion("a", 40))
 		if err != nil {
 			t.Fatal(err)
 		}
 		rest := completion("b", 40)
-		rest.Generated = whole[:25]
+		rest.Generated = answer[:25]
 		tail, err := collect(t.Context(), e, rest)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := standin.Verify(rest, "1", append(whole[:25:25], tail...), true); err != nil {
+		if err := standin.Verify(rest, "1", append(answer[:25:25], tail...), true); err != nil {
 			t.Error(err)
 		}
 	})
