--- a/internal/routedlocal/badinput_test.go
+++ b/internal/routedlocal/badinput_test.go
@@ -12,15 +12,15 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/forward"
 )
 
-// sendRaw sends text on a connection of its own and returns the status of the answer;
-// 0: the connection was closed without one.
+// sendRaw sends text on a new connection and returns the status of the answer, or 0 if
+// the connection was closed without an answer.
 func sendRaw(t *testing.T, front, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", front)
 	check(t, err)
 	defer c.Close()
 	check(t, c.SetDeadline(time.Now().Add(testTimeout)))
-	// The answer may come before all is written, and the rest is not read then.
+	// The router may answer before it has read everything, and then reads no more.
 	go func() { _, _ = c.Write([]byte(text)) }()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return resp.StatusCode
 }
 
-// Callers who send what nobody may send are told so, in plain statuses, and a
-// stream on another connection goes on undisturbed meanwhile.
+// Guards against malformed or oversized requests that get a wrong status, or that
+// interrupt a stream on another connection.
 func TestBadInputDisturbsNobody(t *testing.T) {
 	s, ctx := start(t)
 	check(t, s.Put(ctx, 1, "/a/"))
@@ -45,12 +45,12 @@
 		{"malformed", "POST /a/1\r\n\r\n", http.StatusBadRequest},
 		{"no host", "GET /a/1 HTTP/1.1\r\n\r\n", http.StatusBadRequest},
 		{"two lengths", head + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabc", http.StatusBadRequest},
-		{"length that is none", head + "Content-Length: three\r\n\r\n", http.StatusBadRequest},
+		{"length that is not a number", head + "Content-Length: three\r\n\r\n", http.StatusBadRequest},
 		{"body over the limit", head + "Content-Length: 99999999\r\n\r\n", http.StatusRequestEntityTooLarge},
 		{"body over the list's limit", head + fmt.Sprintf("Content-Length: %d\r\n\r\n", 5<<20) + strings.Repeat("x", 5<<20), http.StatusRequestEntityTooLarge},
 		{"headers over the limit", head + "X-Long: " + strings.Repeat("x", 64<<10) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
-		{"body that does not come", head + forward.HeaderDeadline + ": 200\r\nContent-Length: 10\r\n\r\nabc", http.StatusRequestTimeout},
-		{"chunks that are none", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", http.StatusBadRequest},
+		{"incomplete body", head + forward.HeaderDeadline + ": 200\r\nContent-Length: 10\r\n\r\nabc", http.StatusRequestTimeout},
+		{"malformed chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", http.StatusBadRequest},
 		{"no route", "GET /nowhere HTTP/1.1\r\nHost: " + Host + "\r\n\r\n", http.StatusNotFound},
 	}
 	done := make(chan Received, 1)
@@ -64,11 +64,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := sendRaw(t, front, tt.text); got != tt.status {
-				t.Errorf("status %d, want %d", got, tt.status)
+				t.Errorf("got status %d, want %d", got, tt.status)
 			}
 		})
 	}
 	if got := <-done; !got.Whole || !Complete(got.IDs, Events) {
-		t.Errorf("another caller's stream: %+v", got)
+		t.Errorf("stream on another connection: got %+v, want all events and a proper end", got)
 	}
 }
--- a/internal/routedlocal/calls.go
+++ b/internal/routedlocal/calls.go
@@ -12,16 +12,17 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// DeskService answers calls, under /book/ once each, under /look/ as often as wanted.
+// DeskService is the name of a service of calls. Calls under /book/ run once, those under
+// /look/ are idempotent.
 const DeskService = "desk"
 
-// deskCallTime is how long a call takes.
+// deskCallTime is the duration of a call.
 const deskCallTime = 20 * time.Millisecond
 
-// Spoil takes a call over, and reports whether it did.
+// Interceptor may answer a call in place of the server, and reports whether it did.
 type Spoil func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool
 
-// DeskRoutes is a route list with the desk alone.
+// DeskRoutes returns a route list with the routes of DeskService only.
 func DeskRoutes() *routes.List {
 	route := func(name string, kind routes.Kind) routes.Route {
 		return routes.Route{
@@ -35,14 +36,14 @@
 	}
 }
 
-// AddDesk starts three servers of a version of the desk.
-func (s *System) AddDesk(version string, spoil Spoil) error {
+// AddDesk starts one server of a version of DeskService in each zone. intercept may be nil.
+func (s *System) AddDesk(version string, intercept Spoil) error {
 	for i := range zoneCount {
 		e := &routedengine.Server{
 			Backend: upstream.Backend{
 				ID: fmt.Sprintf("desk-%s-%d", version, i), Service: DeskService, Zone: fmt.Sprint("zone", i), Slots: 8, Version: version,
 			},
-			WorkTime: deskCallTime, Answer: spoil,
+			WorkTime: deskCallTime, Answer: intercept,
 		}
 		if err := s.AddServer(e); err != nil {
 			return err
--- a/internal/routedlocal/operators_test.go
+++ b/internal/routedlocal/operators_test.go
@@ -15,15 +15,16 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// Operators put a list in force, read it back as they sent it, and are told what
-// is wrong with another; callers find the routers; nobody without the token changes
-// anything.
+// Guards against an operators' API that changes a route list on its way, accepts an
+// invalid or conflicting one, or lets a client without the token write. It also checks
+// that callers can look up the routers' addresses.
 func TestOperators(t *testing.T) {
 	s, ctx := start(t)
 	testOperators(t, ctx, s, s.Controls[0])
 }
 
-// The same through a control process without a disk, which holds nothing itself.
+// Runs the same checks against a control process without a disk, which stores nothing
+// itself.
 func TestOperatorsAtAnObserver(t *testing.T) {
 	s, ctx := start(t)
 	o, err := s.StartObserver()
@@ -51,7 +52,7 @@
 			break
 		}
 		if code != http.StatusServiceUnavailable || ctx.Err() != nil {
-			t.Fatalf("status %d: %s", code, text)
+			t.Fatalf("got status %d: %s; want 200, or 503 until the list is in force", code, text)
 		}
 	}
 	check(t, s.Ready(ctx))
@@ -66,14 +67,14 @@
 		{"read back", http.MethodGet, "/v1/routes", "secret", "", http.StatusOK, string(list)},
 		{"sent again", http.MethodPut, "/v1/routes", "secret", string(list), http.StatusOK, `"in_force":1`},
 		{"other content, same version", http.MethodPut, "/v1/routes", "secret", strings.Replace(string(list), "25000", "24000", 1), http.StatusConflict, "1025"},
-		{"improper", http.MethodPut, "/v1/routes", "secret", "{", http.StatusBadRequest, "1024"},
+		{"malformed", http.MethodPut, "/v1/routes", "secret", "{", http.StatusBadRequest, "1024"},
 		{"without the token", http.MethodPut, "/v1/routes", "", string(list), http.StatusUnauthorized, "1005"},
-		{"where to connect", http.MethodGet, "/v1/entry", "", "", http.StatusOK, s.Fronts[0]},
+		{"router addresses", http.MethodGet, "/v1/entry", "", "", http.StatusOK, s.Fronts[0]},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if code, text := ask(tt.method, tt.path, tt.token, tt.body); code != tt.code || !strings.Contains(text, tt.text) {
-				t.Errorf("status %d: %s", code, text)
+				t.Errorf("got status %d: %s; want the status and the text of the case", code, text)
 			}
 		})
 	}
--- a/internal/routedlocal/rollout_test.go
+++ b/internal/routedlocal/rollout_test.go
@@ -19,18 +19,18 @@
 
 const (
 	deskCallers     = 8
-	callInterval    = 20 * time.Millisecond // of one caller
+	callInterval    = 20 * time.Millisecond // between two calls of one caller
 	rolloutDuration = 8 * time.Second
 )
 
-// desk is a service of calls with two versions of its servers, and callers.
+// desk is a system with two versions of DeskService and with callers.
 type desk struct {
 	t      *testing.T
 	s      *System
 	ctx    context.Context
 	calls  [2]atomic.Int64 // that reached each version
-	sent   atomic.Int64    // by callers
-	failed atomic.Int64    // not answered well
+	sent   atomic.Int64    // calls sent
+	failed atomic.Int64    // calls with an error or a status other than 200
 	ids    atomic.Int64
 	end    context.CancelFunc
 	work   sync.WaitGroup
@@ -53,15 +53,15 @@
 	return d
 }
 
-// add starts the servers of a version. spoil takes a call over.
-func (d *desk) add(version int, spoil Spoil) {
+// add starts the servers of a version. intercept may be nil.
+func (d *desk) add(version int, intercept Spoil) {
 	check(d.t, d.s.AddDesk(fmt.Sprint("v", version+1), func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		d.calls[version].Add(1)
-		return spoil != nil && spoil(s, w, r)
+		return intercept != nil && intercept(s, w, r)
 	}))
 }
 
-// call sends calls, one after the other, until the test ends.
+// call sends one call after the other until the test ends.
 func (d *desk) call(i int) {
 	path := []string{"/book/1", "/look/1"}[i%2]
 	for timer.Sleep(d.ctx, callInterval) == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// orderRollout orders the roll-out to v2 through any control process.
+// orderRollout orders the roll-out to v2, through any control process that accepts it.
 func (d *desk) orderRollout() {
 	o := rollout.Order{Service: DeskService, To: "v2", Duration: rolloutDuration}
 	for i := 0; ; i++ {
@@ -84,11 +84,11 @@
 	}
 }
 
-// waitForOutcome waits until the roll-out is over.
+// waitForOutcome waits until the roll-out is over, and returns its record.
 func (d *desk) waitForOutcome() rollout.Record {
 	for i := 0; ; i++ {
-		one, cancel := context.WithTimeout(d.ctx, time.Second)
-		r, err := d.s.Controls[i%len(d.s.Controls)].Rollout(one, DeskService)
+		tryCtx, cancel := context.WithTimeout(d.ctx, time.Second)
+		r, err := d.s.Controls[i%len(d.s.Controls)].Rollout(tryCtx, DeskService)
 		cancel()
 		if err == nil && r.Phase.Over() {
 			return r
@@ -97,13 +97,13 @@
 	}
 }
 
-// waitForRouters waits until every router applies what was decided.
+// waitForRouters waits long enough for every router to apply the last decision.
 func (d *desk) waitForRouters() { check(d.t, timer.Sleep(d.ctx, time.Second)) }
 
-func failEvery(part int) Spoil {
-	var n atomic.Int64
+func failEvery(n int) Spoil {
+	var calls atomic.Int64
 	return func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
-		if n.Add(1)%int64(part) != 0 {
+		if calls.Add(1)%int64(n) != 0 {
 			return false
 		}
 		s.Call(w, r, http.StatusInternalServerError)
@@ -118,35 +118,36 @@
 	}
 }
 
-// Guards against a version that gets requests before it is ordered, and a good one that
-// is not completed in time or costs callers an answer.
+// Guards against a new version that gets requests before its roll-out is ordered, and
+// against a roll-out of a good version that does not complete in time or fails calls.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	t.Parallel()
 	d := startDesk(t)
 	d.add(1, nil)
 	d.waitForRouters()
 	if n := d.calls[1].Load(); n > 0 {
-		t.Errorf("%d calls reached a version that nobody ordered", n)
+		t.Errorf("got %d calls at v2 before its roll-out was ordered, want 0", n)
 	}
 	began := time.Now()
 	d.orderRollout()
 	d.orderRollout()
 	if r := d.waitForOutcome(); r.Phase != rollout.Completed || r.Number != 1 || time.Since(began) > rolloutDuration {
-		t.Errorf("after %v: %+v", time.Since(began), r)
+		t.Errorf("after %v: got %+v, want roll-out 1 completed within 8 s", time.Since(began), r)
 	}
 	d.s.RemoveServers(DeskService, "v1")
 	d.waitForRouters()
 	if n := d.failed.Load(); n > 0 {
-		t.Errorf("%d calls of %d were lost", n, d.sent.Load())
+		t.Errorf("got %d failed calls of %d, want 0", n, d.sent.Load())
 	}
 }
 
-// Guards against a bad version that gets more than it may, or anything once it is reverted.
+// Guards against a bad version that gets more calls than the exposure limit allows, or
+// any call after it is reverted.
 func TestBadVersionIsReverted(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
-		name  string
-		spoil Spoil
+		name      string
+		intercept Spoil
 	}{
 		{"all calls fail", failEvery(1)},
 		{"every third call fails", failEvery(3)},
@@ -164,25 +165,25 @@
 			t.Parallel()
 			d := startDesk(t)
 			d.orderRollout()
-			d.add(1, tt.spoil)
+			d.add(1, tt.intercept)
 			before := d.sent.Load()
 			r := d.waitForOutcome()
 			d.waitForRouters()
 			after := d.calls[1].Load()
 			allowed := rollout.DefaultLimits.Share*float64(d.sent.Load()-before) + rollout.DefaultLimits.Slack
 			if r.Phase != rollout.Reverted || float64(after) > allowed {
-				t.Errorf("%d calls reached it, %.0f may: %+v", after, allowed, r)
+				t.Errorf("got %d calls at v2, want at most %.0f and a reverted roll-out: %+v", after, allowed, r)
 			}
 			d.waitForRouters()
 			if n := d.calls[1].Load(); n > after {
-				t.Errorf("%d calls reached it after it was reverted", n-after)
+				t.Errorf("got %d calls at v2 after it was reverted, want 0", n-after)
 			}
 		})
 	}
 }
 
-// Guards against a roll-out that ends with its leader: the next one goes on from the log
-// and from what the routers tell it.
+// Guards against a roll-out that ends with its leader. The next leader continues from
+// the log and from the routers' reports.
 func TestRolloutOutlivesItsLeader(t *testing.T) {
 	t.Parallel()
 	d := startDesk(t)
@@ -191,11 +192,12 @@
 	check(t, timer.Sleep(d.ctx, rolloutDuration/4))
 	check(t, d.s.StopLeader())
 	if r := d.waitForOutcome(); r.Phase != rollout.Completed {
-		t.Errorf("%+v", r)
+		t.Errorf("got roll-out %+v, want it completed", r)
 	}
 }
 
-// Guards against a version that is pushed on while no majority can take it back.
+// Guards against a roll-out that takes further steps without a majority of the control
+// group, which could not revert them.
 func TestNoMajorityNoStep(t *testing.T) {
 	t.Parallel()
 	d := startDesk(t)
@@ -207,16 +209,16 @@
 	check(t, timer.Sleep(d.ctx, rolloutDuration))
 	total, reached := d.sent.Load(), d.calls[1].Load()
 	if allowed := rollout.DefaultLimits.Share*float64(total) + rollout.DefaultLimits.Slack; float64(reached) > allowed {
-		t.Errorf("%d of %d calls reached the new version, %.0f may", reached, total, allowed)
+		t.Errorf("got %d of %d calls at v2, want at most %.0f", reached, total, allowed)
 	}
 	short, cancel := context.WithTimeout(d.ctx, time.Second)
 	defer cancel()
 	if _, err := d.s.Controls[0].Rollout(short, DeskService); result.CodeOf(err) != result.ControlUnavail {
-		t.Errorf("read by one of three: %v", err)
+		t.Errorf("read by one of three control processes: got error %v, want ControlUnavail", err)
 	}
 }
 
-// Guards against streams that end with the servers of the old version.
+// Guards against streams that end when the servers of the old version leave.
 func TestStreamsMoveToTheNewVersion(t *testing.T) {
 	t.Parallel()
 	s, ctx := start(t)
@@ -233,7 +235,7 @@
 				Backend: upstream.Backend{
 					ID: fmt.Sprint(version, "-", i), Service: DeskService, Zone: fmt.Sprint("zone", i%zoneCount), Slots: 128, Version: version,
 				},
-				// Read anew, a prompt takes longer than a pause may be.
+				// A prefill of the prompt takes longer than the pause objective.
 				Events: 2 * Events, ReadTime: time.Second, EventTime: 20 * time.Millisecond, CopyTime: 20 * time.Millisecond,
 			}))
 		}
@@ -243,19 +245,19 @@
 	check(t, s.Ready(ctx))
 	ctx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
-	var whole, cut, paused atomic.Int64
+	var complete, broken, paused atomic.Int64
 	for i := range 30 {
 		work.Go(func() {
 			for n := 0; timer.Sleep(ctx, 10*time.Millisecond) == nil; n++ {
 				got, err := Stream(context.WithoutCancel(ctx), s.Fronts[i%len(s.Fronts)], fmt.Sprintf("/a/%d-%d", i, n), fmt.Sprintf("s%d-%d", i, n), 0, nil)
 				switch {
 				case err != nil || !got.Whole || !Complete(got.IDs, 2*Events):
-					cut.Add(1)
-					t.Logf("stream %d-%d: %d events, whole %v, %v", i, n, len(got.IDs), got.Whole, err)
+					broken.Add(1)
+					t.Logf("stream %d-%d: got %d events, complete %v, error %v", i, n, len(got.IDs), got.Whole, err)
 				case got.Longest > 700*time.Millisecond:
 					paused.Add(1)
 				default:
-					whole.Add(1)
+					complete.Add(1)
 				}
 			}
 		})
@@ -267,13 +269,13 @@
 	if r := d.waitForOutcome(); r.Phase != rollout.Completed {
 		cancel()
 		work.Wait()
-		t.Fatalf("%+v", r)
+		t.Fatalf("got roll-out %+v, want it completed", r)
 	}
 	s.RemoveServers(DeskService, "v1")
 	check(t, timer.Sleep(ctx, 3*time.Second))
 	cancel()
 	work.Wait()
-	if cut.Load() > 0 || paused.Load() > whole.Load()/20 {
-		t.Errorf("%d streams whole, %d with a long pause, %d cut off", whole.Load(), paused.Load(), cut.Load())
+	if broken.Load() > 0 || paused.Load() > complete.Load()/20 {
+		t.Errorf("got %d complete streams, %d with a pause over 700 ms, %d broken; want none broken and at most 5%% with a long pause", complete.Load(), paused.Load(), broken.Load())
 	}
 }
--- a/internal/routedlocal/system.go
+++ b/internal/routedlocal/system.go
@@ -1,6 +1,6 @@
-// Package routedlocal runs a system of routers and control processes in one
-// process on loopback, before stand-in engines: for the demo and for tests of the
-// whole path over real connections.
+// Package routedlocal runs routers, control processes and stand-in engines in one
+// process on loopback addresses. The demo and end-to-end tests over real connections use
+// it.
 package routedlocal
 
 import (
@@ -37,31 +37,31 @@
 	routerCount  = 2
 	zoneCount    = 3
 	engineCount  = 6
-	// Events is how many events each stream has.
+	// Events is the number of events of each stream.
 	Events = 60
 )
 
-// Host, Service and Key of the route lists that Put sends.
+// Host and service of the route lists that PutStreamRoute sends.
 const (
 	Host    = "shelf"
 	Service = "models"
 )
 
-// System is a running system.
+// System is a running system. Stop ends it.
 type System struct {
 	Net      *routedengine.Net
 	Controls []*routed.Control
 	Routers  []*routed.Router
-	Fronts   []string // callers' addresses
+	Fronts   []string // of the routers, for callers
 
 	mu       sync.Mutex
 	backends []upstream.Backend
-	seeds    []string // control VMs
+	seeds    []string // addresses of the control VMs
 	dir      string
 }
 
-// Start starts three control processes, two routers and two engines in each of
-// three zones.
+// Start starts three control processes and two routers, and two engines in each of three
+// zones.
 func Start() (*System, error) {
 	for try := 1; ; try++ {
 		s := &System{Net: routedengine.NewNet()}
@@ -70,14 +70,14 @@
 			return s, nil
 		}
 		s.Stop()
-		// Another process may have taken an address that was free a moment ago.
+		// Another process may have taken an address since freeAddrs released it.
 		if !errors.Is(err, syscall.EADDRINUSE) || try == maxStartTries {
 			return nil, err
 		}
 	}
 }
 
-// maxStartTries bounds how often a system is started on other addresses.
+// maxStartTries bounds how often Start tries again with other addresses.
 const maxStartTries = 5
 
 func (s *System) start() error {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// AddServer starts a backend server, and lists it.
+// AddServer starts a backend server and adds it to the list of backend servers.
 func (s *System) AddServer(e *routedengine.Server) error {
 	if err := s.Net.ListenTCP(e); err != nil {
 		return err
@@ -138,16 +138,16 @@
 	return nil
 }
 
-// RemoveServers ends all servers of a service and version, and takes them off the list.
+// RemoveServers kills all servers of a service and version and removes them from the list.
 func (s *System) RemoveServers(service, version string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backends = slices.DeleteFunc(s.backends, func(b upstream.Backend) bool {
-		gone := b.Service == service && b.Version == version
-		if gone {
+		remove := b.Service == service && b.Version == version
+		if remove {
 			s.Net.At(b.Address).Set(routedengine.Dead)
 		}
-		return gone
+		return remove
 	})
 }
 
@@ -177,7 +177,7 @@
 	return slices.Clone(s.backends), nil
 }
 
-// freeAddrs are loopback addresses that were free a moment ago.
+// freeAddrs returns n loopback addresses. Another process may take them before their use.
 func freeAddrs(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -191,7 +191,7 @@
 	return out, nil
 }
 
-// StartObserver starts a control process without a disk. The caller closes it.
+// StartObserver starts a control process without a disk. The caller must close it.
 func (s *System) StartObserver() (*routed.Observer, error) {
 	addrs, err := freeAddrs(1)
 	if err != nil {
@@ -200,7 +200,7 @@
 	return routed.StartObserver(common(addrs[0], s.seeds))
 }
 
-// Stop ends everything.
+// Stop ends all processes and servers and removes their files.
 func (s *System) Stop() {
 	for _, r := range s.Routers {
 		r.Close()
@@ -214,7 +214,7 @@
 	}
 }
 
-// StopLeader ends the control process that leads the group.
+// StopLeader ends the control process that leads the control group.
 func (s *System) StopLeader() error {
 	for i, c := range s.Controls {
 		if c.Leads() {
@@ -223,13 +223,14 @@
 			return nil
 		}
 	}
-	return errors.New("routedlocal: no control process leads")
+	return errors.New("routedlocal: no control process is the leader")
 }
 
-// retryPause is between two tries to put a list in force.
+// retryPause is the pause between two tries of a request or a check.
 const retryPause = 50 * time.Millisecond
 
-// Put puts a list with one route in force, through any control process that can.
+// PutStreamRoute puts a list with one route of streams in force, through any control
+// process that accepts it.
 func (s *System) Put(ctx context.Context, version uint64, prefix string) error {
 	l := &routes.List{
 		Version: version, Source: fmt.Appendf(nil, "list %d", version),
@@ -243,11 +244,11 @@
 	return s.PutList(ctx, l)
 }
 
-// PutList puts any list in force.
+// PutList puts a list in force. It tries the control processes in turn until ctx is done.
 func (s *System) PutList(ctx context.Context, l *routes.List) error {
 	for i := 0; ; i++ {
-		one, cancel := context.WithTimeout(ctx, time.Second)
-		_, err := s.Controls[i%len(s.Controls)].PutRoutes(one, l)
+		tryCtx, cancel := context.WithTimeout(ctx, time.Second)
+		_, err := s.Controls[i%len(s.Controls)].PutRoutes(tryCtx, l)
 		cancel()
 		if err == nil {
 			return nil
@@ -258,7 +259,7 @@
 	}
 }
 
-// Ready waits until every router takes callers and is listed.
+// Ready waits until every router is ready for callers and known to the control group.
 func (s *System) Ready(ctx context.Context) error {
 	for {
 		ready := len(s.Controls[0].Entrances(len(s.Routers))) == len(s.Routers)
@@ -274,15 +275,15 @@
 	}
 }
 
-// Received is what a caller got of a stream.
+// StreamResult is what a caller received of a stream.
 type Received struct {
 	IDs     []int
-	Whole   bool          // the answer ended properly
-	Longest time.Duration // pause between two events
+	Whole   bool          // the answer ended without an error
+	Longest time.Duration // between two events
 }
 
-// Stream asks a router for a stream behind an event; seen is called with each
-// event's id.
+// Stream requests a stream from a router and reads it to its end. If after is above 0,
+// the stream starts after that event. seen, if not nil, is called with each event's id.
 func Stream(ctx context.Context, front, path, id string, after int, seen func(n int)) (Received, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+front+path, strings.NewReader("log "+path))
 	if err != nil {
@@ -330,7 +331,7 @@
 	}
 }
 
-// Complete reports whether ids are 1 to n, each once and in order.
+// HasAllEvents reports whether ids are 1 to n, each once and in order.
 func Complete(ids []int, n int) bool {
 	for i, id := range ids {
 		if id != i+1 {
--- a/internal/routedlocal/system_test.go
+++ b/internal/routedlocal/system_test.go
@@ -8,7 +8,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// testTimeout is far more than any step of these tests takes.
+// testTimeout bounds each test.
 const testTimeout = 30 * time.Second
 
 func start(t *testing.T) (*System, context.Context) {
@@ -33,10 +33,10 @@
 	}
 }
 
-// The whole path over real connections. A caller's stream survives the loss of its
-// engine's zone; the operators' list survives the loss of the group's leader, and
-// its next version is in force on every router; a stream whose router dies goes on
-// at another behind the last event.
+// Guards the whole path over real connections. A caller's stream survives the loss of
+// its engine's zone. After the loss of the control group's leader, the next route list
+// comes into force on every router. A stream whose router dies resumes at another router
+// after the last event.
 func TestWholePath(t *testing.T) {
 	s, ctx := start(t)
 	check(t, s.Put(ctx, 1, "/a/"))
@@ -48,7 +48,7 @@
 	})
 	check(t, err)
 	if !got.Whole || !Complete(got.IDs, Events) {
-		t.Errorf("a lost zone: %+v", got)
+		t.Errorf("after the loss of a zone: got %+v, want all events and a proper end", got)
 	}
 	check(t, s.StopLeader())
 	check(t, s.Put(ctx, 2, "/b/"))
@@ -59,11 +59,11 @@
 				break
 			}
 			if ctx.Err() != nil {
-				t.Fatal("the next list is not in force")
+				t.Fatal("route list 2 is not in force before the deadline")
 			}
 		}
 		if _, err := Stream(ctx, front, "/a/1", "r3", 0, nil); err == nil {
-			t.Error("a route that was taken away is still served")
+			t.Error("removed route is still served, want an error")
 		}
 	}
 	got, err = Stream(ctx, s.Fronts[0], "/b/2", "r4", 0, func(n int) {
@@ -75,11 +75,12 @@
 	rest, err := Stream(ctx, s.Fronts[1], "/b/2", "r5", len(got.IDs), nil)
 	check(t, err)
 	if got.Whole || !rest.Whole || !Complete(append(got.IDs, rest.IDs...), Events) {
-		t.Errorf("a dead router: %+v, then %+v", got, rest)
+		t.Errorf("after the death of a router: got %+v, then %+v; want all events over both", got, rest)
 	}
 }
 
-// An operator reads what was acknowledged, or is told that it cannot be known.
+// Guards against a stale read of the route list. Without a majority of the control group
+// an operator gets an error.
 func TestReadWithoutAMajority(t *testing.T) {
 	s, ctx := start(t)
 	check(t, s.Put(ctx, 7, "/a/"))
@@ -96,6 +97,6 @@
 	short, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if _, err := last.Routes(short); result.CodeOf(err) != result.ControlUnavail {
-		t.Errorf("read by one of three: %v", err)
+		t.Errorf("read by one of three control processes: got error %v, want ControlUnavail", err)
 	}
 }
