--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs a whole system in one process on loopback, before stand-in
-// engines and services: for the demo, the load tool, measurements and tests.
+// Package local runs a complete system with stand-in engines and services in one process
+// on loopback addresses. The demo, the load tool, measurements and tests use it.
 package local
 
 import (
@@ -16,34 +16,35 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// Options describe a system.
+// Options describe the system that Start starts.
 type Options struct {
 	VMs      int
 	Zones    int
 	Engines  int
-	Engine   func(i int) standin.EngineConfig  // nil: standin.DefaultEngine of Model
+	Engine   func(i int) standin.EngineConfig  // configuration of engine i, from 0; nil: standin.DefaultEngine of Model
 	Model    string                            // of every engine
-	Services []string                          // a service of each name, one backend server each
-	Settings func(i int, s *settings.Settings) // changes a VM's settings; may be nil
+	Services []string                          // names; each service has one backend server
+	Settings func(i int, s *settings.Settings) // changes the settings of VM i, from 0; may be nil
 	Plans    func() ([]plan.Customer, []plan.Allowance)
 	Log      zerolog.Logger
 }
 
-// System is a running system.
+// System is a running system. Stop ends it.
 type System struct {
 	Nodes    []*node.Node
 	Engines  []*standin.EngineServer
 	Services []*standin.Service
 
-	mu       sync.Mutex // over Nodes, once the system runs
+	mu       sync.Mutex // guards Nodes after Start
 	vms      []settings.VM
 	o        Options
 	dir      string
-	token    string // of operators
+	token    string // operators' token
 	backends []settings.Backend
 }
 
-// Start starts a system; after an error nothing is left running.
+// Start starts a system and waits until it admits requests. After an error nothing keeps
+// running.
 func Start(o Options) (*System, error) {
 	dir, err := os.MkdirTemp("", "amaranthshelf-")
 	if err != nil {
@@ -122,15 +123,15 @@
 	return node.Listen(conf, s.o.Log.With().Str("vm", conf.Self.ID).Logger())
 }
 
-// Node is the VM i, from 0; a restart replaces it.
+// Node returns VM i, from 0. RestartVM replaces it.
 func (s *System) Node(i int) *node.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Nodes[i]
 }
 
-// RestartVM kills the VM i, from 0, and starts it again on its addresses and
-// its disk; its memory is gone.
+// RestartVM kills VM i, from 0, and starts it again with its addresses and its disk. The
+// contents of its memory are lost.
 func (s *System) RestartVM(i int) error {
 	old := s.Node(i)
 	old.Kill()
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// ServiceRuns is how often calls with a key ran on all services.
+// ServiceRuns returns how often calls with an idempotency key ran on all services.
 func (s *System) ServiceRuns(key string) int {
 	total := 0
 	for _, service := range s.Services {
@@ -159,7 +160,7 @@
 	return total
 }
 
-// settings are those of one VM. The first VMs are the control group.
+// settings returns the settings of VM i. The first VMs form the control group.
 func (s *System) settings(i int) (*settings.Settings, error) {
 	conf, err := settings.Default()
 	if err != nil {
@@ -179,8 +180,8 @@
 	return conf, nil
 }
 
-// controlVMs is how many VMs form the control group: five, so that any two may
-// be lost at once; three in a system that is too small for that.
+// controlVMs returns the size of the control group. Five VMs tolerate the loss of any two
+// at once. Smaller systems use three.
 func (s *System) controlVMs() int {
 	if s.o.VMs >= 5 {
 		return 5
@@ -188,7 +189,7 @@
 	return 3
 }
 
-// Stop ends everything at once.
+// Stop kills all VMs, engines and services and removes their files.
 func (s *System) Stop() {
 	for _, n := range s.Nodes {
 		n.Kill()
@@ -202,7 +203,7 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// Addresses are the callers' addresses of all VMs.
+// Addresses returns the addresses of all VMs for callers.
 func (s *System) Addresses() []string {
 	var out []string
 	for _, n := range s.Nodes {
@@ -211,7 +212,7 @@
 	return out
 }
 
-// Work is what all engines have computed, in tokens.
+// ComputedTokens returns the tokens that all engines have prefilled or generated.
 func (s *System) Work() int {
 	total := 0
 	for _, e := range s.Engines {
@@ -221,8 +222,7 @@
 	return total
 }
 
-// KillRunningEngine kills an engine that has work, and reports whether there
-// was one.
+// KillRunningEngine kills one engine that has runs, and reports whether it found one.
 func (s *System) KillRunningEngine() bool {
 	for _, e := range s.Engines {
 		if e.Alive() && e.Running() > 0 {
--- a/internal/local/publish.go
+++ b/internal/local/publish.go
@@ -13,10 +13,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-const publishTimeout = 15 * time.Second // covers the group's first election
+const publishTimeout = 15 * time.Second // includes the control group's first election
 
-// publish writes the lists as an operator does, and waits until every VM
-// applies them.
+// publish writes the plans and allowances through the operators' API and waits until
+// every VM applies them.
 func (s *System) publish(customers []plan.Customer, allowances []plan.Allowance) error {
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
@@ -34,7 +34,7 @@
 	return waitApplied(ctx, o)
 }
 
-// Operator is a client of the operators' API on every VM.
+// Operator returns a client of the operators' API on all VMs.
 func (s *System) Operator() *client.Operator {
 	var addrs []string
 	for _, n := range s.Nodes {
@@ -45,14 +45,14 @@
 
 func create(ctx context.Context, o *client.Operator, list, name string, row any) error {
 	if _, err := o.Do(ctx, client.Change{List: list, Name: name, Row: row}); err != nil {
-		return fmt.Errorf("local: %s %s: %w", list, name, err)
+		return fmt.Errorf("local: create %s %s: %w", list, name, err)
 	}
 	return nil
 }
 
 const statusPause = 20 * time.Millisecond
 
-// waitApplied waits until every VM is fresh and holds the present lists.
+// waitApplied waits until every VM is fresh and applies the current version of the lists.
 func waitApplied(ctx context.Context, o *client.Operator) error {
 	_, version, err := o.Plans(ctx, false)
 	if err != nil {
@@ -67,12 +67,12 @@
 		if err := json.Unmarshal(raw, &status); err != nil {
 			return err
 		}
-		behind := slices.ContainsFunc(status.VMs, func(vm operator.VMStatus) bool { return !vm.Fresh || vm.Version < version })
-		if !behind {
+		pending := slices.ContainsFunc(status.VMs, func(vm operator.VMStatus) bool { return !vm.Fresh || vm.Version < version })
+		if !pending {
 			return nil
 		}
 		if err := timer.Sleep(ctx, statusPause); err != nil {
-			return fmt.Errorf("local: the lists are not applied everywhere: %w", err)
+			return fmt.Errorf("local: plans are not applied on all VMs: %w", err)
 		}
 	}
 }
--- a/internal/local/ready.go
+++ b/internal/local/ready.go
@@ -15,9 +15,9 @@
 	readyPause   = 10 * time.Millisecond
 )
 
-// awaitReady waits until every VM admits requests. A VM that has not got its
-// first lease rightly refuses: callers of a system that has just started would
-// see that as a fault of what they test.
+// awaitReady waits until every VM admits requests. A VM refuses them until it has its
+// first lease. Tests that start with refusals would take them for a fault of the code
+// under test.
 func (s *System) awaitReady() error {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
@@ -25,7 +25,7 @@
 	for _, n := range s.Nodes {
 		for !ready(ctx, n.OperatorAddr()) {
 			if ctx.Err() != nil {
-				errs = append(errs, fmt.Errorf("local: %s not ready after %s", n.Self().ID, readyTimeout))
+				errs = append(errs, fmt.Errorf("local: VM %s is not ready after %s", n.Self().ID, readyTimeout))
 				break
 			}
 			_ = timer.Sleep(ctx, readyPause)
