--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario runs load scenarios written as scripts: the decision modules
-// and a baseline meet the same callers and faults on a virtual clock, and the
-// script states what callers must receive. The scripts stand under testdata; a
-// line that begins with '#' is a comment. The commands:
+// Package scenario runs scripts of load scenarios. It runs the decision modules and a
+// baseline with the same callers and faults on a virtual clock, and checks the results
+// that the script expects. The scripts are in testdata. A line that begins with '#' is a
+// comment. The commands are:
 //
 //	system engines=N zones=N routers=N [objective=resume-latency] [seed=N]
 //	workspace NAME load=40%|rate=N prompt=N tokens=N [prefix=N] [share=N]
@@ -10,15 +10,18 @@
 //	run LENGTH
 //	expect system|baseline METRIC [workspace=NAME] [class=short|long] [from=..] [to=..] OP VALUE
 //
-// load is a share of what all engines can do. rate is in requests a second;
-// prompt, tokens and prefix are in tokens, the first two being means. patience
-// is how long a caller waits for the first token; tries is how often it comes
-// again after a refusal or after losing patience. OP is one of < <= > >=. VALUE
-// is a number, a percentage, a duration, or baseline, the same metric of the
-// baseline. Metrics: served, gave-up, refused (shares of the callers), wait-p50,
-// wait-p99 (to the first token, of those served), refusal-p99 (from a try to its
-// refusal), tokens (of whole answers), tries (per caller), fairness (Jain's index
-// over the workspaces' served shares), extra-work (a share), resume-p99.
+// load is a share of the capacity of all engines. rate is in requests per second.
+// prompt, tokens and prefix are in tokens, and the first two are means. patience is the
+// maximum wait of a caller for the first token. tries is the maximum number of tries,
+// where a caller retries after a refusal or after its maximum wait. OP is one of
+// < <= > >=. VALUE is a number, a percentage, a duration, or baseline, which is the value
+// of the same metric of the baseline.
+//
+// The metrics are served, gave-up and refused (shares of the callers), wait-p50 and
+// wait-p99 (time to the first token, of the callers served), refusal-p99 (time from a
+// try to its refusal), tokens (of complete answers), tries (per caller), fairness (Jain's
+// index over the workspaces' served shares), extra-work (relative to the useful work)
+// and resume-p99 (resume latency).
 package scenario
 
 import (
@@ -33,19 +36,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/recovery"
 )
 
-// Script is the state of one script.
+// Script is the state of a running script.
 type Script struct {
 	scenario experiment.Scenario
 	outcomes map[string]*experiment.Outcome
 }
 
-// New returns the state of a new script.
+// New returns the state at the start of a script.
 func New() *Script { return &Script{outcomes: map[string]*experiment.Outcome{}} }
 
-// Commands are the names of the language.
+// Commands lists the commands that Do executes.
 var Commands = []string{"system", "workspace", "fault", "run", "expect"}
 
-// Do executes a command and returns text for the log.
+// Do executes a command and returns text for the log. It returns an error if the command
+// is malformed or an expectation does not hold.
 func (s *Script) Do(command string, args []string) (string, error) {
 	switch command {
 	case "system":
@@ -59,7 +63,7 @@
 	case "expect":
 		return s.expect(args)
 	}
-	return "", fmt.Errorf("unknown command %s", command)
+	return "", fmt.Errorf("unknown command %q", command)
 }
 
 // options are the name=value words of a command.
@@ -73,7 +77,7 @@
 	for _, arg := range args {
 		name, value, ok := strings.Cut(arg, "=")
 		if !ok || !slices.Contains(allowed, name) {
-			o.errs = append(o.errs, fmt.Errorf("%q: allowed are %s", arg, strings.Join(allowed, "=, ")+"="))
+			o.errs = append(o.errs, fmt.Errorf("unknown option %q, want one of %s", arg, strings.Join(allowed, "=, ")+"="))
 			continue
 		}
 		o.words[name] = value
@@ -107,7 +111,7 @@
 
 func (o *options) err() error { return errors.Join(o.errs...) }
 
-// parseValue reads a number, a percentage, or a duration in seconds.
+// parseValue parses a number, a percentage as a share, or a duration as seconds.
 func parseValue(text string) (float64, error) {
 	if pct, ok := strings.CutSuffix(text, "%"); ok {
 		x, err := strconv.ParseFloat(pct, 64)
@@ -135,14 +139,14 @@
 	case "resume-latency":
 		c.Objective = recovery.ResumeLatency
 	default:
-		o.errs = append(o.errs, errors.New("objective: extra-work or resume-latency"))
+		o.errs = append(o.errs, errors.New("objective must be extra-work or resume-latency"))
 	}
 	return o.err()
 }
 
 func (s *Script) workspace(args []string) error {
 	if len(args) == 0 {
-		return errors.New("workspace: a name is missing")
+		return errors.New("workspace has no name")
 	}
 	o := parseOptions(args[1:], "load", "rate", "prompt", "tokens", "prefix", "share", "patience", "tries", "from", "to")
 	l := experiment.Load{Name: args[0], Prompt: 500, Tokens: 200}
@@ -161,7 +165,7 @@
 		l.Rate = s.scenario.RateOf(share, l.Prompt, l.Tokens)
 	}
 	if l.Rate <= 0 {
-		o.errs = append(o.errs, errors.New("rate or load above 0 is needed"))
+		o.errs = append(o.errs, errors.New("workspace needs a rate or load above 0"))
 	}
 	s.scenario.Loads = append(s.scenario.Loads, l)
 	return o.err()
@@ -169,7 +173,7 @@
 
 func (s *Script) fault(args []string) error {
 	if len(args) < 3 || !slices.Contains(experiment.FaultNames, args[1]) {
-		return fmt.Errorf("fault AT %s TARGET", strings.Join(experiment.FaultNames, "|"))
+		return fmt.Errorf("malformed fault, want fault AT %s TARGET", strings.Join(experiment.FaultNames, "|"))
 	}
 	at, err := time.ParseDuration(args[0])
 	o := parseOptions(args[3:], "for", "factor")
@@ -183,7 +187,7 @@
 
 func (s *Script) run(args []string) (string, error) {
 	if len(args) != 1 || s.scenario.Engines == 0 {
-		return "", errors.New("run LENGTH, after system")
+		return "", errors.New("malformed run, want run LENGTH after system")
 	}
 	length, err := time.ParseDuration(args[0])
 	if err != nil {
@@ -198,11 +202,11 @@
 
 func (s *Script) expect(args []string) (string, error) {
 	if len(args) < 4 {
-		return "", errors.New("expect POLICY METRIC [filters] OP VALUE")
+		return "", errors.New("malformed expect, want expect POLICY METRIC [filters] OP VALUE")
 	}
 	out := s.outcomes[args[0]]
 	if out == nil {
-		return "", fmt.Errorf("no run of %q: system or baseline, after run", args[0])
+		return "", fmt.Errorf("no results of policy %q, want system or baseline after run", args[0])
 	}
 	metric, filters := args[1], args[2:len(args)-2]
 	op, want := args[len(args)-2], args[len(args)-1]
@@ -223,7 +227,7 @@
 	}
 	text := fmt.Sprintf("%s %s %s: %.4g %s %.4g", args[0], metric, strings.Join(filters, " "), got, op, limit)
 	if !compare(got, op, limit) {
-		return "", errors.New("does not hold: " + text)
+		return "", errors.New("expectation does not hold: " + text)
 	}
 	return text, nil
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -10,8 +10,8 @@
 
 type key struct{}
 
-// Each script under testdata tells what callers must receive. Time is virtual
-// and seeds are pinned: the verdict is the same every run.
+// Runs the scripts in testdata, which state what callers must receive. Time is virtual
+// and seeds are fixed, which makes the results reproducible.
 func TestScenarios(t *testing.T) {
 	if testing.Short() {
 		t.Skip("minutes of virtual load")
@@ -22,7 +22,7 @@
 			text, err := ts.Value(key{}).(*scenario.Script).Do(name, args)
 			switch {
 			case neg && err == nil:
-				ts.Fatalf("%s: holds, but must not: %s", name, text)
+				ts.Fatalf("%s: got no error, want one: %s", name, text)
 			case !neg && err != nil:
 				ts.Fatalf("%s: %v", name, err)
 			case text != "":
