--- a/internal/measure/gateway.go
+++ b/internal/measure/gateway.go
@@ -1,6 +1,6 @@
-// Package measure takes the figures of docs/CAPACITY.md and docs/MEASUREMENTS.md
-// on one machine: each against a baseline in the same run, since machines are
-// noisy and only ratios and slopes carry over.
+// Package measure takes the measurements of docs/CAPACITY.md and docs/MEASUREMENTS.md on
+// one machine. Each runs together with its baseline, because machines are noisy and only
+// ratios and slopes are valid elsewhere.
 package measure
 
 import (
@@ -22,15 +22,15 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// Path is what streams over one path cost. Times are milliseconds.
+// Path holds the latencies and costs of streams over one path. Times are in milliseconds.
 type Path struct {
 	FirstP50, FirstP95 float64
 	GapP50, GapP95     float64
-	CPUPerToken        float64 // microseconds of the whole process
-	HeapPerStream      float64 // bytes of the whole process, beyond idle
+	CPUPerToken        float64 // processor time of the whole process, in microseconds
+	HeapPerStream      float64 // heap and stacks of the whole process above idle, in bytes
 }
 
-// Gateway compares streams through the system to streams direct from the same
+// Gateway compares streams through the system with streams read directly from the same
 // engines.
 type Gateway struct {
 	VMs, Streams, TokensEach int
@@ -41,11 +41,12 @@
 	gatewayModel = "m"
 	gatewayKey   = "measure"
 	gatewayZones = 3
-	// streamsPerEngine keeps the engines' batches as they are in a loaded system.
+	// streamsPerEngine gives the engines batches of the size that they have under load.
 	streamsPerEngine = 32
 )
 
-// RunGateway measures with a number of VMs and of concurrent streams.
+// RunGateway measures concurrent streams of tokens tokens each, first direct and then
+// through the given number of VMs. It calls say before each path.
 func RunGateway(ctx context.Context, vms, streams, tokens int, say func(string)) (*Gateway, error) {
 	s, err := local.Start(local.Options{
 		VMs: vms, Zones: min(vms, gatewayZones), Engines: (streams + streamsPerEngine - 1) / streamsPerEngine, Model: gatewayModel,
@@ -83,16 +84,16 @@
 
 func gatewayEngine(i int) standin.EngineConfig {
 	cfg := standin.DefaultEngine(fmt.Sprintf("engine%d", i+1), gatewayModel)
-	cfg.StepBase = 20 * time.Millisecond // a usual pace of large models
+	cfg.StepBase = 20 * time.Millisecond // typical of large models
 	cfg.MaxBatch = 2 * streamsPerEngine
 	return cfg
 }
 
 func gatewayPlans() ([]plan.Customer, []plan.Allowance) {
-	const much = 1 << 40
+	const unlimited = 1 << 40
 	return []plan.Customer{{Workspace: "measure", Plan: "p", KeyHashes: []string{plan.HashKey(gatewayKey)}}},
 		[]plan.Allowance{{
-			Plan: "p", Models: []string{gatewayModel}, TokensPerWindow: much, RequestsPerWindow: much,
+			Plan: "p", Models: []string{gatewayModel}, TokensPerWindow: unlimited, RequestsPerWindow: unlimited,
 			WindowSeconds: 3600, Concurrent: 1 << 16, Share: 1, PriorityCeiling: 9,
 		}}
 }
@@ -107,7 +108,7 @@
 	err        error
 }
 
-// measurePath runs the streams at once and samples the heap at mid-run.
+// measurePath runs the streams concurrently and samples the heap in the middle of the run.
 func measurePath(ctx context.Context, streams, tokens int, name string, run streamFunc) (Path, error) {
 	const histMax = int64(time.Minute / time.Microsecond)
 	p := &pathMeasurement{first: hdrhistogram.New(1, histMax, 3), gap: hdrhistogram.New(1, histMax, 3)}
@@ -152,7 +153,7 @@
 
 func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 
-// liveHeapBytes is the live heap and the stacks, after a collection.
+// liveHeapBytes returns the size of the live heap and the stacks after a collection.
 func liveHeapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -168,7 +169,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Text is the account for people.
+// Text formats the results as a table.
 func (g *Gateway) Text() string {
 	var b strings.Builder
 	row := func(name string, direct, via float64, unit string) {
--- a/internal/virtualtime/queue.go
+++ b/internal/virtualtime/queue.go
@@ -1,6 +1,5 @@
-// Package virtualtime plays events in the order of their times on a clock of its
-// own, for simulations: nothing sleeps, and a run with the same seed is the same
-// run.
+// Package virtualtime executes simulated events in the order of their times on a virtual
+// clock. Nothing sleeps, and simulations with the same seed give the same run.
 package virtualtime
 
 import (
@@ -8,27 +7,27 @@
 	"time"
 )
 
-// Queue is a clock and what is to happen on it. It is not safe for concurrent use.
+// Queue is a virtual clock with its pending events. It is not safe for concurrent use.
 type Queue struct {
 	now    time.Time
 	seq    int
 	events events
 }
 
-// New returns a queue whose clock stands at now.
+// New returns an empty queue whose clock shows now.
 func New(now time.Time) *Queue { return &Queue{now: now} }
 
-// Now is the time of the event that runs, or where Run ended.
+// Now returns the time of the running event, or the end of the last Run.
 func (q *Queue) Now() time.Time { return q.now }
 
-// After runs do in d from now; events of one instant run in the order in which
-// they were given. d below zero counts as zero.
+// After schedules do at d from now. Events with the same time run in the order of their
+// calls to After. A negative d counts as zero.
 func (q *Queue) After(d time.Duration, do func()) {
 	q.seq++
 	heap.Push(&q.events, event{q.now.Add(max(0, d)), q.seq, do})
 }
 
-// Run plays all events up to end and those that they bring about until then.
+// Run executes all events up to end, including those that other events schedule.
 func (q *Queue) Run(end time.Time) {
 	for len(q.events) > 0 && !q.events[0].at.After(end) {
 		e := heap.Pop(&q.events).(event)
