--- a/cmd/amaranthshelfd/soak_test.go
+++ b/cmd/amaranthshelfd/soak_test.go
@@ -70,7 +70,7 @@
 	case 5:
 		return s.serverIs("server dies", server, routedengine.Dead, short)
 	case 6:
-		return s.serverIs("server dark", server, routedengine.Dark, short)
+		return s.serverIs("server dark", server, routedengine.Unresponsive, short)
 	case 7:
 		return s.linkIs("link delayed", server, short, upTo(rng, 100*time.Millisecond), false, false)
 	case 8:
--- a/cmd/amaranthshelfd/soak_world_test.go
+++ b/cmd/amaranthshelfd/soak_world_test.go
@@ -96,17 +96,17 @@
 		for try := 0; try < streamTries && !whole; try++ {
 			asked := time.Now()
 			got, err := routedlocal.Stream(w.t.Context(), w.s.callers[rng.IntN(soakRouters)], path, fmt.Sprint(path[3:], "-", try), len(ids), nil)
-			ids = append(ids, got.IDs...)
+			ids = append(ids, got.EventIDs...)
 			if d := time.Since(asked); d > slowestTry {
-				w.t.Errorf("stream %s, try %d: %d events after %v, whole %t, %v", path, try, len(got.IDs), d, got.Whole, err)
+				w.t.Errorf("stream %s, try %d: %d events after %v, whole %t, %v", path, try, len(got.EventIDs), d, got.Complete, err)
 			}
-			whole = err == nil && got.Whole && len(ids) > 0
+			whole = err == nil && got.Complete && len(ids) > 0
 			if !whole {
 				_ = timer.Sleep(w.t.Context(), tryPause)
 			}
 			w.count(func() { w.resumes += min(try, 1) })
 		}
-		if !whole || !routedlocal.Complete(ids, soakEvents) {
+		if !whole || !routedlocal.HasAllEvents(ids, soakEvents) {
 			w.t.Errorf("stream %s: whole %t, events %v", path, whole, ids)
 		}
 		w.count(func() { w.streams++ })
@@ -210,11 +210,11 @@
 		for n := 0; ; n++ {
 			v := w.vote(front, fmt.Sprintf("/version/%d/", version), fmt.Sprintf("check%d-%d-%d", version, i, n))
 			got, err := routedlocal.Stream(w.t.Context(), front, "/s/check", fmt.Sprintf("check%d-%d-%d", version, i, n), 0, nil)
-			if v.status == http.StatusOK && err == nil && got.Whole {
+			if v.status == http.StatusOK && err == nil && got.Complete {
 				break
 			}
 			if time.Now().After(deadline) {
-				w.t.Fatalf("router %d does not serve version %d: vote %+v, stream whole %t, %v", i, version, v, got.Whole, err)
+				w.t.Fatalf("router %d does not serve version %d: vote %+v, stream whole %t, %v", i, version, v, got.Complete, err)
 			}
 			_ = timer.Sleep(w.t.Context(), tryPause)
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -122,7 +122,7 @@
 
 // generate runs one generation and calls at once breakAt tokens have come.
 func (s *system) generate(ctx context.Context, key, prompt string, at func()) Scene {
-	before := s.Work()
+	before := s.ComputedTokens()
 	broken := at == nil
 	resume := time.Duration(0)
 	body := client.Completion{Model: demoModel, Prompt: prompt, MaxTokens: answerTokens}
@@ -139,7 +139,7 @@
 	if at != nil {
 		scene.ResumeMS = ms(resume)
 	}
-	scene.ExtraTokens = s.Work() - before - len(prompt) - answerTokens
+	scene.ExtraTokens = s.ComputedTokens() - before - len(prompt) - answerTokens
 	if err == nil {
 		c := engine.Completion{Model: demoModel, Prompt: prompt, MaxTokens: answerTokens}
 		err = standin.Verify(c, "1", answer.TokenIDs, true)
--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -78,7 +78,7 @@
 // watch gives up a stream that has been silent for the fixed timeout. A first attempt
 // without a token is kept, because it may wait in its engine's queue.
 func (b *baseline) watch(u *baselineRun, a *attempt) {
-	limit := b.w.policy.Silence
+	limit := b.w.policy.SilenceTimeout
 	b.w.After(limit, func() { b.check(u, a) })
 }
 
@@ -86,7 +86,7 @@
 	if u.ended || u.a != a {
 		return
 	}
-	left := u.lastTokenAt.Add(b.w.policy.Silence).Sub(b.w.Now())
+	left := u.lastTokenAt.Add(b.w.policy.SilenceTimeout).Sub(b.w.Now())
 	if left > 0 || (a.generated == 0 && !a.extra) {
 		b.w.After(max(left, 100*time.Millisecond), func() { b.check(u, a) })
 		return
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -11,28 +11,28 @@
 
 // EngineParams are the speed and the sizes of a modelled engine, which batches
 // continuously and prefills in chunks.
-type EngineFigures struct {
-	StepBase   time.Duration // duration of a decoding step with an empty batch
-	StepPerRun time.Duration // added by each stream in the batch
-	Prefill    time.Duration // added by each prompt token that is prefilled
-	Chunk      int           // at most, prompt tokens prefilled in one step
-	MaxBatch   int
-	CacheLimit int           // blocks of routing.BlockTokens
-	ReportLag  time.Duration // age of the load reports that routers get
+type EngineParams struct {
+	StepBase           time.Duration // duration of a decoding step with an empty batch
+	StepPerRun         time.Duration // added by each stream in the batch
+	PrefillPerToken    time.Duration // added by each prompt token that is prefilled
+	PrefillChunkTokens int           // at most, prompt tokens prefilled in one step
+	MaxBatch           int
+	CacheBlocks        int           // blocks of routing.BlockTokens
+	ReportLag          time.Duration // age of the load reports that routers get
 }
 
 // DefaultEngineParams model a present-day engine. A step of a full batch takes 33 ms,
 // which gives 30 tokens/s per stream and some 970 tokens/s in all. Prefill runs at
 // 10,000 tokens/s.
-var DefaultFigures = EngineFigures{
-	StepBase: 20 * time.Millisecond, StepPerRun: 400 * time.Microsecond, Prefill: 100 * time.Microsecond,
-	Chunk: 2048, MaxBatch: 32, CacheLimit: 2000, ReportLag: 500 * time.Millisecond,
+var DefaultEngineParams = EngineParams{
+	StepBase: 20 * time.Millisecond, StepPerRun: 400 * time.Microsecond, PrefillPerToken: 100 * time.Microsecond,
+	PrefillChunkTokens: 2048, MaxBatch: 32, CacheBlocks: 2000, ReportLag: 500 * time.Millisecond,
 }
 
 // seconds returns the engine time that a request takes in a full batch.
-func (f *EngineFigures) seconds(prompt, tokens float64) float64 {
+func (f *EngineParams) seconds(prompt, tokens float64) float64 {
 	perToken := (f.StepBase + time.Duration(f.MaxBatch)*f.StepPerRun).Seconds() / float64(f.MaxBatch)
-	return prompt*f.Prefill.Seconds() + tokens*perToken
+	return prompt*f.PrefillPerToken.Seconds() + tokens*perToken
 }
 
 type engineModel struct {
@@ -101,7 +101,7 @@
 		e.queue = e.queue[1:]
 	}
 	f := &e.w.engineParams
-	chunk := f.Chunk
+	chunk := f.PrefillChunkTokens
 	var decoding []*attempt
 	for _, a := range e.batch {
 		if a.prefillLeft == 0 {
@@ -116,7 +116,7 @@
 			decoding = append(decoding, a) // this step also generates its first token
 		}
 	}
-	took := f.StepBase + time.Duration(len(e.batch))*f.StepPerRun + time.Duration(f.Chunk-chunk)*f.Prefill
+	took := f.StepBase + time.Duration(len(e.batch))*f.StepPerRun + time.Duration(f.PrefillChunkTokens-chunk)*f.PrefillPerToken
 	if e.slowFactor > 1 {
 		took = time.Duration(float64(took) * e.slowFactor)
 	}
@@ -202,7 +202,7 @@
 		if e.cache[d] {
 			continue
 		}
-		if len(e.cacheOrder) >= e.w.engineParams.CacheLimit {
+		if len(e.cacheOrder) >= e.w.engineParams.CacheBlocks {
 			e.logCacheEvent("evict", e.cacheOrder[0])
 			delete(e.cache, e.cacheOrder[0])
 			e.cacheOrder = e.cacheOrder[1:]
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -72,15 +72,15 @@
 
 // Total holds the results of a group of requests.
 type Total struct {
-	Offered  int // requests, each counted once over all its tries
-	Served   int
-	GaveUp   int
-	Refused  int // requests whose last try was refused
-	Tries    int
-	Refusals int             // refused tries
-	Tokens   int             // of complete answers
-	Waits    []time.Duration // for the first token, of the requests served, sorted
-	Early    []time.Duration // of refused tries, sorted
+	Offered          int // requests, each counted once over all its tries
+	Served           int
+	GaveUp           int
+	Refused          int // requests whose last try was refused
+	Tries            int
+	Refusals         int             // refused tries
+	Tokens           int             // of complete answers
+	Waits            []time.Duration // for the first token, of the requests served, sorted
+	RefusalLatencies []time.Duration // of refused tries, sorted
 }
 
 // Total sums up the requests that f selects.
@@ -93,7 +93,7 @@
 		sum.Offered++
 		sum.Tries += r.tries
 		sum.Refusals += len(r.refusalLatencies)
-		sum.Early = append(sum.Early, r.refusalLatencies...)
+		sum.RefusalLatencies = append(sum.RefusalLatencies, r.refusalLatencies...)
 		switch r.ending {
 		case served:
 			sum.Served++
@@ -107,7 +107,7 @@
 		}
 	}
 	slices.Sort(sum.Waits)
-	slices.Sort(sum.Early)
+	slices.Sort(sum.RefusalLatencies)
 	return sum
 }
 
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -9,34 +9,34 @@
 
 // Policy selects what the routers of a run use: the project's modules or a baseline.
 type Policy struct {
-	Name      string
-	System    bool // use the project's modules; false: a baseline
-	Objective recovery.Objective
-	Silence   time.Duration // after which a baseline gives up a silent stream
-	Restart   bool          // a baseline generates the answer again from the prompt
-	Routers   int
+	Name           string
+	UseModules     bool // use the project's modules; false: a baseline
+	Objective      recovery.Objective
+	SilenceTimeout time.Duration // after which a baseline gives up a silent stream
+	Restart        bool          // a baseline generates the answer again from the prompt
+	Routers        int
 }
 
 // policies returns the policies that the recovery experiment compares.
 func policies(routers int) []Policy {
 	return []Policy{
-		{Name: "extra-work", System: true, Objective: recovery.ExtraWork, Routers: routers},
-		{Name: "resume-latency", System: true, Objective: recovery.ResumeLatency, Routers: routers},
-		{Name: "fixed 5 s, restart", Silence: 5 * time.Second, Restart: true, Routers: routers},
-		{Name: "immediate, unpaced", Silence: time.Second, Routers: routers},
+		{Name: "extra-work", UseModules: true, Objective: recovery.ExtraWork, Routers: routers},
+		{Name: "resume-latency", UseModules: true, Objective: recovery.ResumeLatency, Routers: routers},
+		{Name: "fixed 5 s, restart", SilenceTimeout: 5 * time.Second, Restart: true, Routers: routers},
+		{Name: "immediate, unpaced", SilenceTimeout: time.Second, Routers: routers},
 	}
 }
 
 // System returns the policy that uses the project's modules with objective o.
 func System(o recovery.Objective, routers int) Policy {
-	return Policy{Name: "system", System: true, Objective: o, Routers: routers}
+	return Policy{Name: "system", UseModules: true, Objective: o, Routers: routers}
 }
 
 // Baseline returns a policy that sends each request at once to a random engine, which
 // queues in order of arrival. Nothing is limited or refused, and a stream that is
 // silent for 5 s restarts from the prompt.
 func Baseline(routers int) Policy {
-	return Policy{Name: "baseline", Silence: 5 * time.Second, Restart: true, Routers: routers}
+	return Policy{Name: "baseline", SilenceTimeout: 5 * time.Second, Restart: true, Routers: routers}
 }
 
 // build adds engines, spread over the zones, and the policy's routers to the world.
@@ -49,7 +49,7 @@
 	}
 	for i := range w.policy.Routers {
 		zone := fmt.Sprint("z", i%zones)
-		if w.policy.System {
+		if w.policy.UseModules {
 			w.routers = append(w.routers, newSystem(w, i, zone))
 		} else {
 			w.routers = append(w.routers, &baseline{w})
--- a/internal/experiment/recovery.go
+++ b/internal/experiment/recovery.go
@@ -121,7 +121,7 @@
 	rate := recoveryLoad * recoveryEngines / w.engineParams.seconds(recoveryPrompt, recoveryTokens)
 	w.startLoad(Load{
 		Name: "desk", Rate: rate, Prompt: recoveryPrompt, Tokens: recoveryTokens, Prefix: 256,
-		Patience: time.Minute, To: faultAt + 30*time.Second,
+		MaxWait: time.Minute, To: faultAt + 30*time.Second,
 	}, seed)
 	w.After(faultAt, func() { f.inject(w) })
 	w.run(recoveryLength)
--- a/internal/experiment/recovery_test.go
+++ b/internal/experiment/recovery_test.go
@@ -8,7 +8,7 @@
 // Guards against slow or wasteful recovery after an engine dies or pauses. Under both
 // objectives answers resume within 6 s. Each objective beats the other at what it
 // optimises, and extra-work repeats less work than a restart from the prompt.
-func TestRecoveryKeepsItsObjectives(t *testing.T) {
+func TestRecoveryMeetsObjectives(t *testing.T) {
 	if testing.Short() {
 		t.Skip("four runs of four virtual minutes")
 	}
@@ -22,7 +22,7 @@
 		var sum time.Duration
 		for _, d := range out.resumeLatencies {
 			sum += d
-			if p.System && d > 6*time.Second {
+			if p.UseModules && d > 6*time.Second {
 				t.Errorf("%s, %s: answer resumed after %s, want at most 6 s", f.Name, p.Name, d)
 			}
 		}
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestRunsRepeat(t *testing.T) {
+func TestRunsAreDeterministic(t *testing.T) {
 	run := func() *Outcome { return recoveryRun(faults()[0], policies(recoveryRouters)[1], 3) }
 	if testing.Short() {
 		t.Skip("two runs of four virtual minutes")
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -20,11 +20,11 @@
 
 // ScenarioFault is a fault of one engine ("e3") or of all engines of a zone ("z1").
 type ScenarioFault struct {
-	At     time.Duration // since the start of the run
-	What   string        // one of FaultNames
-	Target string
-	For    time.Duration // of the fault "pause"
-	Factor float64       // factor on the step time, of the fault "slow"
+	At            time.Duration // since the start of the run
+	Kind          string        // one of FaultNames
+	Target        string
+	PauseDuration time.Duration // of the fault "pause"
+	SlowFactor    float64       // factor on the step time, of the fault "slow"
 }
 
 // FaultNames lists the kinds of ScenarioFault. "die" resets connections, "vanish" leaves
@@ -34,7 +34,7 @@
 // RateOf returns the requests per second, of these mean sizes in tokens, that use the
 // given share of the engines' capacity.
 func (s *Scenario) RateOf(share float64, prompt, tokens int) float64 {
-	f := DefaultFigures
+	f := DefaultEngineParams
 	return share * float64(s.Engines) / f.seconds(float64(prompt), float64(tokens))
 }
 
@@ -64,15 +64,15 @@
 		if e.name != f.Target && e.zone != f.Target {
 			continue
 		}
-		switch f.What {
+		switch f.Kind {
 		case "die":
 			w.hitEngine(i, func(e *engineModel) { e.die(false) })
 		case "vanish":
 			w.hitEngine(i, func(e *engineModel) { e.die(true) })
 		case "pause":
-			w.hitEngine(i, func(e *engineModel) { e.pausedUntil = w.Now().Add(f.For) })
+			w.hitEngine(i, func(e *engineModel) { e.pausedUntil = w.Now().Add(f.PauseDuration) })
 		case "slow":
-			e.slowFactor = f.Factor
+			e.slowFactor = f.SlowFactor
 		case "leave":
 			e.leaving = true
 		case "revive":
@@ -82,7 +82,9 @@
 }
 
 // ResumeLatencies returns the resume latencies of the streams that faults hit, sorted.
-func (o *Outcome) Resumes() []time.Duration { return slices.Sorted(slices.Values(o.resumeLatencies)) }
+func (o *Outcome) ResumeLatencies() []time.Duration {
+	return slices.Sorted(slices.Values(o.resumeLatencies))
+}
 
 // Table formats the outcomes of several policies by request class.
 func Table(names []string, outs []*Outcome) string {
@@ -101,7 +103,7 @@
 			}
 			fmt.Fprintf(&b, "%-10s %-6s %8d %7.2f%% %8d %8d %8.2fs %8.2fs %9d %8.2fs\n",
 				names[i], name, t.Offered, 100*t.ServedShare(), t.GaveUp, t.Refused,
-				Quantile(t.Waits, 0.5).Seconds(), Quantile(t.Waits, 0.99).Seconds(), t.Tokens, Quantile(t.Early, 0.99).Seconds())
+				Quantile(t.Waits, 0.5).Seconds(), Quantile(t.Waits, 0.99).Seconds(), t.Tokens, Quantile(t.RefusalLatencies, 0.99).Seconds())
 		}
 		fmt.Fprintf(&b, "%-10s fairness %.3f, extra work %.2f%%\n", names[i], o.Fairness(Filter{}), 100*o.ExtraShare())
 	}
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -18,17 +18,17 @@
 	Prompt   int           // mean tokens of a prompt
 	Tokens   int           // mean tokens generated
 	Prefix   int           // prompt tokens that all requests of the load share
-	Patience time.Duration // for the first token, per try
-	Tries    int           // at most, of a caller that was refused or gave up waiting
+	MaxWait  time.Duration // for the first token, per try
+	MaxTries int           // at most, of a caller that was refused or gave up waiting
 	From, To time.Duration // arrivals, since the start of the run
 }
 
 func (l *Load) withDefaults() Load {
 	out := *l
 	out.Share = max(1, out.Share)
-	out.Tries = max(1, out.Tries)
-	if out.Patience == 0 {
-		out.Patience = 10 * time.Second
+	out.MaxTries = max(1, out.MaxTries)
+	if out.MaxWait == 0 {
+		out.MaxWait = 10 * time.Second
 	}
 	if out.To == 0 {
 		out.To = 24 * time.Hour
@@ -124,7 +124,7 @@
 	r.lastTryAt = w.Now()
 	r.record.tries++
 	n := r.tries
-	w.After(r.load.Patience, func() {
+	w.After(r.load.MaxWait, func() {
 		if r.tries == n && r.firstTokenAt.IsZero() && !r.ended {
 			r.router.cancel(r)
 			w.retry(r, 500*time.Millisecond, gaveUp)
@@ -142,8 +142,8 @@
 // retry schedules the caller's next try after a pause, or ends the request with the
 // given ending. The total wait is bounded by the maximum wait times the number of tries.
 func (w *world) retry(r *request, pause time.Duration, last ending) {
-	total := time.Duration(r.load.Tries) * r.load.Patience
-	if r.tries >= r.load.Tries || w.Now().Add(pause).Sub(r.firstTryAt) > total {
+	total := time.Duration(r.load.MaxTries) * r.load.MaxWait
+	if r.tries >= r.load.MaxTries || w.Now().Add(pause).Sub(r.firstTryAt) > total {
 		r.ended = true
 		r.record.ending = last
 		return
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -17,7 +17,7 @@
 
 	rng             *rand.Rand
 	policy          Policy
-	engineParams    EngineFigures
+	engineParams    EngineParams
 	engines         []*engineModel
 	routers         []router
 	out             *Outcome
@@ -28,7 +28,7 @@
 var startTime = time.Unix(1_000_000, 0)
 
 func newWorld(p Policy, seed uint64) *world {
-	return &world{Queue: virtualtime.New(startTime), policy: p, rng: rand.New(rand.NewPCG(seed, 7)), out: &Outcome{}, engineParams: DefaultFigures}
+	return &world{Queue: virtualtime.New(startTime), policy: p, rng: rand.New(rand.NewPCG(seed, 7)), out: &Outcome{}, engineParams: DefaultEngineParams}
 }
 
 func (w *world) elapsed() time.Duration { return w.Now().Sub(startTime) }
--- a/internal/forward/explain_test.go
+++ b/internal/forward/explain_test.go
@@ -57,7 +57,7 @@
 			func(f *fixture, id string) {
 				a := f.send("POST", "/s/1", id, "log")
 				time.Sleep(2 * time.Second)
-				f.servers[0].Set(routedengine.Dark)
+				f.servers[0].Set(routedengine.Unresponsive)
 				<-a.done
 			},
 			[]string{"broken off behind event", "its run on i0 was lost: engine does not answer"},
@@ -68,7 +68,7 @@
 			func() []*routedengine.Server { return []*routedengine.Server{voteServer("a"), voteServer("b")} },
 			func(f *fixture, id string) {
 				for _, s := range f.servers {
-					s.Answer = breakAfter(signedHead + "half")
+					s.Intercept = breakAfter(signedHead + "half")
 				}
 				<-f.send("POST", "/vote/1", id, "yes").done
 			},
@@ -80,7 +80,7 @@
 			func() []*routedengine.Server { return []*routedengine.Server{voteServer("a"), voteServer("b")} },
 			func(f *fixture, id string) {
 				for _, s := range f.servers {
-					s.Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
+					s.Intercept = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
 						s.Refuse(rw, r)
 						return true
 					}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -89,7 +89,7 @@
 	if r.o.System == nil {
 		return 0
 	}
-	return r.o.System.Work()
+	return r.o.System.ComputedTokens()
 }
 
 func (r *runner) sendAll(ctx context.Context, arrivals []Arrival) {
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -77,7 +77,7 @@
 		}
 		s.Engines = append(s.Engines, e)
 		s.backends = append(s.backends, settings.Backend{
-			Name: name, Kind: settings.KindEngine, Address: e.Addr, Zone: s.zoneName(i), Models: []string{s.o.Model}, Fences: cfg.Fences,
+			Name: name, Kind: settings.KindEngine, Address: e.Addr, Zone: s.zoneName(i), Models: []string{s.o.Model}, Fences: cfg.EnforceFencing,
 		})
 	}
 	return nil
@@ -213,11 +213,11 @@
 }
 
 // ComputedTokens returns the tokens that all engines have prefilled or generated.
-func (s *System) Work() int {
+func (s *System) ComputedTokens() int {
 	total := 0
 	for _, e := range s.Engines {
 		st := e.Stats()
-		total += st.PrefillTokens + st.GeneratedTotal
+		total += st.PrefillTokens + st.GeneratedTokens
 	}
 	return total
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -55,11 +55,11 @@
 	})
 	began := time.Now()
 	entryUntil(ctx, t, s.Nodes[0].Self().Callers, func(e *client.Entry) bool { return len(e.Addresses) == 2 })
-	idle, last := 0, leavingEngine.Stats().Starts
+	idle, last := 0, leavingEngine.Stats().RunsStarted
 	for i := 0; idle < 100; i++ {
 		complete(fmt.Sprint("after", i))
 		idle++
-		if now := leavingEngine.Stats().Starts; now != last {
+		if now := leavingEngine.Stats().RunsStarted; now != last {
 			idle, last = 0, now
 		}
 	}
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -32,7 +32,7 @@
 	s := startWithDispatch(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 40*time.Second)
 	defer cancel()
-	s.Services[0].HoldAnswers(20 * time.Second)
+	s.Services[0].DelayAnswers(20 * time.Second)
 	lost := make(chan struct{})
 	go func() {
 		defer close(lost)
@@ -70,7 +70,7 @@
 	s := startWithDispatch(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	s.Services[0].HoldAnswers(1500 * time.Millisecond)
+	s.Services[0].DelayAnswers(1500 * time.Millisecond)
 	answer := make(chan string, 1)
 	go func() { answer <- book(t, s.Nodes[1].Self().Callers, "k") }()
 	untilRuns(ctx, t, s, "k")
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -43,7 +43,7 @@
 	w.machine.Register(control.FleetStateMachine, w.part)
 	for i, model := range []string{"a", "a", "b", "b"} {
 		cfg := standin.DefaultEngine(fmt.Sprint("e", i), model)
-		cfg.Fences, cfg.LoadTime = fences, 3*time.Second
+		cfg.EnforceFencing, cfg.ModelLoadTime = fences, 3*time.Second
 		w.engines[cfg.Name] = standin.NewEngine(cfg)
 	}
 	return w
--- a/internal/routedlocal/calls.go
+++ b/internal/routedlocal/calls.go
@@ -20,7 +20,7 @@
 const deskCallTime = 20 * time.Millisecond
 
 // Interceptor may answer a call in place of the server, and reports whether it did.
-type Spoil func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool
+type Interceptor func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool
 
 // DeskRoutes returns a route list with the routes of DeskService only.
 func DeskRoutes() *routes.List {
@@ -37,13 +37,13 @@
 }
 
 // AddDesk starts one server of a version of DeskService in each zone. intercept may be nil.
-func (s *System) AddDesk(version string, intercept Spoil) error {
+func (s *System) AddDesk(version string, intercept Interceptor) error {
 	for i := range zoneCount {
 		e := &routedengine.Server{
 			Backend: upstream.Backend{
 				ID: fmt.Sprintf("desk-%s-%d", version, i), Service: DeskService, Zone: fmt.Sprint("zone", i), Slots: 8, Version: version,
 			},
-			WorkTime: deskCallTime, Answer: intercept,
+			CallTime: deskCallTime, Intercept: intercept,
 		}
 		if err := s.AddServer(e); err != nil {
 			return err
--- a/internal/routedlocal/operators_test.go
+++ b/internal/routedlocal/operators_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	check(t, s.Ready(ctx))
-	for len(c.Entrances(len(s.Fronts))) < len(s.Fronts) {
+	for len(c.Entrances(len(s.CallerAddresses))) < len(s.CallerAddresses) {
 		check(t, timer.Sleep(ctx, retryPause))
 	}
 	tests := []struct {
@@ -69,7 +69,7 @@
 		{"other content, same version", http.MethodPut, "/v1/routes", "secret", strings.Replace(string(list), "25000", "24000", 1), http.StatusConflict, "1025"},
 		{"malformed", http.MethodPut, "/v1/routes", "secret", "{", http.StatusBadRequest, "1024"},
 		{"without the token", http.MethodPut, "/v1/routes", "", string(list), http.StatusUnauthorized, "1005"},
-		{"router addresses", http.MethodGet, "/v1/entry", "", "", http.StatusOK, s.Fronts[0]},
+		{"router addresses", http.MethodGet, "/v1/entry", "", "", http.StatusOK, s.CallerAddresses[0]},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/routedlocal/rollout_test.go
+++ b/internal/routedlocal/rollout_test.go
@@ -54,7 +54,7 @@
 }
 
 // add starts the servers of a version. intercept may be nil.
-func (d *desk) add(version int, intercept Spoil) {
+func (d *desk) add(version int, intercept Interceptor) {
 	check(d.t, d.s.AddDesk(fmt.Sprint("v", version+1), func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		d.calls[version].Add(1)
 		return intercept != nil && intercept(s, w, r)
@@ -66,7 +66,7 @@
 	path := []string{"/book/1", "/look/1"}[i%2]
 	for timer.Sleep(d.ctx, callInterval) == nil {
 		d.sent.Add(1)
-		status, err := Call(d.ctx, d.s.Fronts[i%len(d.s.Fronts)], path, fmt.Sprint("d", d.ids.Add(1)))
+		status, err := Call(d.ctx, d.s.CallerAddresses[i%len(d.s.CallerAddresses)], path, fmt.Sprint("d", d.ids.Add(1)))
 		if d.ctx.Err() == nil && (err != nil || status != http.StatusOK) {
 			d.failed.Add(1)
 		}
@@ -100,18 +100,18 @@
 // waitForRouters waits long enough for every router to apply the last decision.
 func (d *desk) waitForRouters() { check(d.t, timer.Sleep(d.ctx, time.Second)) }
 
-func failEvery(n int) Spoil {
+func failEvery(n int) Interceptor {
 	var calls atomic.Int64
 	return func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		if calls.Add(1)%int64(n) != 0 {
 			return false
 		}
-		s.Call(w, r, http.StatusInternalServerError)
+		s.AnswerCall(w, r, http.StatusInternalServerError)
 		return true
 	}
 }
 
-func delayBy(d time.Duration) Spoil {
+func delayBy(d time.Duration) Interceptor {
 	return func(_ *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
 		_ = timer.Sleep(r.Context(), d)
 		return false
@@ -147,7 +147,7 @@
 	t.Parallel()
 	tests := []struct {
 		name      string
-		intercept Spoil
+		intercept Interceptor
 	}{
 		{"all calls fail", failEvery(1)},
 		{"every third call fails", failEvery(3)},
@@ -156,7 +156,7 @@
 			if r.URL.Path != "/look/1" {
 				return false
 			}
-			s.Call(w, r, http.StatusInternalServerError)
+			s.AnswerCall(w, r, http.StatusInternalServerError)
 			return true
 		}},
 	}
@@ -198,7 +198,7 @@
 
 // Guards against a roll-out that takes further steps without a majority of the control
 // group, which could not revert them.
-func TestNoMajorityNoStep(t *testing.T) {
+func TestRolloutStopsWithoutMajority(t *testing.T) {
 	t.Parallel()
 	d := startDesk(t)
 	d.orderRollout()
@@ -236,7 +236,7 @@
 					ID: fmt.Sprint(version, "-", i), Service: DeskService, Zone: fmt.Sprint("zone", i%zoneCount), Slots: 128, Version: version,
 				},
 				// A prefill of the prompt takes longer than the pause objective.
-				Events: 2 * Events, ReadTime: time.Second, EventTime: 20 * time.Millisecond, CopyTime: 20 * time.Millisecond,
+				Events: 2 * Events, PrefillTime: time.Second, EventInterval: 20 * time.Millisecond, CopyTime: 20 * time.Millisecond,
 			}))
 		}
 	}
@@ -249,12 +249,12 @@
 	for i := range 30 {
 		work.Go(func() {
 			for n := 0; timer.Sleep(ctx, 10*time.Millisecond) == nil; n++ {
-				got, err := Stream(context.WithoutCancel(ctx), s.Fronts[i%len(s.Fronts)], fmt.Sprintf("/a/%d-%d", i, n), fmt.Sprintf("s%d-%d", i, n), 0, nil)
+				got, err := Stream(context.WithoutCancel(ctx), s.CallerAddresses[i%len(s.CallerAddresses)], fmt.Sprintf("/a/%d-%d", i, n), fmt.Sprintf("s%d-%d", i, n), 0, nil)
 				switch {
-				case err != nil || !got.Whole || !Complete(got.IDs, 2*Events):
+				case err != nil || !got.Complete || !HasAllEvents(got.EventIDs, 2*Events):
 					broken.Add(1)
-					t.Logf("stream %d-%d: got %d events, complete %v, error %v", i, n, len(got.IDs), got.Whole, err)
-				case got.Longest > 700*time.Millisecond:
+					t.Logf("stream %d-%d: got %d events, complete %v, error %v", i, n, len(got.EventIDs), got.Complete, err)
+				case got.LongestPause > 700*time.Millisecond:
 					paused.Add(1)
 				default:
 					complete.Add(1)
--- a/internal/routedlocal/system.go
+++ b/internal/routedlocal/system.go
@@ -49,10 +49,10 @@
 
 // System is a running system. Stop ends it.
 type System struct {
-	Net      *routedengine.Net
-	Controls []*routed.Control
-	Routers  []*routed.Router
-	Fronts   []string // of the routers, for callers
+	Net             *routedengine.Net
+	Controls        []*routed.Control
+	Routers         []*routed.Router
+	CallerAddresses []string // of the routers, for callers
 
 	mu       sync.Mutex
 	backends []upstream.Backend
@@ -117,7 +117,7 @@
 	for i := range engineCount {
 		e := &routedengine.Server{
 			Backend: upstream.Backend{ID: fmt.Sprint("engine", i), Service: Service, Zone: fmt.Sprint("zone", i%zoneCount), Slots: 8},
-			Events:  Events, ReadTime: 50 * time.Millisecond, EventTime: 10 * time.Millisecond,
+			Events:  Events, PrefillTime: 50 * time.Millisecond, EventInterval: 10 * time.Millisecond,
 		}
 		if err := s.Net.ListenTCP(e); err != nil {
 			return err
@@ -145,7 +145,7 @@
 	s.backends = slices.DeleteFunc(s.backends, func(b upstream.Backend) bool {
 		remove := b.Service == service && b.Version == version
 		if remove {
-			s.Net.At(b.Address).Set(routedengine.Dead)
+			s.Net.ServerAt(b.Address).Set(routedengine.Dead)
 		}
 		return remove
 	})
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	s.Routers, s.Fronts = append(s.Routers, r), append(s.Fronts, front)
+	s.Routers, s.CallerAddresses = append(s.Routers, r), append(s.CallerAddresses, front)
 	return nil
 }
 
@@ -231,7 +231,7 @@
 
 // PutStreamRoute puts a list with one route of streams in force, through any control
 // process that accepts it.
-func (s *System) Put(ctx context.Context, version uint64, prefix string) error {
+func (s *System) PutStreamRoute(ctx context.Context, version uint64, prefix string) error {
 	l := &routes.List{
 		Version: version, Source: fmt.Appendf(nil, "list %d", version),
 		Routes: []routes.Route{{
@@ -276,18 +276,18 @@
 }
 
 // StreamResult is what a caller received of a stream.
-type Received struct {
-	IDs     []int
-	Whole   bool          // the answer ended without an error
-	Longest time.Duration // between two events
+type StreamResult struct {
+	EventIDs     []int
+	Complete     bool          // the answer ended without an error
+	LongestPause time.Duration // between two events
 }
 
 // Stream requests a stream from a router and reads it to its end. If after is above 0,
 // the stream starts after that event. seen, if not nil, is called with each event's id.
-func Stream(ctx context.Context, front, path, id string, after int, seen func(n int)) (Received, error) {
+func Stream(ctx context.Context, front, path, id string, after int, seen func(n int)) (StreamResult, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+front+path, strings.NewReader("log "+path))
 	if err != nil {
-		return Received{}, err
+		return StreamResult{}, err
 	}
 	req.Host = Host
 	req.Header.Set(forward.HeaderRequestID, id)
@@ -297,34 +297,34 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return Received{}, err
+		return StreamResult{}, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return Received{}, fmt.Errorf("routedlocal: status %d", resp.StatusCode)
+		return StreamResult{}, fmt.Errorf("routedlocal: status %d", resp.StatusCode)
 	}
 	return readStream(resp.Body, seen), nil
 }
 
-func readStream(body io.Reader, seen func(n int)) Received {
-	var out Received
+func readStream(body io.Reader, seen func(n int)) StreamResult {
+	var out StreamResult
 	br := bufio.NewReader(body)
 	last := time.Now()
 	for {
 		line, err := br.ReadString('\n')
 		if err != nil {
-			out.Whole = errors.Is(err, io.EOF)
+			out.Complete = errors.Is(err, io.EOF)
 			return out
 		}
 		n := 0
 		if _, err := fmt.Sscanf(line, "id: %d", &n); err != nil {
 			continue
 		}
-		if len(out.IDs) > 0 {
-			out.Longest = max(out.Longest, time.Since(last))
+		if len(out.EventIDs) > 0 {
+			out.LongestPause = max(out.LongestPause, time.Since(last))
 		}
 		last = time.Now()
-		out.IDs = append(out.IDs, n)
+		out.EventIDs = append(out.EventIDs, n)
 		if seen != nil {
 			seen(n)
 		}
@@ -332,7 +332,7 @@
 }
 
 // HasAllEvents reports whether ids are 1 to n, each once and in order.
-func Complete(ids []int, n int) bool {
+func HasAllEvents(ids []int, n int) bool {
 	for i, id := range ids {
 		if id != i+1 {
 			return false
--- a/internal/routedlocal/system_test.go
+++ b/internal/routedlocal/system_test.go
@@ -37,25 +37,25 @@
 // its engine's zone. After the loss of the control group's leader, the next route list
 // comes into force on every router. A stream whose router dies resumes at another router
 // after the last event.
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	s, ctx := start(t)
-	check(t, s.Put(ctx, 1, "/a/"))
+	check(t, s.PutStreamRoute(ctx, 1, "/a/"))
 	check(t, s.Ready(ctx))
-	got, err := Stream(ctx, s.Fronts[0], "/a/1", "r1", 0, func(n int) {
+	got, err := Stream(ctx, s.CallerAddresses[0], "/a/1", "r1", 0, func(n int) {
 		if n == Events/3 {
-			s.Net.LoseZoneOf("r1")
+			s.Net.KillZoneOf("r1")
 		}
 	})
 	check(t, err)
-	if !got.Whole || !Complete(got.IDs, Events) {
+	if !got.Complete || !HasAllEvents(got.EventIDs, Events) {
 		t.Errorf("after the loss of a zone: got %+v, want all events and a proper end", got)
 	}
 	check(t, s.StopLeader())
-	check(t, s.Put(ctx, 2, "/b/"))
-	for _, front := range s.Fronts {
+	check(t, s.PutStreamRoute(ctx, 2, "/b/"))
+	for _, front := range s.CallerAddresses {
 		for {
 			got, err := Stream(ctx, front, "/b/1", "r2"+front, 0, nil)
-			if err == nil && got.Whole {
+			if err == nil && got.Complete {
 				break
 			}
 			if ctx.Err() != nil {
@@ -66,15 +66,15 @@
 			t.Error("removed route is still served, want an error")
 		}
 	}
-	got, err = Stream(ctx, s.Fronts[0], "/b/2", "r4", 0, func(n int) {
+	got, err = Stream(ctx, s.CallerAddresses[0], "/b/2", "r4", 0, func(n int) {
 		if n == Events/3 {
 			s.Routers[0].Close()
 		}
 	})
 	check(t, err)
-	rest, err := Stream(ctx, s.Fronts[1], "/b/2", "r5", len(got.IDs), nil)
+	rest, err := Stream(ctx, s.CallerAddresses[1], "/b/2", "r5", len(got.EventIDs), nil)
 	check(t, err)
-	if got.Whole || !rest.Whole || !Complete(append(got.IDs, rest.IDs...), Events) {
+	if got.Complete || !rest.Complete || !HasAllEvents(append(got.EventIDs, rest.EventIDs...), Events) {
 		t.Errorf("after the death of a router: got %+v, then %+v; want all events over both", got, rest)
 	}
 }
@@ -83,7 +83,7 @@
 // an operator gets an error.
 func TestReadWithoutAMajority(t *testing.T) {
 	s, ctx := start(t)
-	check(t, s.Put(ctx, 7, "/a/"))
+	check(t, s.PutStreamRoute(ctx, 7, "/a/"))
 	last := s.Controls[2]
 	for {
 		source, err := last.Routes(ctx)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -17,21 +17,21 @@
 
 // EngineConfig sets the speed, the sizes and the faults of a stand-in engine.
 type EngineConfig struct {
-	Name       string
-	Models     []engine.Model
-	StepBase   time.Duration // duration of a decoding step with an empty batch
-	StepPerRun time.Duration // added by each run in the batch
-	Prefill    time.Duration // added by each prompt token that is not cached
-	MaxBatch   int
-	CacheLimit int           // tokens
-	ReportLag  time.Duration // age of the load reports that load returns
-	EventLag   time.Duration // delay until a cache event is published
-	EventGap   int           // every n-th cache event is not published; 0: all are
-	Fences     bool          // refuse orders with a stale fencing number
-	LoadTime   time.Duration // until a model that is loaded is ready
-	ByAttempt  bool          // attempts sample differently
-	PoisonWord string        // a prompt that contains it kills the engine; empty: none
-	PoisonAt   int           // number of answer tokens after which it does
+	Name              string
+	Models            []engine.Model
+	StepBase          time.Duration // duration of a decoding step with an empty batch
+	StepPerRun        time.Duration // added by each run in the batch
+	PrefillPerToken   time.Duration // added by each prompt token that is not cached
+	MaxBatch          int
+	CacheTokens       int           // tokens
+	ReportLag         time.Duration // age of the load reports that load returns
+	EventLag          time.Duration // delay until a cache event is published
+	DropEveryNthEvent int           // every n-th cache event is not published; 0: all are
+	EnforceFencing    bool          // refuse orders with a stale fencing number
+	ModelLoadTime     time.Duration // until a model that is loaded is ready
+	SampleByAttempt   bool          // attempts sample differently
+	PoisonWord        string        // a prompt that contains it kills the engine; empty: none
+	PoisonAtToken     int           // number of answer tokens after which it does
 }
 
 // DefaultEngine returns the configuration of an engine that is fast enough for tests and
@@ -39,18 +39,18 @@
 func DefaultEngine(name, model string) EngineConfig {
 	return EngineConfig{
 		Name: name, Models: []engine.Model{{Name: model, Version: "1", Ready: true}},
-		StepBase: 4 * time.Millisecond, StepPerRun: 100 * time.Microsecond, Prefill: 20 * time.Microsecond,
-		MaxBatch: 32, CacheLimit: 1 << 16, ReportLag: 200 * time.Millisecond, EventLag: 200 * time.Millisecond,
-		LoadTime: 500 * time.Millisecond,
+		StepBase: 4 * time.Millisecond, StepPerRun: 100 * time.Microsecond, PrefillPerToken: 20 * time.Microsecond,
+		MaxBatch: 32, CacheTokens: 1 << 16, ReportLag: 200 * time.Millisecond, EventLag: 200 * time.Millisecond,
+		ModelLoadTime: 500 * time.Millisecond,
 	}
 }
 
 // EngineStats counts an engine's work over all its lives.
 type EngineStats struct {
-	Starts         int
-	PrefillTokens  int // prompt tokens computed, without cached ones
-	GeneratedTotal int
-	Cancelled      int
+	RunsStarted     int
+	PrefillTokens   int // prompt tokens computed, without cached ones
+	GeneratedTokens int
+	CancelledRuns   int
 }
 
 // Engine is a stand-in model engine with continuous batching. It offers the API of
@@ -109,7 +109,7 @@
 func (e *Engine) reset() {
 	e.queue, e.batch = nil, nil
 	e.runs = map[engine.Attempt]*run{}
-	e.cache = newPrefixCache(e.cfg.CacheLimit)
+	e.cache = newPrefixCache(e.cfg.CacheTokens)
 	e.state = engine.State{Models: slices.Clone(e.cfg.Models)}
 	e.reports = nil
 }
@@ -148,7 +148,7 @@
 	slices.SortStableFunc(e.queue, func(a, b *run) int {
 		return cmp.Or(cmp.Compare(b.req.Priority, a.req.Priority), cmp.Compare(a.arrivalSeq, b.arrivalSeq))
 	})
-	e.stats.Starts++
+	e.stats.RunsStarted++
 	e.wakeLoop()
 	return r, nil
 }
@@ -207,7 +207,7 @@
 			return 0, false
 		}
 	}
-	took := e.cfg.StepBase + time.Duration(len(e.batch))*e.cfg.StepPerRun + time.Duration(prefill)*e.cfg.Prefill
+	took := e.cfg.StepBase + time.Duration(len(e.batch))*e.cfg.StepPerRun + time.Duration(prefill)*e.cfg.PrefillPerToken
 	took = time.Duration(float64(took) * e.faults.slowness())
 	e.batch = slices.DeleteFunc(e.batch, func(r *run) bool { return r.finish != "" || r.err != nil })
 	e.report(now, took)
@@ -237,14 +237,14 @@
 	}
 	if len(r.tokens) < r.req.MaxTokens {
 		var choice uint64
-		if e.cfg.ByAttempt {
+		if e.cfg.SampleByAttempt {
 			choice = xxhash.Sum64String(fmt.Sprint(r.req.Attempt, len(r.tokens)))
 		}
 		t := r.digest.next(choice)
 		r.digest = r.digest.with(t)
 		r.tokens = append(r.tokens, t)
 		r.usage.Completion++
-		e.stats.GeneratedTotal++
+		e.stats.GeneratedTokens++
 	}
 	if len(r.tokens) >= r.req.MaxTokens {
 		r.finish = "length"
@@ -257,7 +257,7 @@
 }
 
 func (e *Engine) poisoned(r *run) bool {
-	return e.cfg.PoisonWord != "" && len(r.tokens) >= e.cfg.PoisonAt && strings.Contains(r.req.Prompt, e.cfg.PoisonWord)
+	return e.cfg.PoisonWord != "" && len(r.tokens) >= e.cfg.PoisonAtToken && strings.Contains(r.req.Prompt, e.cfg.PoisonWord)
 }
 
 func (r *run) notify() {
@@ -284,7 +284,7 @@
 	e.queue = slices.DeleteFunc(e.queue, same)
 	e.batch = slices.DeleteFunc(e.batch, same)
 	if r.finish == "" {
-		e.stats.Cancelled++
+		e.stats.CancelledRuns++
 		r.err = errCancelled
 		r.notify()
 	}
@@ -306,7 +306,7 @@
 	e.seq++
 	load := engine.Load{
 		Seq: e.seq, Running: len(e.batch), Queued: len(e.queue), CacheUsed: e.cache.tokens(),
-		CacheLimit: e.cfg.CacheLimit, StepMS: float64(step) / float64(time.Millisecond), Leaving: e.faults.leaving,
+		CacheLimit: e.cfg.CacheTokens, StepMS: float64(step) / float64(time.Millisecond), Leaving: e.faults.leaving,
 	}
 	for _, r := range e.queue {
 		load.QueuedTokens += len(r.req.Prompt) + len(r.req.PromptIDs) + r.req.MaxTokens - len(r.tokens)
@@ -330,7 +330,7 @@
 	if len(e.batch) == 0 && len(e.queue) == 0 {
 		e.report(now, 0)
 	}
-	out := engine.Load{CacheLimit: e.cfg.CacheLimit}
+	out := engine.Load{CacheLimit: e.cfg.CacheTokens}
 	for _, m := range e.state.Models {
 		out.Models = append(out.Models, m.Name)
 	}
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -58,8 +58,8 @@
 
 // Guards against a Verify that misses a splice of two generations. Two attempts that
 // sample differently each pass, but the head of one with the tail of the other fails.
-func TestSpliceOfTwoGenerationsShows(t *testing.T) {
-	inBubble(t, func(c *standin.EngineConfig) { c.ByAttempt = true }, func(t *testing.T, e *standin.Engine) {
+func TestVerifyDetectsSplicedGenerations(t *testing.T) {
+	inBubble(t, func(c *standin.EngineConfig) { c.SampleByAttempt = true }, func(t *testing.T, e *standin.Engine) {
 		first, err1 := collect(t.Context(), e, completion("a", 40))
 		second, err2 := collect(t.Context(), e, completion("b", 40))
 		if err := errors.Join(err1, err2); err != nil {
@@ -108,7 +108,7 @@
 		if err := standin.Verify(c, "1", append(head, tail...), true); err != nil {
 			t.Error(err)
 		}
-		if s := e.Stats(); s.GeneratedTotal != 100 || s.Starts != 1 {
+		if s := e.Stats(); s.GeneratedTokens != 100 || s.RunsStarted != 1 {
 			t.Errorf("got stats %+v, want 1 run and 100 generated tokens", s)
 		}
 	})
@@ -128,7 +128,7 @@
 		timer := time.NewTimer(300 * time.Millisecond)
 		<-timer.C
 		synctest.Wait()
-		if e.Running() != 0 || e.Stats().Cancelled != 1 {
+		if e.Running() != 0 || e.Stats().CancelledRuns != 1 {
 			t.Errorf("got %d runs, stats %+v; want 0 runs, 1 of them cancelled", e.Running(), e.Stats())
 		}
 	})
@@ -159,7 +159,7 @@
 		{"an engine that does not accepts it", false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			inBubble(t, func(c *standin.EngineConfig) { c.Fences = tc.fences }, func(t *testing.T, e *standin.Engine) {
+			inBubble(t, func(c *standin.EngineConfig) { c.EnforceFencing = tc.fences }, func(t *testing.T, e *standin.Engine) {
 				if _, err := e.Order(engine.Order{Fence: 5, Op: "load", Model: "n", Version: "1"}); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -95,28 +95,28 @@
 
 // StallAttempts stops the runs whose attempt id contains part. An empty part stalls no
 // further runs.
-func (e *Engine) Stall(part string) {
+func (e *Engine) StallAttempts(part string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.stalledAttempts = part
 }
 
 // DelayEvents delays each event by d.
-func (e *Engine) Late(d time.Duration) {
+func (e *Engine) DelayEvents(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.eventDelay = d
 }
 
 // SwapAttemptIDs makes events carry the attempt id of another run.
-func (e *Engine) Cross(on bool) {
+func (e *Engine) SwapAttemptIDs(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.swapAttemptIDs = on
 }
 
 // ReportLeaving makes load reports state that the engine is leaving.
-func (e *Engine) Leave() {
+func (e *Engine) ReportLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.leaving = true
--- a/internal/standin/routedengine/engine.go
+++ b/internal/standin/routedengine/engine.go
@@ -42,7 +42,7 @@
 	if s == nil {
 		return nil, errRefused
 	}
-	if s.inState(Dark) {
+	if s.inState(Unresponsive) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -85,7 +85,7 @@
 
 // ChangeAddress registers a server under another address, such as that of a proxy in
 // front of it.
-func (n *Net) Move(s *Server, addr string) {
+func (n *Net) ChangeAddress(s *Server, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.servers, s.Address)
@@ -106,7 +106,7 @@
 }
 
 // KillZoneOf kills all servers of the zone where a request runs.
-func (n *Net) LoseZoneOf(request string) {
+func (n *Net) KillZoneOf(request string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	zone := ""
@@ -125,7 +125,7 @@
 }
 
 // Backends returns the list entries of all servers, in no particular order.
-func (n *Net) List() []upstream.Backend {
+func (n *Net) Backends() []upstream.Backend {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []upstream.Backend
@@ -140,19 +140,19 @@
 
 // The states.
 const (
-	Alive State = iota
-	Dead        // existing connections are reset, new ones are refused
-	Dark        // connections stay open, but nothing is answered
+	Alive        State = iota
+	Dead               // existing connections are reset, new ones are refused
+	Unresponsive       // connections stay open, but nothing is answered
 )
 
 // Run records a request that a server started.
 type Run struct {
-	RequestID string
-	Path      string
-	Body      string
-	Header    http.Header
-	From      uint64 // id of the first event that the run generates
-	ReadAnew  bool   // the prompt was prefilled; false: resumed from a copy
+	RequestID  string
+	Path       string
+	Body       string
+	Header     http.Header
+	FirstEvent uint64 // id of the first event that the run generates
+	Prefilled  bool   // the prompt was prefilled; false: resumed from a copy
 }
 
 // Server is a stand-in for a backend server. Its exported fields must be set before the
@@ -161,13 +161,13 @@
 	upstream.Backend
 	Net *Net
 
-	Events    int           // number of events of a stream; 0: the server answers calls
-	ReadTime  time.Duration // of the prompt, before the first event
-	EventTime time.Duration // between events
-	WorkTime  time.Duration // duration of a call
-	CopyTime  time.Duration // duration of a copy on order
+	Events        int           // number of events of a stream; 0: the server answers calls
+	PrefillTime   time.Duration // of the prompt, before the first event
+	EventInterval time.Duration // between events
+	CallTime      time.Duration // duration of a call
+	CopyTime      time.Duration // duration of a copy on order
 	// Intercept, if set, may answer a request, and reports whether it did.
-	Answer func(s *Server, w http.ResponseWriter, r *http.Request) bool
+	Intercept func(s *Server, w http.ResponseWriter, r *http.Request) bool
 
 	mu         sync.Mutex
 	state      State
@@ -255,7 +255,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
-	case s.inState(Dark):
+	case s.inState(Unresponsive):
 		<-r.Context().Done()
 	case r.URL.Path == forward.PlainReportURI:
 		s.report(w)
@@ -263,11 +263,11 @@
 		s.copyOnOrder(w, r)
 	case r.Header.Get(forward.HeaderInstance) != s.ID:
 		s.refuse(w, r, http.StatusMisdirectedRequest)
-	case s.Answer != nil && s.Answer(s, w, r):
+	case s.Intercept != nil && s.Intercept(s, w, r):
 	case s.Events > 0:
 		s.stream(w, r)
 	default:
-		s.Call(w, r, http.StatusOK)
+		s.AnswerCall(w, r, http.StatusOK)
 	}
 }
 
@@ -303,21 +303,21 @@
 }
 
 // RecordRun records that a request runs here. from is the id of its first event.
-func (s *Server) Note(r *http.Request, from uint64, prefilled bool) {
+func (s *Server) RecordRun(r *http.Request, from uint64, prefilled bool) {
 	body := make([]byte, max(0, r.ContentLength))
 	_, _ = r.Body.Read(body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, Run{
 		RequestID: r.Header.Get(forward.HeaderRequestID), Path: r.RequestURI, Body: string(body),
-		Header: r.Header.Clone(), From: from, ReadAnew: prefilled,
+		Header: r.Header.Clone(), FirstEvent: from, Prefilled: prefilled,
 	})
 }
 
 // AnswerCall runs a call and answers it with a status.
-func (s *Server) Call(w http.ResponseWriter, r *http.Request, status int) {
-	s.Note(r, 0, false)
-	s.pause(r, s.WorkTime)
+func (s *Server) AnswerCall(w http.ResponseWriter, r *http.Request, status int) {
+	s.RecordRun(r, 0, false)
+	s.pause(r, s.CallTime)
 	s.sign(w, r)
 	w.WriteHeader(status)
 	_, _ = fmt.Fprintf(w, "answer of %s to %s", s.ID, r.Header.Get(forward.HeaderRequestID))
@@ -331,7 +331,7 @@
 	case <-r.Context().Done():
 		return false
 	}
-	for s.inState(Dark) {
+	for s.inState(Unresponsive) {
 		s.mu.Lock()
 		wake := s.wake
 		s.mu.Unlock()
@@ -355,16 +355,16 @@
 		}
 		prefill = false
 	}
-	s.Note(r, after+1, prefill)
+	s.RecordRun(r, after+1, prefill)
 	defer s.markActive(id)()
-	if prefill && !s.pause(r, s.ReadTime) {
+	if prefill && !s.pause(r, s.PrefillTime) {
 		return
 	}
-	backup := s.Net.At(r.Header.Get(forward.HeaderCopyTo))
+	backup := s.Net.ServerAt(r.Header.Get(forward.HeaderCopyTo))
 	s.sign(w, r)
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := after + 1; n <= uint64(s.Events); n++ {
-		if !s.pause(r, s.EventTime) {
+		if !s.pause(r, s.EventInterval) {
 			return
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", n, n)
@@ -400,7 +400,7 @@
 }
 
 // ServerAt returns the server at an address, or nil.
-func (n *Net) At(addr string) *Server {
+func (n *Net) ServerAt(addr string) *Server {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.servers[addr]
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -45,14 +45,14 @@
 }
 
 // BreakNextCall sets where the connection of the next call breaks.
-func (s *Service) Break(at BreakPoint) {
+func (s *Service) BreakNextCall(at BreakPoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextBreak = at
 }
 
 // DelayAnswers makes each call run at once and answer after d.
-func (s *Service) HoldAnswers(d time.Duration) {
+func (s *Service) DelayAnswers(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answerDelay = d
