--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -23,7 +23,7 @@
 	StepPerRun        time.Duration // added by each run in the batch
 	PrefillPerToken   time.Duration // added by each prompt token that is not cached
 	MaxBatch          int
-	CacheTokens       int           // tokens
+	CacheTokens       int           // size of the prefix cache
 	ReportLag         time.Duration // age of the load reports that load returns
 	EventLag          time.Duration // delay until a cache event is published
 	DropEveryNthEvent int           // every n-th cache event is not published; 0: all are
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -156,7 +156,7 @@
 		wantErr bool
 	}{
 		{"an engine that enforces fencing refuses a stale number", true, true},
-		{"an engine that does not accepts it", false, false},
+		{"an engine that does not enforce fencing accepts it", false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inBubble(t, func(c *standin.EngineConfig) { c.EnforceFencing = tc.fences }, func(t *testing.T, e *standin.Engine) {
