--- a/cmd/amaranthshelf/status.go
+++ b/cmd/amaranthshelf/status.go
@@ -134,10 +134,10 @@
 		for _, l := range story.Lines {
 			fmt.Println(l.String())
 		}
-		if len(story.Around) > 0 {
+		if len(story.Nearby) > 0 {
 			fmt.Println("about the servers that it was sent to:")
 		}
-		for _, l := range story.Around {
+		for _, l := range story.Nearby {
 			fmt.Println(l.String())
 		}
 		fmt.Println("cause: " + story.Cause)
--- a/cmd/amaranthshelfd/routed.go
+++ b/cmd/amaranthshelfd/routed.go
@@ -37,7 +37,7 @@
 }
 
 func serveRouted(s *settings.Routed, path string) error {
-	var lost telemetry.Lost
+	var lost telemetry.LineCounters
 	out := lost.Writer(os.Stdout)
 	defer out.Close()
 	log, err := telemetry.Logger(out, s.LogLevel, "json", s.ID+"/"+string(s.Kind))
@@ -49,9 +49,9 @@
 	signals := routed.Signals()
 	common := routed.Common{
 		ID: s.ID, Zone: s.Zone, Token: s.Tokens.Peer, Seeds: s.Seeds,
-		Log: log, Ordinary: lost.Ordinary(log), Metrics: set,
+		Log: log, RoutineLog: lost.RoutineLog(log), Metrics: set,
 	}
-	sup := routed.Supervision{Path: path, Log: log, Seeds: func() ([]string, error) {
+	sup := routed.Supervisor{Path: path, Log: log, ReadSeeds: func() ([]string, error) {
 		s, err := settings.LoadRouted(path)
 		if err != nil {
 			return nil, err
@@ -66,27 +66,27 @@
 	return sup.Run(p, signals)
 }
 
-func startRouted(s *settings.Routed, common routed.Common, sup *routed.Supervision) (routed.Process, error) {
+func startRouted(s *settings.Routed, common routed.Common, sup *routed.Supervisor) (routed.Process, error) {
 	if s.Kind == settings.RoutedRouter {
 		r, err := routed.StartRouter(routed.RouterOptions{
-			Common: common, Callers: s.Callers, Wire: forward.NewPlainWire(), Allowance: forward.DefaultRetryAllowance,
+			Common: common, Endpoint: s.Endpoint, Wire: forward.NewPlainWire(), RetryAllowance: forward.DefaultRetryAllowance,
 			Drain: routed.DrainTimes{Grace: s.Grace, EntryTTL: routed.EntryTTL},
 		})
 		if err != nil {
 			return nil, err
 		}
-		_, err = routed.Listen(s.Operators, routed.OperatorRoutes(nil, r, s.Tokens.Operator, common.Metrics), common.Log)
+		_, err = routed.Listen(s.Operators, routed.OperatorHandler(nil, r, s.Tokens.Operator, common.Metrics), common.Log)
 		return r, err
 	}
 	c, err := routed.StartControl(routed.ControlOptions{
-		Common: common, Dir: s.DataDir, FirstStart: s.FirstStart, Voters: int(s.Voters), ReadBackends: backendReader(s, common.Log),
+		Common: common, Dir: s.DataDir, FirstStart: s.FirstStart, TargetVoters: int(s.TargetVoters), ReadBackends: backendReader(s, common.Log),
 		Rollouts: rollout.Limits{Share: float64(s.RolloutPercent) / 100, Slack: float64(s.RolloutSlack)},
 	})
 	if err != nil {
 		return nil, err
 	}
 	sup.Failure = c.Failure()
-	_, err = routed.Listen(s.Operators, routed.OperatorRoutes(c, nil, s.Tokens.Operator, common.Metrics), common.Log)
+	_, err = routed.Listen(s.Operators, routed.OperatorHandler(c, nil, s.Tokens.Operator, common.Metrics), common.Log)
 	return c, err
 }
 
--- a/internal/forward/explain_test.go
+++ b/internal/forward/explain_test.go
@@ -29,7 +29,7 @@
 	return b.buf.Write(p)
 }
 
-func (b *logBuffer) explanation(t *testing.T, request string) explain.Story {
+func (b *logBuffer) explanation(t *testing.T, request string) explain.Explanation {
 	t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,11 +107,11 @@
 					}
 				}
 				found := tt.around == ""
-				for _, l := range s.Around {
+				for _, l := range s.Nearby {
 					found = found || l.Message == tt.around
 				}
 				if !found {
-					t.Errorf("got no line %q among %v, want one", tt.around, s.Around)
+					t.Errorf("got no line %q among %v, want one", tt.around, s.Nearby)
 				}
 			})
 		})
--- a/internal/load/edits.go
+++ b/internal/load/edits.go
@@ -69,7 +69,7 @@
 		return
 	}
 	record(e.inForce, time.Since(began))
-	e.checkVMs(out.Lists)
+	e.checkVMs(out.ListsVersion)
 }
 
 // reread takes the row's present version, which is never below an accepted one.
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	conf.Self.Callers, conf.Self.Peer, conf.Operators = s.vms[i].Callers, s.vms[i].Peer, old.OperatorAddr()
+	conf.Self.Endpoint, conf.Self.Peer, conf.Operators = s.vms[i].Endpoint, s.vms[i].Peer, old.OperatorAddr()
 	n, err := s.listen(conf)
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 		return nil, err
 	}
 	conf.Self.ID, conf.Self.Zone = fmt.Sprintf("vm%d", i+1), s.zoneName(i)
-	conf.Self.Callers, conf.Self.Peer, conf.Operators = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
+	conf.Self.Endpoint, conf.Self.Peer, conf.Operators = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	conf.DataDir = fmt.Sprintf("%s/vm%d", s.dir, i+1)
 	conf.Backends = s.backends
 	if i >= s.controlVMs() {
@@ -207,7 +207,7 @@
 func (s *System) Addresses() []string {
 	var out []string
 	for _, n := range s.Nodes {
-		out = append(out, n.Self().Callers)
+		out = append(out, n.Self().Endpoint)
 	}
 	return out
 }
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -32,7 +32,7 @@
 // the queue, and it hears so at that moment: not later, and as "not run". What
 // cannot start in time is refused at entry with a time to come back. A request
 // that another VM had accepted is taken whatever the queue, and starts first.
-func TestQueueTellsCallersAtOnce(t *testing.T) {
+func TestQueueRefusesAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slots := 1
 		a := waiting(&slots)
@@ -73,7 +73,7 @@
 }
 
 // A caller that is gone gives its place back at once, and its slot to the next.
-func TestGivenUpPlacesAreFree(t *testing.T) {
+func TestAbandonedPlacesAreFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slots := 0
 		a := waiting(&slots)
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -19,7 +19,7 @@
 // seconds the engine gets no new work, a hundred requests in a row and over several
 // of its own load reports, which say nothing of it, and the entry leaves the VM
 // out. The callers' answers are whole throughout.
-func TestPlatformsLeavingTakesEffectWithinSeconds(t *testing.T) {
+func TestLeavingServersGetNoNewWork(t *testing.T) {
 	t.Parallel()
 	p, err := standin.ServePlatform("127.0.0.1:0", time.Second)
 	if err != nil {
@@ -50,11 +50,11 @@
 	complete("before")
 	leavingEngine, leavingVM := s.Engines[0], s.Nodes[2].Self()
 	p.Set(inventory.List{
-		VMs:      []inventory.VM{{ID: leavingVM.ID, Zone: leavingVM.Zone, Callers: leavingVM.Callers, Leaving: true}},
+		VMs:      []inventory.VM{{ID: leavingVM.ID, Zone: leavingVM.Zone, Callers: leavingVM.Endpoint, Leaving: true}},
 		Backends: []inventory.Backend{{Name: "engine1", Leaving: true}},
 	})
 	began := time.Now()
-	entryUntil(ctx, t, s.Nodes[0].Self().Callers, func(e *client.Entry) bool { return len(e.Addresses) == 2 })
+	entryUntil(ctx, t, s.Nodes[0].Self().Endpoint, func(e *client.Entry) bool { return len(e.Addresses) == 2 })
 	idle, last := 0, leavingEngine.Stats().RunsStarted
 	for i := 0; idle < 100; i++ {
 		complete(fmt.Sprint("after", i))
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -110,7 +110,7 @@
 	change.Wait = false
 	router := client.NewOperator([]string{s.Nodes[4].OperatorAddr()}, "", "test")
 	again, err := router.Do(t.Context(), change)
-	if err != nil || again.Version != first.Version || again.Lists != first.Lists {
+	if err != nil || again.Version != first.Version || again.ListsVersion != first.ListsVersion {
 		t.Errorf("resend got %+v, %v; the first answer was %+v", again, err, first)
 	}
 	change.Key = "another"
@@ -167,7 +167,7 @@
 // other VMs stop admitting once their freshness leases have lapsed, since an
 // operator on the far side may have withdrawn the plan: callers get 3004, not
 // run. The answer that was running goes on to its end.
-func TestWithoutTheGroupNothingNewButWhatRuns(t *testing.T) {
+func TestQuorumLossStopsAdmission(t *testing.T) {
 	const lease = time.Second
 	o := options(zerolog.New(zerolog.NewTestWriter(t)))
 	o.VMs = 5
@@ -187,7 +187,7 @@
 	for _, e := range s.Engines {
 		e.Slow(8)
 	}
-	caller := client.New([]string{s.Nodes[4].Self().Callers}, testKey)
+	caller := client.New([]string{s.Nodes[4].Self().Endpoint}, testKey)
 	lost := make(chan time.Time, 1)
 	var once sync.Once
 	var wg sync.WaitGroup
@@ -207,7 +207,7 @@
 	s.Nodes[0].Kill()
 	s.Nodes[1].Kill()
 	for i := 0; ; i++ {
-		refusal := post(t, s.Nodes[4].Self().Callers, fmt.Sprint("new", i))
+		refusal := post(t, s.Nodes[4].Self().Endpoint, fmt.Sprint("new", i))
 		after := time.Since(began)
 		if refusal.Code == result.NotFresh {
 			t.Logf("nothing admitted after %v", after)
--- a/internal/relay/owner_test.go
+++ b/internal/relay/owner_test.go
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		partitioned := s.owner("k")
-		s.net.Deafen(partitioned)
+		s.net.CutInbound(partitioned)
 		began := time.Now()
 		if err := c.read(partitioned, testTokens); result.CodeOf(err) != result.KeepersUnavail || result.From(err).Ran == result.RanNo {
 			t.Errorf("the partitioned VM ended the answer with %v, want keepers_unavailable without the promise that it did not run", err)
--- a/internal/routed/control.go
+++ b/internal/routed/control.go
@@ -22,7 +22,7 @@
 
 // Operable is what serves operators, and callers who ask where to connect: a Control,
 // or an Observer where the VM has no disk.
-type Operable interface {
+type ControlProcess interface {
 	Process
 	// PutRoutes puts a list that has been validated in force. An error with code
 	// ControlUnavail is a promise that nothing changed.
@@ -36,18 +36,18 @@
 	// Rollout returns the newest roll-out of a service, confirmed by a majority of the group.
 	Rollout(ctx context.Context, service string) (rollout.Record, error)
 	// Entrances are the addresses of routers that callers may use, at most limit.
-	Entrances(limit int) []string
+	Endpoints(limit int) []string
 	// Failure carries the fault that ends the process, if one comes.
 	Failure() <-chan error
 	// Close ends everything at once.
 	Close()
 }
 
-var _, _ Operable = (*Control)(nil), (*Observer)(nil)
+var _, _ ControlProcess = (*Control)(nil), (*Observer)(nil)
 
 // StartOperable starts a Control where there is a data folder, and an Observer where
 // there is none.
-func StartOperable(o ControlOptions) (Operable, error) {
+func StartControlProcess(o ControlOptions) (ControlProcess, error) {
 	if o.Dir == "" {
 		return StartObserver(o.Common)
 	}
@@ -108,7 +108,7 @@
 func (c *Control) gauges() {
 	set := c.o.Metrics
 	set.NewGauge("shelf_control_leads", func() float64 {
-		if c.Leads() {
+		if c.IsLeader() {
 			return 1
 		}
 		return 0
@@ -151,7 +151,7 @@
 }
 
 // Leads reports whether this process leads the group, as far as it knows.
-func (c *Control) Leads() bool {
+func (c *Control) IsLeader() bool {
 	g := c.group()
 	return g != nil && g.IsLeader()
 }
@@ -177,7 +177,7 @@
 func (c *Control) SetSeeds(seeds []string) { c.member.SetSeeds(seeds) }
 
 // Entrances are the addresses of routers that callers may use, at most limit.
-func (c *Control) Entrances(limit int) []string { return c.hub.Endpoints(limit) }
+func (c *Control) Endpoints(limit int) []string { return c.hub.Endpoints(limit) }
 
 // PutRoutes implements Operable.
 func (c *Control) PutRoutes(ctx context.Context, l *routes.List) (routes.Reply, error) {
@@ -272,7 +272,7 @@
 		leader = c.noteLeader(leader)
 		rows, _, age, ok := c.held.Current()
 		r := cluster.ReadSchedule{
-			Leader: c.Leads(), Rank: slices.Index(c.controls(), c.o.ID), HasList: ok, Rows: len(rows), Age: age,
+			Leader: c.IsLeader(), Rank: slices.Index(c.controls(), c.o.ID), HasList: ok, Rows: len(rows), Age: age,
 			Uptime: time.Since(began), SinceLastRead: time.Since(last), LastReadDuration: took,
 		}
 		if r.Due() {
--- a/internal/routed/drain_test.go
+++ b/internal/routed/drain_test.go
@@ -29,7 +29,7 @@
 // In order: an answer is under way when the end begins; another caller comes a
 // second later; the process ends once both have their answers and no entry answer
 // names it any more.
-func TestDrainFinishesWhatRuns(t *testing.T) {
+func TestDrainWaitsForRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
 		h := d.wrap(slow(5 * time.Second))
@@ -68,7 +68,7 @@
 
 // A request that cannot be finished any more is refused: a stream sooner than a
 // call. The end comes before the process is killed, whatever still runs.
-func TestDrainTakesNothingLate(t *testing.T) {
+func TestDrainRefusesLateRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
 		go ask(d.wrap(slow(time.Minute)))
@@ -98,7 +98,7 @@
 // A caller gets half of an answer. In order: a router begins to shut down; a caller
 // whose entry answer still names it sends a long stream at once; the grace is over
 // before its last event. It is refused, and runs whole elsewhere; a short one is taken.
-func TestDrainTakesWhatItCanFinish(t *testing.T) {
+func TestDrainAdmitsWhatItCanFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(testGrace)
 		d.start()
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -59,7 +59,7 @@
 	s.machine.Register(control.RoutesStateMachine, s.part)
 	s.machine.Register(control.RolloutsStateMachine, s.rollouts)
 	s.group = control.NewGroup(control.GroupOptions{
-		VM: c.o.ID, Voters: c.o.Seeds, KnownVMs: c.member.Controls, JoinOnly: !c.o.FirstStart, TargetVoters: c.o.Voters,
+		VM: c.o.ID, Voters: c.o.Seeds, KnownVMs: c.member.Controls, JoinOnly: !c.o.FirstStart, TargetVoters: c.o.TargetVoters,
 		Dir: filepath.Join(c.o.Dir, "control"), Transport: c.network, Values: c.values, State: s.machine, Lease: Lease, Log: c.o.Log, OnFailure: failed,
 	})
 	s.client = control.NewGroupClient(s.group)
--- a/internal/routed/observer.go
+++ b/internal/routed/observer.go
@@ -41,7 +41,7 @@
 	consensus.ServeObserver(v.network, o.ID)
 	v.client = control.NewRemoteClient(v.network, o.ID, v.observer.Controls)
 	v.text = &textReader{t: v.network, voters: v.observer.Controls, log: o.Log}
-	o.Metrics.NewGauge("shelf_ready_routers", func() float64 { return float64(len(v.Entrances(maxRouters))) })
+	o.Metrics.NewGauge("shelf_ready_routers", func() float64 { return float64(len(v.Endpoints(maxRouters))) })
 	var err error
 	if v.peers, err = listenPeers(v.network, &o); err != nil {
 		v.cancel()
@@ -56,7 +56,7 @@
 func (v *Observer) SetSeeds(seeds []string) { v.member.SetSeeds(seeds) }
 
 // Entrances implements Operable.
-func (v *Observer) Entrances(limit int) []string { return v.observer.Endpoints(limit) }
+func (v *Observer) Endpoints(limit int) []string { return v.observer.Endpoints(limit) }
 
 // PutRoutes implements Operable.
 func (v *Observer) PutRoutes(ctx context.Context, l *routes.List) (routes.Reply, error) {
--- a/internal/routed/operators.go
+++ b/internal/routed/operators.go
@@ -22,8 +22,8 @@
 // Bounds of an operator's call.
 const (
 	// MaxListText is the most bytes of a route list's text.
-	MaxListText   = 16 << 20
-	changeTimeout = 5 * time.Second // covers a change of leader
+	MaxRouteListBytes = 16 << 20
+	changeTimeout     = 5 * time.Second // covers a change of leader
 )
 
 // entryLimit is how many addresses an entry answer holds.
@@ -31,7 +31,7 @@
 
 // OperatorRoutes serve operators, and callers who ask where to connect, in the
 // project's own form. c is nil on a router, r on a control process.
-func OperatorRoutes(c Operable, r *Router, token string, set *metrics.Set) http.Handler {
+func OperatorHandler(c ControlProcess, r *Router, token string, set *metrics.Set) http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	m.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) { writeReady(w, r) })
@@ -55,8 +55,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func writeEntry(w http.ResponseWriter, c Operable) {
-	addrs := c.Entrances(entryLimit)
+func writeEntry(w http.ResponseWriter, c ControlProcess) {
+	addrs := c.Endpoints(entryLimit)
 	if len(addrs) == 0 {
 		resulthttp.Write(w, "", result.New(result.NoBackendServer))
 		return
@@ -83,8 +83,8 @@
 	})
 }
 
-func putRoutes(w http.ResponseWriter, r *http.Request, c Operable) error {
-	data, err := resulthttp.ReadBody(w, r, MaxListText)
+func putRoutes(w http.ResponseWriter, r *http.Request, c ControlProcess) error {
+	data, err := resulthttp.ReadBody(w, r, MaxRouteListBytes)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func getRoutes(w http.ResponseWriter, r *http.Request, c Operable) error {
+func getRoutes(w http.ResponseWriter, r *http.Request, c ControlProcess) error {
 	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
 	source, err := c.Routes(ctx)
@@ -147,7 +147,7 @@
 // maxOrderText is the most bytes of an order.
 const maxOrderText = 16 << 10
 
-func postRollout(w http.ResponseWriter, r *http.Request, c Operable) error {
+func postRollout(w http.ResponseWriter, r *http.Request, c ControlProcess) error {
 	data, err := resulthttp.ReadBody(w, r, maxOrderText)
 	if err != nil {
 		return err
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func getRollout(w http.ResponseWriter, r *http.Request, c Operable) error {
+func getRollout(w http.ResponseWriter, r *http.Request, c ControlProcess) error {
 	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
 	record, err := c.Rollout(ctx, mux.Vars(r)["service"])
--- a/internal/routed/options.go
+++ b/internal/routed/options.go
@@ -34,7 +34,7 @@
 	Seeds []string
 	Log   zerolog.Logger
 	// Ordinary takes the lines about what went well.
-	Ordinary zerolog.Logger
+	RoutineLog zerolog.Logger
 	// Metrics is the process's set of counters.
 	Metrics *metrics.Set
 }
@@ -42,18 +42,18 @@
 // RouterOptions are the options of a Router.
 type RouterOptions struct {
 	Common
-	Callers   string // address for callers, ip:port
-	Wire      forward.Wire
-	Allowance forward.RetryAllowance
-	Drain     DrainTimes
+	Endpoint       string // address for callers, ip:port
+	Wire           forward.Wire
+	RetryAllowance forward.RetryAllowance
+	Drain          DrainTimes
 }
 
 // ControlOptions are the options of a Control.
 type ControlOptions struct {
 	Common
-	Dir        string // data folder
-	FirstStart bool   // the whole system starts for the first time
-	Voters     int    // how many the group keeps
+	Dir          string // data folder
+	FirstStart   bool   // the whole system starts for the first time
+	TargetVoters int    // how many the group keeps
 	// Rollouts bounds what a new version may get before it is known to be good; zero: the
 	// default.
 	Rollouts rollout.Limits
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -164,7 +164,7 @@
 		v := w.note(s, r, now)
 		e := w.c.hub.Evidence(r.Service, r.Number)
 		step, ok := w.judgeOf(r).Evaluate(r, &e, v)
-		if ok && w.c.Leads() {
+		if ok && w.c.IsLeader() {
 			w.take(s, &step, &e, &v)
 		}
 	}
@@ -189,7 +189,7 @@
 	if k.stepMS != r.StepMS {
 		k.step, k.stepMS, k.inForce = w.since(r.StepMS, now), r.StepMS, false
 	}
-	if r.Phase == rollout.Moving && !k.inForce && !k.asking && w.c.Leads() {
+	if r.Phase == rollout.Moving && !k.inForce && !k.asking && w.c.IsLeader() {
 		k.asking = true
 		go w.askInForce(s, k, k.stepMS)
 	}
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -54,7 +54,7 @@
 	r.held = cluster.NewListReplica(r.takeList)
 	r.network = newNetwork(&o.Common)
 	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.held, cluster.Local{
-		Zone: o.Zone, Endpoint: o.Callers, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.blame.TakeNewDeaths,
+		Zone: o.Zone, Endpoint: o.Endpoint, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.blame.TakeNewDeaths,
 		Dead: r.fleet.RecentlyDead, Runs: r.kept, Spent: r.spent, Learn: r.learn, LearnSpent: r.learnSpent,
 		Opinion: r.fleet.Report, Paces: r.paces, Rollouts: r.book.Reports, Urgent: func() bool { return r.state.Load().Urgent() },
 	}, o.Log)
@@ -65,7 +65,7 @@
 	r.feed.OnChange(control.RolloutsStateMachine, r.takeRollouts)
 	r.handler = forward.NewHandler(forward.Options{
 		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.prepared,
-		RetryAllowance: o.Allowance, Log: o.Log, RoutineLog: o.Ordinary, Metrics: o.Metrics, SuspectContents: r.blame, Closing: r.drain.started,
+		RetryAllowance: o.RetryAllowance, Log: o.Log, RoutineLog: o.RoutineLog, Metrics: o.Metrics, SuspectContents: r.blame, Closing: r.drain.started,
 		Placer: r.member, FindOrphan: r.member.FindOrphan, ReportRetries: r.member.NotifyRetry, CannotFinish: r.drain.tooLate,
 		Rollouts: &forward.Rollouts{State: r.state.Load, Book: r.book},
 	})
@@ -85,7 +85,7 @@
 	if r.peers, err = listenPeers(r.network, &r.o.Common); err != nil {
 		return err
 	}
-	r.front, err = listenCallers(r.o.Callers, r.drain.wrap(r.handler), r.conns, r.o.Log)
+	r.front, err = listenCallers(r.o.Endpoint, r.drain.wrap(r.handler), r.conns, r.o.Log)
 	return err
 }
 
@@ -105,8 +105,8 @@
 	set.NewGauge("shelf_feed_polls_total", func() float64 { return float64(r.feed.Stats().Polls) })
 	set.NewGauge("shelf_feed_failures_total", func() float64 { return float64(r.feed.Stats().Failures) })
 	set.NewGauge("shelf_feed_bytes_total", func() float64 { return float64(r.feed.Stats().Bytes) })
-	set.NewGauge("shelf_feed_unclaimed_answers_total", func() float64 { return float64(r.network.Unclaimed(peer.KindWatch).Answers) })
-	set.NewGauge("shelf_feed_unclaimed_bytes_total", func() float64 { return float64(r.network.Unclaimed(peer.KindWatch).Bytes) })
+	set.NewGauge("shelf_feed_unclaimed_answers_total", func() float64 { return float64(r.network.UnclaimedReplies(peer.KindWatch).Count) })
+	set.NewGauge("shelf_feed_unclaimed_bytes_total", func() float64 { return float64(r.network.UnclaimedReplies(peer.KindWatch).Bytes) })
 	set.NewGauge("shelf_idle_connections", func() float64 { return float64(pool.Idle()) })
 	set.NewGauge("shelf_connections_opened_total", func() float64 { return float64(pool.Dials()) })
 }
--- a/internal/routed/supervise.go
+++ b/internal/routed/supervise.go
@@ -20,13 +20,13 @@
 }
 
 // Supervision is what a process is run under.
-type Supervision struct {
+type Supervisor struct {
 	Path string // of the settings file
 	// Seeds reads the file and returns the seeds. An error leaves all as it is: the
 	// file may be half written, and is read again when it changes.
-	Seeds   func() ([]string, error)
-	Failure <-chan error // ends the process; nil: never
-	Log     zerolog.Logger
+	ReadSeeds func() ([]string, error)
+	Failure   <-chan error // ends the process; nil: never
+	Log       zerolog.Logger
 }
 
 // Signals catches the signals that a process heeds. It is called before the
@@ -38,7 +38,7 @@
 }
 
 // Run follows signals, the settings file and faults until the process ends.
-func (s *Supervision) Run(p Process, signals <-chan os.Signal) error {
+func (s *Supervisor) Run(p Process, signals <-chan os.Signal) error {
 	look := time.NewTicker(settingsLook)
 	defer look.Stop()
 	changed := newFileWatch(s.Path)
@@ -63,8 +63,8 @@
 	}
 }
 
-func (s *Supervision) reload(p Process) {
-	seeds, err := s.Seeds()
+func (s *Supervisor) reload(p Process) {
+	seeds, err := s.ReadSeeds()
 	if err != nil {
 		s.Log.Warn().Err(err).Msg("settings not taken")
 		return
--- a/internal/routed/text_test.go
+++ b/internal/routed/text_test.go
@@ -42,13 +42,13 @@
 			if err != nil || !bytes.Equal(got, now) {
 				t.Fatalf("read %d bytes of %d, %v", len(got), len(now), err)
 			}
-			largest = max(largest, link.Take().Largest)
+			largest = max(largest, link.ReadAndReset().Largest)
 			if got, err := r.read(t.Context()); err != nil || !bytes.Equal(got, now) {
 				t.Fatalf("second read: %d bytes of %d, %v", len(got), len(now), err)
 			}
-			again := link.Take()
-			if again.Answers > 2 {
-				t.Errorf("%d answers for a text that was read before", again.Answers)
+			again := link.ReadAndReset()
+			if again.Replies > 2 {
+				t.Errorf("%d answers for a text that was read before", again.Replies)
 			}
 			largest = max(largest, again.Largest)
 		}
--- a/internal/routedlocal/operators_test.go
+++ b/internal/routedlocal/operators_test.go
@@ -33,8 +33,8 @@
 	testOperators(t, ctx, s, o)
 }
 
-func testOperators(t *testing.T, ctx context.Context, s *System, c routed.Operable) {
-	h := routed.OperatorRoutes(c, nil, "secret", metrics.NewSet())
+func testOperators(t *testing.T, ctx context.Context, s *System, c routed.ControlProcess) {
+	h := routed.OperatorHandler(c, nil, "secret", metrics.NewSet())
 	list, err := os.ReadFile("../../examples/routed/routes.json")
 	check(t, err)
 	ask := func(method, path, token, body string) (int, string) {
@@ -56,7 +56,7 @@
 		}
 	}
 	check(t, s.Ready(ctx))
-	for len(c.Entrances(len(s.CallerAddresses))) < len(s.CallerAddresses) {
+	for len(c.Endpoints(len(s.CallerAddresses))) < len(s.CallerAddresses) {
 		check(t, timer.Sleep(ctx, retryPause))
 	}
 	tests := []struct {
--- a/internal/routedlocal/system.go
+++ b/internal/routedlocal/system.go
@@ -98,7 +98,7 @@
 	for _, id := range seeds {
 		c, err := routed.StartControl(routed.ControlOptions{
 			Common: common(id, seeds), Dir: filepath.Join(dir, strings.ReplaceAll(id, ":", "-")),
-			FirstStart: true, Voters: controlCount, ReadBackends: s.readBackends,
+			FirstStart: true, TargetVoters: controlCount, ReadBackends: s.readBackends,
 		})
 		if err != nil {
 			return err
@@ -153,9 +153,9 @@
 
 func (s *System) startRouter(id, front string, seeds []string) error {
 	r, err := routed.StartRouter(routed.RouterOptions{
-		Common: common(id, seeds), Callers: front, Wire: forward.NewPlainWire(),
-		Allowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
-		Drain:     routed.DrainTimes{Grace: 4 * time.Second, EntryTTL: 300 * time.Millisecond},
+		Common: common(id, seeds), Endpoint: front, Wire: forward.NewPlainWire(),
+		RetryAllowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
+		Drain:          routed.DrainTimes{Grace: 4 * time.Second, EntryTTL: 300 * time.Millisecond},
 	})
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 func common(id string, seeds []string) routed.Common {
 	return routed.Common{
 		ID: id, Zone: "zone0", Token: "local", Seeds: seeds,
-		Log: zerolog.Nop(), Ordinary: zerolog.Nop(), Metrics: metrics.NewSet(),
+		Log: zerolog.Nop(), RoutineLog: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
 }
 
@@ -217,7 +217,7 @@
 // StopLeader ends the control process that leads the control group.
 func (s *System) StopLeader() error {
 	for i, c := range s.Controls {
-		if c.Leads() {
+		if c.IsLeader() {
 			c.Close()
 			s.Controls = slices.Delete(s.Controls, i, i+1)
 			return nil
@@ -262,7 +262,7 @@
 // Ready waits until every router is ready for callers and known to the control group.
 func (s *System) Ready(ctx context.Context) error {
 	for {
-		ready := len(s.Controls[0].Entrances(len(s.Routers))) == len(s.Routers)
+		ready := len(s.Controls[0].Endpoints(len(s.Routers))) == len(s.Routers)
 		for _, r := range s.Routers {
 			ready = ready && r.Ready()
 		}
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -142,7 +142,7 @@
 			}
 		}
 		prompt := len(completion("", 1).Prompt)
-		want := prompt + prompt%engine.CacheBlock
+		want := prompt + prompt%engine.CacheBlockTokens
 		if got := e.Stats().PrefillTokens; got != want {
 			t.Errorf("got %d tokens prefilled, want %d: full blocks once, the rest twice", got, want)
 		}
