--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -214,7 +214,7 @@
 		if fmt.Sprint(rest) != fmt.Sprint(answer[len(answer)-len(rest):]) || len(rest) == 0 {
 			t.Error("the rest of the valid answer differs after the invalid requests")
 		}
-		if starts := v.engine.Stats().Starts; starts != 1 {
+		if starts := v.engine.Stats().RunsStarted; starts != 1 {
 			t.Errorf("got %d attempts, want 1", starts)
 		}
 	})
--- a/internal/routedlocal/system.go
+++ b/internal/routedlocal/system.go
@@ -1,6 +1,6 @@
-// Package routedlocal runs a system of routers and control processes in one
-// process on loopback, before stand-in engines: for the demo and for tests of the
-// whole path over real connections.
+// Package routedlocal runs routers, control processes and stand-in engines in one
+// process on loopback addresses. The demo and end-to-end tests over real connections use
+// it.
 package routedlocal
 
 import (
@@ -33,35 +33,35 @@
 
 // Sizes of a system.
 const (
-	controls = 3
-	routers  = 2
-	zones    = 3
-	engines  = 6
-	// Events is how many events each stream has.
+	controlCount = 3
+	routerCount  = 2
+	zoneCount    = 3
+	engineCount  = 6
+	// Events is the number of events of each stream.
 	Events = 60
 )
 
-// Host, Service and Key of the route lists that Put sends.
+// Host and service of the route lists that PutStreamRoute sends.
 const (
 	Host    = "shelf"
 	Service = "models"
 )
 
-// System is a running system.
+// System is a running system. Stop ends it.
 type System struct {
-	Net      *routedengine.Net
-	Controls []*routed.Control
-	Routers  []*routed.Router
-	Fronts   []string // callers' addresses
+	Net             *routedengine.Net
+	Controls        []*routed.Control
+	Routers         []*routed.Router
+	CallerAddresses []string // of the routers, for callers
 
-	mu    sync.Mutex
-	rows  []upstream.Backend
-	seeds []string // control VMs
-	dir   string
+	mu       sync.Mutex
+	backends []upstream.Backend
+	seeds    []string // addresses of the control VMs
+	dir      string
 }
 
-// Start starts three control processes, two routers and two engines in each of
-// three zones.
+// Start starts three control processes and two routers, and two engines in each of three
+// zones.
 func Start() (*System, error) {
 	for try := 1; ; try++ {
 		s := &System{Net: routedengine.NewNet()}
@@ -70,15 +70,15 @@
 			return s, nil
 		}
 		s.Stop()
-		// Another process may have taken an address that was free a moment ago.
-		if !errors.Is(err, syscall.EADDRINUSE) || try == startTries {
+		// Another process may have taken an address since freeAddrs released it.
+		if !errors.Is(err, syscall.EADDRINUSE) || try == maxStartTries {
 			return nil, err
 		}
 	}
 }
 
-// startTries bounds how often a system is started on other addresses.
-const startTries = 5
+// maxStartTries bounds how often Start tries again with other addresses.
+const maxStartTries = 5
 
 func (s *System) start() error {
 	dir, err := os.MkdirTemp("", "shelf-routed")
@@ -89,24 +89,24 @@
 	if err := s.startEngines(); err != nil {
 		return err
 	}
-	addrs, err := freeAddrs(controls + 2*routers)
+	addrs, err := freeAddrs(controlCount + 2*routerCount)
 	if err != nil {
 		return err
 	}
-	seeds := addrs[:controls]
+	seeds := addrs[:controlCount]
 	s.seeds = seeds
 	for _, id := range seeds {
 		c, err := routed.StartControl(routed.ControlOptions{
 			Common: common(id, seeds), Dir: filepath.Join(dir, strings.ReplaceAll(id, ":", "-")),
-			FirstStart: true, TargetVoters: controls, ReadBackends: s.read,
+			FirstStart: true, TargetVoters: controlCount, ReadBackends: s.readBackends,
 		})
 		if err != nil {
 			return err
 		}
 		s.Controls = append(s.Controls, c)
 	}
-	for i := range routers {
-		if err := s.startRouter(addrs[controls+2*i], addrs[controls+2*i+1], seeds[:1]); err != nil {
+	for i := range routerCount {
+		if err := s.startRouter(addrs[controlCount+2*i], addrs[controlCount+2*i+1], seeds[:1]); err != nil {
 			return err
 		}
 	}
@@ -114,40 +114,40 @@
 }
 
 func (s *System) startEngines() error {
-	for i := range engines {
+	for i := range engineCount {
 		e := &routedengine.Server{
-			Backend: upstream.Backend{ID: fmt.Sprint("engine", i), Service: Service, Zone: fmt.Sprint("zone", i%zones), Slots: 8},
-			Events:  Events, ReadTime: 50 * time.Millisecond, EventTime: 10 * time.Millisecond,
+			Backend: upstream.Backend{ID: fmt.Sprint("engine", i), Service: Service, Zone: fmt.Sprint("zone", i%zoneCount), Slots: 8},
+			Events:  Events, PrefillTime: 50 * time.Millisecond, EventInterval: 10 * time.Millisecond,
 		}
 		if err := s.Net.ListenTCP(e); err != nil {
 			return err
 		}
-		s.rows = append(s.rows, e.Backend)
+		s.backends = append(s.backends, e.Backend)
 	}
 	return nil
 }
 
-// AddServer starts a backend server, and lists it.
+// AddServer starts a backend server and adds it to the list of backend servers.
 func (s *System) AddServer(e *routedengine.Server) error {
 	if err := s.Net.ListenTCP(e); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows = append(s.rows, e.Backend)
+	s.backends = append(s.backends, e.Backend)
 	return nil
 }
 
-// RemoveServers ends all servers of a service and version, and takes them off the list.
+// RemoveServers kills all servers of a service and version and removes them from the list.
 func (s *System) RemoveServers(service, version string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows = slices.DeleteFunc(s.rows, func(b upstream.Backend) bool {
-		gone := b.Service == service && b.Version == version
-		if gone {
-			s.Net.At(b.Address).Set(routedengine.Dead)
+	s.backends = slices.DeleteFunc(s.backends, func(b upstream.Backend) bool {
+		remove := b.Service == service && b.Version == version
+		if remove {
+			s.Net.ServerAt(b.Address).Set(routedengine.Dead)
 		}
-		return gone
+		return remove
 	})
 }
 
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	s.Routers, s.Fronts = append(s.Routers, r), append(s.Fronts, front)
+	s.Routers, s.CallerAddresses = append(s.Routers, r), append(s.CallerAddresses, front)
 	return nil
 }
 
@@ -171,13 +171,13 @@
 	}
 }
 
-func (s *System) read(context.Context) ([]upstream.Backend, error) {
+func (s *System) readBackends(context.Context) ([]upstream.Backend, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.rows), nil
+	return slices.Clone(s.backends), nil
 }
 
-// freeAddrs are loopback addresses that were free a moment ago.
+// freeAddrs returns n loopback addresses. Another process may take them before their use.
 func freeAddrs(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -191,7 +191,7 @@
 	return out, nil
 }
 
-// StartObserver starts a control process without a disk. The caller closes it.
+// StartObserver starts a control process without a disk. The caller must close it.
 func (s *System) StartObserver() (*routed.Observer, error) {
 	addrs, err := freeAddrs(1)
 	if err != nil {
@@ -200,7 +200,7 @@
 	return routed.StartObserver(common(addrs[0], s.seeds))
 }
 
-// Stop ends everything.
+// Stop ends all processes and servers and removes their files.
 func (s *System) Stop() {
 	for _, r := range s.Routers {
 		r.Close()
@@ -214,7 +214,7 @@
 	}
 }
 
-// StopLeader ends the control process that leads the group.
+// StopLeader ends the control process that leads the control group.
 func (s *System) StopLeader() error {
 	for i, c := range s.Controls {
 		if c.IsLeader() {
@@ -223,14 +223,15 @@
 			return nil
 		}
 	}
-	return errors.New("routedlocal: no control process leads")
+	return errors.New("routedlocal: no control process is the leader")
 }
 
-// putPause is between two tries to put a list in force.
-const putPause = 50 * time.Millisecond
+// retryPause is the pause between two tries of a request or a check.
+const retryPause = 50 * time.Millisecond
 
-// Put puts a list with one route in force, through any control process that can.
-func (s *System) Put(ctx context.Context, version uint64, prefix string) error {
+// PutStreamRoute puts a list with one route of streams in force, through any control
+// process that accepts it.
+func (s *System) PutStreamRoute(ctx context.Context, version uint64, prefix string) error {
 	l := &routes.List{
 		Version: version, Source: fmt.Appendf(nil, "list %d", version),
 		Routes: []routes.Route{{
@@ -243,22 +244,22 @@
 	return s.PutList(ctx, l)
 }
 
-// PutList puts any list in force.
+// PutList puts a list in force. It tries the control processes in turn until ctx is done.
 func (s *System) PutList(ctx context.Context, l *routes.List) error {
 	for i := 0; ; i++ {
-		one, cancel := context.WithTimeout(ctx, time.Second)
-		_, err := s.Controls[i%len(s.Controls)].PutRoutes(one, l)
+		tryCtx, cancel := context.WithTimeout(ctx, time.Second)
+		_, err := s.Controls[i%len(s.Controls)].PutRoutes(tryCtx, l)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		if timer.Sleep(ctx, putPause) != nil {
+		if timer.Sleep(ctx, retryPause) != nil {
 			return err
 		}
 	}
 }
 
-// Ready waits until every router takes callers and is listed.
+// Ready waits until every router is ready for callers and known to the control group.
 func (s *System) Ready(ctx context.Context) error {
 	for {
 		ready := len(s.Controls[0].Endpoints(len(s.Routers))) == len(s.Routers)
@@ -268,25 +269,25 @@
 		if ready {
 			return nil
 		}
-		if err := timer.Sleep(ctx, putPause); err != nil {
+		if err := timer.Sleep(ctx, retryPause); err != nil {
 			return err
 		}
 	}
 }
 
-// Received is what a caller got of a stream.
-type Received struct {
-	IDs     []int
-	Whole   bool          // the answer ended properly
-	Longest time.Duration // pause between two events
+// StreamResult is what a caller received of a stream.
+type StreamResult struct {
+	EventIDs     []int
+	Complete     bool          // the answer ended without an error
+	LongestPause time.Duration // between two events
 }
 
-// Stream asks a router for a stream behind an event; seen is called with each
-// event's id.
-func Stream(ctx context.Context, front, path, id string, after int, seen func(n int)) (Received, error) {
+// Stream requests a stream from a router and reads it to its end. If after is above 0,
+// the stream starts after that event. seen, if not nil, is called with each event's id.
+func Stream(ctx context.Context, front, path, id string, after int, seen func(n int)) (StreamResult, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+front+path, strings.NewReader("log "+path))
 	if err != nil {
-		return Received{}, err
+		return StreamResult{}, err
 	}
 	req.Host = Host
 	req.Header.Set(forward.HeaderRequestID, id)
@@ -296,42 +297,42 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return Received{}, err
+		return StreamResult{}, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return Received{}, fmt.Errorf("routedlocal: status %d", resp.StatusCode)
+		return StreamResult{}, fmt.Errorf("routedlocal: status %d", resp.StatusCode)
 	}
-	return read(resp.Body, seen), nil
+	return readStream(resp.Body, seen), nil
 }
 
-func read(body io.Reader, seen func(n int)) Received {
-	var out Received
+func readStream(body io.Reader, seen func(n int)) StreamResult {
+	var out StreamResult
 	br := bufio.NewReader(body)
 	last := time.Now()
 	for {
 		line, err := br.ReadString('\n')
 		if err != nil {
-			out.Whole = errors.Is(err, io.EOF)
+			out.Complete = errors.Is(err, io.EOF)
 			return out
 		}
 		n := 0
 		if _, err := fmt.Sscanf(line, "id: %d", &n); err != nil {
 			continue
 		}
-		if len(out.IDs) > 0 {
-			out.Longest = max(out.Longest, time.Since(last))
+		if len(out.EventIDs) > 0 {
+			out.LongestPause = max(out.LongestPause, time.Since(last))
 		}
 		last = time.Now()
-		out.IDs = append(out.IDs, n)
+		out.EventIDs = append(out.EventIDs, n)
 		if seen != nil {
 			seen(n)
 		}
 	}
 }
 
-// Complete reports whether ids are 1 to n, each once and in order.
-func Complete(ids []int, n int) bool {
+// HasAllEvents reports whether ids are 1 to n, each once and in order.
+func HasAllEvents(ids []int, n int) bool {
 	for i, id := range ids {
 		if id != i+1 {
 			return false
--- a/internal/routedlocal/system_test.go
+++ b/internal/routedlocal/system_test.go
@@ -8,15 +8,15 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// limit is far more than any step of these tests takes.
-const limit = 30 * time.Second
+// testTimeout bounds each test.
+const testTimeout = 30 * time.Second
 
 func start(t *testing.T) (*System, context.Context) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("real connections and real time")
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	s, err := Start()
 	if err != nil {
@@ -33,56 +33,57 @@
 	}
 }
 
-// The whole path over real connections. A caller's stream survives the loss of its
-// engine's zone; the operators' list survives the loss of the group's leader, and
-// its next version is in force on every router; a stream whose router dies goes on
-// at another behind the last event.
-func TestWholePath(t *testing.T) {
+// Guards the whole path over real connections. A caller's stream survives the loss of
+// its engine's zone. After the loss of the control group's leader, the next route list
+// comes into force on every router. A stream whose router dies resumes at another router
+// after the last event.
+func TestEndToEnd(t *testing.T) {
 	s, ctx := start(t)
-	check(t, s.Put(ctx, 1, "/a/"))
+	check(t, s.PutStreamRoute(ctx, 1, "/a/"))
 	check(t, s.Ready(ctx))
-	got, err := Stream(ctx, s.Fronts[0], "/a/1", "r1", 0, func(n int) {
+	got, err := Stream(ctx, s.CallerAddresses[0], "/a/1", "r1", 0, func(n int) {
 		if n == Events/3 {
-			s.Net.LoseZoneOf("r1")
+			s.Net.KillZoneOf("r1")
 		}
 	})
 	check(t, err)
-	if !got.Whole || !Complete(got.IDs, Events) {
-		t.Errorf("a lost zone: %+v", got)
+	if !got.Complete || !HasAllEvents(got.EventIDs, Events) {
+		t.Errorf("after the loss of a zone: got %+v, want all events and a proper end", got)
 	}
 	check(t, s.StopLeader())
-	check(t, s.Put(ctx, 2, "/b/"))
-	for _, front := range s.Fronts {
+	check(t, s.PutStreamRoute(ctx, 2, "/b/"))
+	for _, front := range s.CallerAddresses {
 		for {
 			got, err := Stream(ctx, front, "/b/1", "r2"+front, 0, nil)
-			if err == nil && got.Whole {
+			if err == nil && got.Complete {
 				break
 			}
 			if ctx.Err() != nil {
-				t.Fatal("the next list is not in force")
+				t.Fatal("route list 2 is not in force before the deadline")
 			}
 		}
 		if _, err := Stream(ctx, front, "/a/1", "r3", 0, nil); err == nil {
-			t.Error("a route that was taken away is still served")
+			t.Error("removed route is still served, want an error")
 		}
 	}
-	got, err = Stream(ctx, s.Fronts[0], "/b/2", "r4", 0, func(n int) {
+	got, err = Stream(ctx, s.CallerAddresses[0], "/b/2", "r4", 0, func(n int) {
 		if n == Events/3 {
 			s.Routers[0].Close()
 		}
 	})
 	check(t, err)
-	rest, err := Stream(ctx, s.Fronts[1], "/b/2", "r5", len(got.IDs), nil)
+	rest, err := Stream(ctx, s.CallerAddresses[1], "/b/2", "r5", len(got.EventIDs), nil)
 	check(t, err)
-	if got.Whole || !rest.Whole || !Complete(append(got.IDs, rest.IDs...), Events) {
-		t.Errorf("a dead router: %+v, then %+v", got, rest)
+	if got.Complete || !rest.Complete || !HasAllEvents(append(got.EventIDs, rest.EventIDs...), Events) {
+		t.Errorf("after the death of a router: got %+v, then %+v; want all events over both", got, rest)
 	}
 }
 
-// An operator reads what was acknowledged, or is told that it cannot be known.
+// Guards against a stale read of the route list. Without a majority of the control group
+// an operator gets an error.
 func TestReadWithoutAMajority(t *testing.T) {
 	s, ctx := start(t)
-	check(t, s.Put(ctx, 7, "/a/"))
+	check(t, s.PutStreamRoute(ctx, 7, "/a/"))
 	last := s.Controls[2]
 	for {
 		source, err := last.Routes(ctx)
@@ -96,6 +97,6 @@
 	short, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if _, err := last.Routes(short); result.CodeOf(err) != result.ControlUnavail {
-		t.Errorf("read by one of three: %v", err)
+		t.Errorf("read by one of three control processes: got error %v, want ControlUnavail", err)
 	}
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario runs load scenarios written as scripts: the decision modules
-// and a baseline meet the same callers and faults on a virtual clock, and the
-// script states what callers must receive. The scripts stand under testdata; a
-// line that begins with '#' is a comment. The commands:
+// Package scenario runs scripts of load scenarios. It runs the decision modules and a
+// baseline with the same callers and faults on a virtual clock, and checks the results
+// that the script expects. The scripts are in testdata. A line that begins with '#' is a
+// comment. The commands are:
 //
 //	system engines=N zones=N routers=N [objective=resume-latency] [seed=N]
 //	workspace NAME load=40%|rate=N prompt=N tokens=N [prefix=N] [share=N]
@@ -10,15 +10,18 @@
 //	run LENGTH
 //	expect system|baseline METRIC [workspace=NAME] [class=short|long] [from=..] [to=..] OP VALUE
 //
-// load is a share of what all engines can do. rate is in requests a second;
-// prompt, tokens and prefix are in tokens, the first two being means. patience
-// is how long a caller waits for the first token; tries is how often it comes
-// again after a refusal or after losing patience. OP is one of < <= > >=. VALUE
-// is a number, a percentage, a duration, or baseline, the same metric of the
-// baseline. Metrics: served, gave-up, refused (shares of the callers), wait-p50,
-// wait-p99 (to the first token, of those served), refusal-p99 (from a try to its
-// refusal), tokens (of whole answers), tries (per caller), fairness (Jain's index
-// over the workspaces' served shares), extra-work (a share), resume-p99.
+// load is a share of the capacity of all engines. rate is in requests per second.
+// prompt, tokens and prefix are in tokens, and the first two are means. patience is the
+// maximum wait of a caller for the first token. tries is the maximum number of tries,
+// where a caller retries after a refusal or after its maximum wait. OP is one of
+// < <= > >=. VALUE is a number, a percentage, a duration, or baseline, which is the value
+// of the same metric of the baseline.
+//
+// The metrics are served, gave-up and refused (shares of the callers), wait-p50 and
+// wait-p99 (time to the first token, of the callers served), refusal-p99 (time from a
+// try to its refusal), tokens (of complete answers), tries (per caller), fairness (Jain's
+// index over the workspaces' served shares), extra-work (relative to the useful work)
+// and resume-p99 (resume latency).
 package scenario
 
 import (
@@ -33,19 +36,20 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/recovery"
 )
 
-// Script is the state of one script.
+// Script is the state of a running script.
 type Script struct {
 	scenario experiment.Scenario
 	outcomes map[string]*experiment.Outcome
 }
 
-// New returns the state of a new script.
+// New returns the state at the start of a script.
 func New() *Script { return &Script{outcomes: map[string]*experiment.Outcome{}} }
 
-// Commands are the names of the language.
+// Commands lists the commands that Do executes.
 var Commands = []string{"system", "workspace", "fault", "run", "expect"}
 
-// Do executes a command and returns text for the log.
+// Do executes a command and returns text for the log. It returns an error if the command
+// is malformed or an expectation does not hold.
 func (s *Script) Do(command string, args []string) (string, error) {
 	switch command {
 	case "system":
@@ -59,7 +63,7 @@
 	case "expect":
 		return s.expect(args)
 	}
-	return "", fmt.Errorf("unknown command %s", command)
+	return "", fmt.Errorf("unknown command %q", command)
 }
 
 // options are the name=value words of a command.
@@ -68,12 +72,12 @@
 	errs  []error
 }
 
-func parse(args []string, allowed ...string) *options {
+func parseOptions(args []string, allowed ...string) *options {
 	o := &options{words: map[string]string{}}
 	for _, arg := range args {
 		name, value, ok := strings.Cut(arg, "=")
 		if !ok || !slices.Contains(allowed, name) {
-			o.errs = append(o.errs, fmt.Errorf("%q: allowed are %s", arg, strings.Join(allowed, "=, ")+"="))
+			o.errs = append(o.errs, fmt.Errorf("unknown option %q, want one of %s", arg, strings.Join(allowed, "=, ")+"="))
 			continue
 		}
 		o.words[name] = value
@@ -99,7 +103,7 @@
 
 func (o *options) number(name string, p *float64) {
 	if v, ok := o.words[name]; ok {
-		x, err := value(v)
+		x, err := parseValue(v)
 		o.errs = append(o.errs, err)
 		*p = x
 	}
@@ -107,8 +111,8 @@
 
 func (o *options) err() error { return errors.Join(o.errs...) }
 
-// value reads a number, a percentage, or a duration in seconds.
-func value(text string) (float64, error) {
+// parseValue parses a number, a percentage as a share, or a duration as seconds.
+func parseValue(text string) (float64, error) {
 	if pct, ok := strings.CutSuffix(text, "%"); ok {
 		x, err := strconv.ParseFloat(pct, 64)
 		return x / 100, err
@@ -121,7 +125,7 @@
 }
 
 func (s *Script) system(args []string) error {
-	o := parse(args, "engines", "zones", "routers", "objective", "seed")
+	o := parseOptions(args, "engines", "zones", "routers", "objective", "seed")
 	c := &s.scenario
 	c.Engines, c.Zones, c.Routers, c.Seed = 24, 3, 11, 1
 	o.integer("engines", &c.Engines)
@@ -135,23 +139,23 @@
 	case "resume-latency":
 		c.Objective = recovery.ResumeLatency
 	default:
-		o.errs = append(o.errs, errors.New("objective: extra-work or resume-latency"))
+		o.errs = append(o.errs, errors.New("objective must be extra-work or resume-latency"))
 	}
 	return o.err()
 }
 
 func (s *Script) workspace(args []string) error {
 	if len(args) == 0 {
-		return errors.New("workspace: a name is missing")
+		return errors.New("workspace has no name")
 	}
-	o := parse(args[1:], "load", "rate", "prompt", "tokens", "prefix", "share", "patience", "tries", "from", "to")
+	o := parseOptions(args[1:], "load", "rate", "prompt", "tokens", "prefix", "share", "patience", "tries", "from", "to")
 	l := experiment.Load{Name: args[0], Prompt: 500, Tokens: 200}
 	o.integer("prompt", &l.Prompt)
 	o.integer("tokens", &l.Tokens)
 	o.integer("prefix", &l.Prefix)
 	o.integer("share", &l.Share)
-	o.integer("tries", &l.Tries)
-	o.duration("patience", &l.Patience)
+	o.integer("tries", &l.MaxTries)
+	o.duration("patience", &l.MaxWait)
 	o.duration("from", &l.From)
 	o.duration("to", &l.To)
 	o.number("rate", &l.Rate)
@@ -161,7 +165,7 @@
 		l.Rate = s.scenario.RateOf(share, l.Prompt, l.Tokens)
 	}
 	if l.Rate <= 0 {
-		o.errs = append(o.errs, errors.New("rate or load above 0 is needed"))
+		o.errs = append(o.errs, errors.New("workspace needs a rate or load above 0"))
 	}
 	s.scenario.Loads = append(s.scenario.Loads, l)
 	return o.err()
@@ -169,21 +173,21 @@
 
 func (s *Script) fault(args []string) error {
 	if len(args) < 3 || !slices.Contains(experiment.FaultNames, args[1]) {
-		return fmt.Errorf("fault AT %s TARGET", strings.Join(experiment.FaultNames, "|"))
+		return fmt.Errorf("malformed fault, want fault AT %s TARGET", strings.Join(experiment.FaultNames, "|"))
 	}
 	at, err := time.ParseDuration(args[0])
-	o := parse(args[3:], "for", "factor")
+	o := parseOptions(args[3:], "for", "factor")
 	o.errs = append(o.errs, err)
-	f := experiment.ScenarioFault{At: at, What: args[1], Target: args[2], Factor: 4, For: time.Second}
-	o.duration("for", &f.For)
-	o.number("factor", &f.Factor)
+	f := experiment.ScenarioFault{At: at, Kind: args[1], Target: args[2], SlowFactor: 4, PauseDuration: time.Second}
+	o.duration("for", &f.PauseDuration)
+	o.number("factor", &f.SlowFactor)
 	s.scenario.Faults = append(s.scenario.Faults, f)
 	return o.err()
 }
 
 func (s *Script) run(args []string) (string, error) {
 	if len(args) != 1 || s.scenario.Engines == 0 {
-		return "", errors.New("run LENGTH, after system")
+		return "", errors.New("malformed run, want run LENGTH after system")
 	}
 	length, err := time.ParseDuration(args[0])
 	if err != nil {
@@ -198,44 +202,44 @@
 
 func (s *Script) expect(args []string) (string, error) {
 	if len(args) < 4 {
-		return "", errors.New("expect POLICY METRIC [filters] OP VALUE")
+		return "", errors.New("malformed expect, want expect POLICY METRIC [filters] OP VALUE")
 	}
 	out := s.outcomes[args[0]]
 	if out == nil {
-		return "", fmt.Errorf("no run of %q: system or baseline, after run", args[0])
+		return "", fmt.Errorf("no results of policy %q, want system or baseline after run", args[0])
 	}
 	metric, filters := args[1], args[2:len(args)-2]
 	op, want := args[len(args)-2], args[len(args)-1]
-	o := parse(filters, "workspace", "class", "from", "to")
+	o := parseOptions(filters, "workspace", "class", "from", "to")
 	f := experiment.Filter{Workspace: o.words["workspace"], Class: o.words["class"]}
 	o.duration("from", &f.From)
 	o.duration("to", &f.To)
 	if err := o.err(); err != nil {
 		return "", err
 	}
-	got, err := measure(out, metric, f)
+	got, err := metricValue(out, metric, f)
 	if err != nil {
 		return "", err
 	}
-	limit, err := s.limit(want, metric, f)
+	limit, err := s.expectedValue(want, metric, f)
 	if err != nil {
 		return "", err
 	}
 	text := fmt.Sprintf("%s %s %s: %.4g %s %.4g", args[0], metric, strings.Join(filters, " "), got, op, limit)
-	if !holds(got, op, limit) {
-		return "", errors.New("does not hold: " + text)
+	if !compare(got, op, limit) {
+		return "", errors.New("expectation does not hold: " + text)
 	}
 	return text, nil
 }
 
-func (s *Script) limit(want, metric string, f experiment.Filter) (float64, error) {
+func (s *Script) expectedValue(want, metric string, f experiment.Filter) (float64, error) {
 	if want == "baseline" {
-		return measure(s.outcomes["baseline"], metric, f)
+		return metricValue(s.outcomes["baseline"], metric, f)
 	}
-	return value(want)
+	return parseValue(want)
 }
 
-func holds(got float64, op string, limit float64) bool {
+func compare(got float64, op string, limit float64) bool {
 	switch op {
 	case "<":
 		return got < limit
@@ -249,7 +253,7 @@
 	return false
 }
 
-func measure(out *experiment.Outcome, metric string, f experiment.Filter) (float64, error) {
+func metricValue(out *experiment.Outcome, metric string, f experiment.Filter) (float64, error) {
 	t := out.Total(f)
 	share := func(n int) float64 { return float64(n) / float64(max(1, t.Offered)) }
 	switch metric {
@@ -268,13 +272,13 @@
 	case "wait-p99":
 		return experiment.Quantile(t.Waits, 0.99).Seconds(), nil
 	case "refusal-p99":
-		return experiment.Quantile(t.Early, 0.99).Seconds(), nil
+		return experiment.Quantile(t.RefusalLatencies, 0.99).Seconds(), nil
 	case "fairness":
 		return out.Fairness(f), nil
 	case "extra-work":
 		return out.ExtraShare(), nil
 	case "resume-p99":
-		return experiment.Quantile(out.Resumes(), 0.99).Seconds(), nil
+		return experiment.Quantile(out.ResumeLatencies(), 0.99).Seconds(), nil
 	}
 	return 0, fmt.Errorf("unknown metric %q", metric)
 }
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -8,8 +8,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/generation"
 )
 
-// prefixCache is an engine's prompt prefix cache: blocks of engine.CacheBlock
-// tokens, least recently used out first.
+// prefixCache is an engine's prompt prefix cache. It holds blocks of
+// engine.CacheBlockTokens tokens and evicts the least recently used.
 type prefixCache struct {
 	limit  int // blocks
 	order  *list.List
@@ -27,7 +27,7 @@
 	return &prefixCache{limit: limitTokens / engine.CacheBlockTokens, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// blockDigests returns the digest of each whole block's prefix.
+// blockDigests returns the digest of the prefix that ends with each full block.
 func blockDigests(tokens []int32) []uint64 {
 	var out []uint64
 	var d uint64
@@ -40,8 +40,8 @@
 	return out
 }
 
-// use returns how many of the tokens were cached and caches the rest.
-func (c *prefixCache) use(tokens []int32) int {
+// insert caches the tokens and returns how many of them were cached before.
+func (c *prefixCache) insert(tokens []int32) int {
 	cached, broken := 0, false
 	for _, d := range blockDigests(tokens) {
 		if e, ok := c.blocks[d]; ok {
@@ -65,13 +65,13 @@
 		last := c.order.Back()
 		gone := c.order.Remove(last).(uint64)
 		delete(c.blocks, gone)
-		c.log("evict", gone)
+		c.logEvent("evict", gone)
 	}
 	c.blocks[d] = c.order.PushFront(d)
-	c.log("add", d)
+	c.logEvent("add", d)
 }
 
-func (c *prefixCache) log(op string, d uint64) {
+func (c *prefixCache) logEvent(op string, d uint64) {
 	c.seq++
 	c.events = append(c.events, timedEvent{time.Now(), engine.CacheEvent{Seq: c.seq, Op: op, Prefix: d}})
 	if over := len(c.events) - maxCacheEvents; over > 0 {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,65 +15,66 @@
 
 const maxCacheEvents = 4096
 
-// EngineConfig sets the speed and habits of a stand-in engine.
+// EngineConfig sets the speed, the sizes and the faults of a stand-in engine.
 type EngineConfig struct {
-	Name       string
-	Models     []engine.Model
-	StepBase   time.Duration // of one decoding step with an empty batch
-	StepPerRun time.Duration // added by each run in the batch
-	Prefill    time.Duration // added by each prompt token that is not cached
-	MaxBatch   int
-	CacheLimit int // tokens
-	ReportLag  time.Duration
-	EventLag   time.Duration // cache events are published this late
-	EventGap   int           // every n-th cache event is lost; 0: none
-	Fences     bool          // refuses orders with an old fencing number
-	LoadTime   time.Duration // of one model
-	ByAttempt  bool          // sampling differs by attempt
-	PoisonWord string        // a prompt with it kills the engine
-	PoisonAt   int           // at this token of its answer
+	Name              string
+	Models            []engine.Model
+	StepBase          time.Duration // duration of a decoding step with an empty batch
+	StepPerRun        time.Duration // added by each run in the batch
+	PrefillPerToken   time.Duration // added by each prompt token that is not cached
+	MaxBatch          int
+	CacheTokens       int           // size of the prefix cache
+	ReportLag         time.Duration // age of the load reports that load returns
+	EventLag          time.Duration // delay until a cache event is published
+	DropEveryNthEvent int           // every n-th cache event is not published; 0: all are
+	EnforceFencing    bool          // refuse orders with a stale fencing number
+	ModelLoadTime     time.Duration // until a model that is loaded is ready
+	SampleByAttempt   bool          // attempts sample differently
+	PoisonWord        string        // a prompt that contains it kills the engine; empty: none
+	PoisonAtToken     int           // number of answer tokens after which it does
 }
 
-// DefaultEngine is an engine that is fast enough for tests and the demo.
+// DefaultEngine returns the configuration of an engine that is fast enough for tests and
+// the demo.
 func DefaultEngine(name, model string) EngineConfig {
 	return EngineConfig{
 		Name: name, Models: []engine.Model{{Name: model, Version: "1", Ready: true}},
-		StepBase: 4 * time.Millisecond, StepPerRun: 100 * time.Microsecond, Prefill: 20 * time.Microsecond,
-		MaxBatch: 32, CacheLimit: 1 << 16, ReportLag: 200 * time.Millisecond, EventLag: 200 * time.Millisecond,
-		LoadTime: 500 * time.Millisecond,
+		StepBase: 4 * time.Millisecond, StepPerRun: 100 * time.Microsecond, PrefillPerToken: 20 * time.Microsecond,
+		MaxBatch: 32, CacheTokens: 1 << 16, ReportLag: 200 * time.Millisecond, EventLag: 200 * time.Millisecond,
+		ModelLoadTime: 500 * time.Millisecond,
 	}
 }
 
-// EngineStats counts an engine's work.
+// EngineStats counts an engine's work over all its lives.
 type EngineStats struct {
-	Starts         int // runs started
-	PrefillTokens  int // prompt tokens computed, cached ones left out
-	GeneratedTotal int // tokens generated
-	Cancelled      int
+	RunsStarted     int
+	PrefillTokens   int // prompt tokens computed, without cached ones
+	GeneratedTokens int
+	CancelledRuns   int
 }
 
-// Engine is a stand-in model engine with continuous batching. Its methods are
-// what engines offer; Faults changes how it behaves. Safe for concurrent use.
+// Engine is a stand-in model engine with continuous batching. It offers the API of
+// engines and methods that inject faults. It is safe for concurrent use.
 type Engine struct {
 	cfg EngineConfig
 
-	mu      sync.Mutex
-	wake    chan struct{}
-	quit    chan struct{}
-	ended   chan struct{}
-	dead    bool
-	deaths  int
-	queue   []*run
-	batch   []*run
-	runs    map[engine.Attempt]*run
-	cache   *prefixCache
-	state   engine.State
-	reports []timedLoad
-	seq     uint64
-	arrived uint64
-	faults  faults
-	stats   EngineStats
-	onDeath func()
+	mu       sync.Mutex
+	wake     chan struct{}
+	quit     chan struct{}
+	ended    chan struct{}
+	dead     bool
+	deaths   int
+	queue    []*run
+	batch    []*run
+	runs     map[engine.Attempt]*run
+	cache    *prefixCache
+	state    engine.State
+	reports  []timedLoad
+	seq      uint64
+	arrivals uint64
+	faults   faults
+	stats    EngineStats
+	onDeath  func()
 }
 
 type timedLoad struct {
@@ -82,22 +83,22 @@
 }
 
 type run struct {
-	req      engine.Completion
-	version  string
-	chain    chain
-	arrived  uint64
-	prefill  int
-	tokens   []int32 // Generated included
-	finish   string
-	usage    engine.Usage
-	changed  chan struct{}
-	err      error
-	readers  int
-	detached time.Time
-	stalled  bool
+	req           engine.Completion
+	version       string
+	digest        answerDigest
+	arrivalSeq    uint64
+	prefillTokens int
+	tokens        []int32 // includes the tokens that the request brought along
+	finish        string
+	usage         engine.Usage
+	changed       chan struct{}
+	err           error
+	readers       int
+	detachedAt    time.Time
+	stalled       bool
 }
 
-// NewEngine starts an engine.
+// NewEngine starts an engine. The caller stops it with Stop.
 func NewEngine(cfg EngineConfig) *Engine {
 	e := &Engine{cfg: cfg, wake: make(chan struct{}, 1), quit: make(chan struct{}), ended: make(chan struct{})}
 	e.reset()
@@ -108,19 +109,19 @@
 func (e *Engine) reset() {
 	e.queue, e.batch = nil, nil
 	e.runs = map[engine.Attempt]*run{}
-	e.cache = newPrefixCache(e.cfg.CacheLimit)
+	e.cache = newPrefixCache(e.cfg.CacheTokens)
 	e.state = engine.State{Models: slices.Clone(e.cfg.Models)}
 	e.reports = nil
 }
 
-func (e *Engine) poke() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// submit queues a run, or returns the one that already has its attempt id.
+// submit queues a run. It returns the existing run if the attempt id is known.
 func (e *Engine) submit(c engine.Completion) (*run, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,29 +131,29 @@
 	if r := e.runs[c.Attempt]; r != nil {
 		return r, nil
 	}
-	version, err := e.serves(&c)
+	version, err := e.servedVersion(&c)
 	if err != nil {
 		return nil, err
 	}
-	e.arrived++
+	e.arrivals++
 	r := &run{
-		req: c, version: version, chain: startChain(&c, version), arrived: e.arrived,
+		req: c, version: version, digest: promptDigest(&c, version), arrivalSeq: e.arrivals,
 		tokens: slices.Clone(c.Generated), changed: make(chan struct{}),
 	}
 	for _, t := range c.Generated {
-		r.chain = r.chain.with(t)
+		r.digest = r.digest.with(t)
 	}
 	e.runs[c.Attempt] = r
 	e.queue = append(e.queue, r)
 	slices.SortStableFunc(e.queue, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(b.req.Priority, a.req.Priority), cmp.Compare(a.arrived, b.arrived))
+		return cmp.Or(cmp.Compare(b.req.Priority, a.req.Priority), cmp.Compare(a.arrivalSeq, b.arrivalSeq))
 	})
-	e.stats.Starts++
-	e.poke()
+	e.stats.RunsStarted++
+	e.wakeLoop()
 	return r, nil
 }
 
-func (e *Engine) serves(c *engine.Completion) (string, error) {
+func (e *Engine) servedVersion(c *engine.Completion) (string, error) {
 	for _, m := range e.state.Models {
 		if !m.Ready || m.Name != c.Model || (c.Version != "" && c.Version != m.Version) {
 			continue
@@ -186,8 +187,8 @@
 	}
 }
 
-// step admits, decodes one token for each run of the batch, and returns how
-// long that took, and whether there was anything to do.
+// step admits queued runs and decodes one token for each run of the batch. It returns
+// the duration of the step and whether there was any work.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -195,7 +196,7 @@
 	if pause := e.faults.pausedUntil.Sub(now); pause > 0 {
 		return pause, true
 	}
-	e.reap(now)
+	e.reapDetached(now)
 	prefill := e.admit()
 	if e.dead || len(e.batch) == 0 {
 		return 0, false
@@ -206,7 +207,7 @@
 			return 0, false
 		}
 	}
-	took := e.cfg.StepBase + time.Duration(len(e.batch))*e.cfg.StepPerRun + time.Duration(prefill)*e.cfg.Prefill
+	took := e.cfg.StepBase + time.Duration(len(e.batch))*e.cfg.StepPerRun + time.Duration(prefill)*e.cfg.PrefillPerToken
 	took = time.Duration(float64(took) * e.faults.slowness())
 	e.batch = slices.DeleteFunc(e.batch, func(r *run) bool { return r.finish != "" || r.err != nil })
 	e.report(now, took)
@@ -218,12 +219,12 @@
 	for len(e.queue) > 0 && len(e.batch) < e.cfg.MaxBatch {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
-		whole := append(PromptTokens(&r.req), r.tokens...)
-		cached := e.cache.use(whole)
-		r.prefill = len(whole) - cached
-		r.usage = engine.Usage{Prompt: len(whole) - len(r.tokens), Cached: cached}
-		e.stats.PrefillTokens += r.prefill
-		prefill += r.prefill
+		prefix := append(PromptTokens(&r.req), r.tokens...)
+		cached := e.cache.insert(prefix)
+		r.prefillTokens = len(prefix) - cached
+		r.usage = engine.Usage{Prompt: len(prefix) - len(r.tokens), Cached: cached}
+		e.stats.PrefillTokens += r.prefillTokens
+		prefill += r.prefillTokens
 		e.batch = append(e.batch, r)
 	}
 	return prefill
@@ -236,14 +237,14 @@
 	}
 	if len(r.tokens) < r.req.MaxTokens {
 		var choice uint64
-		if e.cfg.ByAttempt {
+		if e.cfg.SampleByAttempt {
 			choice = xxhash.Sum64String(fmt.Sprint(r.req.Attempt, len(r.tokens)))
 		}
-		t := r.chain.next(choice)
-		r.chain = r.chain.with(t)
+		t := r.digest.next(choice)
+		r.digest = r.digest.with(t)
 		r.tokens = append(r.tokens, t)
 		r.usage.Completion++
-		e.stats.GeneratedTotal++
+		e.stats.GeneratedTokens++
 	}
 	if len(r.tokens) >= r.req.MaxTokens {
 		r.finish = "length"
@@ -256,7 +257,7 @@
 }
 
 func (e *Engine) poisoned(r *run) bool {
-	return e.cfg.PoisonWord != "" && len(r.tokens) >= e.cfg.PoisonAt && strings.Contains(r.req.Prompt, e.cfg.PoisonWord)
+	return e.cfg.PoisonWord != "" && len(r.tokens) >= e.cfg.PoisonAtToken && strings.Contains(r.req.Prompt, e.cfg.PoisonWord)
 }
 
 func (r *run) notify() {
@@ -264,32 +265,32 @@
 	r.changed = make(chan struct{})
 }
 
-// reap ends runs that nobody has read for their detach time, and forgets
+// reapDetached ends the runs that have had no reader for their detach time, and removes
 // finished ones.
-func (e *Engine) reap(now time.Time) {
+func (e *Engine) reapDetached(now time.Time) {
 	for id, r := range e.runs {
-		if r.readers > 0 || r.detached.IsZero() {
+		if r.readers > 0 || r.detachedAt.IsZero() {
 			continue
 		}
-		if now.Sub(r.detached) >= time.Duration(r.req.DetachMS)*time.Millisecond {
-			e.end(id, r)
+		if now.Sub(r.detachedAt) >= time.Duration(r.req.DetachMS)*time.Millisecond {
+			e.endRun(id, r)
 		}
 	}
 }
 
-func (e *Engine) end(id engine.Attempt, r *run) {
+func (e *Engine) endRun(id engine.Attempt, r *run) {
 	delete(e.runs, id)
 	same := func(o *run) bool { return o == r }
 	e.queue = slices.DeleteFunc(e.queue, same)
 	e.batch = slices.DeleteFunc(e.batch, same)
 	if r.finish == "" {
-		e.stats.Cancelled++
+		e.stats.CancelledRuns++
 		r.err = errCancelled
 		r.notify()
 	}
 }
 
-// cancel ends a run and reports whether there was one.
+// cancel ends a run and reports whether it existed.
 func (e *Engine) cancel(id engine.Attempt) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -297,7 +298,7 @@
 	if r == nil {
 		return false
 	}
-	e.end(id, r)
+	e.endRun(id, r)
 	return true
 }
 
@@ -305,7 +306,7 @@
 	e.seq++
 	load := engine.Load{
 		Seq: e.seq, Running: len(e.batch), Queued: len(e.queue), CacheUsed: e.cache.tokens(),
-		CacheLimit: e.cfg.CacheLimit, StepMS: float64(step) / float64(time.Millisecond), Leaving: e.faults.leaving,
+		CacheLimit: e.cfg.CacheTokens, StepMS: float64(step) / float64(time.Millisecond), Leaving: e.faults.leaving,
 	}
 	for _, r := range e.queue {
 		load.QueuedTokens += len(r.req.Prompt) + len(r.req.PromptIDs) + r.req.MaxTokens - len(r.tokens)
@@ -321,7 +322,7 @@
 	e.reports = e.reports[cut:]
 }
 
-// load is the newest report that is at least ReportLag old.
+// load returns the newest load report that is at least ReportLag old.
 func (e *Engine) load() engine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -329,7 +330,7 @@
 	if len(e.batch) == 0 && len(e.queue) == 0 {
 		e.report(now, 0)
 	}
-	out := engine.Load{CacheLimit: e.cfg.CacheLimit}
+	out := engine.Load{CacheLimit: e.cfg.CacheTokens}
 	for _, m := range e.state.Models {
 		out.Models = append(out.Models, m.Name)
 	}
@@ -342,21 +343,21 @@
 	return out
 }
 
-// Stats returns the engine's counters, kept over its deaths.
+// Stats returns the engine's counters, which survive its deaths.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// Stop ends the engine for good, once.
+// Stop ends the engine for good. It must be called only once.
 func (e *Engine) Stop() {
 	e.Kill()
 	close(e.quit)
 	<-e.ended
 }
 
-// Running is the number of runs in the batch and the queue.
+// Running returns the number of runs in the batch and the queue.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -13,41 +13,41 @@
 var Error = errs.Class("standin")
 
 var (
-	errDead      = Error.New("engine is dead")
-	errNotServed = Error.New("not served")
-	errCancelled = Error.New("cancelled")
-	errNoRun     = Error.New("no such run")
-	errOldFence  = Error.New("order with an old fencing number")
+	errDead       = Error.New("engine is dead")
+	errNotServed  = Error.New("model or adapter is not served")
+	errCancelled  = Error.New("run was cancelled")
+	errNoRun      = Error.New("no such run")
+	errStaleFence = Error.New("order has a stale fencing number")
 )
 
 type faults struct {
-	pausedUntil time.Time
-	slow        float64
-	stall       string        // runs whose attempt id holds it
-	late        time.Duration // each event is written this late
-	crossed     bool          // events carry another run's attempt id
-	leaving     bool
+	pausedUntil     time.Time
+	slowFactor      float64
+	stalledAttempts string        // stalls runs whose attempt id contains it; empty: none
+	eventDelay      time.Duration // of each event
+	swapAttemptIDs  bool          // events carry another run's attempt id
+	leaving         bool
 }
 
 func (f *faults) slowness() float64 {
-	if f.slow == 0 {
+	if f.slowFactor == 0 {
 		return 1
 	}
-	return f.slow
+	return f.slowFactor
 }
 
 func (f *faults) stalls(a engine.Attempt) bool {
-	return f.stall != "" && strings.Contains(a, f.stall)
+	return f.stalledAttempts != "" && strings.Contains(a, f.stalledAttempts)
 }
 
-// Kill makes the engine die without notice: its runs, queue and cache are gone.
+// Kill makes the engine die without notice. Its runs, queue and cache are lost.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.die()
 }
 
-// die needs e.mu.
+// die kills the engine. The caller holds e.mu.
 func (e *Engine) die() {
 	if e.dead {
 		return
@@ -64,58 +64,59 @@
 	}
 }
 
-// Deaths counts how often the engine died.
+// Deaths returns how often the engine has died.
 func (e *Engine) Deaths() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.deaths
 }
 
-// Alive reports whether the engine lives.
+// Alive reports whether the engine is running.
 func (e *Engine) Alive() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.dead
 }
 
-// Pause stops decoding and answering for a while; connections stay open.
+// Pause stops decoding and answering for d. Connections stay open.
 func (e *Engine) Pause(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.pausedUntil = time.Now().Add(d)
-	e.poke()
+	e.wakeLoop()
 }
 
-// Slow multiplies the step time.
+// Slow multiplies the duration of each step by factor.
 func (e *Engine) Slow(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults.slow = factor
+	e.faults.slowFactor = factor
 }
 
-// Stall stops the runs whose attempt id contains part; empty: none from now on.
-func (e *Engine) Stall(part string) {
+// StallAttempts stops the runs whose attempt id contains part. An empty part stalls no
+// further runs.
+func (e *Engine) StallAttempts(part string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults.stall = part
+	e.faults.stalledAttempts = part
 }
 
-// Late delays each event.
-func (e *Engine) Late(d time.Duration) {
+// DelayEvents delays each event by d.
+func (e *Engine) DelayEvents(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults.late = d
+	e.faults.eventDelay = d
 }
 
-// Cross makes events carry the attempt id of another run.
-func (e *Engine) Cross(on bool) {
+// SwapAttemptIDs makes events carry the attempt id of another run.
+func (e *Engine) SwapAttemptIDs(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults.crossed = on
+	e.faults.swapAttemptIDs = on
 }
 
-// Leave makes reports say that the engine is leaving.
-func (e *Engine) Leave() {
+// ReportLeaving makes load reports state that the engine is leaving.
+func (e *Engine) ReportLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.leaving = true
