--- a/cmd/amaranthshelf/account.go
+++ b/cmd/amaranthshelf/account.go
@@ -13,13 +13,13 @@
 )
 
 func addAccount(p *flags.Parser) error {
-	_, err := p.AddCommand("account", "count what became of all routed requests, by reason",
-		"Reads collected logs of routers and counts the streams and calls that went well, and the others by the reason why they did not.", &accountCommand{})
+	_, err := p.AddCommand("account", "count the outcomes of all routed requests, by reason",
+		"Reads collected logs of routers. Counts the streams and calls that succeeded, and the others by the reason of their failure.", &accountCommand{})
 	return err
 }
 
 type accountCommand struct {
-	output
+	outputOptions
 	Args struct {
 		Logs []string `positional-arg-name:"LOGS" required:"1"`
 	} `positional-args:"yes" required:"yes"`
@@ -27,11 +27,11 @@
 
 // Execute implements flags.Commander.
 func (c *accountCommand) Execute([]string) error {
-	readers, done, err := openAll(c.Args.Logs)
+	readers, closeAll, err := openAll(c.Args.Logs)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeAll()
 	a, err := explain.NewAccount(readers)
 	if err != nil {
 		return err
@@ -48,17 +48,17 @@
 	for _, r := range rows {
 		all += r.Count
 	}
-	table(title+"\tNUMBER\tSHARE\tFIRST\tLAST", func(w *tabwriter.Writer) {
+	printTable(title+"\tNUMBER\tSHARE\tFIRST\tLAST", func(w *tabwriter.Writer) {
 		for _, r := range rows {
 			fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\t%s\n", r.Reason, r.Count, float64(r.Count)/float64(all), r.First.Format(time.TimeOnly), r.Last.Format(time.TimeOnly))
 		}
 	})
 }
 
-// openAll opens files to be read; done closes them.
-func openAll(names []string) (readers []io.Reader, done func(), err error) {
+// openAll opens the files for reading. The caller calls closeAll when it has read them.
+func openAll(names []string) (readers []io.Reader, closeAll func(), err error) {
 	var files []*os.File
-	done = func() {
+	closeAll = func() {
 		for _, f := range files {
 			f.Close()
 		}
@@ -66,10 +66,10 @@
 	for _, name := range names {
 		f, err := os.Open(name)
 		if err != nil {
-			done()
+			closeAll()
 			return nil, nil, usageError("%v", err)
 		}
 		files, readers = append(files, f), append(readers, f)
 	}
-	return readers, done, nil
+	return readers, closeAll, nil
 }
--- a/cmd/amaranthshelf/allowance.go
+++ b/cmd/amaranthshelf/allowance.go
@@ -11,7 +11,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-type allowanceList struct{ connection }
+type allowanceList struct{ apiOptions }
 
 // Execute implements flags.Commander.
 func (c *allowanceList) Execute([]string) error {
@@ -21,7 +21,7 @@
 			return err
 		}
 		return c.print(rows, func() {
-			table("PLAN\tTOKENS\tREQUESTS\tWINDOW\tCONCURRENT\tSHARE\tPRIORITY\tVERSION", func(w *tabwriter.Writer) {
+			printTable("PLAN\tTOKENS\tREQUESTS\tWINDOW\tCONCURRENT\tSHARE\tPRIORITY\tVERSION", func(w *tabwriter.Writer) {
 				for _, r := range rows {
 					fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%d\t%d\t%d\n",
 						r.Plan, r.TokensPerWindow, r.RequestsPerWindow, r.Window(), r.Concurrent, r.Share, r.PriorityCeiling, r.Version)
@@ -32,8 +32,8 @@
 }
 
 type allowanceShow struct {
-	connection
-	oneName
+	apiOptions
+	nameArg
 }
 
 // Execute implements flags.Commander.
@@ -52,17 +52,17 @@
 }
 
 type allowanceSet struct {
-	connection
-	oneName
-	Models     *string `long:"models" value-name:"A,B" description:"models that the plan includes"`
-	Services   *string `long:"services" value-name:"A,B" description:"services that the plan includes"`
-	Tokens     *int64  `long:"tokens" description:"tokens per window, prompt and answer"`
+	apiOptions
+	nameArg
+	Models     *string `long:"models" value-name:"A,B" description:"models that workspaces with the plan may use"`
+	Services   *string `long:"services" value-name:"A,B" description:"services that workspaces with the plan may call"`
+	Tokens     *int64  `long:"tokens" description:"tokens per window, of prompts and answers"`
 	Requests   *int64  `long:"requests" description:"requests per window"`
 	Window     *int64  `long:"window-seconds" description:"length of the window in seconds"`
-	Concurrent *int    `long:"concurrent" description:"requests that may run at once"`
-	Share      *int    `long:"share" description:"weight against other workspaces in the queues (new rows: 1)"`
-	Priority   *int    `long:"priority-ceiling" description:"highest priority that requests may ask for"`
-	Wait       bool    `long:"wait" description:"until the change is in force"`
+	Concurrent *int    `long:"concurrent" description:"maximum number of concurrent requests"`
+	Share      *int    `long:"share" description:"weight of a workspace in the queues, relative to others (new rows: 1)"`
+	Priority   *int    `long:"priority-ceiling" description:"highest priority that a request may have"`
+	Wait       bool    `long:"wait" description:"wait until the change is in force"`
 }
 
 // Execute implements flags.Commander.
@@ -76,27 +76,27 @@
 			row.Allowance = plan.Allowance{Plan: c.Args.Name, Share: 1}
 		}
 		next := row.Allowance
-		names(&next.Models, c.Models)
-		names(&next.Services, c.Services)
-		field(&next.TokensPerWindow, c.Tokens)
-		field(&next.RequestsPerWindow, c.Requests)
-		field(&next.WindowSeconds, c.Window)
-		field(&next.Concurrent, c.Concurrent)
-		field(&next.Share, c.Share)
-		field(&next.PriorityCeiling, c.Priority)
-		return c.write(ctx, o, client.Change{List: listAllowances, Name: c.Args.Name, Row: next, IfMatch: row.Version, Wait: c.Wait})
+		setNamesIfGiven(&next.Models, c.Models)
+		setNamesIfGiven(&next.Services, c.Services)
+		setIfGiven(&next.TokensPerWindow, c.Tokens)
+		setIfGiven(&next.RequestsPerWindow, c.Requests)
+		setIfGiven(&next.WindowSeconds, c.Window)
+		setIfGiven(&next.Concurrent, c.Concurrent)
+		setIfGiven(&next.Share, c.Share)
+		setIfGiven(&next.PriorityCeiling, c.Priority)
+		return c.writeChange(ctx, o, client.Change{List: listAllowances, Name: c.Args.Name, Row: next, IfMatch: row.Version, Wait: c.Wait})
 	})
 }
 
-func field[T any](into, given *T) {
-	if given != nil {
-		*into = *given
+func setIfGiven[T any](dst, value *T) {
+	if value != nil {
+		*dst = *value
 	}
 }
 
-func names(into *[]string, given *string) {
-	if given != nil {
-		*into = splitNames(*given)
+func setNamesIfGiven(dst *[]string, text *string) {
+	if text != nil {
+		*dst = splitNames(*text)
 	}
 }
 
--- a/cmd/amaranthshelf/apply.go
+++ b/cmd/amaranthshelf/apply.go
@@ -13,21 +13,21 @@
 )
 
 type applyCommand struct {
-	connection
+	apiOptions
 	Args struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes" required:"yes"`
-	DryRun bool `long:"dry-run" description:"only show what would change"`
-	Wait   bool `long:"wait" description:"until the changes are in force"`
+	DryRun bool `long:"dry-run" description:"show the changes without writing them"`
+	Wait   bool `long:"wait" description:"wait until the changes are in force"`
 }
 
-// step is one change that makes the lists equal to the file.
+// step is one change of a row. All steps together make the lists equal to the file.
 type step struct {
 	What   string        `json:"what"`
 	List   string        `json:"list"`
 	Name   string        `json:"name"`
 	Done   bool          `json:"done"`
-	change client.Change // of the version that was read
+	change client.Change // conditional on the version that was read
 }
 
 // Execute implements flags.Commander.
@@ -37,16 +37,16 @@
 		return err
 	}
 	return c.call(func(ctx context.Context, o *client.Operator) error {
-		steps, err := compare(ctx, o, customers, allowances)
+		steps, err := compareLists(ctx, o, customers, allowances)
 		if err != nil {
 			return err
 		}
-		failure := c.execute(ctx, o, steps)
+		applyErr := c.applySteps(ctx, o, steps)
 		if err := c.print(steps, func() { printSteps(steps, c.DryRun) }); err != nil {
 			return err
 		}
-		if failure != nil {
-			return fmt.Errorf("stopped: %w\nrows before this one are written; apply the file again to go on", failure)
+		if applyErr != nil {
+			return fmt.Errorf("stopped at a failed change: %w\nthe changes before it are written; apply the file again to continue", applyErr)
 		}
 		if c.Wait && !c.DryRun {
 			_, _, err = o.Plans(ctx, true)
@@ -55,7 +55,7 @@
 	})
 }
 
-func (c *applyCommand) execute(ctx context.Context, o *client.Operator, steps []step) error {
+func (c *applyCommand) applySteps(ctx context.Context, o *client.Operator, steps []step) error {
 	if c.DryRun {
 		return nil
 	}
@@ -68,14 +68,14 @@
 	return nil
 }
 
-func printSteps(steps []step, dry bool) {
+func printSteps(steps []step, dryRun bool) {
 	if len(steps) == 0 {
 		fmt.Println("the lists are equal to the file")
 	}
 	for _, s := range steps {
 		state := "done"
 		switch {
-		case dry:
+		case dryRun:
 			state = "would be done"
 		case !s.Done:
 			state = "NOT done"
@@ -84,9 +84,10 @@
 	}
 }
 
-// compare orders the steps so that every state on the way is valid: a plan
-// exists before a workspace gets it, and loses its workspaces before it goes.
-func compare(ctx context.Context, o *client.Operator, customers []plan.Customer, allowances []plan.Allowance) ([]step, error) {
+// compareLists returns the steps that make the lists equal to the file. Their order keeps
+// every intermediate state valid: a plan is added before a workspace gets it, and is
+// removed after the workspaces that had it.
+func compareLists(ctx context.Context, o *client.Operator, customers []plan.Customer, allowances []plan.Allowance) ([]step, error) {
 	havePlans, _, err := o.Plans(ctx, false)
 	if err != nil {
 		return nil, err
@@ -102,7 +103,7 @@
 			have = haveAllowances[i]
 		}
 		if !have.Equal(want) {
-			steps = append(steps, set(listAllowances, want.Plan, want, have.Version))
+			steps = append(steps, setStep(listAllowances, want.Plan, want, have.Version))
 		}
 	}
 	for _, want := range customers {
@@ -111,23 +112,23 @@
 			have = havePlans[i]
 		}
 		if !have.Equal(want) {
-			steps = append(steps, set(listPlans, want.Workspace, want, have.Version))
+			steps = append(steps, setStep(listPlans, want.Workspace, want, have.Version))
 		}
 	}
 	for _, have := range havePlans {
 		if !slices.ContainsFunc(customers, func(w plan.Customer) bool { return w.Workspace == have.Workspace }) {
-			removals = remove(removals, listPlans, have.Workspace, have.Version)
+			removals = appendRemoval(removals, listPlans, have.Workspace, have.Version)
 		}
 	}
 	for _, have := range haveAllowances {
 		if !slices.ContainsFunc(allowances, func(w plan.Allowance) bool { return w.Plan == have.Plan }) {
-			removals = remove(removals, listAllowances, have.Plan, have.Version)
+			removals = appendRemoval(removals, listAllowances, have.Plan, have.Version)
 		}
 	}
 	return append(steps, removals...), nil
 }
 
-func set(list, name string, row any, version uint64) step {
+func setStep(list, name string, row any, version uint64) step {
 	what := "change"
 	if version == 0 {
 		what = "add"
@@ -135,12 +136,12 @@
 	return step{What: what, List: list, Name: name, change: client.Change{List: list, Name: name, Row: row, IfMatch: version}}
 }
 
-func remove(steps []step, list, name string, version uint64) []step {
+func appendRemoval(steps []step, list, name string, version uint64) []step {
 	return append(steps, step{What: "remove", List: list, Name: name, change: client.Change{List: list, Name: name, IfMatch: version}})
 }
 
-// readLists reads both lists from an INI file. Each refusal names the section
-// and key.
+// readLists reads both lists from an INI file. An error names the section and, where one
+// is at fault, the key.
 func readLists(path string) ([]plan.Customer, []plan.Allowance, error) {
 	f, err := ini.Load(path)
 	if err != nil {
@@ -180,12 +181,12 @@
 
 func readSection(sec *ini.Section, fields map[string]any, validate func() error) error {
 	for _, key := range sec.Keys() {
-		into, ok := fields[key.Name()]
+		field, ok := fields[key.Name()]
 		if !ok {
 			return fmt.Errorf("[%s] %s: unknown key", sec.Name(), key.Name())
 		}
 		var err error
-		switch p := into.(type) {
+		switch p := field.(type) {
 		case *string:
 			*p = key.String()
 		case *[]string:
--- a/cmd/amaranthshelf/control.go
+++ b/cmd/amaranthshelf/control.go
@@ -15,25 +15,25 @@
 
 func addControl(p *flags.Parser) error {
 	return addGroup(p, "control", "the control group", "Shows and repairs the group of control VMs.", []subcommand{
-		{"list", "show the members", "Shows the control group's members and how far each is, as the leader sees them.", &controlList{}},
+		{"list", "show the members", "Shows the members of the control group and how many entries each lags behind the leader.", &controlList{}},
 		{
-			"remove", "take a lost VM's vote", "Takes the vote from a control VM that will not come back under its id. " +
-				"A VM that lost only its disk needs no removal: start it with an empty folder.", &controlRemove{},
+			"remove", "remove a lost VM from the voters", "Removes a control VM that will not return under its id from the voters. " +
+				"A VM that lost only its disk needs no removal: start it with an empty data folder.", &controlRemove{},
 		},
 	})
 }
 
-type controlList struct{ connection }
+type controlList struct{ apiOptions }
 
 // Execute implements flags.Commander.
 func (c *controlList) Execute([]string) error {
 	return c.call(func(ctx context.Context, o *client.Operator) error {
 		raw, err := o.Control(ctx)
-		return c.printGroup(raw, err)
+		return c.printControlGroup(raw, err)
 	})
 }
 
-func (c *connection) printGroup(raw json.RawMessage, err error) error {
+func (c *apiOptions) printControlGroup(raw json.RawMessage, err error) error {
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 
 func printMembers(s *control.MemberStats) {
 	fmt.Printf("leader %s, term %d, %d changes committed\n", s.Member, s.Term, s.Commit)
-	table("VM\tMEMBER\tROLE\tBEHIND", func(w *tabwriter.Writer) {
+	printTable("VM\tMEMBER\tROLE\tBEHIND", func(w *tabwriter.Writer) {
 		row := func(id, role string) {
 			vm, _, _ := strings.Cut(id, "/")
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", vm, id, role, s.LagEntries[id])
@@ -61,7 +61,7 @@
 }
 
 type controlRemove struct {
-	connection
+	apiOptions
 	Args struct {
 		VM string `positional-arg-name:"VM" required:"yes"`
 	} `positional-args:"yes"`
@@ -71,6 +71,6 @@
 func (c *controlRemove) Execute([]string) error {
 	return c.call(func(ctx context.Context, o *client.Operator) error {
 		raw, err := o.RemoveControl(ctx, c.Args.VM)
-		return c.printGroup(raw, err)
+		return c.printControlGroup(raw, err)
 	})
 }
--- a/cmd/amaranthshelf/demo.go
+++ b/cmd/amaranthshelf/demo.go
@@ -13,18 +13,18 @@
 const demoTimeout = 20 * time.Second
 
 type demoCommand struct {
-	JSON bool `long:"json" description:"print the account as JSON"`
+	JSON bool `long:"json" description:"print the report as JSON"`
 }
 
 func addDemo(p *flags.Parser) error {
-	_, err := p.AddCommand("demo", "run the system in this process and break it",
+	_, err := p.AddCommand("demo", "run the system in this process and inject faults",
 		"Starts three VMs, stand-in engines and a stand-in dispatch service on loopback, runs generations, "+
 			"kills an engine and a VM in mid-output, books a job over a breaking connection, and checks every answer.",
 		&demoCommand{})
 	return err
 }
 
-var errDemo = errors.New("demo: a check failed")
+var errDemoCheck = errors.New("demo: a check failed")
 
 // Execute implements flags.Commander.
 func (c *demoCommand) Execute([]string) error {
@@ -38,7 +38,7 @@
 		return err
 	}
 	if !report.OK {
-		return errDemo
+		return errDemoCheck
 	}
 	return nil
 }
--- a/cmd/amaranthshelf/experiment.go
+++ b/cmd/amaranthshelf/experiment.go
@@ -13,13 +13,13 @@
 }
 
 func addExperiment(p *flags.Parser) error {
-	e, err := p.AddCommand("experiment", "compare the policies with baselines on a model",
-		"Runs the decision modules against modelled engines and callers on a virtual clock.", &struct{}{})
+	e, err := p.AddCommand("experiment", "compare the policies with baselines in simulation",
+		"Runs the decision modules against simulated engines and callers on a virtual clock.", &struct{}{})
 	if err != nil {
 		return err
 	}
 	_, err = e.AddCommand("recovery", "resume latency and extra work after engines fail",
-		"Five faults under both objectives and two baselines, ten seeds each. Takes half a minute.", &experimentRecovery{})
+		"Simulates five faults under both objectives and two baselines, with ten seeds each. Takes half a minute.", &experimentRecovery{})
 	return err
 }
 
--- a/cmd/amaranthshelf/lists.go
+++ b/cmd/amaranthshelf/lists.go
@@ -18,26 +18,26 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// The two lists, by their names in the API.
+// Names of the two lists in the operators' API.
 const (
 	listPlans      = "plans"
 	listAllowances = "allowances"
 )
 
 func addPlan(p *flags.Parser) error {
-	return addGroup(p, "plan", "the list of what customers have bought",
-		"Each row is a workspace with its plan and its keys (as hashes).", append(common(listPlans), []subcommand{
+	return addGroup(p, "plan", "the list of workspaces and their plans",
+		"Each row is a workspace with its plan and its keys (as hashes).", append(commonSubcommands(listPlans), []subcommand{
 			{"list", "show all workspaces", "Shows every workspace with its plan and the row's version.", &planList{}},
-			{"show", "show one workspace", "Shows a workspace's row and what is in use of its allowance.", &planShow{}},
+			{"show", "show one workspace", "Shows a workspace's row and the usage of its allowance.", &planShow{}},
 			{"set", "add or change a workspace", "Reads the row, changes the given fields and writes it back; " +
 				"if somebody changed it meanwhile nothing is written.", &planSet{}},
-			{"hash-key", "hash a workspace key", "Reads a key from standard input and prints the hash that the list stores.", &hashKey{}},
+			{"hash-key", "hash a workspace key", "Reads a key from standard input and prints the hash that the list stores.", &hashKeyCommand{}},
 		}...))
 }
 
 func addAllowance(p *flags.Parser) error {
-	return addGroup(p, "allowance", "the list of what each plan may use",
-		"Each row is a plan with its limits, which hold for each workspace that bought it.", append(common(listAllowances), []subcommand{
+	return addGroup(p, "allowance", "the list of plans and their limits",
+		"Each row is a plan with its limits. They apply to each workspace with the plan separately.", append(commonSubcommands(listAllowances), []subcommand{
 			{"list", "show all plans", "Shows every plan with its limits and the row's version.", &allowanceList{}},
 			{"show", "show one plan", "Shows a plan's limits.", &allowanceShow{}},
 			{"set", "add or change a plan", "Reads the row, changes the given fields and writes it back; " +
@@ -45,19 +45,19 @@
 		}...))
 }
 
-func common(list string) []subcommand {
+func commonSubcommands(list string) []subcommand {
 	return []subcommand{
-		{"remove", "remove a row", "Removes a row, unless somebody changed it since it was read.", &removeCommand{list: list}},
+		{"remove", "remove a row", "Removes a row unless it was changed after it was read.", &removeCommand{list: list}},
 		{"history", "show who changed a row", "Shows the changes of a row, newest first.", &historyCommand{list: list}},
 		{
 			"apply", "make both lists equal to a file", "Reads [plan:<workspace>] and [allowance:<plan>] sections of an INI file and " +
 				"makes both lists equal to them: rows that the file lacks are removed.", &applyCommand{},
 		},
-		{"wait", "wait until the lists are in force", "Returns once every VM applies the present lists, or admits nothing.", &waitCommand{}},
+		{"wait", "wait until the lists are in force", "Returns when every VM applies the current lists or admits no requests.", &waitCommand{}},
 	}
 }
 
-type planList struct{ connection }
+type planList struct{ apiOptions }
 
 // Execute implements flags.Commander.
 func (c *planList) Execute([]string) error {
@@ -67,7 +67,7 @@
 			return err
 		}
 		return c.print(rows, func() {
-			table("WORKSPACE\tPLAN\tKEYS\tVERSION", func(w *tabwriter.Writer) {
+			printTable("WORKSPACE\tPLAN\tKEYS\tVERSION", func(w *tabwriter.Writer) {
 				for _, r := range rows {
 					fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", r.Workspace, r.Plan, len(r.KeyHashes), r.Version)
 				}
@@ -76,22 +76,22 @@
 	})
 }
 
-func table(head string, rows func(*tabwriter.Writer)) {
+func printTable(head string, rows func(*tabwriter.Writer)) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, head)
 	rows(w)
-	_ = w.Flush() // standard output; its reader may be gone
+	_ = w.Flush() // standard output fails only when its reader is gone
 }
 
-type oneName struct {
+type nameArg struct {
 	Args struct {
 		Name string `positional-arg-name:"NAME"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 type planShow struct {
-	connection
-	oneName
+	apiOptions
+	nameArg
 }
 
 // Execute implements flags.Commander.
@@ -115,12 +115,12 @@
 }
 
 type planSet struct {
-	connection
-	oneName
+	apiOptions
+	nameArg
 	Plan       *string  `long:"plan" description:"plan that the workspace bought"`
-	KeyHashes  []string `long:"key-hash" description:"hash of a key; repeated, these replace all present ones"`
-	AddHash    []string `long:"add-key-hash" description:"hash of a further key"`
-	RemoveHash []string `long:"remove-key-hash" description:"hash of a key that ends"`
+	KeyHashes  []string `long:"key-hash" description:"hash of a key; may be repeated; replaces all current hashes"`
+	AddHash    []string `long:"add-key-hash" description:"hash of a key to add; may be repeated"`
+	RemoveHash []string `long:"remove-key-hash" description:"hash of a key to remove; may be repeated"`
 	Wait       bool     `long:"wait" description:"until the change is in force"`
 }
 
@@ -142,11 +142,11 @@
 		next.KeyHashes = slices.DeleteFunc(slices.Concat(next.KeyHashes, c.AddHash), func(h string) bool {
 			return slices.Contains(c.RemoveHash, h)
 		})
-		return c.write(ctx, o, client.Change{List: listPlans, Name: c.Args.Name, Row: next, IfMatch: row.Version, Wait: c.Wait})
+		return c.writeChange(ctx, o, client.Change{List: listPlans, Name: c.Args.Name, Row: next, IfMatch: row.Version, Wait: c.Wait})
 	})
 }
 
-func (c *connection) write(ctx context.Context, o *client.Operator, change client.Change) error {
+func (c *apiOptions) writeChange(ctx context.Context, o *client.Operator, change client.Change) error {
 	out, err := o.Do(ctx, change)
 	if err != nil {
 		return explainConflict(err)
@@ -165,15 +165,15 @@
 
 func explainConflict(err error) error {
 	if result.CodeOf(err) == result.VersionConflict {
-		return fmt.Errorf("%w\nsomebody changed the row meanwhile and nothing was written; look at it with show, then repeat", err)
+		return fmt.Errorf("%w\nthe row was changed by another writer and nothing was written; check it with show, then repeat the command", err)
 	}
 	return err
 }
 
-type hashKey struct{}
+type hashKeyCommand struct{}
 
 // Execute implements flags.Commander.
-func (c *hashKey) Execute([]string) error {
+func (c *hashKeyCommand) Execute([]string) error {
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	key := strings.TrimRight(line, "\r\n")
 	if key == "" {
@@ -184,8 +184,8 @@
 }
 
 type removeCommand struct {
-	connection
-	oneName
+	apiOptions
+	nameArg
 	Wait bool `long:"wait" description:"until the change is in force"`
 	list string
 }
@@ -197,7 +197,7 @@
 		if err != nil {
 			return err
 		}
-		return c.write(ctx, o, client.Change{List: c.list, Name: c.Args.Name, IfMatch: version, Wait: c.Wait})
+		return c.writeChange(ctx, o, client.Change{List: c.list, Name: c.Args.Name, IfMatch: version, Wait: c.Wait})
 	})
 }
 
@@ -211,8 +211,8 @@
 }
 
 type historyCommand struct {
-	connection
-	oneName
+	apiOptions
+	nameArg
 	list string
 }
 
@@ -234,7 +234,7 @@
 	})
 }
 
-type waitCommand struct{ connection }
+type waitCommand struct{ apiOptions }
 
 // Execute implements flags.Commander.
 func (c *waitCommand) Execute([]string) error {
--- a/cmd/amaranthshelf/load.go
+++ b/cmd/amaranthshelf/load.go
@@ -18,30 +18,30 @@
 
 type loadCommand struct {
 	Profile  string        `long:"profile" default:"cooperative" description:"built-in profile (cooperative, reelhouse) or an INI file"`
-	Address  []string      `long:"address" description:"callers' address ip:port; several allowed"`
+	Address  []string      `long:"address" description:"callers' address ip:port of a VM; may be repeated"`
 	Key      string        `long:"key" env:"AMARANTHSHELF_KEY" description:"workspace key, with --address"`
 	Local    bool          `long:"local" description:"start the profile's system in this process, with stand-in engines"`
-	Duration time.Duration `long:"duration" default:"10s" description:"of arrivals"`
-	Drain    time.Duration `long:"drain" default:"30s" description:"for answers after the last arrival"`
+	Duration time.Duration `long:"duration" default:"10s" description:"duration of the arrivals"`
+	Drain    time.Duration `long:"drain" default:"30s" description:"maximum wait for answers after the last arrival"`
 	Scale    float64       `long:"scale" default:"1" description:"factor on all rates"`
-	Seed     uint64        `long:"seed" default:"1" description:"of the arrivals"`
+	Seed     uint64        `long:"seed" default:"1" description:"seed of the arrivals and random faults"`
 	Faults   string        `long:"faults" description:"fault script, with --local"`
-	Random   bool          `long:"random-faults" description:"draw the fault script from the seed, with --local"`
+	Random   bool          `long:"random-faults" description:"generate the fault script from the seed, with --local"`
 	JSON     bool          `long:"json" description:"print the report as JSON"`
 	Plot     string        `long:"plot" description:"write a plot to this .svg or .png file"`
 }
 
 func addLoad(p *flags.Parser) error {
-	_, err := p.AddCommand("load", "send an open-loop load and check every answer",
-		"Sends a profile's requests at the times of a Poisson process, measures from the intended times, and checks every answer.",
+	_, err := p.AddCommand("load", "generate an open-loop load and check every answer",
+		"Sends a profile's requests at the arrival times of a Poisson process, measures latencies from those times, and checks every answer.",
 		&loadCommand{})
 	return err
 }
 
 var (
-	errLoadTarget = errors.New("load: give --address and --key, or --local")
-	errLoadWrong  = errors.New("load: an answer was wrong")
-	errLoadFaults = errors.New("load: faults need --local")
+	errNoLoadTarget    = errors.New("load: give --address and --key, or --local")
+	errWrongAnswer     = errors.New("load: at least one answer was wrong; see the report")
+	errFaultsNeedLocal = errors.New("load: --faults and --random-faults need --local")
 )
 
 // Execute implements flags.Commander.
@@ -72,7 +72,7 @@
 
 func (c *loadCommand) prepare(o *load.Options) error {
 	if (c.Faults != "" || c.Random) && !c.Local {
-		return errLoadFaults
+		return errFaultsNeedLocal
 	}
 	if c.Random {
 		o.Faults = load.RandomFaults(c.Seed, o.Profile.System, c.Duration)
@@ -89,7 +89,7 @@
 	}
 	if !c.Local {
 		if len(c.Address) == 0 || c.Key == "" {
-			return errLoadTarget
+			return errNoLoadTarget
 		}
 		return nil
 	}
@@ -104,7 +104,7 @@
 
 func localKey(workspace string) string { return "key-of-" + workspace }
 
-// unlimited is more than a local run uses in its window.
+// unlimited is an allowance of tokens and requests that no local run can use up in its window.
 const unlimited = 1 << 40
 
 func startLocal(p *load.Profile) (*local.System, error) {
@@ -143,7 +143,7 @@
 		return err
 	}
 	if !report.OK() {
-		return errLoadWrong
+		return errWrongAnswer
 	}
 	return nil
 }
--- a/cmd/amaranthshelf/main.go
+++ b/cmd/amaranthshelf/main.go
@@ -1,4 +1,6 @@
-// Command amaranthshelf is the command-line tool for operators and developers.
+// Command amaranthshelf is the command-line tool for operators and developers. It works on
+// plans, allowances, routes and roll-outs, explains requests, and runs demos, load tests and
+// stand-in servers.
 package main
 
 import (
--- a/cmd/amaranthshelf/measure.go
+++ b/cmd/amaranthshelf/measure.go
@@ -12,20 +12,20 @@
 )
 
 type measureGateway struct {
-	VMs     int  `long:"vms" default:"3" description:"VMs; journals have three keepers below five VMs, five from there on"`
-	Streams int  `long:"streams" default:"256" description:"concurrent streams"`
-	Tokens  int  `long:"tokens" default:"100" description:"tokens of each answer"`
+	VMs     int  `long:"vms" default:"3" description:"number of VMs; a journal has three keepers with fewer than five VMs, otherwise five"`
+	Streams int  `long:"streams" default:"256" description:"number of concurrent streams"`
+	Tokens  int  `long:"tokens" default:"100" description:"number of tokens in each answer"`
 	JSON    bool `long:"json" description:"print as JSON"`
 }
 
 func addMeasure(p *flags.Parser) error {
-	m, err := p.AddCommand("measure", "take the figures of the capacity page",
-		"Each measurement runs its baseline in the same process.", &struct{}{})
+	m, err := p.AddCommand("measure", "run the measurements of the capacity page",
+		"Each measurement also runs its baseline in the same process.", &struct{}{})
 	if err != nil {
 		return err
 	}
-	_, err = m.AddCommand("gateway", "streams through the system against direct ones",
-		"Runs the same streams direct from stand-in engines and through the VMs.", &measureGateway{})
+	_, err = m.AddCommand("gateway", "compare streams through the system with direct ones",
+		"Runs the same streams directly from stand-in engines and through the VMs.", &measureGateway{})
 	return err
 }
 
@@ -40,10 +40,10 @@
 
 func progress(line string) { fmt.Fprintln(os.Stderr, line) }
 
-// report is what a command prints, for people or as data.
-type report interface{ Text() string }
+// textReport is the result of a command, which is printed as text or encoded as JSON.
+type textReport interface{ Text() string }
 
-func printReport(asJSON bool, r report) error {
+func printReport(asJSON bool, r textReport) error {
 	if asJSON {
 		return printJSON(r)
 	}
--- a/cmd/amaranthshelf/operators.go
+++ b/cmd/amaranthshelf/operators.go
@@ -12,28 +12,29 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/client"
 )
 
-// connection are the options of every command that calls the operators' API.
-type connection struct {
+// apiOptions are the options that every command of the operators' API has in common.
+type apiOptions struct {
 	Address []string `long:"address" env:"AMARANTHSHELF_ADDRESS" env-delim:"," default:"127.0.0.1:7401" value-name:"IP:PORT" description:"operator address of a VM; several are tried in order"`
 	Token   string   `long:"token" env:"AMARANTHSHELF_TOKEN" default-mask:"-" value-name:"TOKEN" description:"operator token"`
-	Who     string   `long:"who" env:"USER" default-mask:"-" value-name:"NAME" description:"your name in the history"`
-	output
+	Who     string   `long:"who" env:"USER" default-mask:"-" value-name:"NAME" description:"your name as recorded in the history"`
+	outputOptions
 }
 
-// output is how a command prints.
-type output struct {
+// outputOptions are the options of commands that print text or JSON.
+type outputOptions struct {
 	JSON bool `long:"json" description:"print the answer as JSON"`
 }
 
-// call runs f against the system until it ends or the user interrupts it.
-func (c *connection) call(f func(ctx context.Context, o *client.Operator) error) error {
+// call runs f with a client of the operators' API. An interrupt by the user cancels f's
+// context.
+func (c *apiOptions) call(f func(ctx context.Context, o *client.Operator) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	return f(ctx, client.NewOperator(c.Address, c.Token, c.Who))
 }
 
-// print writes data as JSON if that was asked for, else as text.
-func (c *output) print(data any, text func()) error {
+// print writes data as JSON if --json is set. Otherwise it calls text.
+func (c *outputOptions) print(data any, text func()) error {
 	if !c.JSON {
 		text()
 		return nil
@@ -43,7 +44,7 @@
 	return enc.Encode(data)
 }
 
-// usageError ends the command with exitUsage.
+// usageError returns an error with which the program exits with exitUsage.
 func usageError(format string, args ...any) error {
 	return &flags.Error{Type: flags.ErrInvalidChoice, Message: fmt.Sprintf(format, args...)}
 }
--- a/cmd/amaranthshelf/rollout.go
+++ b/cmd/amaranthshelf/rollout.go
@@ -12,17 +12,17 @@
 )
 
 func addRollout(p *flags.Parser) error {
-	return addGroup(p, "rollout", "roll-outs of a service's versions", "Moves a service to a new version under watch.", []subcommand{
-		{"start", "order a roll-out", "Sends a part of the requests to the new version, and completes or reverts it by what comes of them.", &rolloutStart{}},
+	return addGroup(p, "rollout", "roll-outs of a service's versions", "Moves a service to a new version and reverts it when the version fails.", []subcommand{
+		{"start", "start a roll-out", "Sends a share of the requests to the new version. Completes or reverts the roll-out according to their results.", &rolloutStart{}},
 		{"status", "print a service's roll-out", "Prints the newest roll-out, confirmed by a majority of the control group.", &rolloutStatus{}},
-		{"watch", "print a roll-out until it is over", "Prints each step. The exit code is 1 where it is reverted.", &rolloutWatch{}},
+		{"watch", "print a roll-out until it ends", "Prints each step. The exit code is 1 if the roll-out is reverted.", &rolloutWatch{}},
 	})
 }
 
 type rolloutStart struct {
-	connection
+	apiOptions
 	To       string        `long:"to" required:"yes" description:"the new version"`
-	Duration time.Duration `long:"duration" default:"30s" description:"within which an outcome is wanted"`
+	Duration time.Duration `long:"duration" default:"30s" description:"time within which the roll-out should have an outcome"`
 	Args     struct {
 		Service string `positional-arg-name:"SERVICE"`
 	} `positional-args:"yes" required:"yes"`
@@ -40,7 +40,7 @@
 }
 
 type rolloutStatus struct {
-	connection
+	apiOptions
 	Args struct {
 		Service string `positional-arg-name:"SERVICE"`
 	} `positional-args:"yes" required:"yes"`
@@ -57,8 +57,8 @@
 	})
 }
 
-// watchEvery is the pause between two looks of rollout watch.
-const watchEvery = 500 * time.Millisecond
+// watchInterval is the pause between two polls of rollout watch.
+const watchInterval = 500 * time.Millisecond
 
 type rolloutWatch struct{ rolloutStatus }
 
@@ -74,19 +74,19 @@
 		if err != nil {
 			return err
 		}
-		if now := fmt.Sprint(r.Number, r.Phase, r.Reason, r.Share); now != last {
-			last = now
+		if current := fmt.Sprint(r.Number, r.Phase, r.Reason, r.Share); current != last {
+			last = current
 			if err := c.print(r, func() { printRollout(&r) }); err != nil {
 				return err
 			}
 		}
 		switch {
 		case r.Over && r.Phase != "completed":
-			return fmt.Errorf("version %q of %q was reverted: %s", r.To, r.Service, r.Reason)
+			return fmt.Errorf("roll-out of version %q of service %q was reverted: %s", r.To, r.Service, r.Reason)
 		case r.Over:
 			return nil
 		}
-		if err := timer.Sleep(context.Background(), watchEvery); err != nil {
+		if err := timer.Sleep(context.Background(), watchInterval); err != nil {
 			return err
 		}
 	}
--- a/cmd/amaranthshelf/routes.go
+++ b/cmd/amaranthshelf/routes.go
@@ -13,13 +13,13 @@
 
 func addRoutes(p *flags.Parser) error {
 	return addGroup(p, "routes", "the route list", "Shows and changes the list of routes, services and workspaces.", []subcommand{
-		{"show", "print the list in force", "Prints the list as it was sent, confirmed by a majority of the control group.", &routesShow{}},
-		{"put", "put a list in force", "Checks the file and sends it. The highest version is in force.", &routesPut{}},
-		{"check", "check a file", "Says what is wrong with a list without sending it.", &routesCheck{}},
+		{"show", "print the list in force", "Prints the list in the form in which it was put. A majority of the control group confirms that it is in force.", &routesShow{}},
+		{"put", "put a list in force", "Checks the file and sends it. The list with the highest version is in force.", &routesPut{}},
+		{"check", "check a file", "Reports errors in a list without sending it.", &routesCheck{}},
 	})
 }
 
-type routesShow struct{ connection }
+type routesShow struct{ apiOptions }
 
 // Execute implements flags.Commander.
 func (c *routesShow) Execute([]string) error {
@@ -38,7 +38,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// read returns the file's text, checked.
+// read returns the content of the file, which it has checked to be a valid route list.
 func (f *routesFile) read() ([]byte, error) {
 	data, err := os.ReadFile(f.Args.File)
 	if err != nil {
@@ -51,7 +51,7 @@
 }
 
 type routesPut struct {
-	connection
+	apiOptions
 	routesFile
 }
 
--- a/cmd/amaranthshelf/standin.go
+++ b/cmd/amaranthshelf/standin.go
@@ -17,9 +17,9 @@
 
 type standinEngine struct {
 	Listen    string `long:"listen" default:"127.0.0.1:8000" description:"ip:port"`
-	Model     string `long:"model" default:"diagnosis" description:"the model it serves"`
-	Fences    bool   `long:"fences" description:"refuse orders with an old fencing number"`
-	ByAttempt bool   `long:"by-attempt" description:"sampling differs by attempt"`
+	Model     string `long:"model" default:"diagnosis" description:"model that the engine serves"`
+	Fences    bool   `long:"fences" description:"refuse orders with an outdated fencing number"`
+	ByAttempt bool   `long:"by-attempt" description:"sample different tokens in each attempt"`
 }
 
 type standinService struct {
@@ -32,17 +32,17 @@
 
 func addStandin(p *flags.Parser) error {
 	s, err := p.AddCommand("standin", "run a stand-in backend server",
-		"For trying the system out: an engine with made-up tokens, or a service that counts its runs.", &struct{}{})
+		"For tests of the system: an engine with generated tokens, or a service that counts its runs.", &struct{}{})
 	if err != nil {
 		return err
 	}
-	if _, err = s.AddCommand("engine", "a stand-in model engine", "Speaks docs/ENGINE-PROTOCOL.md.", &standinEngine{}); err != nil {
+	if _, err = s.AddCommand("engine", "a stand-in model engine", "Implements docs/ENGINE-PROTOCOL.md.", &standinEngine{}); err != nil {
 		return err
 	}
-	if _, err = s.AddCommand("routed", "stand-in engines behind routed requests", "Engines that stream numbered events and keep copies of each other's runs, two in each of three zones.", &standinRouted{}); err != nil {
+	if _, err = s.AddCommand("routed", "stand-in engines for routed requests", "Runs six engines, two in each of three zones. They stream numbered events and keep backup copies of each other's runs.", &standinRouted{}); err != nil {
 		return err
 	}
-	_, err = s.AddCommand("service", "a stand-in plain service", "Answers each call with how often its key ran.", &standinService{})
+	_, err = s.AddCommand("service", "a stand-in plain service", "Answers each call with the number of times that its key ran.", &standinService{})
 	return err
 }
 
@@ -56,7 +56,7 @@
 	}
 	defer e.Close()
 	fmt.Fprintf(os.Stderr, "engine for %s on %s\n", c.Model, e.Addr)
-	untilSignal()
+	waitForSignal()
 	return nil
 }
 
@@ -68,14 +68,14 @@
 	}
 	defer s.Close()
 	fmt.Fprintf(os.Stderr, "service on %s\n", s.Addr)
-	untilSignal()
+	waitForSignal()
 	return nil
 }
 
 // Execute implements flags.Commander.
 func (c *standinRouted) Execute([]string) error {
-	net := routedengine.NewNet()
-	defer net.Close()
+	network := routedengine.NewNet()
+	defer network.Close()
 	for i := range 6 {
 		e := &routedengine.Server{
 			Backend: upstream.Backend{
@@ -84,16 +84,16 @@
 			},
 			Events: 100, ReadTime: time.Second, EventTime: 30 * time.Millisecond,
 		}
-		if err := net.ListenTCP(e); err != nil {
+		if err := network.ListenTCP(e); err != nil {
 			return err
 		}
 		fmt.Fprintf(os.Stderr, "%s in zone %s on %s\n", e.ID, e.Zone, e.Address)
 	}
-	untilSignal()
+	waitForSignal()
 	return nil
 }
 
-func untilSignal() {
+func waitForSignal() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
--- a/cmd/amaranthshelf/status.go
+++ b/cmd/amaranthshelf/status.go
@@ -18,24 +18,24 @@
 )
 
 func addStatus(p *flags.Parser) error {
-	_, err := p.AddCommand("status", "show the VMs and what each applies",
-		"Shows which VMs are in, which version of the lists each applies, who leads the control group, and counters.", &statusCommand{})
+	_, err := p.AddCommand("status", "show the VMs and the lists that each applies",
+		"Shows the VMs of the system, the version of the lists that each applies, the leader of the control group, and counters.", &statusCommand{})
 	return err
 }
 
 func addExplain(p *flags.Parser) error {
-	_, err := p.AddCommand("explain", "show what was decided for a request and why",
-		"Asks every VM what it decided for a request of late: queued, placed, suspected, resumed, refused.", &explainCommand{})
+	_, err := p.AddCommand("explain", "show the decisions about a request and their reasons",
+		"Asks every VM for its recent decisions about a request: queued, placed, suspected, resumed, refused.", &explainCommand{})
 	return err
 }
 
 func addConfig(p *flags.Parser) error {
-	return addGroup(p, "config", "the daemon's settings", "Works on the daemon's INI file.", []subcommand{
-		{"check", "check a settings file", "Reads a file as the daemon would and prints everything that is wrong with it.", &configCheck{}},
+	return addGroup(p, "config", "the daemon's settings", "Commands for the daemon's INI file.", []subcommand{
+		{"check", "check a settings file", "Reads a file as the daemon does and prints all errors in it.", &configCheck{}},
 	})
 }
 
-type statusCommand struct{ connection }
+type statusCommand struct{ apiOptions }
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
@@ -58,14 +58,14 @@
 		leader = "unknown"
 	}
 	fmt.Printf("asked %s; lists version %d; leader %s\n", s.AskedVM, s.Version, leader)
-	table("VM\tZONE\tROLES\tAPPLIES\tSTATE\tCOUNTERS", func(w *tabwriter.Writer) {
+	printTable("VM\tZONE\tROLES\tAPPLIES\tSTATE\tCOUNTERS", func(w *tabwriter.Writer) {
 		for _, vm := range s.VMs {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", vm.VM, vm.Zone, strings.Join(vm.Roles, ","), vm.Version, stateOf(vm), counters(vm.Counters))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", vm.VM, vm.Zone, strings.Join(vm.Roles, ","), vm.Version, vmState(vm), formatCounters(vm.Counters))
 		}
 	})
 }
 
-func stateOf(vm operator.VMStatus) string {
+func vmState(vm operator.VMStatus) string {
 	switch {
 	case !vm.Reachable:
 		return "UNREACHABLE"
@@ -77,7 +77,7 @@
 	return "serving"
 }
 
-func counters(c map[string]int64) string {
+func formatCounters(c map[string]int64) string {
 	var out []string
 	for name, n := range c {
 		out = append(out, fmt.Sprintf("%s=%d", name, n))
@@ -87,9 +87,9 @@
 }
 
 type explainCommand struct {
-	connection
-	Workspace string   `long:"workspace" description:"workspace that the request belongs to; needed unless logs are given"`
-	Logs      []string `long:"log" value-name:"FILE" description:"collected logs of VMs; repeat it for several files. The running VMs are then not asked"`
+	apiOptions
+	Workspace string   `long:"workspace" description:"workspace of the request; required without --log"`
+	Logs      []string `long:"log" value-name:"FILE" description:"collected log of a VM, read instead of asking the running VMs; may be repeated"`
 	Args      struct {
 		Request string `positional-arg-name:"REQUEST"`
 	} `positional-args:"yes" required:"yes"`
@@ -119,13 +119,13 @@
 	})
 }
 
-// fromLogs tells a request's story from files.
+// fromLogs prints the log lines of a request and the cause of its outcome from collected logs.
 func (c *explainCommand) fromLogs() error {
-	readers, done, err := openAll(c.Logs)
+	readers, closeAll, err := openAll(c.Logs)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeAll()
 	story, err := explain.FromLogs(readers, c.Args.Request)
 	if err != nil {
 		return err
