--- a/cmd/amaranthshelf/load.go
+++ b/cmd/amaranthshelf/load.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	o := load.Options{
-		Profile: profile, Seed: c.Seed, Duration: c.Duration, Drain: c.Drain, Scale: c.Scale, Addrs: c.Address,
+		Profile: profile, Seed: c.Seed, Duration: c.Duration, Drain: c.Drain, Scale: c.Scale, CallerAddrs: c.Address,
 		KeyOf:    func(string) string { return c.Key },
 		Progress: progress,
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	o.System, o.Addrs = system, system.Addresses()
+	o.System, o.CallerAddrs = system, system.Addresses()
 	o.KeyOf = localKey
 	return nil
 }
--- a/cmd/amaranthshelf/status.go
+++ b/cmd/amaranthshelf/status.go
@@ -126,21 +126,21 @@
 		return err
 	}
 	defer closeAll()
-	story, err := explain.FromLogs(readers, c.Args.Request)
+	trace, err := explain.FromLogs(readers, c.Args.Request)
 	if err != nil {
 		return err
 	}
-	return c.print(story, func() {
-		for _, l := range story.Lines {
+	return c.print(trace, func() {
+		for _, l := range trace.Lines {
 			fmt.Println(l.String())
 		}
-		if len(story.Around) > 0 {
+		if len(trace.Around) > 0 {
 			fmt.Println("about the servers that it was sent to:")
 		}
-		for _, l := range story.Around {
+		for _, l := range trace.Around {
 			fmt.Println(l.String())
 		}
-		fmt.Println("cause: " + story.Cause)
+		fmt.Println("cause: " + trace.Cause)
 	})
 }
 
--- a/cmd/amaranthshelfd/process_test.go
+++ b/cmd/amaranthshelfd/process_test.go
@@ -161,7 +161,7 @@
 		case <-ctx.Done():
 		}
 	}
-	p.t.Fatalf("PUT %s was not accepted in 10 s; last status %q", path, last)
+	p.t.Fatalf("PUT %s was not accepted in 10 s; last status: %s", path, last)
 }
 
 // waitReady waits until a VM reports that it is ready.
--- a/internal/demo/booking.go
+++ b/internal/demo/booking.go
@@ -16,17 +16,17 @@
 
 const bookingTimeout = 5 * time.Second
 
-// booking is what the caller of one booking got.
+// booking is the answer that a caller received to one booking.
 type booking struct {
 	Status int
 	Text   string
-	Ran    result.Ran // of an error
+	Ran    result.Ran // as reported with an error; empty for a success
 }
 
 func (b booking) String() string { return fmt.Sprintf("%d %s", b.Status, b.Text) }
 
-// bookings books three jobs: one over a good connection, one whose connection
-// breaks after the service ran it, one that breaks before. Each is sent again.
+// bookings books three jobs. The first connection is good, the second breaks after the
+// service has run the job, and the third breaks before. Each booking is sent twice.
 func (s *system) bookings(ctx context.Context) Scene {
 	scene := Scene{Name: "booking", What: "three jobs booked, two over a breaking connection, each sent twice"}
 	cases := []struct {
@@ -47,7 +47,7 @@
 		scene.ServiceRuns += runs
 		scene.ServiceAnswer += fmt.Sprintf("     %s: ran %d times, answered %.90s\n", c.key, runs, first)
 		if failure == nil && (runs != c.runs || first != again || first.Ran != c.ran) {
-			failure = fmt.Errorf("%s ran %d times, answered %q, then %q", c.key, runs, first, again)
+			failure = fmt.Errorf("%s ran %d times and was answered %q, then %q", c.key, runs, first, again)
 		}
 		err = errors.Join(err, failure)
 	}
@@ -58,7 +58,7 @@
 	return scene
 }
 
-// bookTwice books on one VM and sends the same again to another.
+// bookTwice sends a booking to one VM and the same booking to another VM.
 func (s *system) bookTwice(ctx context.Context, key string) (first, again booking, err error) {
 	addrs := s.Addresses()[1:] // the first VM was killed in an earlier scene
 	first, err = s.book(ctx, addrs[0], key)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs the whole system in one process on loopback, breaks it, and
-// checks what its callers received.
+// Package demo runs the whole system in one process on loopback, injects faults, and checks
+// the answers that its callers receive.
 package demo
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// Scene is the account of one part of the demo.
+// Scene holds the results of one part of the demo. Times are in milliseconds.
 type Scene struct {
 	Name          string  `json:"name"`
 	What          string  `json:"what"`
@@ -32,13 +32,13 @@
 	ServiceAnswer string  `json:"service_answer,omitempty"`
 }
 
-// Report is the account of the whole demo.
+// Report holds the results of the whole demo. OK is set if every check passed.
 type Report struct {
 	Scenes []Scene `json:"scenes"`
 	OK     bool    `json:"ok"`
 }
 
-// Text is the report for people.
+// Text formats the report as text.
 func (r *Report) Text() string {
 	var b strings.Builder
 	for _, s := range r.Scenes {
@@ -65,8 +65,8 @@
 
 type system struct{ *local.System }
 
-// Run starts the system, plays the scenes and stops it. It returns an error
-// where the system could not be started; a failed check is in the report.
+// Run starts the system, runs the scenes and stops it. It returns an error if the system
+// could not be started. A failed check is not an error; the report contains it.
 func Run(ctx context.Context, progress func(string)) (*Report, error) {
 	progress("starting 3 VMs, 4 engines and a dispatch service")
 	s, err := start()
@@ -90,7 +90,7 @@
 		progress(scene.step)
 		began := time.Now()
 		out := scene.play(ctx)
-		out.DurationMS = ms(time.Since(began))
+		out.DurationMS = millis(time.Since(began))
 		report.Scenes = append(report.Scenes, out)
 		report.OK = report.OK && out.OK
 	}
@@ -113,38 +113,39 @@
 		}}
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 const (
 	answerTokens = 300
-	breakAt      = 100
+	faultAtToken = 100
 )
 
-// generate runs one generation and calls at once breakAt tokens have come.
-func (s *system) generate(ctx context.Context, key, prompt string, at func()) Scene {
+// generate runs one generation. It calls injectFault when faultAtToken tokens have arrived,
+// and then measures the longest gap as the resume latency.
+func (s *system) generate(ctx context.Context, key, prompt string, injectFault func()) Scene {
 	before := s.Work()
-	broken := at == nil
+	faultInjected := injectFault == nil
 	resume := time.Duration(0)
 	body := client.Completion{Model: demoModel, Prompt: prompt, MaxTokens: answerTokens}
 	answer, err := client.New(s.Addresses(), demoKey).Complete(ctx, key, body, func(p client.Progress) {
-		if broken {
+		if faultInjected {
 			resume = max(resume, p.Gap)
 		}
-		if p.Index >= breakAt && !broken {
-			broken = true
-			at()
+		if p.Index >= faultAtToken && !faultInjected {
+			faultInjected = true
+			injectFault()
 		}
 	})
 	scene := Scene{Tokens: len(answer.TokenIDs), Reconnects: answer.Reconnects}
-	if at != nil {
-		scene.ResumeMS = ms(resume)
+	if injectFault != nil {
+		scene.ResumeMS = millis(resume)
 	}
 	scene.ExtraTokens = s.Work() - before - len(prompt) - answerTokens
 	if err == nil {
 		c := engine.Completion{Model: demoModel, Prompt: prompt, MaxTokens: answerTokens}
 		err = standin.Verify(c, "1", answer.TokenIDs, true)
 	}
-	scene.OK, scene.Check = err == nil && broken, "every token follows from its prefix"
+	scene.OK, scene.Check = err == nil && faultInjected, "every token follows from its prefix"
 	if err != nil {
 		scene.Check = err.Error()
 	}
@@ -159,7 +160,7 @@
 
 func (s *system) engineDies(ctx context.Context) Scene {
 	scene := s.generate(ctx, "demo-2", "Unit 31: no hot water since Tuesday, pressure normal. Diagnose.", func() { s.KillRunningEngine() })
-	scene.Name, scene.What = "engine dies", fmt.Sprintf("the engine is killed after %d tokens", breakAt)
+	scene.Name, scene.What = "engine dies", fmt.Sprintf("the engine is killed after %d tokens", faultAtToken)
 	return scene
 }
 
--- a/internal/demo/rollout.go
+++ b/internal/demo/rollout.go
@@ -14,21 +14,21 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/timer"
 )
 
-// Figures of the roll-out.
+// Constants of the roll-out scene.
 const (
-	rolloutTakes   = 8 * time.Second
-	rolloutCallers = 8
-	callPause      = 20 * time.Millisecond
-	lookPause      = 100 * time.Millisecond
+	rolloutDuration = 8 * time.Second
+	rolloutCallers  = 8
+	callInterval    = 20 * time.Millisecond
+	pollInterval    = 100 * time.Millisecond
 )
 
-// badVersion rolls out a version that fails half of its calls.
+// badVersion rolls out a version that fails half of its calls. The roll-out must be reverted.
 func (s *system) badVersion(ctx context.Context) Scene {
 	scene := Scene{Name: "bad version", What: "a service rolled out to a version that fails half of its calls"}
 	var reached, calls atomic.Int64
-	r, err := rollOutBad(ctx, &reached, &calls)
+	r, err := runBadRollout(ctx, &reached, &calls)
 	if err == nil && r.Phase != rollout.Reverted {
-		err = fmt.Errorf("the roll-out is %v", r.Phase)
+		err = fmt.Errorf("the roll-out is %v, want it reverted", r.Phase)
 	}
 	scene.ServiceRuns = int(calls.Load())
 	scene.OK, scene.Check = err == nil, fmt.Sprintf("reverted with %d of %d calls", reached.Load(), calls.Load())
@@ -38,8 +38,8 @@
 	return scene
 }
 
-func rollOutBad(ctx context.Context, reached, calls *atomic.Int64) (rollout.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, routedLimit)
+func runBadRollout(ctx context.Context, reached, calls *atomic.Int64) (rollout.Record, error) {
+	ctx, cancel := context.WithTimeout(ctx, routedTimeout)
 	defer cancel()
 	r, err := routedlocal.Start()
 	if err != nil {
@@ -61,17 +61,17 @@
 	}
 	defer callers.Wait()
 	defer cancel()
-	_, err = r.Controls[0].PutRollout(ctx, rollout.Order{Service: routedlocal.DeskService, To: "v2", Duration: rolloutTakes})
+	_, err = r.Controls[0].PutRollout(ctx, rollout.Order{Service: routedlocal.DeskService, To: "v2", Duration: rolloutDuration})
 	if err != nil {
 		return rollout.Record{}, err
 	}
 	if err := r.AddDesk("v2", failHalf(reached)); err != nil {
 		return rollout.Record{}, err
 	}
-	return outcome(ctx, r)
+	return waitForOutcome(ctx, r)
 }
 
-// failHalf counts the calls that reach a version and fails every second one.
+// failHalf counts the calls that reach a version and fails every second call.
 func failHalf(reached *atomic.Int64) routedlocal.Spoil {
 	return func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		if reached.Add(1)%2 == 0 {
@@ -82,21 +82,22 @@
 	}
 }
 
-// callDesk sends calls until ctx ends. Some of them fail: that is what is looked for.
+// callDesk sends calls until ctx ends. It ignores failures, which the failing version causes
+// and the roll-out detects.
 func callDesk(ctx context.Context, r *routedlocal.System, caller int, calls *atomic.Int64) {
-	for timer.Sleep(ctx, callPause) == nil {
+	for timer.Sleep(ctx, callInterval) == nil {
 		n := calls.Add(1)
 		_, _ = routedlocal.Call(ctx, r.Fronts[caller%len(r.Fronts)], "/look/1", fmt.Sprint("demo-call-", n))
 	}
 }
 
-func outcome(ctx context.Context, r *routedlocal.System) (rollout.Record, error) {
+func waitForOutcome(ctx context.Context, r *routedlocal.System) (rollout.Record, error) {
 	for {
 		record, err := r.Controls[0].Rollout(ctx, routedlocal.DeskService)
 		if err == nil && record.Phase.Over() {
 			return record, nil
 		}
-		if err := timer.Sleep(ctx, lookPause); err != nil {
+		if err := timer.Sleep(ctx, pollInterval); err != nil {
 			return record, err
 		}
 	}
--- a/internal/demo/routed.go
+++ b/internal/demo/routed.go
@@ -8,18 +8,18 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/routedlocal"
 )
 
-// routedLimit bounds the routed scene.
-const routedLimit = 30 * time.Second
+// routedTimeout bounds each scene that runs a routed system.
+const routedTimeout = 30 * time.Second
 
-// zoneDies runs a routed system of its own and loses the zone that a stream's
-// engine is in.
+// zoneDies starts a separate routed system and kills all engines in the zone of a stream's
+// engine.
 func (s *system) zoneDies(ctx context.Context) Scene {
 	scene := Scene{Name: "zone dies", What: "a routed stream whose engine is lost with all engines of its zone"}
-	got, err := loseZone(ctx)
+	got, err := streamThroughZoneLoss(ctx)
 	if err == nil && (!got.Whole || !routedlocal.Complete(got.IDs, routedlocal.Events)) {
 		err = errors.New("an event is missing or came twice")
 	}
-	scene.Tokens, scene.ResumeMS = len(got.IDs), ms(got.Longest)
+	scene.Tokens, scene.ResumeMS = len(got.IDs), millis(got.Longest)
 	scene.OK, scene.Check = err == nil, "each event came once, in order"
 	if err != nil {
 		scene.Check = err.Error()
@@ -27,8 +27,8 @@
 	return scene
 }
 
-func loseZone(ctx context.Context) (routedlocal.Received, error) {
-	ctx, cancel := context.WithTimeout(ctx, routedLimit)
+func streamThroughZoneLoss(ctx context.Context) (routedlocal.Received, error) {
+	ctx, cancel := context.WithTimeout(ctx, routedTimeout)
 	defer cancel()
 	r, err := routedlocal.Start()
 	if err != nil {
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -26,16 +26,17 @@
 //	12s restart vm 2
 //	13s break service 1 after
 //
-// Numbers count from 1; "engine busy" is one that has work.
+// Numbers count from 1; "engine busy" is the last engine with running work.
 type Fault struct {
 	At     time.Duration
 	Op     string
 	Target string // "engine", "vm" or "service"
-	Number int    // 0: one that has work
+	Number int    // 0: the last engine with running work
 	Arg    string
 }
 
-// ParseFaults reads a fault script; empty lines and lines with # are skipped.
+// ParseFaults reads a fault script and sorts the faults by time. It skips empty lines and
+// lines that begin with #.
 func ParseFaults(r io.Reader) ([]Fault, error) {
 	var out []Fault
 	scanner := bufio.NewScanner(r)
@@ -54,27 +55,27 @@
 	return out, scanner.Err()
 }
 
-var faultOps = map[string]int{ // words behind the number
+var faultArgCounts = map[string]int{ // number of arguments after the target's number
 	"kill engine": 0, "revive engine": 0, "pause engine": 1, "slow engine": 1,
 	"kill vm": 0, "restart vm": 0, "break service": 1,
 }
 
 func parseFault(words []string) (Fault, error) {
 	if len(words) < 4 {
-		return Fault{}, fmt.Errorf("want: TIME OP engine|vm NUMBER [ARG], got %d words", len(words))
+		return Fault{}, fmt.Errorf("got %d words, want: TIME OP engine|vm|service NUMBER [ARG]", len(words))
 	}
 	at, err := time.ParseDuration(words[0])
 	if err != nil {
 		return Fault{}, err
 	}
 	f := Fault{At: at, Op: words[1], Target: words[2]}
-	args, ok := faultOps[f.Op+" "+f.Target]
+	args, ok := faultArgCounts[f.Op+" "+f.Target]
 	if !ok || len(words) != 4+args {
 		return Fault{}, fmt.Errorf("unknown fault %q", strings.Join(words[1:], " "))
 	}
 	if words[3] != "busy" {
 		if f.Number, err = strconv.Atoi(words[3]); err != nil || f.Number < 1 {
-			return Fault{}, fmt.Errorf("bad number %q", words[3])
+			return Fault{}, fmt.Errorf("bad number %q; want a whole number from 1, or busy", words[3])
 		}
 	}
 	if args == 1 {
@@ -92,23 +93,23 @@
 		_, err = strconv.ParseFloat(f.Arg, 64)
 	case "break":
 		if _, ok := breakPoints[f.Arg]; !ok {
-			err = fmt.Errorf("break: before, after or within, not %q", f.Arg)
+			err = fmt.Errorf("bad break point %q; want before, after or within", f.Arg)
 		}
 	}
 	return err
 }
 
-// inject plays the faults on a local system.
-func inject(ctx context.Context, s *local.System, faults []Fault, start time.Time, say func(string)) {
+// injectFaults applies the faults to a local system at their times after start.
+func injectFaults(ctx context.Context, s *local.System, faults []Fault, start time.Time, progress func(string)) {
 	for _, f := range faults {
 		if !sleepUntil(ctx, start.Add(f.At)) {
 			return
 		}
 		if err := f.apply(s); err != nil {
-			say("fault not applied: " + err.Error())
+			progress("fault not applied: " + err.Error())
 			continue
 		}
-		say(fmt.Sprintf("fault: %s %s %d %s", f.Op, f.Target, f.Number, f.Arg))
+		progress(fmt.Sprintf("fault: %s %s %d %s", f.Op, f.Target, f.Number, f.Arg))
 	}
 }
 
@@ -122,7 +123,7 @@
 		return f.applyVM(s)
 	case "service":
 		if f.Number > len(s.Services) || f.Number == 0 {
-			return fmt.Errorf("no service %d", f.Number)
+			return fmt.Errorf("service %d does not exist", f.Number)
 		}
 		s.Services[f.Number-1].Break(breakPoints[f.Arg])
 		return nil
@@ -132,7 +133,7 @@
 
 func (f *Fault) applyVM(s *local.System) error {
 	if f.Number > len(s.Nodes) || f.Number == 0 {
-		return fmt.Errorf("no VM %d", f.Number)
+		return fmt.Errorf("VM %d does not exist", f.Number)
 	}
 	if f.Op == "restart" {
 		return s.RestartVM(f.Number - 1)
@@ -149,7 +150,7 @@
 		}
 	}
 	if n < 1 || n > len(s.Engines) {
-		return fmt.Errorf("no engine %d", n)
+		return fmt.Errorf("engine %d does not exist or no engine is busy", n)
 	}
 	e := s.Engines[n-1]
 	switch f.Op {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,23 +14,23 @@
 	a := Schedule(p, 7, time.Minute, 1)
 	b := Schedule(p, 7, time.Minute, 1)
 	if len(a) != len(b) || a[len(a)/2] != b[len(b)/2] {
-		t.Error("equal seeds gave different schedules")
+		t.Error("equal seeds gave different schedules, want equal ones")
 	}
 	want := 0.0
 	for _, c := range p.Classes {
 		want += c.Rate * 60
 	}
 	if got := float64(len(a)); got < want*0.9 || got > want*1.1 {
-		t.Errorf("%v arrivals in a minute, want about %v", got, want)
+		t.Errorf("got %v arrivals in a minute, want %v within 10%%", got, want)
 	}
 	for i := 1; i < len(a); i++ {
 		if a[i].At < a[i-1].At {
-			t.Fatal("arrivals out of order")
+			t.Fatal("arrivals are out of order, want them sorted by time")
 		}
 	}
 }
 
-func TestProfilesAndScriptsAreRefusedWithTheReason(t *testing.T) {
+func TestInvalidProfilesAndScriptsAreRejected(t *testing.T) {
 	for _, tc := range []struct{ name, profile, faults, want string }{
 		{"unknown key", "[workspaces]\na=1\n[class:x]\nkind=call\nrate=1\nmethod=GET\npath=/p\nrat=2\n", "", "rat"},
 		{"bad kind", "[workspaces]\na=1\n[class:x]\nkind=vote\nrate=1\n", "", "generation or call"},
@@ -48,7 +48,7 @@
 				_, err = parseProfile([]byte(tc.profile))
 			}
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("got %v, want a reason with %q", err, tc.want)
+				t.Errorf("got error %v, want one that contains %q", err, tc.want)
 			}
 		})
 	}
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -12,8 +12,8 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// SavePlot writes requests a second, served and refused, over the run; the
-// file's ending (.svg, .png, .pdf) says the format.
+// SavePlot plots the requests sent, served and refused in each second of the run. The
+// extension of path (.svg, .png, .pdf) selects the format.
 func (r *Report) SavePlot(path string) error {
 	p := plot.New()
 	p.Title.Text = "what callers received, by second of arrival"
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -1,7 +1,8 @@
-// Package load is an open-loop load tool: requests leave at the times that an
-// arrival process sets, whether or not earlier ones have been answered, and
-// every latency counts from the intended time. A closed loop would send less the
-// slower the system answers, and so hide the very stalls it should show.
+// Package load is an open-loop load generator. It sends requests at the times of an
+// arrival process, whether or not earlier requests have been answered, and measures every
+// latency from the intended time. A closed loop would send fewer requests the slower the
+// system answers, and would hide the stalls that it is meant to show (coordinated
+// omission).
 package load
 
 import (
@@ -20,32 +21,32 @@
 var Error = errs.Class("load")
 
 //go:embed profiles/*.ini
-var builtin embed.FS
+var builtinProfiles embed.FS
 
-// Kind is what a class sends.
+// Kind is the kind of request that a class sends.
 type Kind string
 
-// The kinds.
+// Kinds of requests: a generation on an engine, or a call to a plain service.
 const (
 	KindGeneration Kind = "generation"
 	KindCall       Kind = "call"
 )
 
-// Class is one stream of requests.
+// Class is a group of similar requests with an arrival process of its own.
 type Class struct {
 	Name         string
 	Kind         Kind    `ini:"kind"`
-	Rate         float64 `ini:"rate"` // a second
+	Rate         float64 `ini:"rate"` // requests per second
 	PromptTokens int     `ini:"prompt_tokens"`
 	MaxTokens    int     `ini:"max_tokens"`
-	Spread       float64 `ini:"spread"` // sigma of the lognormal sizes
+	Spread       float64 `ini:"spread"` // sigma of the lognormal distribution of sizes
 	Priority     int     `ini:"priority"`
 	DeadlineMS   int64   `ini:"deadline_ms"`
 	Method       string  `ini:"method"`
 	Path         string  `ini:"path"`
 }
 
-// SystemSize is what a local run starts.
+// SystemSize describes the system that a local run starts.
 type SystemSize struct {
 	VMs            int    `ini:"vms"`
 	Zones          int    `ini:"zones"`
@@ -56,22 +57,23 @@
 	Objective      string `ini:"objective"`
 }
 
-// Workspace is a customer with its share of the requests.
+// Workspace is a customer with its share of the requests, relative to the sum of weights.
 type Workspace struct {
 	Name   string
 	Weight float64
 }
 
-// Profile is a workload.
+// Profile is a workload: the classes of requests, the workspaces that send them, and the
+// system that serves them in a local run.
 type Profile struct {
 	System     SystemSize
 	Workspaces []Workspace
 	Classes    []Class
 }
 
-// LoadProfile reads a built-in profile by name, or a file.
+// LoadProfile reads the built-in profile of that name, or else the file at that path.
 func LoadProfile(nameOrPath string) (*Profile, error) {
-	data, err := builtin.ReadFile("profiles/" + nameOrPath + ".ini")
+	data, err := builtinProfiles.ReadFile("profiles/" + nameOrPath + ".ini")
 	if err != nil {
 		data, err = os.ReadFile(nameOrPath)
 	}
@@ -87,7 +89,7 @@
 		return nil, Error.New("profile: %w", err)
 	}
 	p := &Profile{}
-	if err := onlyKeys(f.Section("system"), systemKeys); err != nil {
+	if err := checkKeys(f.Section("system"), systemKeys); err != nil {
 		return nil, err
 	}
 	if err := f.Section("system").StrictMapTo(&p.System); err != nil {
@@ -96,7 +98,7 @@
 	for _, key := range f.Section("workspaces").Keys() {
 		weight, err := key.Float64()
 		if err != nil || weight <= 0 {
-			return nil, Error.New("profile [workspaces] %s: a weight above 0", key.Name())
+			return nil, Error.New("profile [workspaces] %s: bad weight; want a number above 0", key.Name())
 		}
 		p.Workspaces = append(p.Workspaces, Workspace{key.Name(), weight})
 	}
@@ -106,7 +108,7 @@
 			continue
 		}
 		c := Class{Name: name}
-		if err := onlyKeys(sec, classKeys); err != nil {
+		if err := checkKeys(sec, classKeys); err != nil {
 			return nil, err
 		}
 		if err := sec.StrictMapTo(&c); err != nil {
@@ -122,8 +124,9 @@
 	systemKeys = []string{"vms", "zones", "engines", "model", "service", "service_servers", "objective"}
 )
 
-// onlyKeys refuses a misspelt key, which would else leave its default in force.
-func onlyKeys(sec *ini.Section, allowed []string) error {
+// checkKeys returns an error for an unknown key. A misspelt key would otherwise leave its
+// default in force unnoticed.
+func checkKeys(sec *ini.Section, allowed []string) error {
 	for _, key := range sec.Keys() {
 		if !slices.Contains(allowed, key.Name()) {
 			return Error.New("profile [%s] %s: unknown key; allowed: %s", sec.Name(), key.Name(), strings.Join(allowed, ", "))
@@ -147,13 +150,13 @@
 func (c *Class) check() error {
 	switch {
 	case c.Rate <= 0:
-		return errors.New("rate: above 0")
+		return errors.New("bad rate; want a number above 0")
 	case c.Kind == KindGeneration && (c.PromptTokens < 1 || c.MaxTokens < 1):
-		return errors.New("prompt_tokens and max_tokens: at least 1")
+		return errors.New("bad prompt_tokens or max_tokens; want at least 1 each")
 	case c.Kind == KindCall && (!slices.Contains([]string{"GET", "POST", "PUT", "DELETE"}, c.Method) || !strings.HasPrefix(c.Path, "/")):
-		return errors.New("method: GET, POST, PUT or DELETE; path: begins with /")
+		return errors.New("bad method or path; want GET, POST, PUT or DELETE, and a path that begins with /")
 	case c.Kind != KindGeneration && c.Kind != KindCall:
-		return errors.New("kind: generation or call")
+		return errors.New("bad kind; want generation or call")
 	}
 	return nil
 }
--- a/internal/load/random.go
+++ b/internal/load/random.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// Figures of random faults. A VM that was lost is given time to be evicted and
-// its journals to be moved before the next one goes, as the promise has it; two
-// at once count as one loss.
+// Constants of random faults. The system guarantees to survive the loss of one or two VMs at
+// once if it can then evict them and move their journals. The interval between VM faults
+// leaves the time for that.
 const (
-	vmFaultEvery     = 9 * time.Second
-	vmDownFor        = 4 * time.Second
-	engineFaultEvery = 1500 * time.Millisecond
-	engineDownFor    = 3 * time.Second
-	serviceBreaks    = 700 * time.Millisecond
-	faultsFrom       = 2 * time.Second // the system is loaded by then
+	vmFaultInterval      = 9 * time.Second
+	vmDowntime           = 4 * time.Second
+	engineFaultInterval  = 1500 * time.Millisecond
+	engineDowntime       = 3 * time.Second
+	serviceBreakInterval = 700 * time.Millisecond
+	firstFaultAt         = 2 * time.Second // the system is under load by then
 )
 
-// RandomFaults draws a fault schedule: VMs lost alone or in pairs and restarted,
-// engines killed, paused and slowed, connections of services broken. Equal
+// RandomFaults generates a fault schedule. VMs are killed alone or in pairs and restarted,
+// engines are killed, paused and slowed, and connections to services are broken. Equal
 // seeds give equal schedules.
 func RandomFaults(seed uint64, size SystemSize, duration time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0xfa))
 	var out []Fault
 	jitter := func(d time.Duration) time.Duration { return d/2 + time.Duration(rng.Int64N(int64(d))) }
-	for at := faultsFrom + jitter(vmFaultEvery/3); at < duration; at += vmFaultEvery + jitter(time.Second) {
+	for at := firstFaultAt + jitter(vmFaultInterval/3); at < duration; at += vmFaultInterval + jitter(time.Second) {
 		out = append(out, vmFaults(rng, at, size.VMs)...)
 	}
-	for at := faultsFrom; at < duration; at += jitter(engineFaultEvery) {
+	for at := firstFaultAt; at < duration; at += jitter(engineFaultInterval) {
 		out = append(out, engineFaults(rng, at, size.Engines)...)
 	}
-	for at := faultsFrom; size.ServiceServers > 0 && at < duration; at += jitter(serviceBreaks) {
+	for at := firstFaultAt; size.ServiceServers > 0 && at < duration; at += jitter(serviceBreakInterval) {
 		where := []string{"before", "after", "within"}[rng.IntN(3)]
 		out = append(out, Fault{At: at, Op: "break", Target: "service", Number: 1 + rng.IntN(size.ServiceServers), Arg: where})
 	}
@@ -41,7 +41,7 @@
 	return out
 }
 
-// vmFaults loses one VM or two together, and starts them again.
+// vmFaults kills one VM, or two at the same time, and restarts them after vmDowntime.
 func vmFaults(rng *rand.Rand, at time.Duration, vms int) []Fault {
 	first := rng.IntN(vms)
 	lost := []int{first}
@@ -52,7 +52,7 @@
 	for _, vm := range lost {
 		out = append(out,
 			Fault{At: at, Op: "kill", Target: "vm", Number: vm + 1},
-			Fault{At: at + vmDownFor, Op: "restart", Target: "vm", Number: vm + 1})
+			Fault{At: at + vmDowntime, Op: "restart", Target: "vm", Number: vm + 1})
 	}
 	return out
 }
@@ -63,7 +63,7 @@
 	case 0:
 		return []Fault{
 			{At: at, Op: "kill", Target: "engine", Number: n},
-			{At: at + engineDownFor, Op: "revive", Target: "engine", Number: n},
+			{At: at + engineDowntime, Op: "revive", Target: "engine", Number: n},
 		}
 	case 1:
 		pause := time.Duration(1+rng.IntN(4)) * time.Second
@@ -71,7 +71,7 @@
 	default:
 		return []Fault{
 			{At: at, Op: "slow", Target: "engine", Number: n, Arg: strconv.Itoa(2 + rng.IntN(8))},
-			{At: at + engineDownFor, Op: "slow", Target: "engine", Number: n, Arg: "1"},
+			{At: at + engineDowntime, Op: "slow", Target: "engine", Number: n, Arg: "1"},
 		}
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -13,80 +13,81 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Histograms hold microseconds up to ten minutes with three digits.
+// Histograms hold microseconds up to ten minutes with three significant digits.
 const (
 	histMax    = int64(10 * time.Minute / time.Microsecond)
 	histDigits = 3
 )
 
-// Sample is what one caller received.
+// Sample is the result of one request as its caller received it.
 type Sample struct {
-	Key        string
-	Class      string
-	Workspace  string
-	At         time.Duration // intended
-	Late       time.Duration // that this tool sent it after that
-	First      time.Duration // to the first token, from the intended time
-	Total      time.Duration
-	LongestGap time.Duration
-	Tokens     int
-	Cost       int // prompt and answer, of an unbroken run
-	Reconnects int
-	Code       result.Code // 0: served
-	Wrong      string      // what is wrong with the answer
+	Key            string
+	Class          string
+	Workspace      string
+	At             time.Duration // intended time of the send, from the start of the run
+	SendDelay      time.Duration // from the intended to the actual send
+	First          time.Duration // from the intended time to the first token or a call's answer
+	Total          time.Duration
+	LongestGap     time.Duration
+	Tokens         int
+	UnbrokenTokens int // tokens of prompt and answer that a run without faults computes
+	Reconnects     int
+	Code           result.Code // 0: served
+	WrongReason    string      // why the answer is wrong; empty: it is correct
 }
 
-// ClassReport is the account of one class. Times are milliseconds.
+// ClassReport holds the results of one class. Times are in milliseconds.
 type ClassReport struct {
-	Class     string         `json:"class"`
-	Sent      int            `json:"sent"`
-	Served    int            `json:"served"`
-	NotSent   int            `json:"not_sent"`
-	Wrong     int            `json:"wrong"`
-	Refused   map[string]int `json:"refused"`
-	FirstP50  float64        `json:"first_p50_ms"`
-	FirstP95  float64        `json:"first_p95_ms"`
-	FirstP99  float64        `json:"first_p99_ms"`
-	GapP50    float64        `json:"gap_p50_ms"`
-	GapP95    float64        `json:"gap_p95_ms"`
-	GapP99    float64        `json:"gap_p99_ms"`
-	TotalP50  float64        `json:"total_p50_ms"`
-	TotalP99  float64        `json:"total_p99_ms"`
-	WorstGap  float64        `json:"worst_gap_ms"`
-	RefusedIn float64        `json:"refused_p50_ms"`
+	Class      string         `json:"class"`
+	Sent       int            `json:"sent"`
+	Served     int            `json:"served"`
+	NotSent    int            `json:"not_sent"`
+	Wrong      int            `json:"wrong"`
+	Refused    map[string]int `json:"refused"`
+	FirstP50   float64        `json:"first_p50_ms"`
+	FirstP95   float64        `json:"first_p95_ms"`
+	FirstP99   float64        `json:"first_p99_ms"`
+	GapP50     float64        `json:"gap_p50_ms"`
+	GapP95     float64        `json:"gap_p95_ms"`
+	GapP99     float64        `json:"gap_p99_ms"`
+	TotalP50   float64        `json:"total_p50_ms"`
+	TotalP99   float64        `json:"total_p99_ms"`
+	WorstGap   float64        `json:"worst_gap_ms"`
+	RefusedP50 float64        `json:"refused_p50_ms"`
 }
 
-// Second is one second of the run.
+// Second holds the results of the requests that were due in one second of the run.
 type Second struct {
-	At      int     `json:"at"`
-	Sent    int     `json:"sent"`
-	Served  int     `json:"served"`
-	Refused int     `json:"refused"`
-	WorstMS float64 `json:"worst_first_ms"`
+	At           int     `json:"at"`
+	Sent         int     `json:"sent"`
+	Served       int     `json:"served"`
+	Refused      int     `json:"refused"`
+	WorstFirstMS float64 `json:"worst_first_ms"`
 }
 
-// Report is the account of a run.
+// Report holds the results of a run. Times are in milliseconds unless the name says otherwise.
 type Report struct {
-	Seed         uint64        `json:"seed"`
-	Seconds      float64       `json:"seconds"`
-	Arrivals     int           `json:"arrivals"`
-	Classes      []ClassReport `json:"classes"`
-	Tokens       int           `json:"tokens"`
-	ExtraShare   float64       `json:"extra_work_share"` // of engine work, local runs only
-	EngineTokens int           `json:"engine_tokens"`
-	UnbrokenCost int           `json:"unbroken_tokens"`
-	Reconnects   int           `json:"reconnects"`
-	SentLateP99  float64       `json:"sent_late_p99_ms"`
-	Edits        int           `json:"edits"` // of the lists that were accepted, local runs only
-	InForceP50   float64       `json:"in_force_p50_ms"`
-	InForceMax   float64       `json:"in_force_max_ms"`
-	Timeline     []Second      `json:"timeline"`
-	WrongAnswers []string      `json:"wrong_answers,omitempty"`
-	Failures     []Failure     `json:"failures,omitempty"` // the first maxFailures
-	Slowest      []Failure     `json:"slowest,omitempty"`  // first tokens, the worst maxSlowest
+	Seed           uint64        `json:"seed"`
+	Seconds        float64       `json:"seconds"`
+	Arrivals       int           `json:"arrivals"`
+	Classes        []ClassReport `json:"classes"`
+	Tokens         int           `json:"tokens"`
+	ExtraShare     float64       `json:"extra_work_share"` // of engine work; only in local runs
+	EngineTokens   int           `json:"engine_tokens"`
+	UnbrokenTokens int           `json:"unbroken_tokens"`
+	Reconnects     int           `json:"reconnects"`
+	SentLateP99    float64       `json:"sent_late_p99_ms"`
+	Edits          int           `json:"edits"` // accepted edits of the lists; only in local runs
+	InForceP50     float64       `json:"in_force_p50_ms"`
+	InForceMax     float64       `json:"in_force_max_ms"`
+	Timeline       []Second      `json:"timeline"`
+	WrongAnswers   []string      `json:"wrong_answers,omitempty"`
+	Failures       []Failure     `json:"failures,omitempty"` // the first maxFailures of them
+	Slowest        []Failure     `json:"slowest,omitempty"`  // the maxSlowest requests with the latest first tokens
 }
 
-// Failure is a request that was not served, or late, for `amaranthshelf explain`.
+// Failure identifies a request that was slow or not served, so that `amaranthshelf explain`
+// can look it up.
 type Failure struct {
 	Key       string  `json:"key"`
 	Workspace string  `json:"workspace"`
@@ -101,33 +102,33 @@
 	maxSlowest  = 5
 )
 
-// OK reports whether no answer was wrong.
+// OK reports whether every answer was correct.
 func (r *Report) OK() bool { return len(r.WrongAnswers) == 0 }
 
 type classRecord struct {
-	sent, served, notSent, wrong int
-	refused                      map[string]int
-	first, gap, total, refusedIn *hdrhistogram.Histogram
-	worstGap                     time.Duration
+	sent, served, notSent, wrong   int
+	refused                        map[string]int
+	first, gap, total, refusalTime *hdrhistogram.Histogram
+	worstGap                       time.Duration
 }
 
 type recorder struct {
-	mu       sync.Mutex
-	classes  map[string]*classRecord
-	order    []string
-	late     *hdrhistogram.Histogram
-	timeline []Second
-	totals   Report
+	mu        sync.Mutex
+	classes   map[string]*classRecord
+	order     []string
+	sendDelay *hdrhistogram.Histogram
+	timeline  []Second
+	totals    Report
 }
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, histMax, histDigits) }
 
 func newRecorder(o Options) *recorder {
-	r := &recorder{classes: map[string]*classRecord{}, late: histogram()}
+	r := &recorder{classes: map[string]*classRecord{}, sendDelay: histogram()}
 	for _, c := range o.Profile.Classes {
 		r.order = append(r.order, c.Name)
 		r.classes[c.Name] = &classRecord{
-			refused: map[string]int{}, first: histogram(), gap: histogram(), total: histogram(), refusedIn: histogram(),
+			refused: map[string]int{}, first: histogram(), gap: histogram(), total: histogram(), refusalTime: histogram(),
 		}
 	}
 	r.timeline = make([]Second, int(o.Duration/time.Second)+1)
@@ -137,15 +138,15 @@
 	return r
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// RecordValue fails only above the histogram's top: keep it there.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	// RecordValue fails only above histMax, so the value is clamped.
 	_ = h.RecordValue(min(max(1, d.Microseconds()), histMax))
 }
 
 func (r *recorder) gap(class string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record(r.classes[class].gap, d)
+	recordDuration(r.classes[class].gap, d)
 }
 
 func (r *recorder) notSent(a Arrival) {
@@ -159,17 +160,17 @@
 	defer r.mu.Unlock()
 	c := r.classes[s.Class]
 	c.sent++
-	record(r.late, s.Late)
+	recordDuration(r.sendDelay, s.SendDelay)
 	second := &r.timeline[min(int(s.At/time.Second), len(r.timeline)-1)]
 	second.Sent++
 	r.totals.Reconnects += s.Reconnects
-	if s.Wrong != "" {
+	if s.WrongReason != "" {
 		c.wrong++
-		r.totals.WrongAnswers = append(r.totals.WrongAnswers, s.Class+": "+s.Wrong)
+		r.totals.WrongAnswers = append(r.totals.WrongAnswers, s.Class+": "+s.WrongReason)
 	}
 	if s.Code != 0 {
 		c.refused[codeName(s.Code)]++
-		record(c.refusedIn, s.Total)
+		recordDuration(c.refusalTime, s.Total)
 		second.Refused++
 		if len(r.totals.Failures) < maxFailures {
 			r.totals.Failures = append(r.totals.Failures, Failure{
@@ -180,17 +181,17 @@
 	}
 	c.served++
 	second.Served++
-	second.WorstMS = max(second.WorstMS, millis(s.First))
-	record(c.first, s.First)
-	record(c.total, s.Total)
+	second.WorstFirstMS = max(second.WorstFirstMS, millis(s.First))
+	recordDuration(c.first, s.First)
+	recordDuration(c.total, s.Total)
 	c.worstGap = max(c.worstGap, s.LongestGap)
-	r.slow(s)
+	r.keepSlowest(s)
 	r.totals.Tokens += s.Tokens
-	r.totals.UnbrokenCost += s.Cost
+	r.totals.UnbrokenTokens += s.UnbrokenTokens
 }
 
-// slow keeps the requests whose first token came last.
-func (r *recorder) slow(s Sample) {
+// keepSlowest adds s to the slowest requests if its first token was among the latest.
+func (r *recorder) keepSlowest(s Sample) {
 	list := append(r.totals.Slowest, Failure{s.Key, s.Workspace, millis(s.At), millis(s.First), s.Tokens, "first token"})
 	slices.SortFunc(list, func(a, b Failure) int { return cmp.Compare(b.TookMS, a.TookMS) })
 	r.totals.Slowest = list[:min(len(list), maxSlowest)]
@@ -209,7 +210,7 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-func (r *recorder) line() string {
+func (r *recorder) progressLine() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var parts []string
@@ -220,12 +221,12 @@
 	return strings.Join(parts, ", ")
 }
 
-func (r *recorder) finish(o Options, arrivals int) *Report {
+func (r *recorder) report(o Options, arrivals int) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.totals
 	out.Seed, out.Seconds, out.Arrivals = o.Seed, o.Duration.Seconds(), arrivals
-	out.SentLateP99 = quantile(r.late, 99)
+	out.SentLateP99 = quantile(r.sendDelay, 99)
 	out.Timeline = slices.Clone(r.timeline)
 	for _, name := range r.order {
 		out.Classes = append(out.Classes, r.classes[name].report(name))
@@ -239,11 +240,11 @@
 		FirstP50: quantile(c.first, 50), FirstP95: quantile(c.first, 95), FirstP99: quantile(c.first, 99),
 		GapP50: quantile(c.gap, 50), GapP95: quantile(c.gap, 95), GapP99: quantile(c.gap, 99),
 		TotalP50: quantile(c.total, 50), TotalP99: quantile(c.total, 99),
-		WorstGap: millis(c.worstGap), RefusedIn: quantile(c.refusedIn, 50),
+		WorstGap: millis(c.worstGap), RefusedP50: quantile(c.refusalTime, 50),
 	}
 }
 
-// Text is the report for people.
+// Text formats the report as text.
 func (r *Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, %.0f s, %d arrivals, sent late p99 %.1f ms\n", r.Seed, r.Seconds, r.Arrivals, r.SentLateP99)
@@ -258,7 +259,7 @@
 	}
 	fmt.Fprintf(&b, "%d tokens to callers, %d reconnects\n", r.Tokens, r.Reconnects)
 	if r.EngineTokens > 0 {
-		fmt.Fprintf(&b, "engines computed %d tokens for %d of unbroken runs (a cached prefix counts as saved)\n", r.EngineTokens, r.UnbrokenCost)
+		fmt.Fprintf(&b, "engines computed %d tokens for %d of unbroken runs (a cached prefix counts as saved)\n", r.EngineTokens, r.UnbrokenTokens)
 	}
 	if r.Edits > 0 {
 		fmt.Fprintf(&b, "%d edits of the lists accepted, in force everywhere after p50 %.0f, at most %.0f ms\n", r.Edits, r.InForceP50, r.InForceMax)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,50 +16,51 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/standin"
 )
 
-// maxInFlight bounds the requests under way: beyond it an arrival is counted as
-// not sent, so that a dead system cannot exhaust this machine's memory.
+// maxInFlight bounds the requests in flight. An arrival above the bound is counted as not
+// sent. Without the bound, a system that does not answer could exhaust the memory of the
+// load generator's machine.
 const maxInFlight = 4096
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
-	Profile  *Profile
-	Seed     uint64
-	Duration time.Duration
-	Scale    float64       // of all rates
-	Drain    time.Duration // for answers after the last arrival
-	Faults   []Fault
-	Addrs    []string                      // callers' addresses
-	KeyOf    func(workspace string) string // workspace keys
-	System   *local.System                 // for faults and counts; nil with real addresses
-	Progress func(string)
+	Profile     *Profile
+	Seed        uint64
+	Duration    time.Duration
+	Scale       float64       // factor on all rates
+	Drain       time.Duration // maximum wait for answers after the last arrival
+	Faults      []Fault
+	CallerAddrs []string                      // callers' addresses of the VMs
+	KeyOf       func(workspace string) string // returns a workspace's key
+	System      *local.System                 // local system for faults, edits and counts; nil for a remote system
+	Progress    func(string)
 }
 
-// Run sends the schedule and reports what callers received.
+// Run sends the requests of the schedule, waits for their answers, and reports the results.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	arrivals := Schedule(o.Profile, o.Seed, o.Duration, o.Scale)
 	if len(arrivals) == 0 {
-		return nil, Error.New("the schedule is empty; longer duration or higher rate")
+		return nil, Error.New("the schedule is empty; use a longer duration or a higher rate")
 	}
-	r := &runner{o: o, rec: newRecorder(o), slots: make(chan struct{}, maxInFlight), clients: map[string]*client.Client{}}
+	r := &runner{opts: o, rec: newRecorder(o), slots: make(chan struct{}, maxInFlight), clients: map[string]*client.Client{}}
 	for _, w := range o.Profile.Workspaces {
-		r.clients[w.Name] = client.NewLocated(client.NewLocator(o.Addrs, o.KeyOf(w.Name), "", "load-"+w.Name))
+		r.clients[w.Name] = client.NewLocated(client.NewLocator(o.CallerAddrs, o.KeyOf(w.Name), "", "load-"+w.Name))
 	}
-	before := r.work()
+	before := r.engineTokens()
 	r.start = time.Now()
 	finishEdits := func(*Report) {}
 	if o.System != nil {
-		go inject(ctx, o.System, o.Faults, r.start, o.Progress)
+		go injectFaults(ctx, o.System, o.Faults, r.start, o.Progress)
 		finishEdits = startEdits(ctx, o)
 	}
 	r.sendAll(ctx, arrivals)
-	report := r.rec.finish(o, len(arrivals))
+	report := r.rec.report(o, len(arrivals))
 	finishEdits(report)
-	report.EngineTokens = r.work() - before
+	report.EngineTokens = r.engineTokens() - before
 	return report, nil
 }
 
-// startEdits edits the lists during the run; the returned function ends that and
-// adds what came of it to the report.
+// startEdits starts an editor of the lists for the run. The returned function stops it and
+// adds its results to the report.
 func startEdits(ctx context.Context, o Options) func(*Report) {
 	ctx, cancel := context.WithTimeout(ctx, o.Duration)
 	e := newEditor(o.System, o.Seed)
@@ -72,12 +73,12 @@
 		cancel()
 		<-done
 		r.Edits, r.InForceP50, r.InForceMax = e.accepted, quantile(e.inForce, 50), float64(e.inForce.Max())/1000
-		r.WrongAnswers = append(r.WrongAnswers, e.wrong...)
+		r.WrongAnswers = append(r.WrongAnswers, e.violations...)
 	}
 }
 
 type runner struct {
-	o       Options
+	opts    Options
 	rec     *recorder
 	slots   chan struct{}
 	clients map[string]*client.Client
@@ -85,24 +86,24 @@
 	wg      sync.WaitGroup
 }
 
-func (r *runner) work() int {
-	if r.o.System == nil {
+func (r *runner) engineTokens() int {
+	if r.opts.System == nil {
 		return 0
 	}
-	return r.o.System.Work()
+	return r.opts.System.Work()
 }
 
 func (r *runner) sendAll(ctx context.Context, arrivals []Arrival) {
-	ctx, cancel := context.WithTimeout(ctx, r.o.Duration+r.o.Drain)
+	ctx, cancel := context.WithTimeout(ctx, r.opts.Duration+r.opts.Drain)
 	defer cancel()
-	lastSaid := time.Duration(0)
+	lastProgress := time.Duration(0)
 	for _, a := range arrivals {
 		if !sleepUntil(ctx, r.start.Add(a.At)) {
 			break
 		}
-		if a.At-lastSaid >= time.Second {
-			lastSaid = a.At
-			r.o.Progress(fmt.Sprintf("%s: %s", a.At.Truncate(time.Second), r.rec.line()))
+		if a.At-lastProgress >= time.Second {
+			lastProgress = a.At
+			r.opts.Progress(fmt.Sprintf("%s: %s", a.At.Truncate(time.Second), r.rec.progressLine()))
 		}
 		select {
 		case r.slots <- struct{}{}:
@@ -126,22 +127,22 @@
 	r.generate(ctx, a, intended)
 }
 
-// prompt is text of n tokens (a byte each) that differs by request.
+// prompt returns a prompt of a.Prompt tokens, one byte each, that is unique to the request.
 func prompt(a Arrival) string {
 	head := a.Workspace + " " + a.Key + " "
-	if len(head) >= a.Prompt {
-		return head[:a.Prompt]
+	if len(head) >= a.PromptTokens {
+		return head[:a.PromptTokens]
 	}
-	return head + strings.Repeat(".", a.Prompt-len(head))
+	return head + strings.Repeat(".", a.PromptTokens-len(head))
 }
 
 func (r *runner) generate(ctx context.Context, a Arrival, intended time.Time) {
 	c := client.Completion{
-		Model: r.o.Profile.System.Model, Prompt: prompt(a), MaxTokens: a.MaxTokens,
+		Model: r.opts.Profile.System.Model, Prompt: prompt(a), MaxTokens: a.MaxTokens,
 		Priority: a.Class.Priority, DeadlineMS: a.Class.DeadlineMS,
 	}
 	sample := Sample{Key: a.Key, Class: a.Class.Name, Workspace: a.Workspace, At: a.At}
-	began := time.Since(intended)
+	sendDelay := time.Since(intended)
 	answer, err := r.clients[a.Workspace].Complete(ctx, a.Key, c, func(p client.Progress) {
 		if p.Index > 0 && sample.First == 0 {
 			sample.First = time.Since(intended)
@@ -150,14 +151,14 @@
 		r.rec.gap(a.Class.Name, p.Gap)
 	})
 	sample.Total = time.Since(intended)
-	sample.Late = began
+	sample.SendDelay = sendDelay
 	sample.Tokens, sample.Reconnects, sample.LongestGap = len(answer.TokenIDs), answer.Reconnects, answer.LongestGap
-	sample.Cost = a.Prompt + len(answer.TokenIDs)
+	sample.UnbrokenTokens = a.PromptTokens + len(answer.TokenIDs)
 	sample.Code = code(err)
 	if err == nil {
 		check := engine.Completion{Model: c.Model, Prompt: c.Prompt, MaxTokens: c.MaxTokens}
 		if err := standin.Verify(check, "1", answer.TokenIDs, true); err != nil {
-			sample.Wrong = err.Error()
+			sample.WrongReason = err.Error()
 		}
 	}
 	r.rec.add(sample)
@@ -165,35 +166,35 @@
 
 func (r *runner) call(ctx context.Context, a Arrival, intended time.Time) {
 	sample := Sample{Key: a.Key, Class: a.Class.Name, Workspace: a.Workspace, At: a.At}
-	sys := r.o.Profile.System
+	sys := r.opts.Profile.System
 	out, err := r.clients[a.Workspace].Call(ctx, a.Class.Method, sys.Service, a.Class.Path, a.Key)
 	sample.Total = time.Since(intended)
 	sample.First = sample.Total
 	sample.Code = code(err)
 	if err == nil && out.Status != 200 {
-		sample.Wrong = fmt.Sprintf("status %d", out.Status)
+		sample.WrongReason = fmt.Sprintf("status %d", out.Status)
 	}
-	if r.o.System != nil && a.Class.Method == http.MethodPost {
-		r.audit(&sample, err)
+	if r.opts.System != nil && a.Class.Method == http.MethodPost {
+		r.checkServiceRuns(&sample, err)
 	}
 	r.rec.add(sample)
 }
 
-// audit compares what the caller was told of a non-idempotent call to how often
-// it ran.
-func (r *runner) audit(s *Sample, err error) {
-	runs := r.o.System.ServiceRuns(s.Key)
+// checkServiceRuns compares the answer to a non-idempotent call with the number of times
+// that the service ran it.
+func (r *runner) checkServiceRuns(s *Sample, err error) {
+	runs := r.opts.System.ServiceRuns(s.Key)
 	ran := result.RanYes
 	if err != nil {
 		ran = result.From(err).Ran
 	}
 	switch {
 	case runs > 1:
-		s.Wrong = fmt.Sprintf("%s ran %d times", s.Key, runs)
+		s.WrongReason = fmt.Sprintf("%s ran %d times", s.Key, runs)
 	case ran == result.RanNo && runs > 0:
-		s.Wrong = s.Key + " was refused as not run, and ran"
+		s.WrongReason = s.Key + " was refused as not run, but it ran"
 	case ran == result.RanYes && runs == 0:
-		s.Wrong = s.Key + " was answered, and did not run"
+		s.WrongReason = s.Key + " was answered, but it did not run"
 	}
 }
 
@@ -208,5 +209,5 @@
 	return codeNoAnswer
 }
 
-// codeNoAnswer stands in reports for requests without any answer in time.
+// codeNoAnswer is the code in reports for requests that received no answer in time.
 const codeNoAnswer result.Code = -1
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Arrival is one request that will be sent.
+// Arrival is one scheduled request.
 type Arrival struct {
-	At        time.Duration
-	Class     *Class
-	Workspace string
-	Key       string
-	Prompt    int // tokens
-	MaxTokens int
+	At           time.Duration
+	Class        *Class
+	Workspace    string
+	Key          string
+	PromptTokens int // length of the prompt in tokens
+	MaxTokens    int
 }
 
-// Schedule draws the arrivals of a run: a Poisson process for each class, sizes
-// lognormal around the class's figure. Equal seeds give equal schedules.
+// Schedule draws the arrivals of a run, in order of time. Each class has a Poisson process;
+// sizes are lognormal with the class's mean. Equal seeds give equal schedules.
 func Schedule(p *Profile, seed uint64, duration time.Duration, scale float64) []Arrival {
 	var out []Arrival
 	for i := range p.Classes {
@@ -37,8 +37,8 @@
 	for at := rng.ExpFloat64() * mean; at < float64(duration); at += rng.ExpFloat64() * mean {
 		out = append(out, Arrival{
 			At: time.Duration(at), Class: c, Workspace: pickWorkspace(rng, p.Workspaces),
-			Key:    fmt.Sprintf("%s-%d-%d", c.Name, seed, len(out)),
-			Prompt: size(rng, c.PromptTokens, c.Spread), MaxTokens: size(rng, c.MaxTokens, c.Spread),
+			Key:          fmt.Sprintf("%s-%d-%d", c.Name, seed, len(out)),
+			PromptTokens: lognormalSize(rng, c.PromptTokens, c.Spread), MaxTokens: lognormalSize(rng, c.MaxTokens, c.Spread),
 		})
 	}
 	return out
@@ -49,17 +49,18 @@
 	for _, w := range ws {
 		total += w.Weight
 	}
-	at := rng.Float64() * total
+	remaining := rng.Float64() * total
 	for _, w := range ws {
-		if at -= w.Weight; at < 0 {
+		if remaining -= w.Weight; remaining < 0 {
 			return w.Name
 		}
 	}
 	return ws[len(ws)-1].Name
 }
 
-// size draws a lognormal size with the given mean, at least 1.
-func size(rng *rand.Rand, mean int, sigma float64) int {
+// lognormalSize draws a lognormal size with the given mean. It returns at least 1, or 0 for
+// a mean of 0.
+func lognormalSize(rng *rand.Rand, mean int, sigma float64) int {
 	if mean == 0 {
 		return 0
 	}
