--- a/cmd/amaranthshelf/lists.go
+++ b/cmd/amaranthshelf/lists.go
@@ -121,7 +121,7 @@
 	KeyHashes  []string `long:"key-hash" description:"hash of a key; may be repeated; replaces all current hashes"`
 	AddHash    []string `long:"add-key-hash" description:"hash of a key to add; may be repeated"`
 	RemoveHash []string `long:"remove-key-hash" description:"hash of a key to remove; may be repeated"`
-	Wait       bool     `long:"wait" description:"until the change is in force"`
+	Wait       bool     `long:"wait" description:"wait until the change is in force"`
 }
 
 // Execute implements flags.Commander.
@@ -186,7 +186,7 @@
 type removeCommand struct {
 	apiOptions
 	nameArg
-	Wait bool `long:"wait" description:"until the change is in force"`
+	Wait bool `long:"wait" description:"wait until the change is in force"`
 	list string
 }
 
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -19,7 +19,7 @@
 	MaxTokens    int
 }
 
-// Schedule draws the arrivals of a run, in order of time. Each class has a Poisson process;
+// Schedule draws the arrivals of a run in order of time. Each class has a Poisson process;
 // sizes are lognormal with the class's mean. Equal seeds give equal schedules.
 func Schedule(p *Profile, seed uint64, duration time.Duration, scale float64) []Arrival {
 	var out []Arrival
