--- a/cmd/amaranthshelf/account.go
+++ b/cmd/amaranthshelf/account.go
@@ -32,14 +32,14 @@
 		return err
 	}
 	defer closeAll()
-	a, err := explain.NewAccount(readers)
+	a, err := explain.Summarize(readers)
 	if err != nil {
 		return err
 	}
 	return c.print(a, func() {
 		printRows("STREAMS", a.Streams)
 		printRows("CALLS", a.Calls)
-		fmt.Printf("prompt tokens read again: %d\n", a.Reread)
+		fmt.Printf("prompt tokens read again: %d\n", a.RecomputedTokens)
 	})
 }
 
--- a/cmd/amaranthshelf/standin.go
+++ b/cmd/amaranthshelf/standin.go
@@ -49,7 +49,7 @@
 // Execute implements flags.Commander.
 func (c *standinEngine) Execute([]string) error {
 	cfg := standin.DefaultEngine("standin", c.Model)
-	cfg.Fences, cfg.ByAttempt = c.Fences, c.ByAttempt
+	cfg.EnforceFencing, cfg.SampleByAttempt = c.Fences, c.ByAttempt
 	e, err := standin.ServeEngine(cfg, c.Listen)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 				ID: fmt.Sprint("engine", i+1), Service: "models", Zone: string(rune('a' + i%3)),
 				Address: fmt.Sprintf("127.0.0.1:%d", c.Port+i), Slots: 8,
 			},
-			Events: 100, ReadTime: time.Second, EventTime: 30 * time.Millisecond,
+			Events: 100, PrefillTime: time.Second, EventInterval: 30 * time.Millisecond,
 		}
 		if err := network.ListenTCP(e); err != nil {
 			return err
--- a/cmd/amaranthshelf/status.go
+++ b/cmd/amaranthshelf/status.go
@@ -134,10 +134,10 @@
 		for _, l := range trace.Lines {
 			fmt.Println(l.String())
 		}
-		if len(trace.Around) > 0 {
+		if len(trace.Nearby) > 0 {
 			fmt.Println("about the servers that it was sent to:")
 		}
-		for _, l := range trace.Around {
+		for _, l := range trace.Nearby {
 			fmt.Println(l.String())
 		}
 		fmt.Println("cause: " + trace.Cause)
--- a/cmd/amaranthshelfd/main.go
+++ b/cmd/amaranthshelfd/main.go
@@ -93,7 +93,7 @@
 		vms = []settings.VM{n.Self()}
 	}
 	n.Start(vms)
-	log.Info().Str("callers", n.Self().Callers).Str("operators", n.OperatorAddr()).Msg("serving")
+	log.Info().Str("callers", n.Self().Endpoint).Str("operators", n.OperatorAddr()).Msg("serving")
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	select {
--- a/cmd/amaranthshelfd/routed.go
+++ b/cmd/amaranthshelfd/routed.go
@@ -38,7 +38,7 @@
 }
 
 func serveRouted(s *settings.Routed, path string) error {
-	var lost telemetry.Lost
+	var lost telemetry.LineCounters
 	out := lost.Writer(os.Stdout)
 	defer out.Close()
 	log, err := telemetry.Logger(out, s.LogLevel, "json", s.ID+"/"+string(s.Kind))
@@ -50,7 +50,7 @@
 	signals := routed.Signals()
 	common := routed.Common{
 		ID: s.ID, Zone: s.Zone, Token: s.Tokens.Peer, Seeds: s.Seeds,
-		Log: log, RoutineLog: lost.Ordinary(log), Metrics: set,
+		Log: log, RoutineLog: lost.RoutineLog(log), Metrics: set,
 	}
 	sup := routed.Supervisor{Path: path, Log: log, ReadSeeds: func() ([]string, error) {
 		s, err := settings.LoadRouted(path)
@@ -70,7 +70,7 @@
 func startRouted(s *settings.Routed, common routed.Common, sup *routed.Supervisor) (routed.Process, error) {
 	if s.Kind == settings.RoutedRouter {
 		r, err := routed.StartRouter(routed.RouterOptions{
-			Common: common, Endpoint: s.Callers, Wire: forward.NewPlainWire(), RetryAllowance: forward.DefaultRetryAllowance,
+			Common: common, Endpoint: s.Endpoint, Wire: forward.NewPlainWire(), RetryAllowance: forward.DefaultRetryAllowance,
 			Drain: routed.DrainTimes{Grace: s.Grace, EntryTTL: routed.EntryTTL},
 		})
 		if err != nil {
@@ -80,7 +80,7 @@
 		return r, err
 	}
 	c, err := routed.StartControl(routed.ControlOptions{
-		Common: common, Dir: s.DataDir, FirstStart: s.FirstStart, TargetVoters: int(s.Voters), ReadBackends: backendReader(s, common.Log),
+		Common: common, Dir: s.DataDir, FirstStart: s.FirstStart, TargetVoters: int(s.TargetVoters), ReadBackends: backendReader(s, common.Log),
 		Rollouts: rollout.Limits{Share: float64(s.RolloutPercent) / 100, Slack: float64(s.RolloutSlack)},
 	})
 	if err != nil {
--- a/cmd/amaranthshelfd/soak_clients_test.go
+++ b/cmd/amaranthshelfd/soak_clients_test.go
@@ -97,17 +97,17 @@
 		for try := 0; try < maxStreamTries && !complete; try++ {
 			sentAt := time.Now()
 			got, err := routedlocal.Stream(w.t.Context(), w.s.callers[rng.IntN(soakRouters)], path, fmt.Sprint(path[3:], "-", try), len(ids), nil)
-			ids = append(ids, got.IDs...)
+			ids = append(ids, got.EventIDs...)
 			if d := time.Since(sentAt); d > maxTryDuration {
-				w.t.Errorf("stream %s, try %d: got %d events after %v, want at most 15s; complete %t, error %v", path, try, len(got.IDs), d, got.Whole, err)
+				w.t.Errorf("stream %s, try %d: got %d events after %v, want at most 15s; complete %t, error %v", path, try, len(got.EventIDs), d, got.Complete, err)
 			}
-			complete = err == nil && got.Whole && len(ids) > 0
+			complete = err == nil && got.Complete && len(ids) > 0
 			if !complete {
 				_ = timer.Sleep(w.t.Context(), retryPause)
 			}
 			w.locked(func() { w.resumes += min(try, 1) })
 		}
-		if !complete || !routedlocal.Complete(ids, soakEvents) {
+		if !complete || !routedlocal.HasAllEvents(ids, soakEvents) {
 			w.t.Errorf("stream %s: complete %t, got events %v, want each event once and in order", path, complete, ids)
 		}
 		w.locked(func() { w.streams++ })
@@ -212,11 +212,11 @@
 		for n := 0; ; n++ {
 			v := w.vote(router, fmt.Sprintf("/version/%d/", version), fmt.Sprintf("check%d-%d-%d", version, i, n))
 			got, err := routedlocal.Stream(w.t.Context(), router, "/s/check", fmt.Sprintf("check%d-%d-%d", version, i, n), 0, nil)
-			if v.status == http.StatusOK && err == nil && got.Whole {
+			if v.status == http.StatusOK && err == nil && got.Complete {
 				break
 			}
 			if time.Now().After(deadline) {
-				w.t.Fatalf("router %d does not serve version %d after 20 s: vote %+v, stream complete %t, error %v", i, version, v, got.Whole, err)
+				w.t.Fatalf("router %d does not serve version %d after 20 s: vote %+v, stream complete %t, error %v", i, version, v, got.Complete, err)
 			}
 			_ = timer.Sleep(w.t.Context(), retryPause)
 		}
--- a/cmd/amaranthshelfd/soak_system_test.go
+++ b/cmd/amaranthshelfd/soak_system_test.go
@@ -62,7 +62,7 @@
 	if n := s.newVersionVotes.Add(1); !s.newVersionFails || n%2 == 0 {
 		return false
 	}
-	e.Call(w, r, http.StatusInternalServerError)
+	e.AnswerCall(w, r, http.StatusInternalServerError)
 	return true
 }
 
@@ -72,19 +72,19 @@
 	for i := range 2 * soakZones {
 		s.addServer(&routedengine.Server{
 			Backend: upstream.Backend{ID: fmt.Sprint("engine", i), Service: "models", Zone: fmt.Sprint("z", i%soakZones), Slots: 8, Version: "v1"},
-			Events:  soakEvents, ReadTime: 100 * time.Millisecond, EventTime: 20 * time.Millisecond,
+			Events:  soakEvents, PrefillTime: 100 * time.Millisecond, EventInterval: 20 * time.Millisecond,
 		})
 	}
 	for i := range soakZones {
 		s.addServer(&routedengine.Server{
 			Backend:  upstream.Backend{ID: fmt.Sprint("desk", i), Service: "desk", Zone: fmt.Sprint("z", i), Slots: 6, Version: "v1"},
-			WorkTime: 20 * time.Millisecond,
+			CallTime: 20 * time.Millisecond,
 		})
 	}
 	for i := range soakZones {
 		s.addServer(&routedengine.Server{
 			Backend:  upstream.Backend{ID: fmt.Sprint("newdesk", i), Service: "desk", Zone: fmt.Sprint("z", i), Slots: 6, Version: "v2"},
-			WorkTime: 20 * time.Millisecond, Answer: s.failBadVersion,
+			CallTime: 20 * time.Millisecond, Intercept: s.failBadVersion,
 		})
 	}
 	s.writeSettings(freePorts(t, 2*soakControls+3*soakRouters))
@@ -102,7 +102,7 @@
 		s.t.Fatal(err)
 	}
 	p := startFaultProxy(s.t, e.Address)
-	s.net.Move(e, p.addr)
+	s.net.ChangeAddress(e, p.addr)
 	s.servers, s.proxies = append(s.servers, e), append(s.proxies, p)
 }
 
--- a/cmd/amaranthshelfd/soak_test.go
+++ b/cmd/amaranthshelfd/soak_test.go
@@ -71,7 +71,7 @@
 	case 5:
 		return s.serverFault("server dies", server, routedengine.Dead, short)
 	case 6:
-		return s.serverFault("server unresponsive", server, routedengine.Dark, short)
+		return s.serverFault("server unresponsive", server, routedengine.Unresponsive, short)
 	case 7:
 		return s.linkFault("link delayed", server, short, randomDuration(rng, 100*time.Millisecond), false, false)
 	case 8:
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -272,7 +272,7 @@
 }
 
 // CallAnswer is a plain service's answer.
-type CallAnswer struct {
+type ServiceResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -282,11 +282,11 @@
 
 // Call sends a call to a plain service. A connection that breaks is tried again
 // at the next address under the same Idempotency-Key: the system runs it once.
-func (c *Client) Call(ctx context.Context, method, service, path, key string) (*CallAnswer, error) {
+func (c *Client) Call(ctx context.Context, method, service, path, key string) (*ServiceResponse, error) {
 	var err error
 	for range maxReconnects {
 		var addr string
-		var answer *CallAnswer
+		var answer *ServiceResponse
 		if addr, err = c.next(ctx); err == nil {
 			answer, err = c.callOnce(ctx, method, addr, "/v1/services/"+service+path, key)
 		}
@@ -299,7 +299,7 @@
 	return nil, err
 }
 
-func (c *Client) callOnce(ctx context.Context, method, addr, path, key string) (*CallAnswer, error) {
+func (c *Client) callOnce(ctx context.Context, method, addr, path, key string) (*ServiceResponse, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, http.NoBody)
 	if err != nil {
 		return nil, err
@@ -318,5 +318,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &CallAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+	return &ServiceResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
--- a/internal/client/operator.go
+++ b/internal/client/operator.go
@@ -47,11 +47,11 @@
 }
 
 // Written is the answer to a change.
-type Written struct {
-	Name    string `json:"name"`
-	Version uint64 `json:"version"`
-	Lists   uint64 `json:"lists_version"`
-	InForce bool   `json:"in_force"`
+type ChangeResult struct {
+	Name         string `json:"name"`
+	Version      uint64 `json:"version"`
+	ListsVersion uint64 `json:"lists_version"`
+	InForce      bool   `json:"in_force"`
 }
 
 // Change is a change of a row. IfMatch 0 creates it.
@@ -65,7 +65,7 @@
 }
 
 // Do makes a change.
-func (o *Operator) Do(ctx context.Context, c Change) (Written, error) {
+func (o *Operator) Do(ctx context.Context, c Change) (ChangeResult, error) {
 	header := http.Header{"Idempotency-Key": {cmp.Or(c.Key, rand.Text())}}
 	if c.IfMatch == 0 {
 		header.Set("If-None-Match", "*")
@@ -78,7 +78,7 @@
 	} else {
 		data, err := json.Marshal(c.Row)
 		if err != nil {
-			return Written{}, err
+			return ChangeResult{}, err
 		}
 		body = data
 	}
@@ -86,7 +86,7 @@
 	if c.Wait {
 		path += "?wait=in-force"
 	}
-	var out Written
+	var out ChangeResult
 	return out, o.call(ctx, method, path, header, body, &out)
 }
 
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -120,7 +120,7 @@
 	defer cancel()
 	sent := time.Now()
 	var p PackedList
-	err := m.t.Call(ctx, w.vm, peer.KindList, nil, &p)
+	err := m.t.Call(ctx, w.vm, peer.KindBackendList, nil, &p)
 	if err == nil && len(p.Rows) > 0 {
 		err = m.applyPacked(&p, time.Since(sent))
 	}
--- a/internal/cluster/fetch_test.go
+++ b/internal/cluster/fetch_test.go
@@ -48,16 +48,16 @@
 		if got, _, _, _ := replica.Current(); len(got) != len(list) {
 			t.Fatalf("got %d rows, want 3000", len(got))
 		}
-		if got := c.Take(); got.ByKind[peer.KindList] != 1 || got.Bytes > linkBytesPerSecond/10 {
-			t.Errorf("got %d lists and %d bytes at the start, want 1 list and at most 125000 bytes", got.ByKind[peer.KindList], got.Bytes)
+		if got := c.ReadAndReset(); got.ByKind[peer.KindBackendList] != 1 || got.Bytes > linkBytesPerSecond/10 {
+			t.Errorf("got %d lists and %d bytes at the start, want 1 list and at most 125000 bytes", got.ByKind[peer.KindBackendList], got.Bytes)
 		}
 		list = slices.Concat(list[600:], rows(3600)[3000:])
 		readFor()
 		if got, _, _, _ := replica.Current(); len(got) != len(list) {
 			t.Errorf("got %d rows after the change, want 3000", len(got))
 		}
-		if got := c.Take(); got.ByKind[peer.KindList] != 0 || got.Bytes > linkBytesPerSecond/10 {
-			t.Errorf("got %d lists and %d bytes for a replaced zone, want no list and at most 125000 bytes", got.ByKind[peer.KindList], got.Bytes)
+		if got := c.ReadAndReset(); got.ByKind[peer.KindBackendList] != 0 || got.Bytes > linkBytesPerSecond/10 {
+			t.Errorf("got %d lists and %d bytes for a replaced zone, want no list and at most 125000 bytes", got.ByKind[peer.KindBackendList], got.Bytes)
 		}
 	})
 }
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -58,12 +58,12 @@
 func NewHub(t peer.Transport, list *ListReplica, controls func() []string, log zerolog.Logger) *Hub {
 	h := &Hub{list: list, controls: controls, vms: map[string]vmState{}, loggedSilent: map[string]bool{}, retrySpending: spendingTable{}, ledger: rollout.NewLedger(), log: log, scheduling: newSchedulerService(t, log)}
 	list.KeepHistory()
-	t.Handle(peer.KindNotice, h.serve)
-	t.Handle(peer.KindList, h.serveList)
-	t.Handle(peer.KindKept, h.serveOrphan)
-	t.Handle(peer.KindSpent, h.serveSpent)
+	t.Handle(peer.KindHeartbeat, h.serve)
+	t.Handle(peer.KindBackendList, h.serveList)
+	t.Handle(peer.KindFindOrphan, h.serveOrphan)
+	t.Handle(peer.KindRetrySpending, h.serveSpent)
 	t.Handle(peer.KindPlace, h.scheduling.servePlace)
-	t.Handle(peer.KindUse, h.scheduling.serveUse)
+	t.Handle(peer.KindUseReport, h.scheduling.serveUse)
 	return h
 }
 
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -86,7 +86,7 @@
 		incarnation: rand.Uint64(), spendingSignal: newSignal(), placing: newPlacing(), fetchSignal: newSignal(),
 		listAges: map[string]time.Duration{},
 	}
-	t.Handle(peer.KindPlaced, m.servePlaced)
+	t.Handle(peer.KindPlaceDecision, m.servePlaced)
 	return m
 }
 
@@ -264,7 +264,7 @@
 func (m *Member) exchange(ctx context.Context, vm string, n Heartbeat) {
 	sent := time.Now()
 	var a HeartbeatReply
-	if err := m.t.Call(ctx, vm, peer.KindNotice, n, &a); err != nil {
+	if err := m.t.Call(ctx, vm, peer.KindHeartbeat, n, &a); err != nil {
 		m.recordFailure(vm, err)
 		return
 	}
@@ -303,7 +303,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orphanLookupTimeout)
 	defer cancel()
 	var out forward.Orphan
-	if err := m.t.Call(ctx, m.freshestControl(), peer.KindKept, identity, &out); err != nil {
+	if err := m.t.Call(ctx, m.freshestControl(), peer.KindFindOrphan, identity, &out); err != nil {
 		m.log.Debug().Err(err).Msg("lookup of an orphaned run failed; its prompt may be computed again")
 		return forward.Orphan{}, false
 	}
--- a/internal/cluster/observer.go
+++ b/internal/cluster/observer.go
@@ -39,7 +39,7 @@
 // controls returns the ids of the control VMs known to this VM's own Member.
 func NewObserver(t peer.Transport, self string, controls func() []string) *Observer {
 	o := &Observer{self: self, controls: controls, voters: map[string]time.Time{}}
-	t.Handle(peer.KindNotice, o.serve)
+	t.Handle(peer.KindHeartbeat, o.serve)
 	return o
 }
 
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -235,7 +235,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	if err := m.t.Call(ctx, vm, peer.KindUse, m.useReport(), nil); err != nil {
+	if err := m.t.Call(ctx, vm, peer.KindUseReport, m.useReport(), nil); err != nil {
 		m.log.Debug().Err(err).Str("control", vm).Msg("use of engines could not be reported; the next heartbeat carries it")
 	}
 }
--- a/internal/cluster/retry_spending.go
+++ b/internal/cluster/retry_spending.go
@@ -126,7 +126,7 @@
 func (m *Member) reportSpendingTo(ctx context.Context, vm string, s RetrySpending) (others map[string]forward.RetryUsage, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, spendingTimeout)
 	defer cancel()
-	if err := m.t.Call(ctx, vm, peer.KindSpent, s, &others); err != nil {
+	if err := m.t.Call(ctx, vm, peer.KindRetrySpending, s, &others); err != nil {
 		m.log.Debug().Err(err).Str("control", vm).Msg("retries could not be reported; the next heartbeat carries them")
 		return nil, false
 	}
--- a/internal/cluster/scheduler_service.go
+++ b/internal/cluster/scheduler_service.go
@@ -192,7 +192,7 @@
 func (c *schedulerService) decideAll() { c.decide("") }
 
 func (c *schedulerService) sendDecision(st *scheduler.Stream, a scheduler.Answer) {
-	if err := c.t.Send(st.VM, peer.KindPlaced, PlaceDecision{st.ID, a}); err != nil {
+	if err := c.t.Send(st.VM, peer.KindPlaceDecision, PlaceDecision{st.ID, a}); err != nil {
 		// The router repeats its request; a grant that it never received expires.
 		c.log.Debug().Err(err).Str("request", st.ID).Str("router", st.VM).Msg("decision about a stream could not be sent; its router asks again")
 	}
--- a/internal/demo/booking.go
+++ b/internal/demo/booking.go
@@ -41,7 +41,7 @@
 	}
 	var err error
 	for _, c := range cases {
-		s.Services[0].Break(c.at)
+		s.Services[0].BreakNextCall(c.at)
 		first, again, failure := s.bookTwice(ctx, c.key)
 		runs := s.Services[0].Runs(c.key)
 		scene.ServiceRuns += runs
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -123,7 +123,7 @@
 // generate runs one generation. It calls injectFault when faultAtToken tokens have arrived,
 // and then measures the longest gap as the resume latency.
 func (s *system) generate(ctx context.Context, key, prompt string, injectFault func()) Scene {
-	before := s.Work()
+	before := s.ComputedTokens()
 	faultInjected := injectFault == nil
 	resume := time.Duration(0)
 	body := client.Completion{Model: demoModel, Prompt: prompt, MaxTokens: answerTokens}
@@ -140,7 +140,7 @@
 	if injectFault != nil {
 		scene.ResumeMS = millis(resume)
 	}
-	scene.ExtraTokens = s.Work() - before - len(prompt) - answerTokens
+	scene.ExtraTokens = s.ComputedTokens() - before - len(prompt) - answerTokens
 	if err == nil {
 		c := engine.Completion{Model: demoModel, Prompt: prompt, MaxTokens: answerTokens}
 		err = standin.Verify(c, "1", answer.TokenIDs, true)
--- a/internal/demo/rollout.go
+++ b/internal/demo/rollout.go
@@ -72,12 +72,12 @@
 }
 
 // failHalf counts the calls that reach a version and fails every second call.
-func failHalf(reached *atomic.Int64) routedlocal.Spoil {
+func failHalf(reached *atomic.Int64) routedlocal.Interceptor {
 	return func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		if reached.Add(1)%2 == 0 {
 			return false
 		}
-		s.Call(w, r, http.StatusInternalServerError)
+		s.AnswerCall(w, r, http.StatusInternalServerError)
 		return true
 	}
 }
@@ -87,7 +87,7 @@
 func callDesk(ctx context.Context, r *routedlocal.System, caller int, calls *atomic.Int64) {
 	for timer.Sleep(ctx, callInterval) == nil {
 		n := calls.Add(1)
-		_, _ = routedlocal.Call(ctx, r.Fronts[caller%len(r.Fronts)], "/look/1", fmt.Sprint("demo-call-", n))
+		_, _ = routedlocal.Call(ctx, r.CallerAddresses[caller%len(r.CallerAddresses)], "/look/1", fmt.Sprint("demo-call-", n))
 	}
 }
 
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -69,7 +69,7 @@
 }
 
 // CacheBlock is the granularity of prefix caches, in tokens.
-const CacheBlock = 16
+const CacheBlockTokens = 16
 
 // Order tells an engine to change what it serves.
 type Order struct {
--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -78,7 +78,7 @@
 // watch gives a stream up that has been silent for the fixed time. A stream
 // without a first token is left alone: its engine may have a queue.
 func (b *baseline) watch(u *baseRun, a *attempt) {
-	limit := b.w.policy.Silence
+	limit := b.w.policy.SilenceTimeout
 	b.w.After(limit, func() { b.check(u, a) })
 }
 
@@ -86,7 +86,7 @@
 	if u.ended || u.a != a {
 		return
 	}
-	left := u.last.Add(b.w.policy.Silence).Sub(b.w.Now())
+	left := u.last.Add(b.w.policy.SilenceTimeout).Sub(b.w.Now())
 	if left > 0 || (a.made == 0 && !a.extra) {
 		b.w.After(max(left, 100*time.Millisecond), func() { b.check(u, a) })
 		return
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -11,28 +11,28 @@
 
 // EngineFigures are the speed of a modelled engine: continuous batching with
 // chunked prefill.
-type EngineFigures struct {
-	StepBase   time.Duration // of a decoding step with an empty batch
-	StepPerRun time.Duration // added by each stream in the batch
-	Prefill    time.Duration // added by each prompt token that is not cached
-	Chunk      int           // prompt tokens prefilled in one step at most
-	MaxBatch   int
-	CacheLimit int // blocks of routing.BlockTokens
-	ReportLag  time.Duration
+type EngineParams struct {
+	StepBase           time.Duration // of a decoding step with an empty batch
+	StepPerRun         time.Duration // added by each stream in the batch
+	PrefillPerToken    time.Duration // added by each prompt token that is not cached
+	PrefillChunkTokens int           // prompt tokens prefilled in one step at most
+	MaxBatch           int
+	CacheBlocks        int // blocks of routing.BlockTokens
+	ReportLag          time.Duration
 }
 
 // DefaultFigures are those of an engine of today: 33 ms a step with a full
 // batch (30 tokens/s a stream, some 970 a second in all), 10,000 tokens/s of
 // prefill.
-var DefaultFigures = EngineFigures{
-	StepBase: 20 * time.Millisecond, StepPerRun: 400 * time.Microsecond, Prefill: 100 * time.Microsecond,
-	Chunk: 2048, MaxBatch: 32, CacheLimit: 2000, ReportLag: 500 * time.Millisecond,
+var DefaultEngineParams = EngineParams{
+	StepBase: 20 * time.Millisecond, StepPerRun: 400 * time.Microsecond, PrefillPerToken: 100 * time.Microsecond,
+	PrefillChunkTokens: 2048, MaxBatch: 32, CacheBlocks: 2000, ReportLag: 500 * time.Millisecond,
 }
 
 // seconds is the engine time that a request takes beside a full batch.
-func (f *EngineFigures) seconds(prompt, tokens float64) float64 {
+func (f *EngineParams) seconds(prompt, tokens float64) float64 {
 	perToken := (f.StepBase + time.Duration(f.MaxBatch)*f.StepPerRun).Seconds() / float64(f.MaxBatch)
-	return prompt*f.Prefill.Seconds() + tokens*perToken
+	return prompt*f.PrefillPerToken.Seconds() + tokens*perToken
 }
 
 type engineModel struct {
@@ -101,7 +101,7 @@
 		e.queue = e.queue[1:]
 	}
 	f := &e.w.figures
-	chunk := f.Chunk
+	chunk := f.PrefillChunkTokens
 	var decoding []*attempt
 	for _, a := range e.batch {
 		if a.prefill == 0 {
@@ -116,7 +116,7 @@
 			decoding = append(decoding, a) // its first token comes with this step
 		}
 	}
-	took := f.StepBase + time.Duration(len(e.batch))*f.StepPerRun + time.Duration(f.Chunk-chunk)*f.Prefill
+	took := f.StepBase + time.Duration(len(e.batch))*f.StepPerRun + time.Duration(f.PrefillChunkTokens-chunk)*f.PrefillPerToken
 	if e.slow > 1 {
 		took = time.Duration(float64(took) * e.slow)
 	}
@@ -202,7 +202,7 @@
 		if e.cache[d] {
 			continue
 		}
-		if len(e.order) >= e.w.figures.CacheLimit {
+		if len(e.order) >= e.w.figures.CacheBlocks {
 			e.event("evict", e.order[0])
 			delete(e.cache, e.order[0])
 			e.order = e.order[1:]
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -71,15 +71,15 @@
 
 // Total is the account of a group of requests.
 type Total struct {
-	Offered  int // requests, whatever the number of tries
-	Served   int
-	GaveUp   int
-	Refused  int // callers whose last answer was a refusal
-	Tries    int
-	Refusals int             // of single tries
-	Tokens   int             // of answers served
-	Waits    []time.Duration // of those served, sorted
-	Early    []time.Duration // from a try to its refusal, sorted
+	Offered          int // requests, whatever the number of tries
+	Served           int
+	GaveUp           int
+	Refused          int // callers whose last answer was a refusal
+	Tries            int
+	Refusals         int             // of single tries
+	Tokens           int             // of answers served
+	Waits            []time.Duration // of those served, sorted
+	RefusalLatencies []time.Duration // from a try to its refusal, sorted
 }
 
 // Total adds up the requests that f chooses.
@@ -92,7 +92,7 @@
 		sum.Offered++
 		sum.Tries += r.tries
 		sum.Refusals += len(r.early)
-		sum.Early = append(sum.Early, r.early...)
+		sum.RefusalLatencies = append(sum.RefusalLatencies, r.early...)
 		switch r.ending {
 		case served:
 			sum.Served++
@@ -106,7 +106,7 @@
 		}
 	}
 	slices.Sort(sum.Waits)
-	slices.Sort(sum.Early)
+	slices.Sort(sum.RefusalLatencies)
 	return sum
 }
 
--- a/internal/experiment/recovery.go
+++ b/internal/experiment/recovery.go
@@ -121,7 +121,7 @@
 	rate := recoveryLoad * recoveryEngines / w.figures.seconds(recoveryPrompt, recoveryTokens)
 	w.offer(Load{
 		Name: "desk", Rate: rate, Prompt: recoveryPrompt, Tokens: recoveryTokens, Prefix: 256,
-		Patience: time.Minute, To: faultAt + 30*time.Second,
+		MaxWait: time.Minute, To: faultAt + 30*time.Second,
 	}, seed)
 	w.After(faultAt, func() { f.start(w) })
 	w.run(recoveryLength)
--- a/internal/experiment/recovery_test.go
+++ b/internal/experiment/recovery_test.go
@@ -8,7 +8,7 @@
 // Callers whose engine dies or falls silent see their answer go on within six
 // seconds under both objectives. Each objective is better than the other at
 // what it saves, and both repeat less work than a restart from the prompt.
-func TestRecoveryKeepsItsObjectives(t *testing.T) {
+func TestRecoveryMeetsObjectives(t *testing.T) {
 	if testing.Short() {
 		t.Skip("four runs of four virtual minutes")
 	}
@@ -22,7 +22,7 @@
 		var sum time.Duration
 		for _, d := range out.resumes {
 			sum += d
-			if p.System && d > 6*time.Second {
+			if p.UseModules && d > 6*time.Second {
 				t.Errorf("%s, %s: an answer went on after %s", f.Name, p.Name, d)
 			}
 		}
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestRunsRepeat(t *testing.T) {
+func TestRunsAreDeterministic(t *testing.T) {
 	run := func() *Outcome { return recoveryRun(faults()[0], policies(recoveryRouters)[1], 3) }
 	if testing.Short() {
 		t.Skip("two runs of four virtual minutes")
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -20,11 +20,11 @@
 
 // ScenarioFault happens to one engine ("e3") or to a zone ("z1").
 type ScenarioFault struct {
-	At     time.Duration
-	What   string // one of FaultNames
-	Target string
-	For    time.Duration // pause
-	Factor float64       // slow
+	At            time.Duration
+	Kind          string // one of FaultNames
+	Target        string
+	PauseDuration time.Duration // pause
+	SlowFactor    float64       // slow
 }
 
 // FaultNames are the faults a scenario may bring about.
@@ -33,7 +33,7 @@
 // RateOf is the rate of requests of these mean sizes that takes a share of the
 // engines' capacity.
 func (s *Scenario) RateOf(share float64, prompt, tokens int) float64 {
-	f := DefaultFigures
+	f := DefaultEngineParams
 	return share * float64(s.Engines) / f.seconds(float64(prompt), float64(tokens))
 }
 
@@ -63,15 +63,15 @@
 		if e.name != f.Target && e.zone != f.Target {
 			continue
 		}
-		switch f.What {
+		switch f.Kind {
 		case "die":
 			w.strike(i, func(e *engineModel) { e.die(false) })
 		case "vanish":
 			w.strike(i, func(e *engineModel) { e.die(true) })
 		case "pause":
-			w.strike(i, func(e *engineModel) { e.paused = w.Now().Add(f.For) })
+			w.strike(i, func(e *engineModel) { e.paused = w.Now().Add(f.PauseDuration) })
 		case "slow":
-			e.slow = f.Factor
+			e.slow = f.SlowFactor
 		case "leave":
 			e.leaving = true
 		case "revive":
@@ -81,7 +81,7 @@
 }
 
 // Resumes are the resume latencies of the streams that faults hit, sorted.
-func (o *Outcome) Resumes() []time.Duration { return slices.Sorted(slices.Values(o.resumes)) }
+func (o *Outcome) ResumeLatencies() []time.Duration { return slices.Sorted(slices.Values(o.resumes)) }
 
 // Table prints outcomes side by side, by class.
 func Table(names []string, outs []*Outcome) string {
@@ -100,7 +100,7 @@
 			}
 			fmt.Fprintf(&b, "%-10s %-6s %8d %7.2f%% %8d %8d %8.2fs %8.2fs %9d %8.2fs\n",
 				names[i], name, t.Offered, 100*t.ServedShare(), t.GaveUp, t.Refused,
-				Quantile(t.Waits, 0.5).Seconds(), Quantile(t.Waits, 0.99).Seconds(), t.Tokens, Quantile(t.Early, 0.99).Seconds())
+				Quantile(t.Waits, 0.5).Seconds(), Quantile(t.Waits, 0.99).Seconds(), t.Tokens, Quantile(t.RefusalLatencies, 0.99).Seconds())
 		}
 		fmt.Fprintf(&b, "%-10s fairness %.3f, extra work %.2f%%\n", names[i], o.Fairness(Filter{}), 100*o.ExtraShare())
 	}
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -100,7 +100,7 @@
 	u.item = admission.Item{
 		Key: r.load.Name + "/" + time.Duration(r.id).String(), Workspace: r.load.Name, Class: r.class,
 		Weight: float64(r.load.Share), Cost: routing.Work(r.prompt, r.tokens), Bytes: 4 * r.prompt,
-		Deadline: s.w.Now().Add(r.load.Patience),
+		Deadline: s.w.Now().Add(r.load.MaxWait),
 	}
 	s.measureRoom()
 	d := s.queue.Enter(&u.item, s.w.Now())
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -18,17 +18,17 @@
 	Prompt   int     // tokens, mean
 	Tokens   int     // generated, mean
 	Prefix   int     // tokens of the prompt that all its requests share
-	Patience time.Duration
-	Tries    int // of a refused or impatient caller, at most
+	MaxWait  time.Duration
+	MaxTries int // of a refused or impatient caller, at most
 	From, To time.Duration
 }
 
 func (l *Load) withDefaults() Load {
 	out := *l
 	out.Share = max(1, out.Share)
-	out.Tries = max(1, out.Tries)
-	if out.Patience == 0 {
-		out.Patience = 10 * time.Second
+	out.MaxTries = max(1, out.MaxTries)
+	if out.MaxWait == 0 {
+		out.MaxWait = 10 * time.Second
 	}
 	if out.To == 0 {
 		out.To = 24 * time.Hour
@@ -124,7 +124,7 @@
 	r.tried = w.Now()
 	r.record.tries++
 	n := r.tries
-	w.After(r.load.Patience, func() {
+	w.After(r.load.MaxWait, func() {
 		if r.tries == n && r.first.IsZero() && !r.ended {
 			r.router.leave(r)
 			w.again(r, 500*time.Millisecond, gaveUp)
@@ -142,8 +142,8 @@
 // again lets a caller come back after a pause, or ends its request. A caller
 // waits for its answer no longer than its patience for each of its tries.
 func (w *world) again(r *request, pause time.Duration, last ending) {
-	total := time.Duration(r.load.Tries) * r.load.Patience
-	if r.tries >= r.load.Tries || w.Now().Add(pause).Sub(r.asked) > total {
+	total := time.Duration(r.load.MaxTries) * r.load.MaxWait
+	if r.tries >= r.load.MaxTries || w.Now().Add(pause).Sub(r.asked) > total {
 		r.ended = true
 		r.record.ending = last
 		return
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -18,7 +18,7 @@
 
 	rng     *rand.Rand
 	policy  Policy
-	figures EngineFigures
+	figures EngineParams
 	engines []*engineModel
 	routers []router
 	out     *Outcome
@@ -29,7 +29,7 @@
 var began = time.Unix(1_000_000, 0)
 
 func newWorld(p Policy, seed uint64) *world {
-	return &world{Queue: virtualtime.New(began), policy: p, rng: rand.New(rand.NewPCG(seed, 7)), out: &Outcome{}, figures: DefaultFigures}
+	return &world{Queue: virtualtime.New(began), policy: p, rng: rand.New(rand.NewPCG(seed, 7)), out: &Outcome{}, figures: DefaultEngineParams}
 }
 
 func (w *world) elapsed() time.Duration { return w.Now().Sub(began) }
--- a/internal/explain/account.go
+++ b/internal/explain/account.go
@@ -12,10 +12,10 @@
 
 // Account is what collected logs say of all routed requests: how many went well, and
 // how many of the others were lost for which reason.
-type Account struct {
+type Summary struct {
 	Streams, Calls []Row
 	// Reread is how many tokens of prompts were read again after a run was lost.
-	Reread int
+	RecomputedTokens int
 }
 
 // Row is one reason.
@@ -40,12 +40,12 @@
 )
 
 // NewAccount reads log lines of any number of VMs.
-func NewAccount(logs []io.Reader) (Account, error) {
+func Summarize(logs []io.Reader) (Summary, error) {
 	requests := map[string]*requestLines{}
 	for _, r := range logs {
 		lines, err := readLines(r)
 		if err != nil {
-			return Account{}, err
+			return Summary{}, err
 		}
 		for _, l := range lines {
 			id := l.text("request")
@@ -60,10 +60,10 @@
 			q.note(l)
 		}
 	}
-	var a Account
+	var a Summary
 	streams, calls := map[string]*Row{}, map[string]*Row{}
 	for _, q := range requests {
-		a.Reread += q.reread
+		a.RecomputedTokens += q.reread
 		switch {
 		case q.isStream:
 			add(streams, q.streamReason(), q.began)
--- a/internal/explain/account_test.go
+++ b/internal/explain/account_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each kind of loss is told by the lines that routers write, and counted once.
-func TestAccount(t *testing.T) {
+func TestSummary(t *testing.T) {
 	placed := `"message":"stream placed","send":1,"from_copy":false,"tokens":8600`
 	again := `"message":"stream placed","send":2,"from_copy":false,"tokens":8600`
 	fromCopy := `"message":"stream placed","send":2,"from_copy":true,"tokens":8600`
@@ -47,12 +47,12 @@
 			for i, l := range tt.lines {
 				fmt.Fprintf(&log, `r1 {"vm":"r1","time":"2026-01-01T00:00:%02dZ","request":"q",%s}`+"\n", i, l)
 			}
-			a, err := NewAccount([]io.Reader{strings.NewReader("not json\n" + log.String())})
+			a, err := Summarize([]io.Reader{strings.NewReader("not json\n" + log.String())})
 			if err != nil {
 				t.Fatal(err)
 			}
 			rows := append(a.Streams, a.Calls...)
-			if len(rows) != 1 || rows[0].Reason != tt.want || rows[0].Count != 1 || a.Reread != tt.reread {
+			if len(rows) != 1 || rows[0].Reason != tt.want || rows[0].Count != 1 || a.RecomputedTokens != tt.reread {
 				t.Errorf("account %+v", a)
 			}
 		})
--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -22,10 +22,10 @@
 }
 
 // Story is what collected logs say of one request.
-type Story struct {
+type Explanation struct {
 	Lines []Line // of the request, in order of time
 	// Around are lines about the servers that it was sent to, near in time.
-	Around []Line
+	Nearby []Line
 	Cause  string // what became of it and why, in a sentence
 }
 
@@ -37,17 +37,17 @@
 
 // FromLogs reads log lines of any number of VMs and tells a request's story.
 // Lines that are no JSON are passed over; a prefix before the JSON is allowed.
-func FromLogs(logs []io.Reader, request string) (Story, error) {
+func FromLogs(logs []io.Reader, request string) (Explanation, error) {
 	var all []Line
 	for _, r := range logs {
 		lines, err := readLines(r)
 		if err != nil {
-			return Story{}, err
+			return Explanation{}, err
 		}
 		all = append(all, lines...)
 	}
 	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
-	var s Story
+	var s Explanation
 	servers := map[string]bool{}
 	for _, l := range all {
 		if l.text("request") != request {
@@ -60,7 +60,7 @@
 	}
 	for _, l := range all {
 		if l.text("request") == "" && s.concerns(l, servers) {
-			s.Around = append(s.Around, l)
+			s.Nearby = append(s.Nearby, l)
 		}
 	}
 	s.Cause = s.cause()
@@ -123,7 +123,7 @@
 	return b.String()
 }
 
-func (s *Story) concerns(l Line, servers map[string]bool) bool {
+func (s *Explanation) concerns(l Line, servers map[string]bool) bool {
 	if len(s.Lines) == 0 || l.text("server") == "" || !servers[l.text("server")] {
 		return false
 	}
@@ -132,7 +132,7 @@
 }
 
 // cause puts the last decision and what led to it into a sentence.
-func (s *Story) cause() string {
+func (s *Explanation) cause() string {
 	if len(s.Lines) == 0 {
 		return "no line names this request: it did not reach a router, or it went well while ordinary lines were left out"
 	}
@@ -152,7 +152,7 @@
 }
 
 // before tells the last loss or unsuccessful send ahead of line i.
-func (s *Story) before(i int) string {
+func (s *Explanation) before(i int) string {
 	for i--; i >= 0; i-- {
 		l := s.Lines[i]
 		switch {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -57,20 +57,20 @@
 	// LeaseOver is how long a new leader waits before it orders an engine that
 	// ignores fencing numbers: beyond SendWindow with a drift of a tenth, and
 	// beyond the time that an order takes on the wire.
-	LeaseOver = 5 * time.Second
+	TakeoverDelay = 5 * time.Second
 	// ConfirmWithin ends an order that the engine's state does not show: loading
 	// takes minutes, and a dead engine must not block its place for ever.
-	ConfirmWithin = 10 * time.Minute
+	ConfirmTimeout = 10 * time.Minute
 )
 
 // MayOrder reports whether a leader that has led for some time may order an
 // engine. Of an engine that ignores fencing numbers, an earlier leader's order
 // could otherwise arrive after the new one and undo it.
-func MayOrder(fences bool, led time.Duration) bool { return fences || led >= LeaseOver }
+func MayOrder(fences bool, led time.Duration) bool { return fences || led >= TakeoverDelay }
 
 // Lead asks for a new fencing number; the leader of the group does so once in
 // its term.
-type Lead struct {
+type AcquireFence struct {
 	Leader string `cbor:"1,keyasint"` // VM and incarnation
 }
 
@@ -96,10 +96,10 @@
 
 // Command is one command of the part; exactly one field is set.
 type Command struct {
-	Lead   *Lead   `cbor:"1,keyasint,omitempty"`
-	Begin  *Begin  `cbor:"2,keyasint,omitempty"`
-	End    *End    `cbor:"3,keyasint,omitempty"`
-	Record *Record `cbor:"4,keyasint,omitempty"`
+	AcquireFence *AcquireFence `cbor:"1,keyasint,omitempty"`
+	Begin        *Begin        `cbor:"2,keyasint,omitempty"`
+	End          *End          `cbor:"3,keyasint,omitempty"`
+	Record       *Record       `cbor:"4,keyasint,omitempty"`
 }
 
 // Reply answers a command.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -11,9 +11,9 @@
 // A leader that another has followed gets no order committed, and no engine has
 // two orders under way. The state survives a restart.
 func TestOrdersNeedTheNewestFence(t *testing.T) {
-	p := fleet.NewPart()
+	p := fleet.NewStateMachine()
 	lead := func(name string) uint64 {
-		return p.Execute(1, &fleet.Command{Lead: &fleet.Lead{Leader: name}}).Fence
+		return p.Execute(1, &fleet.Command{AcquireFence: &fleet.AcquireFence{Leader: name}}).Fence
 	}
 	begin := func(engine string, fence uint64) bool {
 		return p.Execute(1, &fleet.Command{Begin: &fleet.Begin{Order: fleet.Order{
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = fleet.NewPart()
+	p = fleet.NewStateMachine()
 	if err := p.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -45,14 +45,14 @@
 		{"end by a deposed leader", end(old), false},
 		{"end by the leader", end(fresh), true},
 		{"next order", begin("e1", fresh), true},
-		{"engine that ignores fences, too early", fleet.MayOrder(false, fleet.LeaseOver-1), false},
-		{"engine that ignores fences, later", fleet.MayOrder(false, fleet.LeaseOver), true},
+		{"engine that ignores fences, too early", fleet.MayOrder(false, fleet.TakeoverDelay-1), false},
+		{"engine that ignores fences, later", fleet.MayOrder(false, fleet.TakeoverDelay), true},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %v", c.what, c.got)
 		}
 	}
-	if fleet.LeaseOver < fleet.SendWindow*11/10 {
+	if fleet.TakeoverDelay < fleet.SendWindow*11/10 {
 		t.Error("a new leader could order within its predecessor's window")
 	}
 }
--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -11,7 +11,7 @@
 // number never goes back.
 func FuzzPart(f *testing.F) {
 	for _, cmd := range []*fleet.Command{
-		{Lead: &fleet.Lead{Leader: "vm1"}},
+		{AcquireFence: &fleet.AcquireFence{Leader: "vm1"}},
 		{Begin: &fleet.Begin{Order: fleet.Order{Engine: "e1", Fence: 1}}},
 		{End: &fleet.End{Fence: 1, Engine: "e1"}},
 		{Record: &fleet.Record{Fence: 1, Engine: "e1", Copies: []fleet.Copy{{Model: "a"}}}},
@@ -23,15 +23,15 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p := fleet.NewPart()
-		p.Execute(1, &fleet.Command{Lead: &fleet.Lead{Leader: "vm1"}})
+		p := fleet.NewStateMachine()
+		p.Execute(1, &fleet.Command{AcquireFence: &fleet.AcquireFence{Leader: "vm1"}})
 		p.Apply(2, data)
-		if r := p.Execute(3, &fleet.Command{Lead: &fleet.Lead{Leader: "vm2"}}); r.Fence < 2 {
+		if r := p.Execute(3, &fleet.Command{AcquireFence: &fleet.AcquireFence{Leader: "vm2"}}); r.Fence < 2 {
 			t.Errorf("fencing number %d", r.Fence)
 		}
 		if v, err := fleet.NewView(data); err == nil {
 			v.Engines("a", "", "")
 		}
-		_ = fleet.NewPart().Restore(data)
+		_ = fleet.NewStateMachine().Restore(data)
 	})
 }
--- a/internal/fleet/part.go
+++ b/internal/fleet/part.go
@@ -24,16 +24,16 @@
 }
 
 // Part is the orders' state in the control group. It implements control.Part.
-type Part struct{ s state }
+type StateMachine struct{ s state }
 
 // NewPart returns an empty Part.
-func NewPart() *Part { return &Part{} }
+func NewStateMachine() *StateMachine { return &StateMachine{} }
 
 // Version implements control.Part: it grows when what engines serve changes.
-func (p *Part) Version() uint64 { return p.s.Version }
+func (p *StateMachine) Version() uint64 { return p.s.Version }
 
 // Apply executes an encoded Command.
-func (p *Part) Apply(nowMS int64, data []byte) []byte {
+func (p *StateMachine) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	var reply Reply
 	if err := codec.Unmarshal(data, &cmd); err == nil {
@@ -47,12 +47,12 @@
 }
 
 // Execute executes a command at the group's time.
-func (p *Part) Execute(nowMS int64, cmd *Command) Reply {
+func (p *StateMachine) Execute(nowMS int64, cmd *Command) Reply {
 	ok := false
 	switch {
-	case cmd.Lead != nil:
+	case cmd.AcquireFence != nil:
 		p.s.Fence++
-		p.s.Leader = cmd.Lead.Leader
+		p.s.Leader = cmd.AcquireFence.Leader
 		ok = true
 	case cmd.Begin != nil:
 		ok = p.begin(nowMS, cmd.Begin.Order)
@@ -69,7 +69,7 @@
 
 // begin refuses the order of a leader that has been followed by another, and a
 // second order to one engine.
-func (p *Part) begin(nowMS int64, o Order) bool {
+func (p *StateMachine) begin(nowMS int64, o Order) bool {
 	if o.Fence != p.s.Fence || p.order(o.Engine) >= 0 {
 		return false
 	}
@@ -79,11 +79,11 @@
 	return true
 }
 
-func (p *Part) order(engine string) int {
+func (p *StateMachine) order(engine string) int {
 	return slices.IndexFunc(p.s.Orders, func(o Order) bool { return o.Engine == engine })
 }
 
-func (p *Part) end(e *End) bool {
+func (p *StateMachine) end(e *End) bool {
 	i := p.order(e.Engine)
 	if e.Fence != p.s.Fence || i < 0 {
 		return false
@@ -93,7 +93,7 @@
 	return true
 }
 
-func (p *Part) record(engine string, copies []Copy) {
+func (p *StateMachine) record(engine string, copies []Copy) {
 	i := slices.IndexFunc(p.s.Served, func(s Served) bool { return s.Engine == engine })
 	if i < 0 {
 		p.s.Served = append(p.s.Served, Served{engine, copies})
@@ -108,10 +108,10 @@
 }
 
 // Orders are those under way.
-func (p *Part) Orders() []Order { return slices.Clone(p.s.Orders) }
+func (p *StateMachine) Orders() []Order { return slices.Clone(p.s.Orders) }
 
 // Changes implements control.Part: the whole of what engines serve.
-func (p *Part) Changes(uint64) []byte {
+func (p *StateMachine) Changes(uint64) []byte {
 	out, err := codec.Marshal(p.s.Served)
 	if err != nil {
 		panic(err) // a list of texts always encodes
@@ -120,10 +120,10 @@
 }
 
 // Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
+func (p *StateMachine) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
 
 // Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+func (p *StateMachine) Restore(data []byte) error {
 	var s state
 	if err := codec.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("fleet: snapshot: %w", err)
@@ -160,7 +160,7 @@
 }
 
 // Same reports whether the view shows these copies on an engine.
-func (v *View) Same(engine string, copies []Copy) bool {
+func (v *View) Matches(engine string, copies []Copy) bool {
 	if v == nil {
 		return false
 	}
--- a/internal/fleet/planner.go
+++ b/internal/fleet/planner.go
@@ -68,7 +68,7 @@
 }
 
 // Failed notes that an engine did not carry out an order.
-func (p *Planner) Failed(engine string, now time.Time) { p.failed[engine] = now }
+func (p *Planner) NoteFailure(engine string, now time.Time) { p.failed[engine] = now }
 
 // Plan returns the orders to give now. busy names engines with an order under
 // way and the model that it loads.
--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -28,7 +28,7 @@
 	b.Cleanup(net.Close)
 	pool := upstream.NewPool()
 	fleet = upstream.NewFleet(pool, zerolog.Nop())
-	fleet.Apply(upstream.List{Backends: net.List(), AsOf: time.Now()})
+	fleet.Apply(upstream.List{Backends: net.Backends(), AsOf: time.Now()})
 	table := testRoutes()
 	h := forward.NewHandler(forward.Options{
 		Zone: "a", Wire: forward.NewPlainWire(), Pool: pool, Fleet: fleet, Routes: func() *routes.Table { return table }, ListsReady: closed(),
@@ -61,7 +61,7 @@
 // server in the same process.
 func BenchmarkCall(b *testing.B) {
 	s := voteServer("a")
-	s.WorkTime = 0
+	s.CallTime = 0
 	url, _ := benchRouter(b, s)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -77,7 +77,7 @@
 // BenchmarkEvent measures an event of a stream through the router, at full speed.
 func BenchmarkEvent(b *testing.B) {
 	s := engine("a")
-	s.ReadTime, s.EventTime, s.Events = 0, 0, b.N
+	s.PrefillTime, s.EventInterval, s.Events = 0, 0, b.N
 	url, _ := benchRouter(b, s)
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/forward/call_test.go
+++ b/internal/forward/call_test.go
@@ -18,7 +18,7 @@
 // closes the connection.
 func breakAfter(text string) answerFunc {
 	return func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
-		s.Note(r, 0, false)
+		s.RecordRun(r, 0, false)
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			panic(err)
@@ -44,7 +44,7 @@
 				f := newFixture(t, voteServer("a"), voteServer("b"))
 				defer f.shutDown()
 				for _, s := range f.servers {
-					s.Answer = breakAfter(broken)
+					s.Intercept = breakAfter(broken)
 				}
 				a := f.send("POST", "/vote/1", "r1", "yes")
 				<-a.done
@@ -67,7 +67,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t, voteServer("a"), voteServer("b"))
 				defer f.shutDown()
-				f.servers[0].Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
+				f.servers[0].Intercept = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 					s.Refuse(w, r)
 					return true
 				}
@@ -91,7 +91,7 @@
 		f := newFixture(t, voteServer("a"), voteServer("b"))
 		defer f.shutDown()
 		for _, s := range f.servers {
-			s.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
+			s.Intercept = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 				s.Refuse(w, r)
 				return true
 			}
@@ -114,22 +114,22 @@
 	failures := map[string]answerFunc{
 		"broken": breakAfter(signedHead + "half"),
 		"silent": func(s *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
-			s.Note(r, 0, false)
+			s.RecordRun(r, 0, false)
 			<-r.Context().Done()
 			return true
 		},
 		"own failure": func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
-			s.Call(w, r, http.StatusInternalServerError)
+			s.AnswerCall(w, r, http.StatusInternalServerError)
 			return true
 		},
 		"unsigned": func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
-			s.Note(r, 0, false)
+			s.RecordRun(r, 0, false)
 			fmt.Fprint(w, "whose answer is this?")
 			return true
 		},
 		"encoded": func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 			w.Header().Set("Content-Encoding", "gzip")
-			s.Call(w, r, http.StatusOK)
+			s.AnswerCall(w, r, http.StatusOK)
 			return true
 		},
 	}
@@ -138,7 +138,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t, voteServer("a"), voteServer("b"))
 				defer f.shutDown()
-				f.servers[0].Answer = failure
+				f.servers[0].Intercept = failure
 				began := time.Now()
 				a := f.send("GET", "/tally/1", "r1", "")
 				<-a.done
@@ -184,7 +184,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, voteServer("a"))
 		defer f.shutDown()
-		f.servers[0].Answer = breakAfter(strayAnswer + signedHead + "0123456789")
+		f.servers[0].Intercept = breakAfter(strayAnswer + signedHead + "0123456789")
 		a := f.send("POST", "/vote/1", "r1", "yes")
 		<-a.done
 		if a.status != http.StatusOK || a.text.String() != "0123456789" {
@@ -199,8 +199,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, voteServer("a"))
 		defer f.shutDown()
-		f.servers[0].Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
-			s.Note(r, 0, false)
+		f.servers[0].Intercept = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
+			s.RecordRun(r, 0, false)
 			conn, _, _ := http.NewResponseController(rw).Hijack()
 			id := r.Header.Get(forward.HeaderRequestID)
 			head := strings.ReplaceAll(signedHead, "r1", id)
@@ -247,7 +247,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, voteServer("a"))
 		defer f.shutDown()
-		f.servers[0].WorkTime = time.Minute
+		f.servers[0].CallTime = time.Minute
 		began := time.Now()
 		a := f.send("POST", "/vote/1", "r1", "yes")
 		<-a.done
@@ -265,11 +265,11 @@
 		var servers []*routedengine.Server
 		for range 6 {
 			s := voteServer("a")
-			s.Answer = func(s *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
+			s.Intercept = func(s *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
 				if !strings.Contains(r.RequestURI, "poison") {
 					return false
 				}
-				s.Note(r, 0, false)
+				s.RecordRun(r, 0, false)
 				go s.Set(routedengine.Dead)
 				<-r.Context().Done()
 				return true
@@ -304,7 +304,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, voteServer("a"))
 		defer f.shutDown()
-		f.servers[0].WorkTime = time.Second
+		f.servers[0].CallTime = time.Second
 		body := strings.Repeat("x", 4<<20)
 		var answers []*answer
 		for i := range 12 {
--- a/internal/forward/explain_test.go
+++ b/internal/forward/explain_test.go
@@ -29,7 +29,7 @@
 	return b.buf.Write(p)
 }
 
-func (b *logBuffer) explanation(t *testing.T, request string) explain.Story {
+func (b *logBuffer) explanation(t *testing.T, request string) explain.Explanation {
 	t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,7 +57,7 @@
 			func(f *fixture, id string) {
 				a := f.send("POST", "/s/1", id, "log")
 				time.Sleep(2 * time.Second)
-				f.servers[0].Set(routedengine.Dark)
+				f.servers[0].Set(routedengine.Unresponsive)
 				<-a.done
 			},
 			[]string{"broken off behind event", "its run on i0 was lost: engine does not answer"},
@@ -68,7 +68,7 @@
 			func() []*routedengine.Server { return []*routedengine.Server{voteServer("a"), voteServer("b")} },
 			func(f *fixture, id string) {
 				for _, s := range f.servers {
-					s.Answer = breakAfter(signedHead + "half")
+					s.Intercept = breakAfter(signedHead + "half")
 				}
 				<-f.send("POST", "/vote/1", id, "yes").done
 			},
@@ -80,7 +80,7 @@
 			func() []*routedengine.Server { return []*routedengine.Server{voteServer("a"), voteServer("b")} },
 			func(f *fixture, id string) {
 				for _, s := range f.servers {
-					s.Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
+					s.Intercept = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
 						s.Refuse(rw, r)
 						return true
 					}
@@ -107,11 +107,11 @@
 					}
 				}
 				found := tt.around == ""
-				for _, l := range s.Around {
+				for _, l := range s.Nearby {
 					found = found || l.Message == tt.around
 				}
 				if !found {
-					t.Errorf("got no line %q among %v, want one", tt.around, s.Around)
+					t.Errorf("got no line %q among %v, want one", tt.around, s.Nearby)
 				}
 			})
 		})
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -91,7 +91,7 @@
 	}
 	f.log, f.pool = log, upstream.NewPoolWith(f.net.Dial)
 	f.fleet = upstream.NewFleet(f.pool, log)
-	f.fleet.Apply(upstream.List{Backends: f.net.List(), AsOf: time.Now()})
+	f.fleet.Apply(upstream.List{Backends: f.net.Backends(), AsOf: time.Now()})
 	f.table.Store(testRoutes())
 	f.state.Store(&rollout.State{})
 	f.book = rollout.NewRecorder(time.Now)
@@ -133,13 +133,13 @@
 func engine(zone string) *routedengine.Server {
 	return &routedengine.Server{
 		Backend: upstream.Backend{Service: "models", Zone: zone, Slots: 64},
-		Events:  100, ReadTime: time.Second, EventTime: 30 * time.Millisecond,
+		Events:  100, PrefillTime: time.Second, EventInterval: 30 * time.Millisecond,
 	}
 }
 
 func voteServer(zone string) *routedengine.Server {
 	return &routedengine.Server{
-		Backend: upstream.Backend{Service: "votes", Zone: zone, Slots: 6}, WorkTime: 60 * time.Millisecond,
+		Backend: upstream.Backend{Service: "votes", Zone: zone, Slots: 6}, CallTime: 60 * time.Millisecond,
 	}
 }
 
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -85,7 +85,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, engine("a"), engine("b"))
 		defer f.shutDown()
-		all := f.net.List()
+		all := f.net.Backends()
 		f.fleet.Apply(upstream.List{Backends: all[:1], AsOf: time.Now().Add(time.Millisecond)})
 		d := &scriptedPlacer{decide: grantInTurn("i1")}
 		d.refresh = func() { f.fleet.Apply(upstream.List{Backends: all, AsOf: time.Now().Add(2 * time.Millisecond)}) }
@@ -155,7 +155,7 @@
 			backup := engine("c")
 			backup.ID, backup.Address = "i9", "10.0.0.9:80"
 			f.servers = append(f.servers, f.net.Add(backup))
-			f.fleet.Apply(upstream.List{Backends: f.net.List(), AsOf: time.Now()})
+			f.fleet.Apply(upstream.List{Backends: f.net.Backends(), AsOf: time.Now()})
 			time.Sleep(1200 * time.Millisecond)
 			ordered := backup.Copies()
 			a.leave()
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -55,7 +55,7 @@
 // complete event. A new prefill of 8,000 tokens would take a second, which is more than
 // the pause objective.
 func TestStreamResumesFromBackupCopy(t *testing.T) {
-	for _, state := range []routedengine.State{routedengine.Dead, routedengine.Dark} {
+	for _, state := range []routedengine.State{routedengine.Dead, routedengine.Unresponsive} {
 		t.Run(fmt.Sprint(state), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t, engine("a"), engine("a"), engine("b"), engine("b"))
@@ -70,8 +70,8 @@
 				}
 				for _, s := range f.servers {
 					for _, r := range s.Runs() {
-						if s != first && (r.ReadAnew || s.Zone == first.Zone) {
-							t.Errorf("resumed in zone %s, prompt prefilled again: %t; want another zone and no prefill", s.Zone, r.ReadAnew)
+						if s != first && (r.Prefilled || s.Zone == first.Zone) {
+							t.Errorf("resumed in zone %s, prompt prefilled again: %t; want another zone and no prefill", s.Zone, r.Prefilled)
 						}
 					}
 				}
@@ -104,8 +104,8 @@
 func TestTruncatedEventIsNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cut := engine("a")
-		cut.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
-			s.Note(r, 1, true)
+		cut.Intercept = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
+			s.RecordRun(r, 1, true)
 			w.Header().Set(forward.HeaderSignature, s.ID)
 			w.Header().Set("Content-Type", "text/event-stream")
 			fmt.Fprint(w, "id: 1\ndata: piece 1\n\nid: 2\ndata: pie")
@@ -145,7 +145,7 @@
 func TestSlowEngineIsNotTakenForDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := engine("a")
-		slow.Events, slow.EventTime = 10, 650*time.Millisecond
+		slow.Events, slow.EventInterval = 10, 650*time.Millisecond
 		f := newFixture(t, slow)
 		defer f.shutDown()
 		a := f.send("POST", "/s/1", "r1", "log")
@@ -166,7 +166,7 @@
 		f := newFixture(t, engine("a"), engine("b"), engine("c"))
 		defer f.shutDown()
 		for _, s := range f.servers {
-			s.Answer = func(_ *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
+			s.Intercept = func(_ *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
 				if lost.Add(1) > 1 {
 					return false
 				}
@@ -237,7 +237,7 @@
 			if i == 18 {
 				for k, s := range f.servers {
 					if s.Zone == "b" {
-						s.Set([]routedengine.State{routedengine.Dark, routedengine.Dead}[k%2])
+						s.Set([]routedengine.State{routedengine.Unresponsive, routedengine.Dead}[k%2])
 					}
 				}
 			}
@@ -287,7 +287,7 @@
 		}
 		other := f.send("POST", "/s/1", "r3", "another log", "Last-Event-Id", "5")
 		<-other.done
-		if run := f.engineRunning("r3").Runs(); !run[len(run)-1].ReadAnew {
+		if run := f.engineRunning("r3").Runs(); !run[len(run)-1].Prefilled {
 			t.Error("another request resumed from the copy of this one")
 		}
 	})
@@ -316,7 +316,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		first := f.engineRunning("r1")
 		dead := f.killBackupEngines()
-		rows := slices.DeleteFunc(f.net.List(), func(b upstream.Backend) bool { return slices.Contains(dead, b.ID) })
+		rows := slices.DeleteFunc(f.net.Backends(), func(b upstream.Backend) bool { return slices.Contains(dead, b.ID) })
 		f.fleet.Apply(upstream.List{Backends: rows, AsOf: time.Now()})
 		time.Sleep(2 * time.Second)
 		first.Set(routedengine.Dead)
@@ -362,7 +362,7 @@
 			backup := engine("c")
 			backup.ID, backup.Address = "i9", "10.0.0.9:80"
 			f.servers = append(f.servers, f.net.Add(backup))
-			f.fleet.Apply(upstream.List{Backends: f.net.List(), AsOf: time.Now()})
+			f.fleet.Apply(upstream.List{Backends: f.net.Backends(), AsOf: time.Now()})
 			time.Sleep(1200 * time.Millisecond)
 			if copyTime == 0 && backup.Copies() != 1 {
 				t.Fatalf("got %d copies ordered, want 1", backup.Copies())
@@ -382,8 +382,8 @@
 func TestUnframedStreamOfDeadEngineResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dying := engine("a")
-		dying.Answer = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
-			s.Note(r, 1, true)
+		dying.Intercept = func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
+			s.RecordRun(r, 1, true)
 			conn, _, _ := http.NewResponseController(w).Hijack()
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX-Backend-Signature: x\r\nConnection: close\r\n\r\n"+
 				"id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n")
--- a/internal/forward/versions_test.go
+++ b/internal/forward/versions_test.go
@@ -94,8 +94,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t, withVersion("v1", voteServer("a")), withVersion("v2", voteServer("a")))
 				defer f.shutDown()
-				f.servers[1].Answer = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
-					s.Call(rw, r, http.StatusInternalServerError)
+				f.servers[1].Intercept = func(s *routedengine.Server, rw http.ResponseWriter, r *http.Request) bool {
+					s.AnswerCall(rw, r, http.StatusInternalServerError)
 					return true
 				}
 				if tt.gone {
@@ -184,7 +184,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, withVersion("v1", engine("a")), withVersion("v2", engine("a")))
 		defer f.shutDown()
-		f.servers[1].EventTime *= 5
+		f.servers[1].EventInterval *= 5
 		f.setRollout("models", rollout.Trial, 1)
 		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(4 * time.Second)
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -235,7 +235,7 @@
 
 func (g *Gateway) leaving() bool {
 	select {
-	case <-g.cfg.Leaving:
+	case <-g.cfg.Draining:
 		return true
 	default:
 		return false
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -13,10 +13,10 @@
 )
 
 // Entrances names the addresses that callers should use.
-type Entrances interface {
+type Endpoints interface {
 	// Entry returns addresses in order of use, and the version of the list that
 	// they come from.
-	Entry(q membership.EntryQuery) (addresses []string, version uint64)
+	Entry(q membership.EndpointQuery) (addresses []string, version uint64)
 }
 
 type entryAnswer struct {
@@ -26,14 +26,14 @@
 }
 
 // EntryRoutes registers GET /v1/entry. Callers keep an answer for ttl.
-func (g *Gateway) EntryRoutes(r *mux.Router, e Entrances, ttl time.Duration) {
+func (g *Gateway) EntryRoutes(r *mux.Router, e Endpoints, ttl time.Duration) {
 	r.HandleFunc("/v1/entry", func(w http.ResponseWriter, r *http.Request) {
 		caller, err := g.authenticate(r)
 		if err != nil {
 			resulthttp.Write(w, "", err)
 			return
 		}
-		q := membership.EntryQuery{Workspace: caller.Customer.Workspace, Zone: r.URL.Query().Get("zone"), Caller: callerName(r)}
+		q := membership.EndpointQuery{Workspace: caller.Customer.Workspace, Zone: r.URL.Query().Get("zone"), Caller: callerName(r)}
 		out := entryAnswer{TTLMS: ttl.Milliseconds()}
 		out.Addresses, out.Version = e.Entry(q)
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -43,7 +43,7 @@
 
 	// Leaving is closed once this VM hands its streams over: callers are told to
 	// reconnect, at the end of an event. Nil: never.
-	Leaving <-chan struct{}
+	Draining <-chan struct{}
 }
 
 // Gateway is the callers' HTTP handler.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -214,7 +214,7 @@
 		if fmt.Sprint(rest) != fmt.Sprint(answer[len(answer)-len(rest):]) || len(rest) == 0 {
 			t.Error("the good answer's rest differs after the mistakes")
 		}
-		if starts := v.engine.Stats().Starts; starts != 1 {
+		if starts := v.engine.Stats().RunsStarted; starts != 1 {
 			t.Errorf("%d attempts, want 1", starts)
 		}
 	})
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -149,7 +149,7 @@
 
 // Lists reports whether the latest list is recent and names a VM; known is false
 // where there is no recent list, and nothing can be said.
-func (r *Reader) Lists(id string) (listed, known bool) {
+func (r *Reader) IsListed(id string) (listed, known bool) {
 	_, age, ok := r.List()
 	if !ok || age > 10*readEvery {
 		return false, false
--- a/internal/load/edits.go
+++ b/internal/load/edits.go
@@ -70,7 +70,7 @@
 		return
 	}
 	recordDuration(e.inForce, time.Since(began))
-	e.checkVMs(out.Lists)
+	e.checkVMs(out.ListsVersion)
 }
 
 // reloadRow reads the row's current version, which must not be lower than an accepted one.
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -125,7 +125,7 @@
 		if f.Number > len(s.Services) || f.Number == 0 {
 			return fmt.Errorf("service %d does not exist", f.Number)
 		}
-		s.Services[f.Number-1].Break(breakPoints[f.Arg])
+		s.Services[f.Number-1].BreakNextCall(breakPoints[f.Arg])
 		return nil
 	}
 	return f.applyEngine(s)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -90,7 +90,7 @@
 	if r.opts.System == nil {
 		return 0
 	}
-	return r.opts.System.Work()
+	return r.opts.System.ComputedTokens()
 }
 
 func (r *runner) sendAll(ctx context.Context, arrivals []Arrival) {
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -76,7 +76,7 @@
 		}
 		s.Engines = append(s.Engines, e)
 		s.backends = append(s.backends, settings.Backend{
-			Name: name, Kind: settings.KindEngine, Address: e.Addr, Zone: s.zone(i), Models: []string{s.o.Model}, Fences: cfg.Fences,
+			Name: name, Kind: settings.KindEngine, Address: e.Addr, Zone: s.zone(i), Models: []string{s.o.Model}, Fences: cfg.EnforceFencing,
 		})
 	}
 	return nil
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	conf.Self.Callers, conf.Self.Peer, conf.Operators = s.vms[i].Callers, s.vms[i].Peer, old.OperatorAddr()
+	conf.Self.Endpoint, conf.Self.Peer, conf.Operators = s.vms[i].Endpoint, s.vms[i].Peer, old.OperatorAddr()
 	n, err := s.listen(conf)
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	conf.Self.ID, conf.Self.Zone = fmt.Sprintf("vm%d", i+1), s.zone(i)
-	conf.Self.Callers, conf.Self.Peer, conf.Operators = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
+	conf.Self.Endpoint, conf.Self.Peer, conf.Operators = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	conf.DataDir = fmt.Sprintf("%s/vm%d", s.dir, i+1)
 	conf.Backends = s.backends
 	if i >= s.controlVMs() {
@@ -206,17 +206,17 @@
 func (s *System) Addresses() []string {
 	var out []string
 	for _, n := range s.Nodes {
-		out = append(out, n.Self().Callers)
+		out = append(out, n.Self().Endpoint)
 	}
 	return out
 }
 
 // Work is what all engines have computed, in tokens.
-func (s *System) Work() int {
+func (s *System) ComputedTokens() int {
 	total := 0
 	for _, e := range s.Engines {
 		st := e.Stats()
-		total += st.PrefillTokens + st.GeneratedTotal
+		total += st.PrefillTokens + st.GeneratedTokens
 	}
 	return total
 }
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -11,12 +11,12 @@
 	vms := routers(330)
 	b.Run("entry", func(b *testing.B) {
 		for range b.N {
-			membership.EntryFor(vms, none, membership.EntryQuery{Workspace: "w", Zone: "z1", Caller: "c"})
+			membership.EndpointsFor(vms, none, membership.EndpointQuery{Workspace: "w", Zone: "z1", Caller: "c"})
 		}
 	})
 	b.Run("watches", func(b *testing.B) {
 		for range b.N {
-			membership.Watches(vms[0].ID, vms)
+			membership.ProbeTargets(vms[0].ID, vms)
 		}
 	})
 }
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -15,7 +15,7 @@
 )
 
 // EntryQuery is whom an entry answer is for.
-type EntryQuery struct {
+type EndpointQuery struct {
 	Workspace string
 	Zone      string // of the caller; empty: unknown
 	Caller    string // tells callers of one workspace apart, so that they spread
@@ -29,13 +29,13 @@
 // of them sit on one VM; with a random order for each answer every VM needs a
 // grant and a cache for every workspace. Rendezvous hashing keeps the choice
 // stable: a VM that goes changes only the answers that named it.
-func EntryFor(vms []VM, avoid func(id string) bool, q EntryQuery) []VM {
+func EndpointsFor(vms []VM, avoid func(id string) bool, q EndpointQuery) []VM {
 	able := usable(vms, func(vm VM) bool { return vm.State == Live && !avoid(vm.ID) })
 	if len(able) == 0 {
 		// Better a leaving VM than no address at all.
 		able = usable(vms, func(vm VM) bool { return vm.State != Dead })
 	}
-	chosen := Spread(q.Workspace, able, entrySpread+entrySpare)
+	chosen := ChooseAcrossZones(q.Workspace, able, entrySpread+entrySpare)
 	chosen = withZone(chosen, able, q)
 	first := min(entrySpread, len(chosen))
 	rotate(chosen[:first], xxhash.Sum64String(q.Caller))
@@ -46,7 +46,7 @@
 func usable(vms []VM, ok func(VM) bool) []VM {
 	out := make([]VM, 0, len(vms))
 	for _, vm := range vms {
-		if vm.Router && vm.Callers != "" && ok(vm) {
+		if vm.Router && vm.Endpoint != "" && ok(vm) {
 			out = append(out, vm)
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // withZone makes sure that a VM of the caller's zone is named, if there is one.
-func withZone(chosen, able []VM, q EntryQuery) []VM {
+func withZone(chosen, able []VM, q EndpointQuery) []VM {
 	near := func(vm VM) bool { return vm.Zone == q.Zone }
 	if q.Zone == "" || slices.ContainsFunc(chosen, near) {
 		return chosen
@@ -68,7 +68,7 @@
 	if len(there) == 0 {
 		return chosen
 	}
-	return append(Spread(q.Workspace, there, 1), chosen[:len(chosen)-1]...)
+	return append(ChooseAcrossZones(q.Workspace, there, 1), chosen[:len(chosen)-1]...)
 }
 
 func far(vm VM, zone string) int {
--- a/internal/membership/entry_test.go
+++ b/internal/membership/entry_test.go
@@ -11,7 +11,7 @@
 	var out []membership.VM
 	for i := range n {
 		out = append(out, membership.VM{
-			ID: id(i), Zone: fmt.Sprint("z", i%3), Router: true, Callers: fmt.Sprint("10.0.0.", i), State: membership.Live,
+			ID: id(i), Zone: fmt.Sprint("z", i%3), Router: true, Endpoint: fmt.Sprint("10.0.0.", i), State: membership.Live,
 		})
 	}
 	return out
@@ -21,8 +21,8 @@
 
 func entry(vms []membership.VM, workspace, zone string, caller int) []string {
 	var out []string
-	q := membership.EntryQuery{Workspace: workspace, Zone: zone, Caller: fmt.Sprint(caller)}
-	for _, vm := range membership.EntryFor(vms, none, q) {
+	q := membership.EndpointQuery{Workspace: workspace, Zone: zone, Caller: fmt.Sprint(caller)}
+	for _, vm := range membership.EndpointsFor(vms, none, q) {
 		out = append(out, vm.ID)
 	}
 	return out
@@ -57,7 +57,7 @@
 
 // The answer stays as it was when VMs that it does not name come or go, and
 // loses only those that go. It names each zone and the caller's own first.
-func TestEntryAgesWell(t *testing.T) {
+func TestEntryIsStable(t *testing.T) {
 	vms := routers(11)
 	moved := 0
 	for w := range 200 {
@@ -84,16 +84,16 @@
 
 // Leaving and dead VMs are left out; where all are leaving, they are still
 // better than no address.
-func TestEntryLeavesOutTheLeaving(t *testing.T) {
+func TestEntryExcludesLeavingVMs(t *testing.T) {
 	vms := routers(4)
 	vms[0].State, vms[1].State = membership.Leaving, membership.Dead
 	avoid := func(vm string) bool { return vm == id(2) }
-	got := membership.EntryFor(vms, avoid, membership.EntryQuery{Workspace: "w"})
+	got := membership.EndpointsFor(vms, avoid, membership.EndpointQuery{Workspace: "w"})
 	if len(got) != 1 || got[0].ID != id(3) {
 		t.Errorf("got %v, want the one that stays", got)
 	}
 	vms[3].State = membership.Leaving
-	if got := membership.EntryFor(vms, avoid, membership.EntryQuery{Workspace: "w"}); len(got) != 3 {
+	if got := membership.EndpointsFor(vms, avoid, membership.EndpointQuery{Workspace: "w"}); len(got) != 3 {
 		t.Errorf("got %v, want all but the dead", got)
 	}
 }
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -29,10 +29,10 @@
 			t.Errorf("version %d after %d", got, before)
 		}
 		h := l.history()
-		_ = h.Take(data)
-		if h.Present().Version < before {
-			t.Errorf("a change took the list back to %d", h.Present().Version)
+		_ = h.Apply(data)
+		if h.Current().Version < before {
+			t.Errorf("a change took the list back to %d", h.Current().Version)
 		}
-		_ = membership.NewPart().Restore(data)
+		_ = membership.NewStateMachine().Restore(data)
 	})
 }
--- a/internal/membership/history.go
+++ b/internal/membership/history.go
@@ -15,7 +15,7 @@
 }
 
 // Take adds an encoded change.
-func (h *History) Take(data []byte) error {
+func (h *History) Apply(data []byte) error {
 	var c change
 	if err := codec.Unmarshal(data, &c); err != nil {
 		return fmt.Errorf("membership: change: %w", err)
@@ -46,7 +46,7 @@
 }
 
 // Present is the newest version; its Version is 0 before the first.
-func (h *History) Present() View {
+func (h *History) Current() View {
 	if len(h.views) == 0 {
 		return View{}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -30,8 +30,8 @@
 	Zone        string `cbor:"3,keyasint"`
 	Router      bool   `cbor:"4,keyasint"`
 	Control     bool   `cbor:"5,keyasint"`
-	Peer        string `cbor:"6,keyasint"` // ip:port
-	Callers     string `cbor:"7,keyasint"` // ip:port
+	PeerAddr    string `cbor:"6,keyasint"` // ip:port
+	Endpoint    string `cbor:"7,keyasint"` // ip:port
 	State       State  `cbor:"8,keyasint"`
 	SinceMS     int64  `cbor:"9,keyasint"` // the group's clock, of the state
 }
--- a/internal/membership/part.go
+++ b/internal/membership/part.go
@@ -29,12 +29,12 @@
 }
 
 // Part is the list in the control group's state. It implements control.Part.
-type Part struct{ s state }
+type StateMachine struct{ s state }
 
 // NewPart returns an empty list.
-func NewPart() *Part { return &Part{} }
+func NewStateMachine() *StateMachine { return &StateMachine{} }
 
-func (p *Part) present() View {
+func (p *StateMachine) present() View {
 	if n := len(p.s.Views); n > 0 {
 		return p.s.Views[n-1]
 	}
@@ -42,7 +42,7 @@
 }
 
 // Version implements control.Part.
-func (p *Part) Version() uint64 {
+func (p *StateMachine) Version() uint64 {
 	if len(p.s.Views) == 0 {
 		return 0
 	}
@@ -50,7 +50,7 @@
 }
 
 // Apply executes an encoded Command.
-func (p *Part) Apply(nowMS int64, data []byte) []byte {
+func (p *StateMachine) Apply(nowMS int64, data []byte) []byte {
 	var cmd Command
 	if err := codec.Unmarshal(data, &cmd); err == nil {
 		p.Execute(nowMS, &cmd)
@@ -63,7 +63,7 @@
 }
 
 // Execute executes a command at the group's time.
-func (p *Part) Execute(nowMS int64, cmd *Command) {
+func (p *StateMachine) Execute(nowMS int64, cmd *Command) {
 	switch {
 	case cmd.Join != nil:
 		p.join(nowMS, cmd.Join)
@@ -74,21 +74,21 @@
 	}
 }
 
-func (p *Part) join(nowMS int64, j *Join) {
+func (p *StateMachine) join(nowMS int64, j *Join) {
 	p.s.Expected = max(p.s.Expected, j.Expected)
 	vm := j.VM
 	vm.State, vm.SinceMS = Live, nowMS
 	p.clear(vm.ID)
 	if old, ok := p.find(vm.ID); ok && old.Incarnation == vm.Incarnation {
 		// A VM that has begun to leave stays leaving, whatever comes late.
-		if old.State != Dead && old.Peer == vm.Peer && old.Callers == vm.Callers || old.State == Leaving {
+		if old.State != Dead && old.PeerAddr == vm.PeerAddr && old.Endpoint == vm.Endpoint || old.State == Leaving {
 			return
 		}
 	}
 	p.put(nowMS, vm)
 }
 
-func (p *Part) leave(nowMS int64, l *Leave) {
+func (p *StateMachine) leave(nowMS int64, l *Leave) {
 	vm, ok := p.find(l.VM)
 	if !ok || vm.Incarnation != l.Incarnation {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-func (p *Part) suspect(nowMS int64, s *Suspect) {
+func (p *StateMachine) suspect(nowMS int64, s *Suspect) {
 	vm, ok := p.find(s.VM)
 	observer, known := p.find(s.Observer)
 	if !ok || !known || vm.Incarnation != s.Incarnation || observer.State == Dead || s.VM == s.Observer {
@@ -129,7 +129,7 @@
 const removeAfterMS = 60_000
 
 // record keeps the newest evidence of each observer on each VM.
-func (p *Part) record(nowMS int64, e evidence) {
+func (p *StateMachine) record(nowMS int64, e evidence) {
 	p.s.Evidence = slices.DeleteFunc(p.s.Evidence, func(o evidence) bool {
 		same := o.Suspect.VM == e.Suspect.VM && o.Suspect.Observer == e.Suspect.Observer
 		return same || nowMS-o.AtMS > evidenceFor.Milliseconds()
@@ -139,7 +139,7 @@
 
 // agree counts the zones that suspect a VM; absent: all of them say that the
 // platform has dropped it.
-func (p *Part) agree(vm string) (zones int, absent bool) {
+func (p *StateMachine) agree(vm string) (zones int, absent bool) {
 	var seen []string
 	absent = true
 	for _, e := range p.s.Evidence {
@@ -155,7 +155,7 @@
 }
 
 // needed is zonesNeeded, or as many zones as other living VMs are in.
-func (p *Part) needed(vm string) int {
+func (p *StateMachine) needed(vm string) int {
 	var zones []string
 	for _, o := range p.present().VMs {
 		if o.ID != vm && o.State != Dead && !slices.Contains(zones, o.Zone) {
@@ -165,7 +165,7 @@
 	return max(1, min(zonesNeeded, len(zones)))
 }
 
-func (p *Part) mayEvict(nowMS int64) bool {
+func (p *StateMachine) mayEvict(nowMS int64) bool {
 	p.s.Evictions = slices.DeleteFunc(p.s.Evictions, func(at int64) bool { return nowMS-at >= 60_000 })
 	all, dead := 0, 0
 	for _, vm := range p.present().VMs {
@@ -178,24 +178,24 @@
 	return len(p.s.Evictions) < perMinute && dead < max(1, int(float64(all)*deadShare))
 }
 
-func (p *Part) clear(vm string) {
+func (p *StateMachine) clear(vm string) {
 	p.s.Evidence = slices.DeleteFunc(p.s.Evidence, func(e evidence) bool { return e.Suspect.VM == vm })
 }
 
-func (p *Part) find(id string) (VM, bool) {
+func (p *StateMachine) find(id string) (VM, bool) {
 	v := p.present()
 	return v.Find(id)
 }
 
 // put adds a version with the VM as given.
-func (p *Part) put(nowMS int64, vm VM) {
+func (p *StateMachine) put(nowMS int64, vm VM) {
 	vms := slices.DeleteFunc(slices.Clone(p.present().VMs), func(o VM) bool { return o.ID == vm.ID })
 	vms = append(vms, vm)
 	slices.SortFunc(vms, func(a, b VM) int { return strings.Compare(a.ID, b.ID) })
 	p.add(nowMS, vms)
 }
 
-func (p *Part) drop(nowMS int64, id string) {
+func (p *StateMachine) drop(nowMS int64, id string) {
 	p.clear(id)
 	// Once all have left no journal is left either: the first VM of the next
 	// start must not place journals by a list of one.
@@ -207,7 +207,7 @@
 
 // add appends a version and forgets old ones. Until the list has formed only the
 // present version is kept: nothing was placed by those before it.
-func (p *Part) add(nowMS int64, vms []VM) {
+func (p *StateMachine) add(nowMS int64, vms []VM) {
 	next := View{Version: p.present().Version + 1, AtMS: nowMS, VMs: vms}
 	if p.s.FormedAt == 0 {
 		p.s.Views = nil
@@ -239,7 +239,7 @@
 }
 
 // Changes implements control.Part. A watcher gets the versions it lacks.
-func (p *Part) Changes(since uint64) []byte {
+func (p *StateMachine) Changes(since uint64) []byte {
 	c := change{FormedAt: p.s.FormedAt}
 	for _, v := range p.s.Views {
 		if v.Version > since {
@@ -254,10 +254,10 @@
 }
 
 // Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
+func (p *StateMachine) Snapshot() ([]byte, error) { return codec.Marshal(&p.s) }
 
 // Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+func (p *StateMachine) Restore(data []byte) error {
 	var s state
 	if err := codec.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("membership: snapshot: %w", err)
--- a/internal/membership/part_test.go
+++ b/internal/membership/part_test.go
@@ -10,13 +10,13 @@
 
 type list struct {
 	t    *testing.T
-	part *membership.Part
+	part *membership.StateMachine
 	now  int64
 }
 
 // system returns a list of n VMs over three zones.
 func system(t *testing.T, n int) *list {
-	l := &list{t, membership.NewPart(), 1_800_000_000_000}
+	l := &list{t, membership.NewStateMachine(), 1_800_000_000_000}
 	for i := range n {
 		l.join(i, "1", n)
 	}
@@ -27,7 +27,7 @@
 
 func (l *list) join(i int, incarnation string, expected int) {
 	l.part.Execute(l.now, &membership.Command{Join: &membership.Join{
-		VM:       membership.VM{ID: id(i), Incarnation: incarnation, Zone: fmt.Sprint("z", i%3), Router: true, Peer: "127.0.0.1:1"},
+		VM:       membership.VM{ID: id(i), Incarnation: incarnation, Zone: fmt.Sprint("z", i%3), Router: true, PeerAddr: "127.0.0.1:1"},
 		Expected: expected,
 	}})
 }
@@ -41,13 +41,13 @@
 func (l *list) history() *membership.History {
 	l.t.Helper()
 	var h membership.History
-	if err := h.Take(l.part.Changes(0)); err != nil {
+	if err := h.Apply(l.part.Changes(0)); err != nil {
 		l.t.Fatal(err)
 	}
 	return &h
 }
 
-func (l *list) present() membership.View { return l.history().Present() }
+func (l *list) present() membership.View { return l.history().Current() }
 
 func (l *list) state(i int) membership.State {
 	v := l.present()
@@ -160,14 +160,14 @@
 		l.join(i%6, fmt.Sprint("restart", i), 6)
 	}
 	h := l.history()
-	if got := len(h.Views()); got != 256 || h.Present().Version != formed+300 || !h.Formed() {
-		t.Errorf("%d views, version %d", got, h.Present().Version)
+	if got := len(h.Views()); got != 256 || h.Current().Version != formed+300 || !h.Formed() {
+		t.Errorf("%d views, version %d", got, h.Current().Version)
 	}
 	data, err := l.part.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := membership.NewPart()
+	restored := membership.NewStateMachine()
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -208,7 +208,7 @@
 		if i%10 != 0 {
 			continue
 		}
-		most = max(most, len(membership.Watches(vm.ID, vms)))
+		most = max(most, len(membership.ProbeTargets(vm.ID, vms)))
 		zones := map[string]bool{}
 		before := membership.ObserversOf(vm.ID, vms)
 		for _, o := range before {
@@ -216,7 +216,7 @@
 			_, _ = fmt.Sscanf(o, "vm%d", &n)
 			zones[fmt.Sprint(n%3)] = true
 		}
-		if len(zones) != membership.Observers {
+		if len(zones) != membership.ObserversPerVM {
 			t.Fatalf("%s is watched from %d zones", vm.ID, len(zones))
 		}
 		if fmt.Sprint(before) != fmt.Sprint(membership.ObserversOf(vm.ID, vms[1:])) {
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -9,12 +9,12 @@
 // Observers is how many VMs watch each VM. Three in three zones outvote one
 // observer with a broken link, and cost each VM three probes a second however
 // large the system is: no full mesh.
-const Observers = 3
+const ObserversPerVM = 3
 
 // Watches returns the VMs that self has to probe: those for which it is one of
 // the first by rendezvous hash, one of each zone first. Dead VMs are watched too,
 // so that their return and their removal are seen.
-func Watches(self string, vms []VM) []VM {
+func ProbeTargets(self string, vms []VM) []VM {
 	var out []VM
 	for _, subject := range vms {
 		if subject.ID != self && slices.Contains(ObserversOf(subject.ID, vms), self) {
@@ -32,14 +32,14 @@
 			able = append(able, vm)
 		}
 	}
-	return ids(Spread(subject, able, Observers))
+	return ids(ChooseAcrossZones(subject, able, ObserversPerVM))
 }
 
 // Spread returns n VMs by rendezvous hash of a key, taking no zone twice before
 // each has given one. A VM that comes or goes changes little of the order. It
 // works in one pass for each of the n, without sorting: with 330 VMs each
 // computes its watches from 330 such choices.
-func Spread(key string, vms []VM, n int) []VM {
+func ChooseAcrossZones(key string, vms []VM, n int) []VM {
 	scores := make([]uint64, len(vms))
 	buf := make([]byte, 0, 128)
 	for i := range vms {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -19,7 +19,7 @@
 func (n *Node) startControl() {
 	var voters []string
 	for _, vm := range n.s.VMs {
-		if vm.Has(settings.RoleControl) {
+		if vm.HasRole(settings.RoleControl) {
 			voters = append(voters, vm.ID)
 		}
 	}
@@ -27,7 +27,7 @@
 	n.feed = control.NewFeed(control.FeedOptions{
 		Self: n.s.Self.ID, Voters: control.FixedVMs(voters), Transport: n.network, Lease: n.s.FreshnessTTL, Log: n.log,
 	})
-	if n.s.Self.Has(settings.RoleControl) {
+	if n.s.Self.HasRole(settings.RoleControl) {
 		n.group = control.NewGroup(control.GroupOptions{
 			VM: n.s.Self.ID, Voters: voters, Dir: filepath.Join(n.s.DataDir, "control"), Transport: n.network,
 			State: n.machine, Lease: n.s.FreshnessTTL, Log: n.log, OnFailure: n.fail,
@@ -59,7 +59,7 @@
 
 // runControl joins the control group. All state machines must be registered before.
 func (n *Node) runControl() {
-	if !slices.ContainsFunc(n.s.VMs, func(vm settings.VM) bool { return vm.Has(settings.RoleControl) }) {
+	if !slices.ContainsFunc(n.s.VMs, func(vm settings.VM) bool { return vm.HasRole(settings.RoleControl) }) {
 		n.fail(errors.New("no VM in the settings has the control role, so no request could be admitted"))
 		return
 	}
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -35,7 +35,7 @@
 		if err != nil || got.Concurrent != 7 {
 			t.Errorf("%s: got allowance %+v, error %v; want concurrency 7", n.Self().ID, got, err)
 		}
-		if _, err := client.New([]string{n.Self().Callers}, testKey).Complete(t.Context(), "after-"+n.Self().ID,
+		if _, err := client.New([]string{n.Self().Endpoint}, testKey).Complete(t.Context(), "after-"+n.Self().ID,
 			client.Completion{Model: "m", Prompt: "unit 3", MaxTokens: 5}, nil); err != nil {
 			t.Errorf("%s refused a request: %v", n.Self().ID, err)
 		}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -50,16 +50,16 @@
 	complete("before")
 	leavingEngine, leavingVM := s.Engines[0], s.Nodes[2].Self()
 	p.Set(inventory.List{
-		VMs:      []inventory.VM{{ID: leavingVM.ID, Zone: leavingVM.Zone, Callers: leavingVM.Callers, Leaving: true}},
+		VMs:      []inventory.VM{{ID: leavingVM.ID, Zone: leavingVM.Zone, Callers: leavingVM.Endpoint, Leaving: true}},
 		Backends: []inventory.Backend{{Name: "engine1", Leaving: true}},
 	})
 	began := time.Now()
-	entryUntil(ctx, t, s.Nodes[0].Self().Callers, func(e *client.Entry) bool { return len(e.Addresses) == 2 })
-	idle, last := 0, leavingEngine.Stats().Starts
+	entryUntil(ctx, t, s.Nodes[0].Self().Endpoint, func(e *client.Entry) bool { return len(e.Addresses) == 2 })
+	idle, last := 0, leavingEngine.Stats().RunsStarted
 	for i := 0; idle < 100; i++ {
 		complete(fmt.Sprint("after", i))
 		idle++
-		if now := leavingEngine.Stats().Starts; now != last {
+		if now := leavingEngine.Stats().RunsStarted; now != last {
 			idle, last = 0, now
 		}
 	}
--- a/internal/node/loss_bench_test.go
+++ b/internal/node/loss_bench_test.go
@@ -58,7 +58,7 @@
 	defer s.Stop()
 	ctx, cancel := context.WithTimeout(b.Context(), time.Minute)
 	defer cancel()
-	before := s.Work()
+	before := s.ComputedTokens()
 	var once sync.Once
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -92,5 +92,5 @@
 	slices.Sort(gaps)
 	b.ReportMetric(float64(gaps[len(gaps)/2].Milliseconds()), "p50-gap-ms")
 	b.ReportMetric(float64(gaps[len(gaps)*99/100].Milliseconds()), "p99-gap-ms")
-	b.ReportMetric(100*float64(s.Work()-before-ideal)/float64(ideal), "extra-%")
+	b.ReportMetric(100*float64(s.ComputedTokens()-before-ideal)/float64(ideal), "extra-%")
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -56,8 +56,8 @@
 // precedence, since a replaced VM may have another address than in the settings.
 func (m *members) peerAddr(id string) (string, bool) {
 	view := m.currentView()
-	if vm, ok := view.Find(id); ok && vm.Peer != "" {
-		return vm.Peer, true
+	if vm, ok := view.Find(id); ok && vm.PeerAddr != "" {
+		return vm.PeerAddr, true
 	}
 	for _, vm := range m.vms {
 		if vm.ID == id {
@@ -73,7 +73,7 @@
 func (m *members) currentView() membership.View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.history.Present()
+	return m.history.Current()
 }
 
 // settingsMembership returns the list of the settings, whose VMs have no incarnation.
@@ -118,7 +118,7 @@
 // m.mu.
 func (m *members) updateLearnedAt() {
 	learnt := map[uint64]time.Time{}
-	newest := m.history.Present()
+	newest := m.history.Current()
 	for _, v := range m.history.Views() {
 		at, ok := m.learnedAt[v.Version]
 		if !ok {
@@ -144,7 +144,7 @@
 func (m *members) apply(data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.history.Take(data); err != nil {
+	if err := m.history.Apply(data); err != nil {
 		m.log.Error().Err(err).Msg("change of the list of VMs could not be applied; keeping the list in force")
 		return
 	}
@@ -194,7 +194,7 @@
 	if fails && time.Since(since) >= suspectAfter {
 		return false
 	}
-	present := m.history.Present()
+	present := m.history.Current()
 	vm, ok := present.Find(id)
 	return !ok || vm.State != membership.Dead
 }
@@ -212,13 +212,13 @@
 	n.members.draining = n.draining.Load
 	n.members.lease = n.s.FreshnessTTL
 	n.network = peer.NewNetwork(n.s.Self.ID, n.s.PeerToken, n.members.peerAddr, n.log)
-	n.network.Handle(peer.KindMembership, n.answerProbe)
+	n.network.Handle(peer.KindProbe, n.answerProbe)
 }
 
 // followMembers registers the list of VMs with the replicated state and subscribes to it.
 // startControl must have run.
 func (n *Node) followMembers() {
-	n.machine.Register(control.MembersStateMachine, membership.NewPart())
+	n.machine.Register(control.MembersStateMachine, membership.NewStateMachine())
 	n.feed.OnChange(control.MembersStateMachine, n.members.apply)
 	n.metrics.Set("members", expvar.Func(func() any { return n.members.status() }))
 }
@@ -278,8 +278,8 @@
 	self := n.s.Self
 	_, err := n.proposeMember(ctx, &membership.Command{Join: &membership.Join{
 		VM: membership.VM{
-			ID: self.ID, Incarnation: n.incarnation, Zone: self.Zone, Peer: self.Peer, Callers: self.Callers,
-			Router: self.Has(settings.RoleRouter), Control: self.Has(settings.RoleControl),
+			ID: self.ID, Incarnation: n.incarnation, Zone: self.Zone, PeerAddr: self.Peer, Endpoint: self.Endpoint,
+			Router: self.HasRole(settings.RoleRouter), Control: self.HasRole(settings.RoleControl),
 		},
 		Expected: len(n.s.VMs),
 	}})
@@ -339,7 +339,7 @@
 }
 
 // Entry implements gateway.Entrances.
-func (m *members) Entry(q membership.EntryQuery) ([]string, uint64) {
+func (m *members) Entry(q membership.EndpointQuery) ([]string, uint64) {
 	view := m.currentView()
 	if len(view.VMs) == 0 {
 		view = m.viewFromSettings()
@@ -349,8 +349,8 @@
 		return listed && vm.Leaving || id == m.self && m.draining()
 	}
 	var out []string
-	for _, vm := range membership.EntryFor(view.VMs, avoid, q) {
-		out = append(out, vm.Callers)
+	for _, vm := range membership.EndpointsFor(view.VMs, avoid, q) {
+		out = append(out, vm.Endpoint)
 	}
 	return out, view.Version
 }
@@ -359,7 +359,7 @@
 	var view membership.View
 	for _, vm := range m.vms {
 		view.VMs = append(view.VMs, membership.VM{
-			ID: vm.ID, Zone: vm.Zone, Router: vm.Has(settings.RoleRouter), Callers: vm.Callers, State: membership.Live,
+			ID: vm.ID, Zone: vm.Zone, Router: vm.HasRole(settings.RoleRouter), Endpoint: vm.Endpoint, State: membership.Live,
 		})
 	}
 	return view
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	for _, n := range s.Nodes {
-		entryUntil(ctx, t, n.Self().Callers, func(e *client.Entry) bool { return len(e.Addresses) == len(s.Nodes) })
+		entryUntil(ctx, t, n.Self().Endpoint, func(e *client.Entry) bool { return len(e.Addresses) == len(s.Nodes) })
 	}
 	return s
 }
@@ -73,7 +73,7 @@
 	s := startWithDispatch(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	asked, killed := s.Nodes[0].Self().Callers, s.Nodes[2].Self().Callers
+	asked, killed := s.Nodes[0].Self().Endpoint, s.Nodes[2].Self().Endpoint
 	before := entryUntil(ctx, t, asked, func(e *client.Entry) bool { return len(e.Addresses) == 3 && e.Version > 1 })
 	s.Nodes[2].Kill()
 	began := time.Now()
@@ -102,14 +102,14 @@
 	t.Cleanup(s.Stop)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	asked, old := s.Nodes[0].Self().Callers, s.Nodes[3].Self()
-	entryUntil(ctx, t, asked, func(e *client.Entry) bool { return slices.Contains(e.Addresses, old.Callers) })
+	asked, old := s.Nodes[0].Self().Endpoint, s.Nodes[3].Self()
+	entryUntil(ctx, t, asked, func(e *client.Entry) bool { return slices.Contains(e.Addresses, old.Endpoint) })
 	s.Nodes[3].Kill()
 	conf, err := settings.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Self = settings.VM{ID: old.ID, Zone: old.Zone, Roles: old.Roles, Peer: "127.0.0.1:0", Callers: "127.0.0.1:0"}
+	conf.Self = settings.VM{ID: old.ID, Zone: old.Zone, Roles: old.Roles, Peer: "127.0.0.1:0", Endpoint: "127.0.0.1:0"}
 	conf.Operators, conf.DataDir = "127.0.0.1:0", t.TempDir()
 	for i, e := range s.Engines {
 		conf.Backends = append(conf.Backends, settings.Backend{
@@ -124,13 +124,13 @@
 	n.Start([]settings.VM{s.Nodes[0].Self(), s.Nodes[1].Self(), s.Nodes[2].Self(), n.Self()})
 	t.Cleanup(n.Kill)
 	entryUntil(ctx, t, asked, func(e *client.Entry) bool {
-		return slices.Contains(e.Addresses, n.Self().Callers) && !slices.Contains(e.Addresses, old.Callers)
+		return slices.Contains(e.Addresses, n.Self().Endpoint) && !slices.Contains(e.Addresses, old.Endpoint)
 	})
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("replaced VM joined after %s, want at most 3s", took)
 	}
 	req := client.Completion{Model: "m", Prompt: "unit 9", MaxTokens: 5}
-	if _, err := client.New([]string{n.Self().Callers}, testKey).Complete(ctx, "replaced", req, nil); err != nil {
+	if _, err := client.New([]string{n.Self().Endpoint}, testKey).Complete(ctx, "replaced", req, nil); err != nil {
 		t.Error(err)
 	}
 }
@@ -144,7 +144,7 @@
 		var answers [2]string
 		var both sync.WaitGroup
 		for i := range answers {
-			both.Go(func() { answers[i] = book(t, s.Nodes[i+1].Self().Callers, key) })
+			both.Go(func() { answers[i] = book(t, s.Nodes[i+1].Self().Endpoint, key) })
 		}
 		both.Wait()
 		if runs := s.Services[0].Runs(key); runs != 1 || answers[0] != answers[1] {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -86,7 +86,7 @@
 	for _, b := range []struct {
 		l    *net.Listener
 		addr *string
-	}{{&n.callers, &s.Self.Callers}, {&n.operators, &s.Operators}, {&n.peers, &s.Self.Peer}} {
+	}{{&n.callers, &s.Self.Endpoint}, {&n.operators, &s.Operators}, {&n.peers, &s.Self.Peer}} {
 		l, err := net.Listen("tcp", *b.addr)
 		if err != nil {
 			n.closeListeners()
@@ -128,7 +128,7 @@
 }
 
 func (n *Node) startCallers() {
-	gw := gateway.New(gateway.Config{MaxBodyBytes: n.s.MaxBodyBytes, Heartbeat: heartbeatInterval, Leaving: n.handedOver},
+	gw := gateway.New(gateway.Config{MaxBodyBytes: n.s.MaxBodyBytes, Heartbeat: heartbeatInterval, Draining: n.handedOver},
 		n.hub, n.plans, n.router, n.tracer, n.log)
 	r := mux.NewRouter().UseEncodedPath()
 	gw.Routes(r)
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -60,7 +60,7 @@
 	var out plan.Answer
 	err := error(result.New(result.ControlUnavail))
 	for _, vm := range n.s.VMs {
-		if !vm.Has(settings.RoleControl) {
+		if !vm.HasRole(settings.RoleControl) {
 			continue
 		}
 		if err = n.askVM(ctx, vm.ID, q, &out); err == nil {
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -110,7 +110,7 @@
 	change.Wait = false
 	router := client.NewOperator([]string{s.Nodes[4].OperatorAddr()}, "", "test")
 	again, err := router.Do(t.Context(), change)
-	if err != nil || again.Version != first.Version || again.Lists != first.Lists {
+	if err != nil || again.Version != first.Version || again.ListsVersion != first.ListsVersion {
 		t.Errorf("repeated change got %+v, error %v; want the first answer %+v", again, err, first)
 	}
 	change.Key = "another"
@@ -188,7 +188,7 @@
 	for _, e := range s.Engines {
 		e.Slow(8)
 	}
-	caller := client.New([]string{s.Nodes[4].Self().Callers}, testKey)
+	caller := client.New([]string{s.Nodes[4].Self().Endpoint}, testKey)
 	lost := make(chan time.Time, 1)
 	var once sync.Once
 	var wg sync.WaitGroup
@@ -208,7 +208,7 @@
 	s.Nodes[0].Kill()
 	s.Nodes[1].Kill()
 	for i := 0; ; i++ {
-		refusal := post(t, s.Nodes[4].Self().Callers, fmt.Sprint("new", i))
+		refusal := post(t, s.Nodes[4].Self().Endpoint, fmt.Sprint("new", i))
 		after := time.Since(began)
 		if refusal.Code == result.NotFresh {
 			t.Logf("first request refused after %v", after)
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var r probeReply
-	err := n.network.Call(ctx, p.Target, peer.KindMembership, probe{}, &r)
+	err := n.network.Call(ctx, p.Target, peer.KindProbe, probe{}, &r)
 	return r, err
 }
 
@@ -55,7 +55,7 @@
 	for timer.Sleep(ctx, probeInterval+rand.N(probeJitter)) == nil {
 		view := n.members.currentView()
 		if view.Version != version {
-			version, watched = view.Version, membership.Watches(n.s.Self.ID, view.VMs)
+			version, watched = view.Version, membership.ProbeTargets(n.s.Self.ID, view.VMs)
 			n.members.retainFailing(watched)
 		}
 		var wg sync.WaitGroup
@@ -78,7 +78,7 @@
 	if failing < suspectAfter || ctx.Err() != nil || !n.feed.Fresh() {
 		return
 	}
-	listed, known := n.members.platform.Lists(vm.ID)
+	listed, known := n.members.platform.IsListed(vm.ID)
 	n.metrics.Add("members_suspected", 1)
 	_, err := n.proposeMember(ctx, &membership.Command{Suspect: &membership.Suspect{
 		VM: vm.ID, Incarnation: vm.Incarnation, Observer: n.s.Self.ID, Absent: known && !listed,
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var r probeReply
-	return n.network.Call(ctx, id, peer.KindMembership, p, &r) == nil
+	return n.network.Call(ctx, id, peer.KindProbe, p, &r) == nil
 }
 
 func (n *Node) reachesIndirectly(ctx context.Context, id string, all []membership.VM) bool {
@@ -103,7 +103,7 @@
 		}
 	}
 	reached := make(chan bool, indirectProbers)
-	asked := membership.Spread(n.s.Self.ID+"/"+id, candidates, indirectProbers)
+	asked := membership.ChooseAcrossZones(n.s.Self.ID+"/"+id, candidates, indirectProbers)
 	for _, helper := range asked {
 		go func() { reached <- n.reaches(ctx, helper.ID, probe{Target: id}, indirectProbeTimeout) }()
 	}
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -19,7 +19,7 @@
 func parseMarkings(backends []settings.Backend) map[string][]call.IdempotencyRule {
 	out := map[string][]call.IdempotencyRule{}
 	for _, b := range backends {
-		for _, text := range b.Markings {
+		for _, text := range b.IdempotencyRules {
 			if m, err := call.ParseIdempotencyRule(text); err == nil {
 				out[b.Service] = append(out[b.Service], m)
 			}
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -33,18 +33,18 @@
 	s := startWithDispatch(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 40*time.Second)
 	defer cancel()
-	s.Services[0].HoldAnswers(20 * time.Second)
+	s.Services[0].DelayAnswers(20 * time.Second)
 	lost := make(chan struct{})
 	go func() {
 		defer close(lost)
-		_, _ = tryBook(ctx, s.Nodes[2].Self().Callers, "k")
+		_, _ = tryBook(ctx, s.Nodes[2].Self().Endpoint, "k")
 	}()
 	untilRuns(ctx, t, s, "k")
 	s.Nodes[2].Kill()
 	<-lost
 	answers := map[string]int{}
 	for {
-		got, err := tryBook(ctx, s.Nodes[0].Self().Callers, "k")
+		got, err := tryBook(ctx, s.Nodes[0].Self().Endpoint, "k")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 		}
 		answers["running"]++
 	}
-	if again, err := tryBook(ctx, s.Nodes[1].Self().Callers, "k"); err != nil || !strings.Contains(again, `"code":4003`) {
+	if again, err := tryBook(ctx, s.Nodes[1].Self().Endpoint, "k"); err != nil || !strings.Contains(again, `"code":4003`) {
 		t.Errorf("another VM answered %q, error %v; want code 4003", again, err)
 	}
 	if runs := s.Services[0].Runs("k"); runs != 1 {
@@ -71,15 +71,15 @@
 	s := startWithDispatch(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	s.Services[0].HoldAnswers(1500 * time.Millisecond)
+	s.Services[0].DelayAnswers(1500 * time.Millisecond)
 	answer := make(chan string, 1)
-	go func() { answer <- book(t, s.Nodes[1].Self().Callers, "k") }()
+	go func() { answer <- book(t, s.Nodes[1].Self().Endpoint, "k") }()
 	untilRuns(ctx, t, s, "k")
 	if err := s.Nodes[1].Shutdown(ctx); err != nil {
 		t.Error(err)
 	}
 	first := <-answer
-	if again := book(t, s.Nodes[0].Self().Callers, "k"); !strings.HasPrefix(first, "200") || first != again {
+	if again := book(t, s.Nodes[0].Self().Endpoint, "k"); !strings.HasPrefix(first, "200") || first != again {
 		t.Errorf("got answers %q and %q, want equal ones with status 200", first, again)
 	}
 	if runs := s.Services[0].Runs("k"); runs != 1 {
--- a/internal/node/settle_test.go
+++ b/internal/node/settle_test.go
@@ -18,7 +18,7 @@
 // need not wait for the third VM. One second after the replacements no older list may be.
 func TestOlderListsSettleAfterTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		part := membership.NewPart()
+		part := membership.NewStateMachine()
 		m := newMembers("vm1", "a", nil, inventory.NewReader("", zerolog.Nop()), zerolog.Nop())
 		m.lease = 3 * time.Second
 		join := func(id, incarnation string) {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -53,7 +53,7 @@
 	if answer.Reconnects == 0 {
 		t.Error("the streaming caller was not told to reconnect")
 	}
-	if extra := s.Work() - 2*req.MaxTokens - 2*len(req.Prompt); extra > 0 {
+	if extra := s.ComputedTokens() - 2*req.MaxTokens - 2*len(req.Prompt); extra > 0 {
 		t.Errorf("engines did extra work of %d tokens, want none", extra)
 	}
 }
--- a/internal/operator/lists.go
+++ b/internal/operator/lists.go
@@ -134,11 +134,11 @@
 }
 
 // Written answers a change.
-type Written struct {
-	Name    string `json:"name"`
-	Version uint64 `json:"version"` // of the row, 0 once it is removed
-	Lists   uint64 `json:"lists_version"`
-	InForce bool   `json:"in_force"`
+type ChangeAnswer struct {
+	Name         string `json:"name"`
+	Version      uint64 `json:"version"` // of the row, 0 once it is removed
+	ListsVersion uint64 `json:"lists_version"`
+	InForce      bool   `json:"in_force"`
 }
 
 func (a *API) change(w http.ResponseWriter, r *http.Request, l list) error {
@@ -194,7 +194,7 @@
 func (a *API) answerChange(w http.ResponseWriter, r *http.Request, c plan.Command, reply plan.Reply) error {
 	a.Log.Info().Str("who", c.Who).Str("what", c.Action.String()).Str("name", c.Name).
 		Uint64("version", reply.Version).Msg("lists changed")
-	out := Written{Name: c.Name, Version: reply.Version, Lists: reply.ListsVersion}
+	out := ChangeAnswer{Name: c.Name, Version: reply.Version, ListsVersion: reply.ListsVersion}
 	if err := a.wait(r, reply.ListsVersion); err != nil {
 		return result.From(err).WithRan(result.RanYes)
 	}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -124,7 +124,7 @@
 // lead gets a fencing number of its own. What was planned under an earlier one
 // is forgotten: somebody else may have acted since.
 func (l *Leader) lead(ctx context.Context) bool {
-	r, err := l.propose(ctx, &fleet.Command{Lead: &fleet.Lead{Leader: l.Name}})
+	r, err := l.propose(ctx, &fleet.Command{AcquireFence: &fleet.AcquireFence{Leader: l.Name}})
 	if err != nil || !r.OK {
 		return false
 	}
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithTimeout(ctx, commitLimit)
 	defer cancel()
 	r, err := control.Propose[fleet.Reply](ctx, l.Control, control.FleetStateMachine, cmd)
-	if err == nil && r.Fence != l.fence && cmd.Lead == nil {
+	if err == nil && r.Fence != l.fence && cmd.AcquireFence == nil {
 		l.fence = 0 // another leads
 	}
 	return r, err
@@ -164,7 +164,7 @@
 				busy[o.Engine] = o.Model
 				continue
 			}
-			l.planner.Failed(o.Engine, time.Now())
+			l.planner.NoteFailure(o.Engine, time.Now())
 			l.Metrics.Add("orders_failed", 1)
 		}
 		if r, err := l.propose(ctx, &fleet.Command{End: &fleet.End{Fence: l.fence, Engine: o.Engine, Copies: e.copies}}); err != nil || !r.OK {
@@ -200,7 +200,7 @@
 
 // raise gets a higher number for the same leader.
 func (l *Leader) raise(ctx context.Context) bool {
-	r, err := l.propose(ctx, &fleet.Command{Lead: &fleet.Lead{Leader: l.Name}})
+	r, err := l.propose(ctx, &fleet.Command{AcquireFence: &fleet.AcquireFence{Leader: l.Name}})
 	if err != nil || !r.OK {
 		return false
 	}
@@ -216,7 +216,7 @@
 		loading = loading || c.Model == o.Model && c.Version == o.Version
 	}
 	if time.Since(e.at) < lostAfter && loading && o.Op == fleet.Load {
-		return waited >= fleet.ConfirmWithin
+		return waited >= fleet.ConfirmTimeout
 	}
 	return waited >= lostAfter
 }
@@ -227,7 +227,7 @@
 	for _, b := range backends {
 		e, ok := l.seen[b.Name]
 		_, ordered := busy[b.Name]
-		if !ok || ordered || l.fence == 0 || time.Since(e.at) > stateTimeout || l.Served().Same(b.Name, e.copies) {
+		if !ok || ordered || l.fence == 0 || time.Since(e.at) > stateTimeout || l.Served().Matches(b.Name, e.copies) {
 			continue
 		}
 		_, _ = l.propose(ctx, &fleet.Command{Record: &fleet.Record{Fence: l.fence, Engine: b.Name, Copies: e.copies}})
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -29,7 +29,7 @@
 	fences  bool
 	engines map[string]*standin.Engine
 	machine *control.ReplicatedState
-	part    *fleet.Part
+	part    *fleet.StateMachine
 
 	mu      sync.Mutex
 	taken   []uint64                 // fencing numbers of the orders that engines took, in order
@@ -39,11 +39,11 @@
 }
 
 func newWorld(t *testing.T, fences bool) *world {
-	w := &world{t: t, fences: fences, engines: map[string]*standin.Engine{}, machine: control.NewReplicatedState(), part: fleet.NewPart(), pause: map[uint64]time.Duration{}}
+	w := &world{t: t, fences: fences, engines: map[string]*standin.Engine{}, machine: control.NewReplicatedState(), part: fleet.NewStateMachine(), pause: map[uint64]time.Duration{}}
 	w.machine.Register(control.FleetStateMachine, w.part)
 	for i, model := range []string{"a", "a", "b", "b"} {
 		cfg := standin.DefaultEngine(fmt.Sprint("e", i), model)
-		cfg.Fences, cfg.LoadTime = fences, 3*time.Second
+		cfg.EnforceFencing, cfg.ModelLoadTime = fences, 3*time.Second
 		w.engines[cfg.Name] = standin.NewEngine(cfg)
 	}
 	return w
--- a/internal/peer/close_test.go
+++ b/internal/peer/close_test.go
@@ -13,7 +13,7 @@
 // connection is being opened; Close marks the network as closed; the other side
 // accepts before the opening is called off. The connection is ended by one that
 // holds the lock which forgetting it takes.
-func TestCloseWhileAConnectionOpens(t *testing.T) {
+func TestCloseWhileDialing(t *testing.T) {
 	b := NewNetwork("b", "shared", nil, zerolog.Nop())
 	server := httptest.NewServer(b)
 	defer server.Close()
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -24,29 +24,29 @@
 
 // Message kinds, in ranges of 20 per concern.
 const (
-	kindFragment   Kind = 1  // of a frame too large to leave at once
-	KindJournal    Kind = 20 // journal writes and promises, batched per keeper
-	KindPromise    Kind = 21
-	KindFollow     Kind = 22
-	KindAdopt      Kind = 23 // planned takeover
-	KindControl    Kind = 40 // commands for the control group
-	KindWatch      Kind = 41
-	KindQuery      Kind = 42
-	KindPiece      Kind = 43 // of a value that is too large for an answer
-	KindRaft       Kind = 60
-	KindMembership Kind = 80
-	KindNotice     Kind = 81 // of a routed VM, to control VMs
-	KindKept       Kind = 82 // where is the copy of a stream?
-	KindSpent      Kind = 83 // of retry budgets, to control VMs
-	KindPlace      Kind = 84 // which engine may a stream go to?
-	KindPlaced     Kind = 85 // the answer for a stream that had to wait
-	KindUse        Kind = 86 // of engines by a VM, as it changes
-	KindRoutes     Kind = 87 // the route list's text, by an observer
-	KindList       Kind = 88 // the whole list of backend servers
-	KindRollout    Kind = 89 // an order, or the state of a roll-out, by an observer
-	KindBlame      Kind = 100
-	KindExplain    Kind = 120
-	KindStatus     Kind = 121
+	kindFragment        Kind = 1  // of a frame too large to leave at once
+	KindJournal         Kind = 20 // journal writes and promises, batched per keeper
+	KindPromise         Kind = 21
+	KindFollow          Kind = 22
+	KindAdopt           Kind = 23 // planned takeover
+	KindControl         Kind = 40 // commands for the control group
+	KindWatch           Kind = 41
+	KindQuery           Kind = 42
+	KindPiece           Kind = 43 // of a value that is too large for an answer
+	KindRaft            Kind = 60
+	KindProbe           Kind = 80
+	KindHeartbeat       Kind = 81 // of a routed VM, to control VMs
+	KindFindOrphan      Kind = 82 // where is the copy of a stream?
+	KindRetrySpending   Kind = 83 // of retry budgets, to control VMs
+	KindPlace           Kind = 84 // which engine may a stream go to?
+	KindPlaceDecision   Kind = 85 // the answer for a stream that had to wait
+	KindUseReport       Kind = 86 // of engines by a VM, as it changes
+	KindRoutes          Kind = 87 // the route list's text, by an observer
+	KindBackendList     Kind = 88 // the whole list of backend servers
+	KindRollout         Kind = 89 // an order, or the state of a roll-out, by an observer
+	KindPoisonSuspicion Kind = 100
+	KindExplain         Kind = 120
+	KindStatus          Kind = 121
 )
 
 // Lane says which queue a message leaves by.
--- a/internal/peer/network_test.go
+++ b/internal/peer/network_test.go
@@ -93,7 +93,7 @@
 
 // Somebody without the VMs' shared token, or a VM of another protocol version,
 // must not reach a handler.
-func TestStrangersAreRefused(t *testing.T) {
+func TestUnauthorizedPeersAreRefused(t *testing.T) {
 	p := newPair(t, "guess")
 	p.b.Handle(peer.KindFollow, func(context.Context, string, []byte) (any, error) {
 		t.Error("a stranger reached a handler")
--- a/internal/peer/outbox_test.go
+++ b/internal/peer/outbox_test.go
@@ -60,7 +60,7 @@
 
 // Guards against large frames whose fragments mix, and against one that is held up by
 // tokens for ever.
-func TestLargeFramesComeWhole(t *testing.T) {
+func TestLargeFramesAreReassembled(t *testing.T) {
 	o, in := newOutbox(), inbox{}
 	sizes := []int{fragmentBytes + 1, 5 * fragmentBytes, 100 * fragmentBytes}
 	for _, size := range sizes {
--- a/internal/peer/peertest/meter.go
+++ b/internal/peer/peertest/meter.go
@@ -12,20 +12,20 @@
 type Meter struct {
 	peer.Transport
 	mu     sync.Mutex
-	counts Counts
+	counts ReplyCounts
 }
 
 // Counts are answers to calls.
-type Counts struct {
+type ReplyCounts struct {
 	ByKind  map[peer.Kind]int
-	Answers int
+	Replies int
 	Bytes   int // of bodies
 	Largest int // bytes
 }
 
 // NewMeter counts the answers to calls over t.
 func NewMeter(t peer.Transport) *Meter {
-	return &Meter{Transport: t, counts: Counts{ByKind: map[peer.Kind]int{}}}
+	return &Meter{Transport: t, counts: ReplyCounts{ByKind: map[peer.Kind]int{}}}
 }
 
 // Call implements peer.Transport.
@@ -38,17 +38,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.ByKind[kind]++
-	m.counts.Answers++
+	m.counts.Replies++
 	m.counts.Bytes += len(data)
 	m.counts.Largest = max(m.counts.Largest, len(data))
 	return err
 }
 
 // Take returns what was counted, and begins anew.
-func (m *Meter) Take() Counts {
+func (m *Meter) ReadAndReset() ReplyCounts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := m.counts
-	m.counts = Counts{ByKind: map[peer.Kind]int{}}
+	m.counts = ReplyCounts{ByKind: map[peer.Kind]int{}}
 	return out
 }
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -107,7 +107,7 @@
 }
 
 // Deafen loses what others send to a VM, answers included; what it sends arrives.
-func (n *Net) Deafen(id string) {
+func (n *Net) CutInbound(id string) {
 	for _, other := range n.others(id) {
 		n.Cut(other, id)
 	}
@@ -115,7 +115,7 @@
 
 // Isolate cuts a VM off in both directions.
 func (n *Net) Isolate(id string) {
-	n.Deafen(id)
+	n.CutInbound(id)
 	for _, other := range n.others(id) {
 		n.Cut(id, other)
 	}
--- a/internal/peer/peertest/peertest_test.go
+++ b/internal/peer/peertest/peertest_test.go
@@ -40,7 +40,7 @@
 		}{
 			{"sound", func() {}, 0, false, 1},
 			{"delayed", func() { n.SetDelay(time.Millisecond, time.Millisecond) }, 2 * time.Millisecond, false, 2},
-			{"deaf caller", func() { n.Deafen("a") }, time.Second, true, 3},
+			{"deaf caller", func() { n.CutInbound("a") }, time.Second, true, 3},
 			{"cut", func() { n.HealAll(); n.Isolate("a") }, time.Second, true, 3},
 			{"paused", func() { n.HealAll(); n.Pause("b") }, time.Second, true, 3},
 			{"resumed", func() { n.Resume("b") }, 2 * time.Millisecond, false, 4},
--- a/internal/relay/engine_test.go
+++ b/internal/relay/engine_test.go
@@ -26,13 +26,13 @@
 		}, 3 * time.Second},
 		{"pause of 2 s", func(s *system) { s.engines[0].Pause(2 * time.Second) }, 4 * time.Second},
 		{"pause of 20 s", func(s *system) { s.engines[0].Pause(20 * time.Second) }, 6 * time.Second},
-		{"one stream stalls", func(s *system) { s.engines[0].Stall("k0") }, 6 * time.Second},
+		{"one stream stalls", func(s *system) { s.engines[0].StallAttempts("k0") }, 6 * time.Second},
 		{"crossed events", func(s *system) {
-			s.engines[0].Cross(true)
+			s.engines[0].SwapAttemptIDs(true)
 			time.Sleep(200 * time.Millisecond) // virtual
-			s.engines[0].Cross(false)
+			s.engines[0].SwapAttemptIDs(false)
 		}, 6 * time.Second},
-		{"late events", func(s *system) { s.engines[0].Late(30 * time.Millisecond) }, 6 * time.Second},
+		{"late events", func(s *system) { s.engines[0].DelayEvents(30 * time.Millisecond) }, 6 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inBubble(t, 3, 4, func(s *system) {
--- a/internal/relay/hub.go
+++ b/internal/relay/hub.go
@@ -83,7 +83,7 @@
 	}
 	h.replicator = newReplicator(ctx, d.Transport, cfg.VM, h.write)
 	h.recovery = newRecoverer(h)
-	d.Transport.Handle(peer.KindBlame, h.recovery.handleReport)
+	d.Transport.Handle(peer.KindPoisonSuspicion, h.recovery.handleReport)
 	d.Transport.Handle(peer.KindJournal, h.handleWrites)
 	d.Transport.Handle(peer.KindPromise, h.handlePromise)
 	d.Transport.Handle(peer.KindFollow, h.handleFollow)
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -32,8 +32,8 @@
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if s.engines[0].Running() != 0 || s.work().Cancelled != 1 {
-			t.Errorf("got %d runs on the engine and %d cancelled, want 0 and 1", s.engines[0].Running(), s.work().Cancelled)
+		if s.engines[0].Running() != 0 || s.work().CancelledRuns != 1 {
+			t.Errorf("got %d runs on the engine and %d cancelled, want 0 and 1", s.engines[0].Running(), s.work().CancelledRuns)
 		}
 		time.Sleep(2 * callerKeep)
 		time.Sleep(time.Minute)
@@ -71,8 +71,8 @@
 		}
 		moves.finishOn(s.other(owner))
 		wg.Wait()
-		if s.work().Starts != 1 || s.extra() != 0 {
-			t.Errorf("got %d attempts and %d tokens of extra work, want 1 and 0", s.work().Starts, s.extra())
+		if s.work().RunsStarted != 1 || s.extra() != 0 {
+			t.Errorf("got %d attempts and %d tokens of extra work, want 1 and 0", s.work().RunsStarted, s.extra())
 		}
 	})
 }
--- a/internal/relay/owner_test.go
+++ b/internal/relay/owner_test.go
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		partitioned := s.owner("k")
-		s.net.Deafen(partitioned)
+		s.net.CutInbound(partitioned)
 		began := time.Now()
 		if err := c.read(partitioned, testTokens); result.CodeOf(err) != result.KeepersUnavail || result.From(err).Ran == result.RanNo {
 			t.Errorf("the partitioned VM ended the answer with %v, want keepers_unavailable without the promise that it did not run", err)
@@ -117,8 +117,8 @@
 				t.Error("callers of one request received different answers")
 			}
 		}
-		if s.work().Starts != 1 || s.extra() != 0 {
-			t.Errorf("got %d attempts and %d tokens of extra work, want 1 and 0", s.work().Starts, s.extra())
+		if s.work().RunsStarted != 1 || s.extra() != 0 {
+			t.Errorf("got %d attempts and %d tokens of extra work, want 1 and 0", s.work().RunsStarted, s.extra())
 		}
 	})
 }
@@ -134,8 +134,8 @@
 			}
 		}
 		c.check()
-		if s.work().Starts != 1 || s.extra() != 0 || s.count("takeovers") != 0 {
-			t.Errorf("got %d attempts, %d tokens of extra work and %d takeovers, want 1, 0 and 0", s.work().Starts, s.extra(), s.count("takeovers"))
+		if s.work().RunsStarted != 1 || s.extra() != 0 || s.count("takeovers") != 0 {
+			t.Errorf("got %d attempts, %d tokens of extra work and %d takeovers, want 1, 0 and 0", s.work().RunsStarted, s.extra(), s.count("takeovers"))
 		}
 	})
 }
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -108,7 +108,7 @@
 			t.Errorf("got %v, want tokens_exhausted with the promise that nothing ran", err)
 		}
 		s.quota.refuse = nil
-		if s.work().Starts != 0 {
+		if s.work().RunsStarted != 0 {
 			t.Error("an engine ran the refused request, want none")
 		}
 		c.finishOn("vm1")
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -175,7 +175,7 @@
 		r.pause(100*time.Millisecond, 6*time.Second)
 		s.net.Resume(vm)
 	case 3:
-		s.net.Deafen(vm)
+		s.net.CutInbound(vm)
 		r.pause(100*time.Millisecond, 6*time.Second)
 		s.net.HealAll()
 	case 4:
--- a/internal/relay/recover_test.go
+++ b/internal/relay/recover_test.go
@@ -37,7 +37,7 @@
 func newFleet(n int, change func(*standin.EngineConfig)) *fleet {
 	f := &fleet{cfg: func(i int) standin.EngineConfig {
 		c := standin.DefaultEngine(fmt.Sprint("e", i), "m")
-		c.ByAttempt = true // makes a splice of two attempts detectable
+		c.SampleByAttempt = true // makes a splice of two attempts detectable
 		if change != nil {
 			change(&c)
 		}
@@ -333,7 +333,7 @@
 // refused with its own result code, and the other answers must be complete.
 func TestPoisonRequestKillsOnlyTwoEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(6, func(c *standin.EngineConfig) { c.PoisonWord, c.PoisonAt = "crash", 40 })
+		f := newFleet(6, func(c *standin.EngineConfig) { c.PoisonWord, c.PoisonAtToken = "crash", 40 })
 		defer f.stop()
 		vms := hubs(t, f, 3, recovery.ExtraWork)
 		var wg sync.WaitGroup
--- a/internal/relay/recoverer.go
+++ b/internal/relay/recoverer.go
@@ -219,7 +219,7 @@
 	c.mu.Unlock()
 	for _, vm := range vms {
 		if c.hub.members.Reachable(vm) {
-			_ = c.hub.transport.Send(vm, peer.KindBlame, m)
+			_ = c.hub.transport.Send(vm, peer.KindPoisonSuspicion, m)
 		}
 	}
 }
--- a/internal/relay/system_test.go
+++ b/internal/relay/system_test.go
@@ -57,7 +57,7 @@
 		s.net.SetDelay(time.Millisecond, 2*time.Millisecond)
 		for i := range engines {
 			conf := standin.DefaultEngine(fmt.Sprint("e", i), testModel)
-			conf.ByAttempt = true
+			conf.SampleByAttempt = true
 			s.engines = append(s.engines, standin.NewEngine(conf))
 		}
 		var first []generation.Candidate
@@ -214,10 +214,10 @@
 	var sum standin.EngineStats
 	for _, e := range s.engines {
 		st := e.Stats()
-		sum.Starts += st.Starts
+		sum.RunsStarted += st.RunsStarted
 		sum.PrefillTokens += st.PrefillTokens
-		sum.GeneratedTotal += st.GeneratedTotal
-		sum.Cancelled += st.Cancelled
+		sum.GeneratedTokens += st.GeneratedTokens
+		sum.CancelledRuns += st.CancelledRuns
 	}
 	return sum
 }
@@ -225,7 +225,7 @@
 // extra returns the engines' work beyond one uninterrupted answer, in tokens.
 func (s *system) extra() int {
 	w := s.work()
-	return w.PrefillTokens + w.GeneratedTotal - len(testPrompt) - testTokens
+	return w.PrefillTokens + w.GeneratedTokens - len(testPrompt) - testTokens
 }
 
 func (s *system) count(name string) int {
--- a/internal/routed/route_list_test.go
+++ b/internal/routed/route_list_test.go
@@ -43,13 +43,13 @@
 			if err != nil || !bytes.Equal(got, current) {
 				t.Fatalf("read %d bytes, want %d; error %v", len(got), len(current), err)
 			}
-			largest = max(largest, link.Take().Largest)
+			largest = max(largest, link.ReadAndReset().Largest)
 			if got, err := r.read(t.Context()); err != nil || !bytes.Equal(got, current) {
 				t.Fatalf("second read got %d bytes, want %d; error %v", len(got), len(current), err)
 			}
-			again := link.Take()
-			if again.Answers > 2 {
-				t.Errorf("got %d answers for a text that was read before, want at most 2", again.Answers)
+			again := link.ReadAndReset()
+			if again.Replies > 2 {
+				t.Errorf("got %d answers for a text that was read before, want at most 2", again.Replies)
 			}
 			largest = max(largest, again.Largest)
 		}
--- a/internal/routedlocal/badinput_test.go
+++ b/internal/routedlocal/badinput_test.go
@@ -34,9 +34,9 @@
 // stream on another connection goes on undisturbed meanwhile.
 func TestBadInputDisturbsNobody(t *testing.T) {
 	s, ctx := start(t)
-	check(t, s.Put(ctx, 1, "/a/"))
+	check(t, s.PutStreamRoute(ctx, 1, "/a/"))
 	check(t, s.Ready(ctx))
-	front := s.Fronts[0]
+	front := s.CallerAddresses[0]
 	head := "POST /a/1 HTTP/1.1\r\nHost: " + Host + "\r\n" + forward.HeaderRequestID + ": bad\r\n"
 	tests := []struct {
 		name, text string
@@ -53,7 +53,7 @@
 		{"chunks that are none", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", http.StatusBadRequest},
 		{"no route", "GET /nowhere HTTP/1.1\r\nHost: " + Host + "\r\n\r\n", http.StatusNotFound},
 	}
-	done := make(chan Received, 1)
+	done := make(chan StreamResult, 1)
 	go func() {
 		got, err := Stream(ctx, front, "/a/1", "good", 0, nil)
 		if err != nil {
@@ -68,7 +68,7 @@
 			}
 		})
 	}
-	if got := <-done; !got.Whole || !Complete(got.IDs, Events) {
+	if got := <-done; !got.Complete || !HasAllEvents(got.EventIDs, Events) {
 		t.Errorf("another caller's stream: %+v", got)
 	}
 }
--- a/internal/routedlocal/calls.go
+++ b/internal/routedlocal/calls.go
@@ -19,7 +19,7 @@
 const deskWork = 20 * time.Millisecond
 
 // Spoil takes a call over, and reports whether it did.
-type Spoil func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool
+type Interceptor func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool
 
 // DeskRoutes is a route list with the desk alone.
 func DeskRoutes() *routes.List {
@@ -36,13 +36,13 @@
 }
 
 // AddDesk starts three servers of a version of the desk.
-func (s *System) AddDesk(version string, spoil Spoil) error {
+func (s *System) AddDesk(version string, spoil Interceptor) error {
 	for i := range zones {
 		e := &routedengine.Server{
 			Backend: upstream.Backend{
 				ID: fmt.Sprintf("desk-%s-%d", version, i), Service: DeskService, Zone: fmt.Sprint("zone", i), Slots: 8, Version: version,
 			},
-			WorkTime: deskWork, Answer: spoil,
+			CallTime: deskWork, Intercept: spoil,
 		}
 		if err := s.AddServer(e); err != nil {
 			return err
--- a/internal/routedlocal/operators_test.go
+++ b/internal/routedlocal/operators_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	check(t, s.Ready(ctx))
-	for len(c.Endpoints(len(s.Fronts))) < len(s.Fronts) {
+	for len(c.Endpoints(len(s.CallerAddresses))) < len(s.CallerAddresses) {
 		check(t, timer.Sleep(ctx, putPause))
 	}
 	tests := []struct {
@@ -68,7 +68,7 @@
 		{"other content, same version", http.MethodPut, "/v1/routes", "secret", strings.Replace(string(list), "25000", "24000", 1), http.StatusConflict, "1025"},
 		{"improper", http.MethodPut, "/v1/routes", "secret", "{", http.StatusBadRequest, "1024"},
 		{"without the token", http.MethodPut, "/v1/routes", "", string(list), http.StatusUnauthorized, "1005"},
-		{"where to connect", http.MethodGet, "/v1/entry", "", "", http.StatusOK, s.Fronts[0]},
+		{"where to connect", http.MethodGet, "/v1/entry", "", "", http.StatusOK, s.CallerAddresses[0]},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/routedlocal/rollout_test.go
+++ b/internal/routedlocal/rollout_test.go
@@ -54,7 +54,7 @@
 }
 
 // add starts the servers of a version. spoil takes a call over.
-func (d *desk) add(version int, spoil Spoil) {
+func (d *desk) add(version int, spoil Interceptor) {
 	check(d.t, d.s.AddDesk(fmt.Sprint("v", version+1), func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		d.calls[version].Add(1)
 		return spoil != nil && spoil(s, w, r)
@@ -66,7 +66,7 @@
 	path := []string{"/book/1", "/look/1"}[i%2]
 	for timer.Sleep(d.ctx, deskPause) == nil {
 		d.sent.Add(1)
-		status, err := Call(d.ctx, d.s.Fronts[i%len(d.s.Fronts)], path, fmt.Sprint("d", d.ids.Add(1)))
+		status, err := Call(d.ctx, d.s.CallerAddresses[i%len(d.s.CallerAddresses)], path, fmt.Sprint("d", d.ids.Add(1)))
 		if d.ctx.Err() == nil && (err != nil || status != http.StatusOK) {
 			d.lost.Add(1)
 		}
@@ -100,18 +100,18 @@
 // settle waits until every router applies what was decided.
 func (d *desk) settle() { check(d.t, timer.Sleep(d.ctx, time.Second)) }
 
-func failOf(part int) Spoil {
+func failOf(part int) Interceptor {
 	var n atomic.Int64
 	return func(s *routedengine.Server, w http.ResponseWriter, r *http.Request) bool {
 		if n.Add(1)%int64(part) != 0 {
 			return false
 		}
-		s.Call(w, r, http.StatusInternalServerError)
+		s.AnswerCall(w, r, http.StatusInternalServerError)
 		return true
 	}
 }
 
-func slowBy(d time.Duration) Spoil {
+func slowBy(d time.Duration) Interceptor {
 	return func(_ *routedengine.Server, _ http.ResponseWriter, r *http.Request) bool {
 		_ = timer.Sleep(r.Context(), d)
 		return false
@@ -146,7 +146,7 @@
 	t.Parallel()
 	tests := []struct {
 		name  string
-		spoil Spoil
+		spoil Interceptor
 	}{
 		{"all calls fail", failOf(1)},
 		{"every third call fails", failOf(3)},
@@ -155,7 +155,7 @@
 			if r.URL.Path != "/look/1" {
 				return false
 			}
-			s.Call(w, r, http.StatusInternalServerError)
+			s.AnswerCall(w, r, http.StatusInternalServerError)
 			return true
 		}},
 	}
@@ -196,7 +196,7 @@
 }
 
 // Guards against a version that is pushed on while no majority can take it back.
-func TestNoMajorityNoStep(t *testing.T) {
+func TestRolloutStopsWithoutMajority(t *testing.T) {
 	t.Parallel()
 	d := startDesk(t)
 	d.order()
@@ -234,7 +234,7 @@
 					ID: fmt.Sprint(version, "-", i), Service: DeskService, Zone: fmt.Sprint("zone", i%zones), Slots: 128, Version: version,
 				},
 				// Read anew, a prompt takes longer than a pause may be.
-				Events: 2 * Events, ReadTime: time.Second, EventTime: 20 * time.Millisecond, CopyTime: 20 * time.Millisecond,
+				Events: 2 * Events, PrefillTime: time.Second, EventInterval: 20 * time.Millisecond, CopyTime: 20 * time.Millisecond,
 			}))
 		}
 	}
@@ -247,12 +247,12 @@
 	for i := range 30 {
 		work.Go(func() {
 			for n := 0; timer.Sleep(ctx, 10*time.Millisecond) == nil; n++ {
-				got, err := Stream(context.WithoutCancel(ctx), s.Fronts[i%len(s.Fronts)], fmt.Sprintf("/a/%d-%d", i, n), fmt.Sprintf("s%d-%d", i, n), 0, nil)
+				got, err := Stream(context.WithoutCancel(ctx), s.CallerAddresses[i%len(s.CallerAddresses)], fmt.Sprintf("/a/%d-%d", i, n), fmt.Sprintf("s%d-%d", i, n), 0, nil)
 				switch {
-				case err != nil || !got.Whole || !Complete(got.IDs, 2*Events):
+				case err != nil || !got.Complete || !HasAllEvents(got.EventIDs, 2*Events):
 					cut.Add(1)
-					t.Logf("stream %d-%d: %d events, whole %v, %v", i, n, len(got.IDs), got.Whole, err)
-				case got.Longest > 700*time.Millisecond:
+					t.Logf("stream %d-%d: %d events, whole %v, %v", i, n, len(got.EventIDs), got.Complete, err)
+				case got.LongestPause > 700*time.Millisecond:
 					paused.Add(1)
 				default:
 					whole.Add(1)
--- a/internal/routedlocal/system.go
+++ b/internal/routedlocal/system.go
@@ -49,10 +49,10 @@
 
 // System is a running system.
 type System struct {
-	Net      *routedengine.Net
-	Controls []*routed.Control
-	Routers  []*routed.Router
-	Fronts   []string // callers' addresses
+	Net             *routedengine.Net
+	Controls        []*routed.Control
+	Routers         []*routed.Router
+	CallerAddresses []string // callers' addresses
 
 	mu    sync.Mutex
 	rows  []upstream.Backend
@@ -117,7 +117,7 @@
 	for i := range engines {
 		e := &routedengine.Server{
 			Backend: upstream.Backend{ID: fmt.Sprint("engine", i), Service: Service, Zone: fmt.Sprint("zone", i%zones), Slots: 8},
-			Events:  Events, ReadTime: 50 * time.Millisecond, EventTime: 10 * time.Millisecond,
+			Events:  Events, PrefillTime: 50 * time.Millisecond, EventInterval: 10 * time.Millisecond,
 		}
 		if err := s.Net.ListenTCP(e); err != nil {
 			return err
@@ -145,7 +145,7 @@
 	s.rows = slices.DeleteFunc(s.rows, func(b upstream.Backend) bool {
 		gone := b.Service == service && b.Version == version
 		if gone {
-			s.Net.At(b.Address).Set(routedengine.Dead)
+			s.Net.ServerAt(b.Address).Set(routedengine.Dead)
 		}
 		return gone
 	})
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	s.Routers, s.Fronts = append(s.Routers, r), append(s.Fronts, front)
+	s.Routers, s.CallerAddresses = append(s.Routers, r), append(s.CallerAddresses, front)
 	return nil
 }
 
@@ -230,7 +230,7 @@
 const putPause = 50 * time.Millisecond
 
 // Put puts a list with one route in force, through any control process that can.
-func (s *System) Put(ctx context.Context, version uint64, prefix string) error {
+func (s *System) PutStreamRoute(ctx context.Context, version uint64, prefix string) error {
 	l := &routes.List{
 		Version: version, Source: fmt.Appendf(nil, "list %d", version),
 		Routes: []routes.Route{{
@@ -275,18 +275,18 @@
 }
 
 // Received is what a caller got of a stream.
-type Received struct {
-	IDs     []int
-	Whole   bool          // the answer ended properly
-	Longest time.Duration // pause between two events
+type StreamResult struct {
+	EventIDs     []int
+	Complete     bool          // the answer ended properly
+	LongestPause time.Duration // pause between two events
 }
 
 // Stream asks a router for a stream behind an event; seen is called with each
 // event's id.
-func Stream(ctx context.Context, front, path, id string, after int, seen func(n int)) (Received, error) {
+func Stream(ctx context.Context, front, path, id string, after int, seen func(n int)) (StreamResult, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+front+path, strings.NewReader("log "+path))
 	if err != nil {
-		return Received{}, err
+		return StreamResult{}, err
 	}
 	req.Host = Host
 	req.Header.Set(forward.HeaderRequestID, id)
@@ -296,34 +296,34 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return Received{}, err
+		return StreamResult{}, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return Received{}, fmt.Errorf("routedlocal: status %d", resp.StatusCode)
+		return StreamResult{}, fmt.Errorf("routedlocal: status %d", resp.StatusCode)
 	}
 	return read(resp.Body, seen), nil
 }
 
-func read(body io.Reader, seen func(n int)) Received {
-	var out Received
+func read(body io.Reader, seen func(n int)) StreamResult {
+	var out StreamResult
 	br := bufio.NewReader(body)
 	last := time.Now()
 	for {
 		line, err := br.ReadString('\n')
 		if err != nil {
-			out.Whole = errors.Is(err, io.EOF)
+			out.Complete = errors.Is(err, io.EOF)
 			return out
 		}
 		n := 0
 		if _, err := fmt.Sscanf(line, "id: %d", &n); err != nil {
 			continue
 		}
-		if len(out.IDs) > 0 {
-			out.Longest = max(out.Longest, time.Since(last))
+		if len(out.EventIDs) > 0 {
+			out.LongestPause = max(out.LongestPause, time.Since(last))
 		}
 		last = time.Now()
-		out.IDs = append(out.IDs, n)
+		out.EventIDs = append(out.EventIDs, n)
 		if seen != nil {
 			seen(n)
 		}
@@ -331,7 +331,7 @@
 }
 
 // Complete reports whether ids are 1 to n, each once and in order.
-func Complete(ids []int, n int) bool {
+func HasAllEvents(ids []int, n int) bool {
 	for i, id := range ids {
 		if id != i+1 {
 			return false
--- a/internal/routedlocal/system_test.go
+++ b/internal/routedlocal/system_test.go
@@ -37,25 +37,25 @@
 // engine's zone; the operators' list survives the loss of the group's leader, and
 // its next version is in force on every router; a stream whose router dies goes on
 // at another behind the last event.
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	s, ctx := start(t)
-	check(t, s.Put(ctx, 1, "/a/"))
+	check(t, s.PutStreamRoute(ctx, 1, "/a/"))
 	check(t, s.Ready(ctx))
-	got, err := Stream(ctx, s.Fronts[0], "/a/1", "r1", 0, func(n int) {
+	got, err := Stream(ctx, s.CallerAddresses[0], "/a/1", "r1", 0, func(n int) {
 		if n == Events/3 {
-			s.Net.LoseZoneOf("r1")
+			s.Net.KillZoneOf("r1")
 		}
 	})
 	check(t, err)
-	if !got.Whole || !Complete(got.IDs, Events) {
+	if !got.Complete || !HasAllEvents(got.EventIDs, Events) {
 		t.Errorf("a lost zone: %+v", got)
 	}
 	check(t, s.StopLeader())
-	check(t, s.Put(ctx, 2, "/b/"))
-	for _, front := range s.Fronts {
+	check(t, s.PutStreamRoute(ctx, 2, "/b/"))
+	for _, front := range s.CallerAddresses {
 		for {
 			got, err := Stream(ctx, front, "/b/1", "r2"+front, 0, nil)
-			if err == nil && got.Whole {
+			if err == nil && got.Complete {
 				break
 			}
 			if ctx.Err() != nil {
@@ -66,15 +66,15 @@
 			t.Error("a route that was taken away is still served")
 		}
 	}
-	got, err = Stream(ctx, s.Fronts[0], "/b/2", "r4", 0, func(n int) {
+	got, err = Stream(ctx, s.CallerAddresses[0], "/b/2", "r4", 0, func(n int) {
 		if n == Events/3 {
 			s.Routers[0].Close()
 		}
 	})
 	check(t, err)
-	rest, err := Stream(ctx, s.Fronts[1], "/b/2", "r5", len(got.IDs), nil)
+	rest, err := Stream(ctx, s.CallerAddresses[1], "/b/2", "r5", len(got.EventIDs), nil)
 	check(t, err)
-	if got.Whole || !rest.Whole || !Complete(append(got.IDs, rest.IDs...), Events) {
+	if got.Complete || !rest.Complete || !HasAllEvents(append(got.EventIDs, rest.EventIDs...), Events) {
 		t.Errorf("a dead router: %+v, then %+v", got, rest)
 	}
 }
@@ -82,7 +82,7 @@
 // An operator reads what was acknowledged, or is told that it cannot be known.
 func TestReadWithoutAMajority(t *testing.T) {
 	s, ctx := start(t)
-	check(t, s.Put(ctx, 7, "/a/"))
+	check(t, s.PutStreamRoute(ctx, 7, "/a/"))
 	last := s.Controls[2]
 	for {
 		source, err := last.Routes(ctx)
--- a/internal/routing/hints.go
+++ b/internal/routing/hints.go
@@ -16,7 +16,7 @@
 	// up. Engines publish one every engine.CacheBlock tokens. A cached prefix of
 	// fewer than 128 tokens saves less than the cost of 16 generated tokens, and
 	// eight times as many digests would cost 10 us per decision instead of 2.
-	BlockTokens = 8 * engine.CacheBlock
+	BlockTokens = 8 * engine.CacheBlockTokens
 
 	// MaxBlocks bounds the digests of one prompt. A prefix match beyond 8,192
 	// tokens no longer changes the choice between engines.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -150,8 +150,8 @@
 	o.integer("tokens", &l.Tokens)
 	o.integer("prefix", &l.Prefix)
 	o.integer("share", &l.Share)
-	o.integer("tries", &l.Tries)
-	o.duration("patience", &l.Patience)
+	o.integer("tries", &l.MaxTries)
+	o.duration("patience", &l.MaxWait)
 	o.duration("from", &l.From)
 	o.duration("to", &l.To)
 	o.number("rate", &l.Rate)
@@ -174,9 +174,9 @@
 	at, err := time.ParseDuration(args[0])
 	o := parse(args[3:], "for", "factor")
 	o.errs = append(o.errs, err)
-	f := experiment.ScenarioFault{At: at, What: args[1], Target: args[2], Factor: 4, For: time.Second}
-	o.duration("for", &f.For)
-	o.number("factor", &f.Factor)
+	f := experiment.ScenarioFault{At: at, Kind: args[1], Target: args[2], SlowFactor: 4, PauseDuration: time.Second}
+	o.duration("for", &f.PauseDuration)
+	o.number("factor", &f.SlowFactor)
 	s.scenario.Faults = append(s.scenario.Faults, f)
 	return o.err()
 }
@@ -268,13 +268,13 @@
 	case "wait-p99":
 		return experiment.Quantile(t.Waits, 0.99).Seconds(), nil
 	case "refusal-p99":
-		return experiment.Quantile(t.Early, 0.99).Seconds(), nil
+		return experiment.Quantile(t.RefusalLatencies, 0.99).Seconds(), nil
 	case "fairness":
 		return out.Fairness(f), nil
 	case "extra-work":
 		return out.ExtraShare(), nil
 	case "resume-p99":
-		return experiment.Quantile(out.Resumes(), 0.99).Seconds(), nil
+		return experiment.Quantile(out.ResumeLatencies(), 0.99).Seconds(), nil
 	}
 	return 0, fmt.Errorf("unknown metric %q", metric)
 }
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -29,19 +29,19 @@
 
 // Routed is the checked settings file of a process that serves routed requests.
 type Routed struct {
-	Kind       RoutedKind
-	ID         string // peer address
-	Zone       string
-	Seeds      []string // peer addresses of control processes
-	DataDir    string   // control
-	FirstStart bool     // control: the whole system starts for the first time
-	Voters     int64    // control: how many the group keeps
-	Grace      time.Duration
-	Callers    string // router
-	Operators  string
-	Tokens     struct{ Operator, Peer string }
-	Platform   string // base URL of the platform's list
-	Backends   []RoutedBackend
+	Kind         RoutedKind
+	ID           string // peer address
+	Zone         string
+	Seeds        []string // peer addresses of control processes
+	DataDir      string   // control
+	FirstStart   bool     // control: the whole system starts for the first time
+	TargetVoters int64    // control: how many the group keeps
+	Grace        time.Duration
+	Endpoint     string // router
+	Operators    string
+	Tokens       struct{ Operator, Peer string }
+	Platform     string // base URL of the platform's list
+	Backends     []RoutedBackend
 	// RolloutPercent of a service's requests, and RolloutSlack beside them, may reach a new
 	// version that turns out bad.
 	RolloutPercent int64
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, &Error{File: path, Problem: err.Error(), Allowed: "a readable INI file"}
 	}
-	s := &Routed{Kind: RoutedRouter, Voters: 3, Grace: 30 * time.Second, RolloutPercent: 10, RolloutSlack: 50, LogLevel: "info"}
+	s := &Routed{Kind: RoutedRouter, TargetVoters: 3, Grace: 30 * time.Second, RolloutPercent: 10, RolloutSlack: 50, LogLevel: "info"}
 	r := &reader{file: path}
 	keys := s.keys()
 	for _, sec := range f.Sections() {
@@ -82,10 +82,10 @@
 		"process": {
 			"kind": oneOf((*string)(&s.Kind), string(RoutedRouter), string(RoutedControl)),
 			"id":   address(&s.ID), "zone": word(&s.Zone), "seeds": addresses(&s.Seeds), "data_dir": text(&s.DataDir),
-			"first_start": boolean(&s.FirstStart), "voters": integer(&s.Voters, 1, 7),
+			"first_start": boolean(&s.FirstStart), "voters": integer(&s.TargetVoters, 1, 7),
 			"grace": duration(&s.Grace, time.Second, time.Hour),
 		},
-		"listen":   {"callers": address(&s.Callers), "operators": address(&s.Operators)},
+		"listen":   {"callers": address(&s.Endpoint), "operators": address(&s.Operators)},
 		"tokens":   {"operator": text(&s.Tokens.Operator), "peer": text(&s.Tokens.Peer)},
 		"platform": {"url": text(&s.Platform)},
 		"rollouts": {"percent": integer(&s.RolloutPercent, 1, 100), "slack": integer(&s.RolloutSlack, 0, 1<<20)},
@@ -108,7 +108,7 @@
 		{"listen", "operators", s.Operators},
 	}
 	if s.Kind == RoutedRouter {
-		required = append(required, struct{ section, key, value string }{"listen", "callers", s.Callers})
+		required = append(required, struct{ section, key, value string }{"listen", "callers", s.Endpoint})
 	} else {
 		required = append(required, struct{ section, key, value string }{"process", "data_dir", s.DataDir})
 	}
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -44,7 +44,7 @@
 			}
 			s, err := settings.LoadRouted(path)
 			switch {
-			case tt.problem == "" && (err != nil || len(s.Seeds) != 2 || s.Voters != 3):
+			case tt.problem == "" && (err != nil || len(s.Seeds) != 2 || s.TargetVoters != 3):
 				t.Errorf("%+v, %v", s, err)
 			case tt.problem != "" && (err == nil || !strings.Contains(err.Error(), tt.problem)):
 				t.Errorf("error %v does not say %q", err, tt.problem)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -38,15 +38,15 @@
 
 // VM is one VM of the system.
 type VM struct {
-	ID      string
-	Zone    string
-	Roles   []Role
-	Peer    string // ip:port of its peer listener
-	Callers string // ip:port of its callers' listener
+	ID       string
+	Zone     string
+	Roles    []Role
+	Peer     string // ip:port of its peer listener
+	Endpoint string // ip:port of its callers' listener
 }
 
 // Has reports whether the VM holds a role.
-func (v VM) Has(r Role) bool { return slices.Contains(v.Roles, r) }
+func (v VM) HasRole(r Role) bool { return slices.Contains(v.Roles, r) }
 
 // BackendKind tells engines from plain services.
 type BackendKind string
@@ -59,14 +59,14 @@
 
 // Backend is one backend server known from the settings.
 type Backend struct {
-	Name     string
-	Kind     BackendKind
-	Address  string
-	Zone     string
-	Models   []string // engines
-	Service  string   // plain services: the service it belongs to
-	Fences   bool     // refuses orders with an old fencing number
-	Markings []string // plain services: "POST /path idempotent" or "PUT /path once"
+	Name             string
+	Kind             BackendKind
+	Address          string
+	Zone             string
+	Models           []string // engines
+	Service          string   // plain services: the service it belongs to
+	Fences           bool     // refuses orders with an old fencing number
+	IdempotencyRules []string // plain services: "POST /path idempotent" or "PUT /path once"
 }
 
 // Settings is a checked configuration.
@@ -120,7 +120,7 @@
 	return &Settings{
 		Self: VM{
 			ID: "vm1", Zone: "zone1", Roles: []Role{RoleRouter, RoleControl},
-			Peer: "127.0.0.1:7402", Callers: "127.0.0.1:7400",
+			Peer: "127.0.0.1:7402", Endpoint: "127.0.0.1:7400",
 		},
 		Operators: "127.0.0.1:7401", DataDir: filepath.Join(cache, "amaranthshelf"),
 		Objective: ExtraWork, FreshnessTTL: 3 * time.Second, CallerKeep: 60 * time.Second,
@@ -210,7 +210,7 @@
 			"roles": roles(&s.Self.Roles), "data_dir": text(&s.DataDir),
 		},
 		"listen": {
-			"callers": address(&s.Self.Callers), "operators": address(&s.Operators), "peers": address(&s.Self.Peer),
+			"callers": address(&s.Self.Endpoint), "operators": address(&s.Operators), "peers": address(&s.Self.Peer),
 		},
 		"tokens":   {"operator": text(&s.OperatorToken), "peer": text(&s.PeerToken)},
 		"platform": {"url": text(&s.PlatformURL)},
@@ -232,7 +232,7 @@
 
 func vmKeys(vm *VM) map[string]setter {
 	return map[string]setter{
-		"zone": word(&vm.Zone), "roles": roles(&vm.Roles), "peer": address(&vm.Peer), "callers": address(&vm.Callers),
+		"zone": word(&vm.Zone), "roles": roles(&vm.Roles), "peer": address(&vm.Peer), "callers": address(&vm.Endpoint),
 	}
 }
 
@@ -240,7 +240,7 @@
 	return map[string]setter{
 		"kind":    oneOf((*string)(&b.Kind), string(KindEngine), string(KindService)),
 		"address": address(&b.Address), "zone": word(&b.Zone), "models": list(&b.Models),
-		"service": word(&b.Service), "fences": boolean(&b.Fences), "methods": list(&b.Markings),
+		"service": word(&b.Service), "fences": boolean(&b.Fences), "methods": list(&b.IdempotencyRules),
 	}
 }
 
@@ -260,7 +260,7 @@
 		}
 		r.checkMarkings(b)
 	}
-	if s.Self.Has(RoleControl) && s.DataDir == "" {
+	if s.Self.HasRole(RoleControl) && s.DataDir == "" {
 		r.fail("vm", "data_dir", "a control VM needs a data folder", "a folder")
 	}
 	r.checkLoopback(s.Operators, "operators", s.OperatorToken, "operator")
@@ -268,7 +268,7 @@
 }
 
 func (r *reader) checkMarkings(b Backend) {
-	for _, text := range b.Markings {
+	for _, text := range b.IdempotencyRules {
 		if _, err := call.ParseIdempotencyRule(text); err != nil {
 			r.fail("backend:"+b.Name, "methods", fmt.Sprintf("bad marking %q", text), err.Error())
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 	return settings.Load(path)
 }
 
-func TestRefusalsNameWhereAndWhatIsAllowed(t *testing.T) {
+func TestErrorsNamePlaceAndAllowedValues(t *testing.T) {
 	for _, tc := range []struct {
 		name, text, section, key, allowed string
 	}{
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestEveryProblemIsTold(t *testing.T) {
+func TestEveryProblemIsReported(t *testing.T) {
 	_, err := load(t, "[vm]\nroles = boss\n[log]\nlevel = loud\n")
 	if err == nil || !strings.Contains(err.Error(), "roles") || !strings.Contains(err.Error(), "level") {
 		t.Errorf("got %v, want both problems", err)
@@ -101,7 +101,7 @@
 	if b := s.Backends[0]; b.Name != "engine1" || len(b.Models) != 2 || !b.Fences {
 		t.Errorf("backend %+v", b)
 	}
-	if s.Objective != settings.ResumeLatency || !s.Self.Has(settings.RoleRouter) {
+	if s.Objective != settings.ResumeLatency || !s.Self.HasRole(settings.RoleRouter) {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -24,7 +24,7 @@
 }
 
 func newPrefixCache(limitTokens int) *prefixCache {
-	return &prefixCache{limit: limitTokens / engine.CacheBlock, order: list.New(), blocks: map[uint64]*list.Element{}}
+	return &prefixCache{limit: limitTokens / engine.CacheBlockTokens, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
 // blockDigests returns the digest of each whole block's prefix.
@@ -33,7 +33,7 @@
 	var d uint64
 	for i, t := range tokens {
 		d = generation.PrefixDigest(d, t)
-		if (i+1)%engine.CacheBlock == 0 {
+		if (i+1)%engine.CacheBlockTokens == 0 {
 			out = append(out, d)
 		}
 	}
@@ -47,7 +47,7 @@
 		if e, ok := c.blocks[d]; ok {
 			c.order.MoveToFront(e)
 			if !broken {
-				cached += engine.CacheBlock
+				cached += engine.CacheBlockTokens
 			}
 			continue
 		}
@@ -79,4 +79,4 @@
 	}
 }
 
-func (c *prefixCache) tokens() int { return c.order.Len() * engine.CacheBlock }
+func (c *prefixCache) tokens() int { return c.order.Len() * engine.CacheBlockTokens }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -17,39 +17,39 @@
 
 // EngineConfig sets the speed and habits of a stand-in engine.
 type EngineConfig struct {
-	Name       string
-	Models     []engine.Model
-	StepBase   time.Duration // of one decoding step with an empty batch
-	StepPerRun time.Duration // added by each run in the batch
-	Prefill    time.Duration // added by each prompt token that is not cached
-	MaxBatch   int
-	CacheLimit int // tokens
-	ReportLag  time.Duration
-	EventLag   time.Duration // cache events are published this late
-	EventGap   int           // every n-th cache event is lost; 0: none
-	Fences     bool          // refuses orders with an old fencing number
-	LoadTime   time.Duration // of one model
-	ByAttempt  bool          // sampling differs by attempt
-	PoisonWord string        // a prompt with it kills the engine
-	PoisonAt   int           // at this token of its answer
+	Name              string
+	Models            []engine.Model
+	StepBase          time.Duration // of one decoding step with an empty batch
+	StepPerRun        time.Duration // added by each run in the batch
+	PrefillPerToken   time.Duration // added by each prompt token that is not cached
+	MaxBatch          int
+	CacheTokens       int // tokens
+	ReportLag         time.Duration
+	EventLag          time.Duration // cache events are published this late
+	DropEveryNthEvent int           // every n-th cache event is lost; 0: none
+	EnforceFencing    bool          // refuses orders with an old fencing number
+	ModelLoadTime     time.Duration // of one model
+	SampleByAttempt   bool          // sampling differs by attempt
+	PoisonWord        string        // a prompt with it kills the engine
+	PoisonAtToken     int           // at this token of its answer
 }
 
 // DefaultEngine is an engine that is fast enough for tests and the demo.
 func DefaultEngine(name, model string) EngineConfig {
 	return EngineConfig{
 		Name: name, Models: []engine.Model{{Name: model, Version: "1", Ready: true}},
-		StepBase: 4 * time.Millisecond, StepPerRun: 100 * time.Microsecond, Prefill: 20 * time.Microsecond,
-		MaxBatch: 32, CacheLimit: 1 << 16, ReportLag: 200 * time.Millisecond, EventLag: 200 * time.Millisecond,
-		LoadTime: 500 * time.Millisecond,
+		StepBase: 4 * time.Millisecond, StepPerRun: 100 * time.Microsecond, PrefillPerToken: 20 * time.Microsecond,
+		MaxBatch: 32, CacheTokens: 1 << 16, ReportLag: 200 * time.Millisecond, EventLag: 200 * time.Millisecond,
+		ModelLoadTime: 500 * time.Millisecond,
 	}
 }
 
 // EngineStats counts an engine's work.
 type EngineStats struct {
-	Starts         int // runs started
-	PrefillTokens  int // prompt tokens computed, cached ones left out
-	GeneratedTotal int // tokens generated
-	Cancelled      int
+	RunsStarted     int // runs started
+	PrefillTokens   int // prompt tokens computed, cached ones left out
+	GeneratedTokens int // tokens generated
+	CancelledRuns   int
 }
 
 // Engine is a stand-in model engine with continuous batching. Its methods are
@@ -108,7 +108,7 @@
 func (e *Engine) reset() {
 	e.queue, e.batch = nil, nil
 	e.runs = map[engine.Attempt]*run{}
-	e.cache = newPrefixCache(e.cfg.CacheLimit)
+	e.cache = newPrefixCache(e.cfg.CacheTokens)
 	e.state = engine.State{Models: slices.Clone(e.cfg.Models)}
 	e.reports = nil
 }
@@ -147,7 +147,7 @@
 	slices.SortStableFunc(e.queue, func(a, b *run) int {
 		return cmp.Or(cmp.Compare(b.req.Priority, a.req.Priority), cmp.Compare(a.arrived, b.arrived))
 	})
-	e.stats.Starts++
+	e.stats.RunsStarted++
 	e.poke()
 	return r, nil
 }
@@ -206,7 +206,7 @@
 			return 0, false
 		}
 	}
-	took := e.cfg.StepBase + time.Duration(len(e.batch))*e.cfg.StepPerRun + time.Duration(prefill)*e.cfg.Prefill
+	took := e.cfg.StepBase + time.Duration(len(e.batch))*e.cfg.StepPerRun + time.Duration(prefill)*e.cfg.PrefillPerToken
 	took = time.Duration(float64(took) * e.faults.slowness())
 	e.batch = slices.DeleteFunc(e.batch, func(r *run) bool { return r.finish != "" || r.err != nil })
 	e.report(now, took)
@@ -236,14 +236,14 @@
 	}
 	if len(r.tokens) < r.req.MaxTokens {
 		var choice uint64
-		if e.cfg.ByAttempt {
+		if e.cfg.SampleByAttempt {
 			choice = xxhash.Sum64String(fmt.Sprint(r.req.Attempt, len(r.tokens)))
 		}
 		t := r.chain.next(choice)
 		r.chain = r.chain.with(t)
 		r.tokens = append(r.tokens, t)
 		r.usage.Completion++
-		e.stats.GeneratedTotal++
+		e.stats.GeneratedTokens++
 	}
 	if len(r.tokens) >= r.req.MaxTokens {
 		r.finish = "length"
@@ -256,7 +256,7 @@
 }
 
 func (e *Engine) poisoned(r *run) bool {
-	return e.cfg.PoisonWord != "" && len(r.tokens) >= e.cfg.PoisonAt && strings.Contains(r.req.Prompt, e.cfg.PoisonWord)
+	return e.cfg.PoisonWord != "" && len(r.tokens) >= e.cfg.PoisonAtToken && strings.Contains(r.req.Prompt, e.cfg.PoisonWord)
 }
 
 func (r *run) notify() {
@@ -283,7 +283,7 @@
 	e.queue = slices.DeleteFunc(e.queue, same)
 	e.batch = slices.DeleteFunc(e.batch, same)
 	if r.finish == "" {
-		e.stats.Cancelled++
+		e.stats.CancelledRuns++
 		r.err = errCancelled
 		r.notify()
 	}
@@ -305,7 +305,7 @@
 	e.seq++
 	load := engine.Load{
 		Seq: e.seq, Running: len(e.batch), Queued: len(e.queue), CacheUsed: e.cache.tokens(),
-		CacheLimit: e.cfg.CacheLimit, StepMS: float64(step) / float64(time.Millisecond), Leaving: e.faults.leaving,
+		CacheLimit: e.cfg.CacheTokens, StepMS: float64(step) / float64(time.Millisecond), Leaving: e.faults.leaving,
 	}
 	for _, r := range e.queue {
 		load.QueuedTokens += len(r.req.Prompt) + len(r.req.PromptIDs) + r.req.MaxTokens - len(r.tokens)
@@ -329,7 +329,7 @@
 	if len(e.batch) == 0 && len(e.queue) == 0 {
 		e.report(now, 0)
 	}
-	out := engine.Load{CacheLimit: e.cfg.CacheLimit}
+	out := engine.Load{CacheLimit: e.cfg.CacheTokens}
 	for _, m := range e.state.Models {
 		out.Models = append(out.Models, m.Name)
 	}
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -15,11 +15,11 @@
 	if e.dead {
 		return engine.State{}, errDead
 	}
-	if e.cfg.Fences && o.Fence < e.state.Fence {
+	if e.cfg.EnforceFencing && o.Fence < e.state.Fence {
 		return engine.State{}, errOldFence
 	}
 	e.state.Fence = max(e.state.Fence, o.Fence)
-	if !e.cfg.Fences {
+	if !e.cfg.EnforceFencing {
 		e.state.Fence = o.Fence
 	}
 	switch o.Op {
@@ -51,7 +51,7 @@
 		m.Adapters = []string{o.Adapter}
 	}
 	e.state.Models = append(e.state.Models, m)
-	time.AfterFunc(e.cfg.LoadTime, func() { e.setReady(o.Model, o.Version) })
+	time.AfterFunc(e.cfg.ModelLoadTime, func() { e.setReady(o.Model, o.Version) })
 }
 
 func (e *Engine) setReady(model, version string) {
@@ -93,7 +93,7 @@
 			break
 		}
 		out.Next = ev.Seq
-		if e.cfg.EventGap > 0 && ev.Seq%uint64(e.cfg.EventGap) == 0 {
+		if e.cfg.DropEveryNthEvent > 0 && ev.Seq%uint64(e.cfg.DropEveryNthEvent) == 0 {
 			continue
 		}
 		out.Events = append(out.Events, ev.CacheEvent)
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -58,8 +58,8 @@
 
 // Two attempts that sample differently each give a sound answer; the tail of one
 // behind the head of the other does not follow from its prefix.
-func TestSpliceOfTwoGenerationsShows(t *testing.T) {
-	inBubble(t, func(c *standin.EngineConfig) { c.ByAttempt = true }, func(t *testing.T, e *standin.Engine) {
+func TestVerifyDetectsSplicedGenerations(t *testing.T) {
+	inBubble(t, func(c *standin.EngineConfig) { c.SampleByAttempt = true }, func(t *testing.T, e *standin.Engine) {
 		first, err1 := collect(t.Context(), e, completion("a", 40))
 		second, err2 := collect(t.Context(), e, completion("b", 40))
 		if err := errors.Join(err1, err2); err != nil {
@@ -108,7 +108,7 @@
 		if err := standin.Verify(c, "1", append(head, tail...), true); err != nil {
 			t.Error(err)
 		}
-		if s := e.Stats(); s.GeneratedTotal != 100 || s.Starts != 1 {
+		if s := e.Stats(); s.GeneratedTokens != 100 || s.RunsStarted != 1 {
 			t.Errorf("%+v: the run was not kept", s)
 		}
 	})
@@ -128,7 +128,7 @@
 		timer := time.NewTimer(300 * time.Millisecond)
 		<-timer.C
 		synctest.Wait()
-		if e.Running() != 0 || e.Stats().Cancelled != 1 {
+		if e.Running() != 0 || e.Stats().CancelledRuns != 1 {
 			t.Errorf("running %d, stats %+v; want a cancelled run", e.Running(), e.Stats())
 		}
 	})
@@ -142,7 +142,7 @@
 			}
 		}
 		prompt := len(completion("", 1).Prompt)
-		want := prompt + prompt%engine.CacheBlock
+		want := prompt + prompt%engine.CacheBlockTokens
 		if got := e.Stats().PrefillTokens; got != want {
 			t.Errorf("prefilled %d tokens, want %d: whole blocks once, the rest twice", got, want)
 		}
@@ -159,7 +159,7 @@
 		{"an engine that does not takes it", false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			inBubble(t, func(c *standin.EngineConfig) { c.Fences = tc.fences }, func(t *testing.T, e *standin.Engine) {
+			inBubble(t, func(c *standin.EngineConfig) { c.EnforceFencing = tc.fences }, func(t *testing.T, e *standin.Engine) {
 				if _, err := e.Order(engine.Order{Fence: 5, Op: "load", Model: "n", Version: "1"}); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -94,28 +94,28 @@
 }
 
 // Stall stops the runs whose attempt id contains part; empty: none from now on.
-func (e *Engine) Stall(part string) {
+func (e *Engine) StallAttempts(part string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.stall = part
 }
 
 // Late delays each event.
-func (e *Engine) Late(d time.Duration) {
+func (e *Engine) DelayEvents(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.late = d
 }
 
 // Cross makes events carry the attempt id of another run.
-func (e *Engine) Cross(on bool) {
+func (e *Engine) SwapAttemptIDs(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.crossed = on
 }
 
 // Leave makes reports say that the engine is leaving.
-func (e *Engine) Leave() {
+func (e *Engine) ReportLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.leaving = true
--- a/internal/standin/routedengine/copies.go
+++ b/internal/standin/routedengine/copies.go
@@ -31,7 +31,7 @@
 	s.mu.Lock()
 	made, runs := s.made[id]
 	s.mu.Unlock()
-	target := s.Net.At(r.URL.Query().Get("to"))
+	target := s.Net.ServerAt(r.URL.Query().Get("to"))
 	if !runs || target == nil || target.is(Dead) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/internal/standin/routedengine/engine.go
+++ b/internal/standin/routedengine/engine.go
@@ -41,7 +41,7 @@
 	if s == nil {
 		return nil, errRefused
 	}
-	if s.is(Dark) {
+	if s.is(Unresponsive) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -83,7 +83,7 @@
 }
 
 // Move has a server known by another address, where a proxy stands before it.
-func (n *Net) Move(s *Server, addr string) {
+func (n *Net) ChangeAddress(s *Server, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.servers, s.Address)
@@ -104,7 +104,7 @@
 }
 
 // LoseZoneOf ends all servers of the zone where a request runs.
-func (n *Net) LoseZoneOf(request string) {
+func (n *Net) KillZoneOf(request string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	zone := ""
@@ -123,7 +123,7 @@
 }
 
 // List is the list of backend servers that names all of them.
-func (n *Net) List() []upstream.Backend {
+func (n *Net) Backends() []upstream.Backend {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []upstream.Backend
@@ -138,19 +138,19 @@
 
 // The states.
 const (
-	Alive State = iota
-	Dead        // every connection is reset, new ones are refused
-	Dark        // nothing comes from it any more
+	Alive        State = iota
+	Dead               // every connection is reset, new ones are refused
+	Unresponsive       // nothing comes from it any more
 )
 
 // Run is one request as a server began it.
 type Run struct {
-	RequestID string
-	Path      string
-	Body      string
-	Header    http.Header
-	From      uint64 // first event made
-	ReadAnew  bool   // the whole prompt was read
+	RequestID  string
+	Path       string
+	Body       string
+	Header     http.Header
+	FirstEvent uint64 // first event made
+	Prefilled  bool   // the whole prompt was read
 }
 
 // Server is one stand-in. Set its fields before the first request.
@@ -158,13 +158,13 @@
 	upstream.Backend
 	Net *Net
 
-	Events    int           // of a stream
-	ReadTime  time.Duration // until the first event, where the prompt is read
-	EventTime time.Duration // between events
-	WorkTime  time.Duration // of a call
-	CopyTime  time.Duration // of a copy on order
+	Events        int           // of a stream
+	PrefillTime   time.Duration // until the first event, where the prompt is read
+	EventInterval time.Duration // between events
+	CallTime      time.Duration // of a call
+	CopyTime      time.Duration // of a copy on order
 	// Answer, if set, takes a call over and reports whether it did.
-	Answer func(s *Server, w http.ResponseWriter, r *http.Request) bool
+	Intercept func(s *Server, w http.ResponseWriter, r *http.Request) bool
 
 	mu     sync.Mutex
 	state  State
@@ -252,7 +252,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
-	case s.is(Dark):
+	case s.is(Unresponsive):
 		<-r.Context().Done()
 	case r.URL.Path == forward.PlainReportURI:
 		s.report(w)
@@ -260,11 +260,11 @@
 		s.copyOut(w, r)
 	case r.Header.Get(forward.HeaderInstance) != s.ID:
 		s.refuse(w, r, http.StatusMisdirectedRequest)
-	case s.Answer != nil && s.Answer(s, w, r):
+	case s.Intercept != nil && s.Intercept(s, w, r):
 	case s.Events > 0:
 		s.stream(w, r)
 	default:
-		s.Call(w, r, http.StatusOK)
+		s.AnswerCall(w, r, http.StatusOK)
 	}
 }
 
@@ -300,21 +300,21 @@
 }
 
 // Note records that a request runs here.
-func (s *Server) Note(r *http.Request, from uint64, anew bool) {
+func (s *Server) RecordRun(r *http.Request, from uint64, anew bool) {
 	body := make([]byte, max(0, r.ContentLength))
 	_, _ = r.Body.Read(body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, Run{
 		RequestID: r.Header.Get(forward.HeaderRequestID), Path: r.RequestURI, Body: string(body),
-		Header: r.Header.Clone(), From: from, ReadAnew: anew,
+		Header: r.Header.Clone(), FirstEvent: from, Prefilled: anew,
 	})
 }
 
 // Call runs a request with one answer.
-func (s *Server) Call(w http.ResponseWriter, r *http.Request, status int) {
-	s.Note(r, 0, false)
-	s.pause(r, s.WorkTime)
+func (s *Server) AnswerCall(w http.ResponseWriter, r *http.Request, status int) {
+	s.RecordRun(r, 0, false)
+	s.pause(r, s.CallTime)
 	s.sign(w, r)
 	w.WriteHeader(status)
 	_, _ = fmt.Fprintf(w, "answer of %s to %s", s.ID, r.Header.Get(forward.HeaderRequestID))
@@ -327,7 +327,7 @@
 	case <-r.Context().Done():
 		return false
 	}
-	for s.is(Dark) {
+	for s.is(Unresponsive) {
 		s.mu.Lock()
 		wake := s.wake
 		s.mu.Unlock()
@@ -351,16 +351,16 @@
 		}
 		anew = false
 	}
-	s.Note(r, after+1, anew)
+	s.RecordRun(r, after+1, anew)
 	defer s.begin(id)()
-	if anew && !s.pause(r, s.ReadTime) {
+	if anew && !s.pause(r, s.PrefillTime) {
 		return
 	}
-	keeper := s.Net.At(r.Header.Get(forward.HeaderCopyTo))
+	keeper := s.Net.ServerAt(r.Header.Get(forward.HeaderCopyTo))
 	s.sign(w, r)
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := after + 1; n <= uint64(s.Events); n++ {
-		if !s.pause(r, s.EventTime) {
+		if !s.pause(r, s.EventInterval) {
 			return
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", n, n)
@@ -396,7 +396,7 @@
 }
 
 // At returns the server at an address, or nil.
-func (n *Net) At(addr string) *Server {
+func (n *Net) ServerAt(addr string) *Server {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.servers[addr]
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -45,14 +45,14 @@
 }
 
 // Break sets where the next call's connection breaks.
-func (s *Service) Break(at BreakPoint) {
+func (s *Service) BreakNextCall(at BreakPoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next = at
 }
 
 // HoldAnswers makes each call run at once and answer this much later.
-func (s *Service) HoldAnswers(d time.Duration) {
+func (s *Service) DelayAnswers(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hold = d
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -20,25 +20,25 @@
 )
 
 // Lost counts log lines that were not written.
-type Lost struct {
-	Dropped atomic.Uint64 // the output did not take them
-	LeftOut atomic.Uint64 // ordinary ones beyond the bound
+type LineCounters struct {
+	Dropped     atomic.Uint64 // the output did not take them
+	RateLimited atomic.Uint64 // ordinary ones beyond the bound
 }
 
 // Writer hands lines to w beside the caller: a pipe that nobody reads must not
 // stop a request. Close writes what is left.
-func (l *Lost) Writer(w io.Writer) io.WriteCloser {
+func (l *LineCounters) Writer(w io.Writer) io.WriteCloser {
 	d := diode.NewWriter(w, logQueue, 0, func(missed int) { l.Dropped.Add(uint64(missed)) })
 	return &d
 }
 
 // Ordinary returns a logger for what went well, bounded in lines a second.
-func (l *Lost) Ordinary(log zerolog.Logger) zerolog.Logger {
+func (l *LineCounters) RoutineLog(log zerolog.Logger) zerolog.Logger {
 	return log.Sample(&ordinary{lost: l, burst: zerolog.BurstSampler{Burst: ordinaryPerSecond, Period: time.Second}})
 }
 
 type ordinary struct {
-	lost  *Lost
+	lost  *LineCounters
 	burst zerolog.BurstSampler
 }
 
@@ -47,6 +47,6 @@
 	if o.burst.Sample(level) {
 		return true
 	}
-	o.lost.LeftOut.Add(1)
+	o.lost.RateLimited.Add(1)
 	return false
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -13,8 +13,8 @@
 
 // A request that logs is not held up by an output that takes nothing: lines beyond
 // the queue are lost and counted.
-func TestFullPipeHoldsNobodyUp(t *testing.T) {
-	var lost Lost
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	var lost LineCounters
 	r, w := io.Pipe()
 	out := lost.Writer(w)
 	log := zerolog.New(out)
@@ -31,12 +31,12 @@
 }
 
 // Ordinary lines are bounded; failures are not, and what is left out is counted.
-func TestOrdinaryLinesAreBounded(t *testing.T) {
+func TestRoutineLinesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var lost Lost
+		var lost LineCounters
 		var buf bytes.Buffer
 		log := zerolog.New(&buf)
-		usual := lost.Ordinary(log)
+		usual := lost.RoutineLog(log)
 		for range 3 * ordinaryPerSecond {
 			usual.Info().Msg("went well")
 			log.Info().Msg("failed")
@@ -47,14 +47,14 @@
 		if n := strings.Count(buf.String(), "failed"); n != 3*ordinaryPerSecond {
 			t.Errorf("%d failures written", n)
 		}
-		if n := lost.LeftOut.Load(); n != 2*ordinaryPerSecond {
+		if n := lost.RateLimited.Load(); n != 2*ordinaryPerSecond {
 			t.Errorf("%d counted as left out", n)
 		}
 	})
 }
 
 // Both ways of reading a counter show one value.
-func TestExpvarShowsTheSet(t *testing.T) {
+func TestExpvarShowsMetrics(t *testing.T) {
 	set := metrics.NewSet()
 	set.NewCounter(`shelf_refused_total{name="queue full"}`).Add(3)
 	got, ok := Expvar(set)().(map[string]float64)
