--- a/internal/scheduler/fair.go
+++ b/internal/scheduler/fair.go
@@ -34,13 +34,13 @@
 	surgeMinStreams = 3.0
 )
 
-// flow counts the streams of one workspace with exponential decay.
-type flow struct {
+// workspaceArrivals counts the streams of one workspace with exponential decay.
+type workspaceArrivals struct {
 	createdAt, updatedAt time.Time
 	recent, baseline     float64
 }
 
-func (f *flow) fade(now time.Time) {
+func (f *workspaceArrivals) decay(now time.Time) {
 	if f.createdAt.IsZero() {
 		f.createdAt, f.updatedAt = now, now
 	}
@@ -50,35 +50,35 @@
 	f.updatedAt = now
 }
 
-func (f *flow) add(now time.Time) {
-	f.fade(now)
+func (f *workspaceArrivals) add(now time.Time) {
+	f.decay(now)
 	f.recent++
 	f.baseline++
 }
 
 // surges reports whether far more streams arrived recently than usual.
-func (f *flow) surges(now time.Time) bool {
-	f.fade(now)
+func (f *workspaceArrivals) surges(now time.Time) bool {
+	f.decay(now)
 	// A baseline that started recently has not reached its steady state yet.
 	coverage := 1 - math.Exp(-now.Sub(f.createdAt).Seconds()/baselineWindow.Seconds())
 	expected := f.baseline * surgeWindow.Seconds() / baselineWindow.Seconds() / math.Max(coverage, surgeWindow.Seconds()/baselineWindow.Seconds())
 	return f.recent > surgeFactor*expected+surgeDeviations*math.Sqrt(expected)+surgeMinStreams
 }
 
-// maxFlows bounds the number of workspaces that are tracked.
-const maxFlows = 1 << 14
+// maxTrackedWorkspaces bounds the number of workspaces that are tracked.
+const maxTrackedWorkspaces = 1 << 14
 
 func (v *service) recordArrival(workspace string, now time.Time) {
-	f := v.flows[workspace]
+	f := v.arrivals[workspace]
 	if f == nil {
-		if len(v.flows) >= maxFlows {
-			clear(v.flows) // the baselines are learned again
+		if len(v.arrivals) >= maxTrackedWorkspaces {
+			clear(v.arrivals) // the baselines are learned again
 		}
-		if v.flows == nil {
-			v.flows = map[string]*flow{}
+		if v.arrivals == nil {
+			v.arrivals = map[string]*workspaceArrivals{}
 		}
-		f = &flow{}
-		v.flows[workspace] = f
+		f = &workspaceArrivals{}
+		v.arrivals[workspace] = f
 	}
 	f.add(now)
 }
@@ -87,7 +87,7 @@
 func (v *service) surging(now time.Time) map[string]bool {
 	var out map[string]bool
 	for _, w := range v.waiting {
-		if f := v.flows[w.Workspace]; f != nil && !out[w.Workspace] && f.surges(now) {
+		if f := v.arrivals[w.Workspace]; f != nil && !out[w.Workspace] && f.surges(now) {
 			if out == nil {
 				out = map[string]bool{}
 			}
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -23,7 +23,7 @@
 			vm := fmt.Sprint("vm", rapid.IntRange(0, 3).Draw(t, "vm"))
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				s.ReceiveReport(vm, Report{Avoid: subset("avoid"), Suspected: subset("doubt")}, now)
+				s.ReceiveReport(vm, Report{Avoid: subset("avoid"), Suspected: subset("suspected")}, now)
 			case 2:
 				s.Forget(vm)
 			case 3:
--- a/internal/scheduler/memory.go
+++ b/internal/scheduler/memory.go
@@ -15,9 +15,10 @@
 // wrong in one of the two cases.
 //
 // Copies therefore get the memory that prompts will not need: the memory of all engines,
-// less what is taken, less what the waiting streams need, less what running streams will
-// grow to at the present arrival rate. Existing copies stay: their runs end within
-// seconds, and removing them would cost the transfers twice when the load swings.
+// less what is taken, less what the waiting streams need, less the growth of the memory
+// of all runs that is expected at the present arrival rate. Existing copies stay: their
+// runs end within seconds, and removing them would cost the transfers twice when the load
+// swings.
 
 const (
 	// copyMemoryShare is the share of the total memory up to which copies are made. The
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -246,12 +246,12 @@
 // second. Each engine starts them one after the other, and only as many as its memory
 // holds.
 func (r *round) maxStartRate(w *waiter) float64 {
-	reading := r.service.timing.prefillTime(max(1, w.Need.Prompt)).Seconds()
+	prefillSeconds := r.service.timing.prefillTime(max(1, w.Need.Prompt)).Seconds()
 	servers := r.engineCount(w)
-	rate := float64(servers) / reading
+	rate := float64(servers) / prefillSeconds
 	if w.KVTokens > 0 {
-		hold := reading + quickRunShare*r.service.timing.RunDuration.Seconds()
-		rate = min(rate, float64(servers*w.KVTokens)/float64(max(1, w.Need.Tokens()))/hold)
+		holdSeconds := prefillSeconds + quickRunShare*r.service.timing.RunDuration.Seconds()
+		rate = min(rate, float64(servers*w.KVTokens)/float64(max(1, w.Need.Tokens()))/holdSeconds)
 	}
 	return max(rate, minStartRate)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -115,8 +115,8 @@
 }
 
 const (
-	// grantTTL is how long a grant counts that its VM has not confirmed. A VM confirms at
-	// once, and one that has died must not occupy an engine.
+	// grantTTL is how long a grant counts without a confirmation by its VM. A VM confirms
+	// at once, and the grants of a VM that has died must not occupy engines.
 	grantTTL = 700 * time.Millisecond
 	// waiterTTL is how long a stream waits after its VM last asked for it.
 	waiterTTL = 2500 * time.Millisecond
@@ -159,7 +159,7 @@
 	timing     EngineTiming
 	demand     demand
 	grantTimes eventTimes
-	flows      map[string]*flow // by workspace
+	arrivals   map[string]*workspaceArrivals // by workspace
 	// median caches the median speed for medianTTL.
 	median speed
 	// eligible and candidates are reused between choices to avoid allocations.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -83,7 +83,7 @@
 func TestEnginesOfAnyPaceAndSize(t *testing.T) {
 	tests := []struct {
 		name     string
-		pace     float64
+		speed    float64
 		memory   float64
 		expected float64
 	}{
@@ -96,14 +96,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			traits := simTraits{
-				prefillPerMS: usualTraits.prefillPerMS * tt.pace, step: time.Duration(float64(usualTraits.step) / tt.pace),
+				prefillPerMS: usualTraits.prefillPerMS * tt.speed, step: time.Duration(float64(usualTraits.step) / tt.speed),
 				kv: int(float64(usualTraits.kv) * tt.memory),
 			}
 			need := placement.Need{Prompt: int(8000 * min(1, tt.memory)), Output: int(600 * min(1, tt.memory))}
-			scale := tt.pace / min(1, tt.memory)
+			scale := tt.speed / min(1, tt.memory)
 			span := func(l load, s float64) load { return load{l.perSecond * scale * s, l.span} }
 			s := newSim(1, 8, 10, traits).schedule()
-			s.play(need, time.Duration(float64(objective)/tt.pace), deadline, span(usualLoad, 1), span(overload, 0.6), span(usualLoad, 1))
+			s.play(need, time.Duration(float64(objective)/tt.speed), deadline, span(usualLoad, 1), span(overload, 0.6), span(usualLoad, 1))
 			if got := s.inTime(); got < tt.expected {
 				t.Errorf("%.2f in time, want 0.8 or more", got)
 			}
@@ -350,7 +350,7 @@
 // prefills its prompt in vain, and the caller waits for an answer that is cut off.
 func TestStreamsThatCannotFinishInTimeAreRefused(t *testing.T) {
 	now := time.Unix(0, 0)
-	pace := EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
+	timing := EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
 	tests := []struct {
 		name   string
 		after  int // events that the caller has received
@@ -370,7 +370,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := newTestScheduler(1)
-			s.ReceiveReport("other", Report{EngineTimings: map[string]EngineTiming{"models": pace}}, now)
+			s.ReceiveReport("other", Report{EngineTimings: map[string]EngineTiming{"models": timing}}, now)
 			st := stream("1", now)
 			st.Need.Prompt, st.EventsReceived, st.Interrupted, st.CachedEngine = 8000, tt.after, tt.after > 0, tt.cached
 			st.Deadline = now.Add(tt.left)
@@ -448,19 +448,19 @@
 func TestSlowEnginesAreDetected(t *testing.T) {
 	s, now := newTestScheduler(1), time.Unix(0, 0)
 	usual := 160 * time.Microsecond
-	pace := map[string]EngineTiming{"models": {PrefillPerToken: usual, RunDuration: 6 * time.Second}}
-	s.ReceiveReport("vm", Report{EngineTimings: pace}, now)
+	timings := map[string]EngineTiming{"models": {PrefillPerToken: usual, RunDuration: 6 * time.Second}}
+	s.ReceiveReport("vm", Report{EngineTimings: timings}, now)
 	grantAndPrefill := func(id string, took time.Duration, skip ...string) string {
 		st := stream(id, now)
 		st.ExcludedEngines = skip
 		s.Enqueue(st, now)
 		d := decisions(s.Decide(now))[id]
-		s.ReceiveReport("vm", Report{EngineTimings: pace, LastGrant: d.Number, Usage: map[string]placement.Usage{d.Server: {Requests: 1, PendingPrompt: 8000}}}, now)
+		s.ReceiveReport("vm", Report{EngineTimings: timings, LastGrant: d.Number, Usage: map[string]placement.Usage{d.Server: {Requests: 1, PendingPrompt: 8000}}}, now)
 		if d.Server == "a0" {
 			took *= 3
 		}
 		now = now.Add(took)
-		s.ReceiveReport("vm", Report{EngineTimings: pace, LastGrant: d.Number}, now)
+		s.ReceiveReport("vm", Report{EngineTimings: timings, LastGrant: d.Number}, now)
 		return d.Server
 	}
 	grantAndPrefill("1", 1280*time.Millisecond, "b0", "c0")
--- a/internal/scheduler/sim_test.go
+++ b/internal/scheduler/sim_test.go
@@ -81,7 +81,7 @@
 func (e *simEngine) makeStep() (changed []*simRun) {
 	took := e.traits.step
 	var remaining []*simRun
-	reading := false
+	prefilling := false
 	for _, r := range e.running {
 		switch {
 		case r.prefilled >= r.need.Prompt:
@@ -90,8 +90,8 @@
 				r.first = e.next
 				changed = append(changed, r)
 			}
-		case !reading:
-			reading = true
+		case !prefilling:
+			prefilling = true
 			r.prefilled += prefillChunk
 			took += time.Duration(prefillChunk / e.traits.prefillPerMS * float64(time.Millisecond))
 		}
@@ -116,10 +116,10 @@
 	live    map[string]*simRun
 	refused int
 
-	scheduler *Scheduler // nil: each VM places its streams at once
-	taken     map[string]uint64
-	wantsCopy bool
-	copied    int
+	scheduler  *Scheduler // nil: each VM places its streams at once
+	lastGrants map[string]uint64
+	wantsCopy  bool
+	copied     int
 
 	// reportAge is the age at which reports are renewed if there is no scheduler.
 	reportAge     time.Duration
@@ -135,7 +135,7 @@
 func newSim(seed uint64, perZone, vms int, traits simTraits) *sim {
 	s := &sim{
 		now: time.Unix(0, 0), rng: rand.New(rand.NewPCG(seed, 1)), byID: map[string]*simEngine{}, vms: vms,
-		live: map[string]*simRun{}, taken: map[string]uint64{}, reportAge: 600 * time.Millisecond,
+		live: map[string]*simRun{}, lastGrants: map[string]uint64{}, reportAge: 600 * time.Millisecond,
 	}
 	for _, zone := range []string{"a", "b", "c"} {
 		for i := range perZone {
@@ -225,7 +225,7 @@
 	e.queue = append(e.queue, r)
 }
 
-// use sums the usage of the selected placed runs by engine.
+// usage sums the usage of the selected placed runs by engine.
 func (s *sim) usage(which func(*simRun) bool) map[string]placement.Usage {
 	out := map[string]placement.Usage{}
 	for _, r := range s.live {
@@ -291,7 +291,7 @@
 
 func (s *sim) report(vm string) {
 	s.scheduler.ReceiveReport(vm, Report{
-		Usage: s.usage(func(r *simRun) bool { return r.vm == vm }), LastGrant: s.taken[vm],
+		Usage: s.usage(func(r *simRun) bool { return r.vm == vm }), LastGrant: s.lastGrants[vm],
 		EngineTimings: map[string]EngineTiming{"models": s.timing()},
 	}, s.now)
 }
@@ -317,7 +317,7 @@
 		r.backupEngine.copies += r.need.Tokens()
 		s.copied++
 	}
-	s.taken[r.vm] = max(s.taken[r.vm], d.Number)
+	s.lastGrants[r.vm] = max(s.lastGrants[r.vm], d.Number)
 	s.report(r.vm)
 }
 
--- a/internal/scheduler/slow.go
+++ b/internal/scheduler/slow.go
@@ -20,8 +20,8 @@
 // gets no streams must be tried again.
 
 const (
-	// speedWeight is the weight of the newest prefill. An engine turns slow at once, and
-	// its next prompt should already be affected.
+	// speedWeight is the weight of the newest prefill. Engines become slow abruptly, and
+	// the first slow prefill should already affect the choice for the next prompt.
 	speedWeight = 0.7
 	// speedHalfLife is the time after which an observation has lost half of its weight:
 	// several prefills, and much less than the seconds for which engines stay slow.
@@ -59,8 +59,8 @@
 	if e.prefill.since.IsZero() || e.usage.PendingPrompt > 0 {
 		return
 	}
-	took := now.Sub(e.prefill.since) / time.Duration(e.prefill.tokens)
-	e.speed, e.prefill = speed{Smooth(e.speed.perToken, took, speedWeight), now}, prefill{}
+	perToken := now.Sub(e.prefill.since) / time.Duration(e.prefill.tokens)
+	e.speed, e.prefill = speed{Smooth(e.speed.perToken, perToken, speedWeight), now}, prefill{}
 }
 
 // medianTTL is how long the median is cached. Single prefills hardly move it.
@@ -91,17 +91,17 @@
 
 // slowdown is how many times longer than the median a prefill takes on the engine; 1: not
 // notably longer.
-func (e *server) slowdown(usual time.Duration, now time.Time) float64 {
-	if usual <= 0 {
+func (e *server) slowdown(median time.Duration, now time.Time) float64 {
+	if median <= 0 {
 		return 1
 	}
 	observed := 1.0
 	if e.speed.perToken > 0 {
-		faded := math.Exp2(-float64(now.Sub(e.speed.at)) / float64(speedHalfLife))
-		observed = 1 + (float64(e.speed.perToken)/float64(usual)-1)*faded
+		weight := math.Exp2(-float64(now.Sub(e.speed.at)) / float64(speedHalfLife))
+		observed = 1 + (float64(e.speed.perToken)/float64(median)-1)*weight
 	}
 	if !e.prefill.since.IsZero() {
-		expected := time.Duration(e.prefill.tokens) * usual
+		expected := time.Duration(e.prefill.tokens) * median
 		observed = max(observed, float64(now.Sub(e.prefill.since))/float64(max(expected, time.Millisecond)))
 	}
 	if observed < minSlowdown {
--- a/internal/scheduler/timing.go
+++ b/internal/scheduler/timing.go
@@ -19,7 +19,7 @@
 	// defaultPerToken is used until a prefill was measured. It is that of a slow engine,
 	// to avoid estimating that a stream is late, or refusing it, when it is not.
 	defaultPerToken = 40 * time.Microsecond
-	// paceWeight is the weight of one VM's newest report in the mean.
+	// timingWeight is the weight of one VM's newest report in the mean.
 	timingWeight = 0.1
 	// rateWindow is the window over which arrivals and grants are counted. It spans
 	// several prefills and is short enough to follow a burst.
