--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -60,7 +60,7 @@
 	}
 	load = loads[i]
 	if all[i].Avoid {
-		load -= avoidCostMS
+		load -= avoidPenalty
 	}
 	return i, load
 }
@@ -82,7 +82,7 @@
 	others += freshness(c) * (float64(c.Reported) - others)
 	load := (float64(c.Own) + others + 1) / slots * max(1, c.Slowdown)
 	if c.Avoid {
-		load += avoidCostMS
+		load += avoidPenalty
 	}
 	return load
 }
--- a/internal/placement/call_test.go
+++ b/internal/placement/call_test.go
@@ -44,10 +44,10 @@
 // calls go to the server that was idle, and they wait there while other servers are free.
 func TestCallsDoNotFollowStaleReports(t *testing.T) {
 	tests := []struct {
-		name       string
-		load       callLoad
-		most       time.Duration // bound of the mean wait
-		mostByNews time.Duration // least mean wait of placement by old reports
+		name           string
+		load           callLoad
+		most           time.Duration // upper bound of the mean wait
+		leastByReports time.Duration // lower bound of the mean wait if placed by old reports
 	}{
 		{"67 VMs, 7 servers, half used", callLoad{vms: 67, servers: 7, perSecond: 372, work: 60}, 2 * time.Millisecond, 40 * time.Millisecond},
 		{"67 VMs, 7 servers, four fifths used", callLoad{vms: 67, servers: 7, perSecond: 560, work: 60}, 15 * time.Millisecond, 200 * time.Millisecond},
@@ -60,11 +60,11 @@
 				i, _ := ChooseServer(vm.candidates(), vm.zone, rng.IntN)
 				return i
 			})
-			byNews := tt.load.meanWait(placeByReports)
+			byReports := tt.load.meanWait(placeByReports)
 			random := tt.load.meanWait(func(vm *callVM, rng *rand.Rand) int { return rng.IntN(len(vm.known)) })
-			t.Logf("mean wait: placed %v, by reports %v, at random %v", placed, byNews, random)
-			if placed > tt.most || byNews < tt.mostByNews {
-				t.Errorf("mean wait: placed %v, want %v at most; by reports %v", placed, tt.most, byNews)
+			t.Logf("mean wait: placed %v, by reports %v, at random %v", placed, byReports, random)
+			if placed > tt.most || byReports < tt.leastByReports {
+				t.Errorf("mean wait: placed %v, want %v at most; by reports %v, want the lower bound of the case or more", placed, tt.most, byReports)
 			}
 			if random < placed {
 				t.Errorf("mean wait: at random %v, placed %v; want placed to be shorter", random, placed)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -87,8 +87,8 @@
 	memoryPressureShare  = 0.92
 	memoryPressureCostMS = 40_000.0
 	// rankCostMS is how much cheaper an engine must be, per rendezvous rank, before a VM
-	// prefers it to an engine of a lower rank. It is equal to five runs and less than
-	// half of a second prompt.
+	// prefers it to an engine of a lower rank. It equals the cost of five runs, and is less
+	// than half the cost of a pending prompt of 8,000 tokens.
 	rankCostMS = 400.0
 	// otherZoneCostMS is how much cheaper an engine in another zone must be than one in
 	// the VM's own zone. A link between zones that loses packets delays one event in
@@ -99,8 +99,8 @@
 	// among them is random, to keep VMs with the same reports from choosing the same
 	// engine.
 	equalCostMarginMS = 40.0
-	// avoidCostMS exceeds every other cost.
-	avoidCostMS = 1e6
+	// avoidPenalty exceeds every other cost, and every load of a CallCandidate.
+	avoidPenalty = 1e6
 )
 
 // streamCost is the delay that a stream would meet and cause on a candidate.
@@ -114,7 +114,7 @@
 		cost += otherZoneCostMS
 	}
 	if c.Avoid {
-		cost += avoidCostMS
+		cost += avoidPenalty
 	}
 	return cost
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,8 +17,8 @@
 }
 
 // As many prompts as engines arrive at once. Placed at random, three meet on one engine,
-// whose last first event comes after three seconds. Placed by cost, no engine gets a
-// second prompt while another has none.
+// and the last of them produces its first event after three seconds. Placed by cost, no
+// engine gets a second prompt while another has none.
 func TestSimultaneousPromptsSpread(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	all := engines(12)
--- a/internal/placement/rendezvous.go
+++ b/internal/placement/rendezvous.go
@@ -5,13 +5,13 @@
 // RendezvousRank returns the rank of a VM in a server's rendezvous order. A VM that joins
 // or leaves moves those with a higher rank by one and changes nothing else.
 func RendezvousRank(server, vm string, vms []string) int {
-	own, turn := rendezvousWeight(server, vm), 0
+	own, rank := rendezvousWeight(server, vm), 0
 	for _, other := range vms {
 		if rendezvousWeight(server, other) > own {
-			turn++
+			rank++
 		}
 	}
-	return turn
+	return rank
 }
 
 func rendezvousWeight(server, vm string) uint64 {
