--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -233,12 +233,12 @@
 			want     forward.Copy
 		}{{7, a}, {8, forward.Copy{}}, {9, forward.Copy{}}} {
 			if got, ok := v.member.FindOrphan(ctx, tt.identity); got.Copy != tt.want || ok != (tt.want.Address != "") {
-				t.Errorf("identity %d: got %+v, found %t", tt.identity, got, ok)
+				t.Errorf("identity %d: got %+v, found %t; want the only copy with this identity, or none", tt.identity, got, ok)
 			}
 		}
 		time.Sleep(copyLifetime + time.Second)
 		if _, ok := v.member.FindOrphan(ctx, 7); ok {
-			t.Error("an expired copy is returned")
+			t.Error("got an expired copy, want none")
 		}
 	})
 }
@@ -266,7 +266,7 @@
 		}
 		time.Sleep(copyLifetime)
 		if _, ok := v.member.FindOrphan(ctx, 7); ok {
-			t.Error("an expired copy is returned")
+			t.Error("got an expired copy, want none")
 		}
 	})
 }
@@ -292,7 +292,7 @@
 		first := written()
 		for range 5 {
 			if written() != first {
-				t.Fatal("unchanged copies were written again")
+				t.Fatal("unchanged copies were written again, want no write")
 			}
 		}
 	})
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -63,7 +63,7 @@
 	t.Handle(peer.KindFindOrphan, h.serveOrphan)
 	t.Handle(peer.KindRetrySpending, h.serveSpent)
 	t.Handle(peer.KindPlace, h.scheduling.servePlace)
-	t.Handle(peer.KindUseReport, h.scheduling.serveUse)
+	t.Handle(peer.KindUseReport, h.scheduling.serveUseReport)
 	return h
 }
 
--- a/internal/cluster/list_test.go
+++ b/internal/cluster/list_test.go
@@ -79,7 +79,7 @@
 	size := func(since uint64) int {
 		d, _, ok := control.DifferenceSince(since)
 		if !ok {
-			t.Fatal("no difference")
+			t.Fatal("got no difference, want one")
 		}
 		data, err := codec.Marshal(d)
 		if err != nil {
@@ -115,7 +115,7 @@
 			h := NewListReplica(ignoreList)
 			h.Update(rows(3), time.Minute)
 			if ok := h.Patch(tt.d, tt.digest, time.Second); ok != tt.ok {
-				t.Errorf("Patch returned %t", ok)
+				t.Errorf("Patch returned %t, want the opposite", ok)
 			}
 			if got, _, _, _ := h.Current(); len(got) != tt.want {
 				t.Errorf("got %d rows, want %d", len(got), tt.want)
@@ -145,7 +145,7 @@
 				go m.Run(ctx)
 				time.Sleep(time.Second)
 				if got, _, _, ok := replica.Current(); !ok || len(got) != tt.want {
-					t.Errorf("got %d rows, has a list: %t", len(got), ok)
+					t.Errorf("got %d rows, has a list: %t; want a list with the distinct rows of the control VM", len(got), ok)
 				}
 			})
 		})
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -32,8 +32,8 @@
 	Dead     func() []string
 	Runs     func() []forward.ResumableRun
 	Spent    func() map[string]forward.RetryUsage
-	// Opinion returns this VM's view of the backend servers, and Paces the pace that it
-	// observed for each service.
+	// BackendReport returns what this VM observed of the backend servers. EngineTimings
+	// returns what it measured on the engines of each service.
 	Opinion func() upstream.Report
 	Paces   func() map[string]scheduler.EngineTiming
 	// Learn takes the reports of the other VMs, and LearnSpent what all of them spent of
@@ -86,7 +86,7 @@
 		incarnation: rand.Uint64(), spendingSignal: newSignal(), placing: newPlacing(), fetchSignal: newSignal(),
 		listAges: map[string]time.Duration{},
 	}
-	t.Handle(peer.KindPlaceDecision, m.servePlaced)
+	t.Handle(peer.KindPlaceDecision, m.servePlaceDecision)
 	return m
 }
 
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -240,9 +240,9 @@
 	}
 }
 
-// servePlaced receives the decision about a waiting stream. If the stream's caller has
-// left, nothing waits for the decision and a grant is returned.
-func (m *Member) servePlaced(_ context.Context, _ string, body []byte) (any, error) {
+// servePlaceDecision receives the decision about a waiting stream. If the stream's caller
+// has left, nothing waits for the decision and a grant is returned.
+func (m *Member) servePlaceDecision(_ context.Context, _ string, body []byte) (any, error) {
 	var p PlaceDecision
 	if err := codec.Unmarshal(body, &p); err != nil {
 		return nil, err
--- a/internal/cluster/place_test.go
+++ b/internal/cluster/place_test.go
@@ -84,11 +84,11 @@
 		default:
 		}
 		a.setUse(map[string]placement.Usage{"e0": {Requests: 1, Tokens: 8600}})
-		read := time.Now()
+		prefilledAt := time.Now()
 		a.member.UseChanged()
 		got := <-second
-		if !got.ok || got.p.Outcome != scheduler.Granted || got.at.Sub(read) > 20*time.Millisecond {
-			t.Errorf("second stream: got %+v after %v, want a grant within 20ms", got.p, got.at.Sub(read))
+		if !got.ok || got.p.Outcome != scheduler.Granted || got.at.Sub(prefilledAt) > 20*time.Millisecond {
+			t.Errorf("second stream: got %+v after %v, want a grant within 20ms", got.p, got.at.Sub(prefilledAt))
 		}
 	})
 }
@@ -169,9 +169,9 @@
 		h := startHub(ctx, n, "c1", controls[:1])
 		v := startRouter(ctx, n, "r1", controls[:1], 0)
 		time.Sleep(time.Second)
-		left := forward.Orphan{Copy: forward.Copy{Address: "e2:1", ID: "q1"}, PrefillEngine: "e1:1"}
-		h.hub.recordHeartbeat("dead", Heartbeat{Runs: []forward.ResumableRun{{Identity: 7, Orphan: left}}})
-		if got, ok := v.member.FindOrphan(ctx, 7); !ok || got != left {
+		orphan := forward.Orphan{Copy: forward.Copy{Address: "e2:1", ID: "q1"}, PrefillEngine: "e1:1"}
+		h.hub.recordHeartbeat("dead", Heartbeat{Runs: []forward.ResumableRun{{Identity: 7, Orphan: orphan}}})
+		if got, ok := v.member.FindOrphan(ctx, 7); !ok || got != orphan {
 			t.Errorf("at once: got %+v, found %t, want the copy and the engine", got, ok)
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/cluster/read_schedule_test.go
+++ b/internal/cluster/read_schedule_test.go
@@ -27,7 +27,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := tt.r.Due(); got != tt.want {
-				t.Errorf("Due returned %v", got)
+				t.Errorf("Due returned %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/cluster/scheduler_service.go
+++ b/internal/cluster/scheduler_service.go
@@ -31,8 +31,8 @@
 	Suspected []string                          `cbor:"7,keyasint,omitempty"` // servers suspected with their zone or by peer reports
 	Alive     []string                          `cbor:"8,keyasint,omitempty"` // servers that have just answered the router
 	// SuspectedUnchanged reports that Suspected is omitted and the same as in the last
-	// report. After the loss of a zone it names all engines there, and a router reports
-	// its use with each stream.
+	// report. After the loss of a zone, Suspected names all engines there, and it would be
+	// sent with each stream, since a router reports its use with each one.
 	SuspectedUnchanged bool `cbor:"9,keyasint,omitempty"`
 }
 
@@ -120,9 +120,9 @@
 	c.scheduler.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.LastGrant, Avoid: t.Avoid, Suspected: t.Suspected, Alive: t.Alive, EngineTimings: t.Paces}, time.Now())
 }
 
-// memoryAndPaces returns the services without memory for backup copies, and the known
-// paces of all services.
-func (c *schedulerService) memoryAndPaces() (lowMemory []string, paces map[string]scheduler.EngineTiming) {
+// memoryAndTimings returns the services without memory for backup copies, and the mean
+// engine timings of each service.
+func (c *schedulerService) memoryAndTimings() (lowMemory []string, timings map[string]scheduler.EngineTiming) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scheduler.ShortOfMemory(time.Now()), c.scheduler.EngineTimings()
@@ -151,7 +151,7 @@
 	return c.decide(st.ID), nil
 }
 
-func (c *schedulerService) serveUse(_ context.Context, from string, body []byte) (any, error) {
+func (c *schedulerService) serveUseReport(_ context.Context, from string, body []byte) (any, error) {
 	var t UseReport
 	if err := codec.Unmarshal(body, &t); err != nil {
 		return nil, err
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -50,8 +50,8 @@
 	// LowMemory names the services whose engine memory is needed for prompts. No
 	// backup copies should be made there.
 	LowMemory []string `cbor:"4,keyasint,omitempty"`
-	// Paces are those of the services' engines. A VM that has just started or has few
-	// streams has observed none itself.
+	// EngineTimings holds the means over all VMs, by service. A VM that has just started or
+	// has few streams has measured none itself.
 	Paces map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
 	// RoutersDigest is the digest of the ids of all VMs that accept callers.
 	RoutersDigest uint64 `cbor:"5,keyasint,omitempty"`
@@ -86,7 +86,7 @@
 		return s, nil
 	}
 	summary := Summary{}
-	summary.LowMemory, summary.Paces = h.scheduling.memoryAndPaces()
+	summary.LowMemory, summary.Paces = h.scheduling.memoryAndTimings()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, err := h.buildSummary(&summary, time.Now())
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -74,20 +74,20 @@
 }
 
 // A router that shuts down needs to know how long streams take, even if it has had none.
-// It must receive the paces that the other routers observed.
-func TestPacesReachAllRouters(t *testing.T) { synctest.Test(t, testPacesReachAllRouters) }
+// It must receive the engine timings that the other routers measured.
+func TestPacesReachAllRouters(t *testing.T) { synctest.Test(t, testEngineTimingsReachAllRouters) }
 
-func testPacesReachAllRouters(t *testing.T) {
+func testEngineTimingsReachAllRouters(t *testing.T) {
 	f := newLoadedHub(t, 3, 4)
-	pace := scheduler.EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
-	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, Paces: map[string]scheduler.EngineTiming{"models": pace}})
+	timing := scheduler.EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
+	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, Paces: map[string]scheduler.EngineTiming{"models": timing}})
 	f.hub.mu.Lock()
 	f.hub.summary = nil
 	f.hub.mu.Unlock()
 	var o peerState
 	a, _ := f.serve(t, 1, f.heartbeat(t, 1, false, 0))
 	k, err := o.learn(&a, nil, time.Now())
-	if err != nil || k.Paces["models"] != pace {
-		t.Errorf("got paces %+v, error %v", k.Paces, err)
+	if err != nil || k.Paces["models"] != timing {
+		t.Errorf("got engine timings %+v, error %v; want those that the other router reported", k.Paces, err)
 	}
 }
