--- a/internal/routed/drain_test.go
+++ b/internal/routed/drain_test.go
@@ -85,7 +85,7 @@
 		}{{time.Second, false, false}, {2900 * time.Millisecond, true, false}, {6 * time.Second, true, true}} {
 			time.Sleep(tt.at - time.Since(began))
 			if d.cannotFinish(true, 0) != tt.stream || d.cannotFinish(false, 0) != tt.call {
-				t.Errorf("after %v: stream refused %t, call refused %t", tt.at, d.cannotFinish(true, 0), d.cannotFinish(false, 0))
+				t.Errorf("after %v: stream refused %t, call refused %t; want streams refused from 2.4s on and calls from 5.6s on", tt.at, d.cannotFinish(true, 0), d.cannotFinish(false, 0))
 			}
 		}
 		d.wait()
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -67,9 +67,10 @@
 	return s, s.group.Start()
 }
 
-// run opens the member, and opens it again after each failure, until ctx ends. It
-// returns an error only for a damaged log, which opening it again cannot repair.
-func (m *memberRunner) run(ctx context.Context, note func(error)) error {
+// run opens the member, and opens it again after each failure, until ctx ends. It calls
+// onFailure with each failure that it recovers from. It returns an error only for a
+// damaged log, which opening it again cannot repair.
+func (m *memberRunner) run(ctx context.Context, onFailure func(error)) error {
 	pause := reopenMinDelay
 	for ctx.Err() == nil {
 		failed := make(chan error, 1)
@@ -92,7 +93,7 @@
 		if errors.As(err, &damaged) {
 			return err
 		}
-		note(err)
+		onFailure(err)
 		if s != nil {
 			s.group.Close()
 		}
--- a/internal/routed/observer.go
+++ b/internal/routed/observer.go
@@ -95,7 +95,7 @@
 		if errors.As(err, &remote) && isFinal(result.Code(remote.Code)) {
 			return out, result.New(result.Code(remote.Code))
 		}
-		v.o.Log.Debug().Err(err).Str("control", vm).Msg("roll-out request to a voter failed")
+		v.o.Log.Debug().Err(err).Str("control", vm).Msg("roll-out request to a voter failed; asking the next one, if any")
 	}
 	return rollout.Record{}, result.New(result.ControlUnavail)
 }
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -65,7 +65,7 @@
 	case err != nil:
 		return rollout.Record{}, err
 	case reply.Outcome == rollout.Busy:
-		return reply.Record, result.Newf(result.RolloutUnderWay, "version %q is being rolled out until then", reply.Record.To)
+		return reply.Record, result.Newf(result.RolloutUnderWay, "another roll-out of the service is under way, to version %q", reply.Record.To)
 	case reply.Outcome == rollout.Unreadable:
 		return reply.Record, result.New(result.InvalidRollout)
 	}
--- a/internal/routed/route_list.go
+++ b/internal/routed/route_list.go
@@ -73,7 +73,7 @@
 		if err == nil {
 			return r.fetch(ctx, v, slices.Concat(voters[i:], voters[:i]))
 		}
-		r.log.Debug().Err(err).Str("control", vm).Msg("voter did not confirm the route list")
+		r.log.Debug().Err(err).Str("control", vm).Msg("voter did not confirm the route list; asking the next one, if any")
 	}
 	return nil, result.New(result.ControlUnavail)
 }
@@ -92,7 +92,7 @@
 	}
 	text, err := v.Get(ctx, r.t, sources)
 	if err != nil {
-		r.log.Warn().Err(err).Int("bytes", v.Bytes()).Msg("route list not fetched")
+		r.log.Warn().Err(err).Int("bytes", v.Bytes()).Msg("route list could not be fetched; answering that the control group is unavailable")
 		return nil, result.New(result.ControlUnavail)
 	}
 	r.mu.Lock()
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -56,7 +56,7 @@
 	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.backendList, cluster.Local{
 		Zone: o.Zone, Endpoint: o.Endpoint, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.suspectContents.TakeNewDeaths,
 		Dead: r.fleet.RecentlyDead, Runs: r.resumableRuns, Spent: r.retryUsage, Learn: r.applyPeerReports, LearnSpent: r.applyPeerRetryUsage,
-		Opinion: r.fleet.Report, Paces: r.paces, Rollouts: r.recorder.Reports, Urgent: func() bool { return r.rollouts.Load().Urgent() },
+		Opinion: r.fleet.Report, Paces: r.engineTimings, Rollouts: r.recorder.Reports, Urgent: func() bool { return r.rollouts.Load().Urgent() },
 	}, o.Log)
 	r.feed = control.NewFeed(control.FeedOptions{
 		Self: o.ID, Voters: r.member.Controls, Transport: r.network, Lease: Lease, Log: o.Log,
@@ -171,15 +171,15 @@
 	r.fleet.SetRouters(r.o.ID, k.Routers)
 }
 
-// resumableRuns returns the streams of this router that have a backup copy. The member,
-// which calls it, starts after the handler is set.
+// resumableRuns returns the streams in flight that another router could resume. The
+// member, which calls it, starts after the handler is set.
 func (r *Router) resumableRuns() []forward.ResumableRun { return r.handler.ResumableRuns() }
 
 func (r *Router) applyPeerRetryUsage(others map[string]forward.RetryUsage) {
 	r.handler.SetPeerRetryUsage(others)
 }
 
-func (r *Router) paces() map[string]scheduler.EngineTiming { return r.handler.Paces() }
+func (r *Router) engineTimings() map[string]scheduler.EngineTiming { return r.handler.Paces() }
 
 func (r *Router) retryUsage() map[string]forward.RetryUsage { return r.handler.RetryUsage() }
 
