--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		if r.Outcome != s.outcome || r.Version != s.held {
-			t.Errorf("%s: got outcome %d, version %d", s.name, r.Outcome, r.Version)
+			t.Errorf("%s: got outcome %d, version %d; want those of the step", s.name, r.Outcome, r.Version)
 		}
 	}
 	if string(p.List().Source) != string(validList(5).Source) {
