--- a/internal/bulk/bulk_test.go
+++ b/internal/bulk/bulk_test.go
@@ -28,7 +28,7 @@
 type testSource struct {
 	*Store
 	mu          sync.Mutex
-	servedBytes int                       // bytes
+	servedBytes int
 	beforeServe func(*testSource, []byte) // runs before each answer
 }
 
@@ -63,7 +63,7 @@
 			}
 			got, err := Fetch(t.Context(), n.VM("c"), []string{"a"}, ref)
 			if err != nil || !bytes.Equal(got, value) {
-				t.Errorf("value of %d bytes: got %d bytes, error %v", size, len(got), err)
+				t.Errorf("value of %d bytes: got %d bytes, error %v; want the same value and no error", size, len(got), err)
 			}
 		})
 	}
