--- a/internal/scheduler/fair.go
+++ b/internal/scheduler/surge.go
@@ -65,7 +65,7 @@
 	return f.recent > surgeFactor*expected+surgeDeviations*math.Sqrt(expected)+surgeMinStreams
 }
 
-// maxTrackedWorkspaces bounds the number of workspaces that are tracked.
+// maxTrackedWorkspaces bounds the memory for arrivals. Beyond it all counts start over.
 const maxTrackedWorkspaces = 1 << 14
 
 func (v *service) recordArrival(workspace string, now time.Time) {
