--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -46,19 +46,19 @@
 // that it holds.
 func (f *loadedHub) heartbeat(tb testing.TB, router int, wantUse bool, routersDigest uint64) []byte {
 	f.seq++
-	n := Heartbeat{
+	heartbeat := Heartbeat{
 		Zone: "a", Endpoint: f.routers[router], Ready: true, ListDigest: f.digest, ListAgeMS: 100,
 		WantSummary: true, WantUse: wantUse, RoutersDigest: routersDigest,
 	}
 	id := func(i int) string { return f.engines[i%len(f.engines)].ID }
-	n.UseReport = UseReport{Incarnation: uint64(router + 1), Seq: f.seq, Use: map[string]placement.Usage{
+	heartbeat.UseReport = UseReport{Incarnation: uint64(router + 1), Seq: f.seq, Use: map[string]placement.Usage{
 		id(router): {Requests: 1, Tokens: 9000}, id(router + 7): {Tokens: 9000, Copies: 9000}, "call": {Requests: 1},
 	}}
 	for i := 0; i < len(f.engines); i += 5 {
-		n.UseReport.Suspected = append(n.UseReport.Suspected, id(i))
+		heartbeat.UseReport.Suspected = append(heartbeat.UseReport.Suspected, id(i))
 	}
-	n.Spent = RetrySpending{Incarnation: uint64(router + 1), Seq: f.seq}
-	data, err := codec.Marshal(n)
+	heartbeat.Spent = RetrySpending{Incarnation: uint64(router + 1), Seq: f.seq}
+	data, err := codec.Marshal(heartbeat)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -75,11 +75,11 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var a HeartbeatReply
-	if err := codec.Unmarshal(data, &a); err != nil {
+	var reply HeartbeatReply
+	if err := codec.Unmarshal(data, &reply); err != nil {
 		tb.Fatal(err)
 	}
-	return a, len(data)
+	return reply, len(data)
 }
 
 // BenchmarkHeartbeat measures a heartbeat of one of 200 or 330 routers at the scheduling
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -52,7 +52,7 @@
 	v.list = NewListReplica(func(upstream.List) {})
 	v.member = NewMember(id, n.VM(id), seeds, v.list, Local{
 		Endpoint: id + ":80", Ready: func() bool { return !v.notReady.Load() },
-		Use: func() map[string]placement.Usage { return *v.use.Load() }, Learn: func(k PeerReports) { v.peers.Store(&k) },
+		Use: func() map[string]placement.Usage { return *v.use.Load() }, Learn: func(reports PeerReports) { v.peers.Store(&reports) },
 	}, zerolog.Nop())
 	ctx, v.stop = context.WithCancel(ctx)
 	go v.member.Run(ctx)
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -171,29 +171,29 @@
 
 // applyChanges applies what a heartbeat reply says about the list of backend servers.
 // roundTrip is added to the list's age, which grew while the reply was in flight.
-func (m *Member) applyChanges(vm string, n *Heartbeat, a *HeartbeatReply, roundTrip time.Duration) {
-	age := time.Duration(a.ListAgeMS)*time.Millisecond + roundTrip
-	if a.HasList {
+func (m *Member) applyChanges(vm string, heartbeat *Heartbeat, reply *HeartbeatReply, roundTrip time.Duration) {
+	age := time.Duration(reply.ListAgeMS)*time.Millisecond + roundTrip
+	if reply.HasList {
 		m.recordListAge(vm, age)
 	}
 	switch {
-	case !a.HasList:
-	case a.Changes != nil:
-		m.applyDifference(vm, a, age)
-	case a.ListDigest == n.ListDigest:
-		m.list.Confirm(a.ListDigest, age)
-	case n.ListDigest == 0 || n.WantChanges && a.ListAgeMS < n.ListAgeMS:
-		m.requestList(vm, a.ListDigest)
+	case !reply.HasList:
+	case reply.Changes != nil:
+		m.applyDifference(vm, reply, age)
+	case reply.ListDigest == heartbeat.ListDigest:
+		m.list.Confirm(reply.ListDigest, age)
+	case heartbeat.ListDigest == 0 || heartbeat.WantChanges && reply.ListAgeMS < heartbeat.ListAgeMS:
+		m.requestList(vm, reply.ListDigest)
 	}
 }
 
 // applyDifference applies the changes of a heartbeat reply. If the result is not the
 // control VM's list, the whole list is fetched.
-func (m *Member) applyDifference(vm string, a *HeartbeatReply, age time.Duration) {
-	d, err := a.Changes.unpack()
-	if err == nil && m.list.Patch(d, a.ListDigest, age) {
+func (m *Member) applyDifference(vm string, reply *HeartbeatReply, age time.Duration) {
+	d, err := reply.Changes.unpack()
+	if err == nil && m.list.Patch(d, reply.ListDigest, age) {
 		return
 	}
 	m.log.Error().Err(err).Str("control", vm).Int("rows", len(d.Rows)).Int("gone", len(d.Removed)).Msg("changes of the list of backend servers do not match its digest; fetching the whole list")
-	m.requestList(vm, a.ListDigest)
+	m.requestList(vm, reply.ListDigest)
 }
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -68,48 +68,48 @@
 }
 
 func (h *Hub) serve(_ context.Context, from string, body []byte) (any, error) {
-	var n Heartbeat
-	if err := codec.Unmarshal(body, &n); err != nil {
+	var heartbeat Heartbeat
+	if err := codec.Unmarshal(body, &heartbeat); err != nil {
 		return nil, err
 	}
-	h.recordHeartbeat(from, n)
-	h.scheduling.receiveReport(from, &n.UseReport)
-	a := HeartbeatReply{Controls: h.controls()}
-	if n.WantSummary || n.WantEndpoints {
-		if err := h.addPeerReports(from, &n, &a); err != nil {
+	h.recordHeartbeat(from, heartbeat)
+	h.scheduling.receiveReport(from, &heartbeat.UseReport)
+	reply := HeartbeatReply{Controls: h.controls()}
+	if heartbeat.WantSummary || heartbeat.WantEndpoints {
+		if err := h.addPeerReports(from, &heartbeat, &reply); err != nil {
 			return nil, err
 		}
 	}
 	_, digest, age, ok := h.list.Current()
 	if !ok {
-		return a, nil
+		return reply, nil
 	}
-	a.HasList, a.ListDigest, a.ListAgeMS = true, digest, age.Milliseconds()
+	reply.HasList, reply.ListDigest, reply.ListAgeMS = true, digest, age.Milliseconds()
 	// A VM whose list is younger than this one needs no changes.
-	if n.WantChanges && digest != n.ListDigest && a.ListAgeMS < n.ListAgeMS {
-		changed, digest, ok, err := h.list.PackedDifferenceSince(n.ListDigest)
+	if heartbeat.WantChanges && digest != heartbeat.ListDigest && reply.ListAgeMS < heartbeat.ListAgeMS {
+		changed, digest, ok, err := h.list.PackedDifferenceSince(heartbeat.ListDigest)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
-			a.Changes, a.ListDigest = &changed, digest
+			reply.Changes, reply.ListDigest = &changed, digest
 		}
 	}
-	return a, nil
+	return reply, nil
 }
 
 // addPeerReports adds the requested reports of all VMs to a reply.
-func (h *Hub) addPeerReports(from string, n *Heartbeat, a *HeartbeatReply) error {
+func (h *Hub) addPeerReports(from string, heartbeat *Heartbeat, reply *HeartbeatReply) error {
 	s, err := h.summarize()
 	if err != nil {
 		return err
 	}
-	if n.WantSummary {
-		s.addTo(a, from, n)
-		a.Spent = h.spentByOthers(n.Spent.Incarnation)
+	if heartbeat.WantSummary {
+		s.addTo(reply, from, heartbeat)
+		reply.Spent = h.spentByOthers(heartbeat.Spent.Incarnation)
 	}
-	if n.WantEndpoints {
-		a.Endpoints = s.endpoints
+	if heartbeat.WantEndpoints {
+		reply.Endpoints = s.endpoints
 	}
 	return nil
 }
@@ -144,14 +144,14 @@
 // requests with equal content, and neither is returned.
 func findOrphan(runs []forward.ResumableRun, identity uint64) forward.Orphan {
 	var found forward.Orphan
-	for _, k := range runs {
-		if k.Identity != identity {
+	for _, run := range runs {
+		if run.Identity != identity {
 			continue
 		}
-		if found.Copy.Address != "" && found.Copy != k.Copy {
+		if found.Copy.Address != "" && found.Copy != run.Copy {
 			return forward.Orphan{}
 		}
-		found = k.Orphan
+		found = run.Orphan
 	}
 	return found
 }
@@ -171,30 +171,30 @@
 		return runs
 	}
 	out := make([]forward.ResumableRun, len(runs))
-	for i, k := range runs {
-		out[i] = k
+	for i, run := range runs {
+		out[i] = run
 		out[i].Copy = forward.Copy{}
 	}
 	return out
 }
 
-func (h *Hub) recordHeartbeat(from string, n Heartbeat) {
+func (h *Hub) recordHeartbeat(from string, heartbeat Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	if _, known := h.vms[from]; !known || h.loggedSilent[from] {
-		h.log.Info().Str("member", from).Str("zone", n.Zone).Bool("ready", n.Ready).Msg("VM sends heartbeats")
+		h.log.Info().Str("member", from).Str("zone", heartbeat.Zone).Bool("ready", heartbeat.Ready).Msg("VM sends heartbeats")
 	}
 	delete(h.loggedSilent, from)
-	v := vmState{from, n, now}
+	v := vmState{from, heartbeat, now}
 	if v.acceptsCallers() != h.vms[from].acceptsCallers() {
 		h.summary = nil // callers must not be directed to a router that shuts down
 	}
 	h.vms[from] = v
-	h.retrySpending.record(n.Spent, now)
-	h.ledger.Note(n.Spent.Incarnation, n.Rollouts, now)
+	h.retrySpending.record(heartbeat.Spent, now)
+	h.ledger.Note(heartbeat.Spent.Incarnation, heartbeat.Rollouts, now)
 	h.expireVMs(now)
-	for _, d := range n.Deaths {
+	for _, d := range heartbeat.Deaths {
 		h.deaths = append(h.deaths, reportedDeath{d, now})
 	}
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -34,8 +34,8 @@
 	Spent    func() map[string]forward.RetryUsage
 	// BackendReport returns what this VM observed of the backend servers. EngineTimings
 	// returns what it measured on the engines of each service.
-	Opinion func() upstream.Report
-	Paces   func() map[string]scheduler.EngineTiming
+	BackendReport func() upstream.Report
+	EngineTimings func() map[string]scheduler.EngineTiming
 	// Learn takes the reports of the other VMs, and LearnSpent what all of them spent of
 	// the retry budgets, by service.
 	Learn      func(PeerReports)
@@ -174,10 +174,10 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	n, to := m.heartbeat(deaths), m.recipients()
+	heartbeat, to := m.heartbeat(deaths), m.recipients()
 	for _, vm := range m.Controls() {
 		if vm != m.self {
-			wg.Go(func() { m.exchange(ctx, vm, m.heartbeatFor(n, vm, &to)) })
+			wg.Go(func() { m.exchange(ctx, vm, m.heartbeatFor(heartbeat, vm, &to)) })
 		}
 	}
 	wg.Wait()
@@ -193,33 +193,33 @@
 }
 
 func (m *Member) recipients() recipients {
-	a := recipients{endpoints: m.freshestControl(), useReports: m.schedulers(useReportTargets)}
-	a.summary = a.endpoints
-	if len(a.useReports) > 0 {
+	to := recipients{endpoints: m.freshestControl(), useReports: m.schedulers(useReportTargets)}
+	to.summary = to.endpoints
+	if len(to.useReports) > 0 {
 		// Only the scheduling control VM knows the waiting streams, and therefore whether
 		// memory is low.
-		a.summary = a.useReports[0]
+		to.summary = to.useReports[0]
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a.changes = m.listSource
-	return a
+	to.changes = m.listSource
+	return to
 }
 
 // heartbeatFor returns the variant of a heartbeat for one control VM.
-func (m *Member) heartbeatFor(n Heartbeat, vm string, to *recipients) Heartbeat {
+func (m *Member) heartbeatFor(heartbeat Heartbeat, vm string, to *recipients) Heartbeat {
 	if len(to.useReports) > 0 && !slices.Contains(to.useReports, vm) {
-		n.UseReport = UseReport{}
+		heartbeat.UseReport = UseReport{}
 	}
-	n.WantChanges = n.WantChanges || vm == to.changes
-	n.WantEndpoints = vm == to.endpoints && m.local.LearnEndpoints != nil
-	n.WantSummary = vm == to.summary && (m.local.Learn != nil || m.local.LearnSpent != nil)
-	if n.WantSummary {
+	heartbeat.WantChanges = heartbeat.WantChanges || vm == to.changes
+	heartbeat.WantEndpoints = vm == to.endpoints && m.local.LearnEndpoints != nil
+	heartbeat.WantSummary = vm == to.summary && (m.local.Learn != nil || m.local.LearnSpent != nil)
+	if heartbeat.WantSummary {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		n.RoutersDigest, n.WantUse = m.peers.routersDigest, m.peers.wantsUse(time.Now())
+		heartbeat.RoutersDigest, heartbeat.WantUse = m.peers.routersDigest, m.peers.wantsUse(time.Now())
 	}
-	return n
+	return heartbeat
 }
 
 // freshestControl returns the control VM with the most recent reply, which is asked for
@@ -237,63 +237,63 @@
 }
 
 func (m *Member) heartbeat(deaths []recovery.Death) Heartbeat {
-	n := Heartbeat{Zone: m.local.Zone, Endpoint: m.local.Endpoint, Deaths: deaths, Control: m.local.Control}
+	heartbeat := Heartbeat{Zone: m.local.Zone, Endpoint: m.local.Endpoint, Deaths: deaths, Control: m.local.Control}
 	if m.local.Ready != nil {
-		n.Ready = m.local.Ready()
+		heartbeat.Ready = m.local.Ready()
 	}
 	if m.local.Dead != nil {
-		n.Dead = m.local.Dead()
+		heartbeat.Dead = m.local.Dead()
 	}
 	if m.local.Runs != nil {
-		n.Runs = m.local.Runs()
+		heartbeat.Runs = m.local.Runs()
 	}
 	if m.local.Rollouts != nil {
-		n.Rollouts = m.local.Rollouts()
+		heartbeat.Rollouts = m.local.Rollouts()
 	}
-	n.Spent = m.ownSpending()
-	n.UseReport = m.fullUseReport()
+	heartbeat.Spent = m.ownSpending()
+	heartbeat.UseReport = m.fullUseReport()
 	if _, digest, age, ok := m.list.Current(); ok {
-		n.ListDigest, n.ListAgeMS = digest, age.Milliseconds()
+		heartbeat.ListDigest, heartbeat.ListAgeMS = digest, age.Milliseconds()
 		// While the list is young, routers ask a single control VM for changes. Otherwise
 		// each control VM would send the changes that the loss of a zone causes.
-		n.WantChanges = m.local.Control || age > staleListAge
+		heartbeat.WantChanges = m.local.Control || age > staleListAge
 	}
-	return n
+	return heartbeat
 }
 
-func (m *Member) exchange(ctx context.Context, vm string, n Heartbeat) {
+func (m *Member) exchange(ctx context.Context, vm string, heartbeat Heartbeat) {
 	sent := time.Now()
-	var a HeartbeatReply
-	if err := m.t.Call(ctx, vm, peer.KindHeartbeat, n, &a); err != nil {
+	var reply HeartbeatReply
+	if err := m.t.Call(ctx, vm, peer.KindHeartbeat, heartbeat, &reply); err != nil {
 		m.recordFailure(vm, err)
 		return
 	}
-	m.recordAnswer(vm, &a)
-	if a.Observer {
+	m.recordAnswer(vm, &reply)
+	if reply.Observer {
 		return
 	}
-	m.applyChanges(vm, &n, &a, time.Since(sent))
-	if n.WantEndpoints {
-		m.local.LearnEndpoints(a.Endpoints)
+	m.applyChanges(vm, &heartbeat, &reply, time.Since(sent))
+	if heartbeat.WantEndpoints {
+		m.local.LearnEndpoints(reply.Endpoints)
 	}
-	if !n.WantSummary {
+	if !heartbeat.WantSummary {
 		return
 	}
-	m.learnPeerReports(vm, &a, n.Dead)
+	m.learnPeerReports(vm, &reply, heartbeat.Dead)
 }
 
 // learnPeerReports decodes the reports of all VMs in a reply and passes them on.
-func (m *Member) learnPeerReports(vm string, a *HeartbeatReply, dead []string) {
+func (m *Member) learnPeerReports(vm string, reply *HeartbeatReply, dead []string) {
 	m.mu.Lock()
-	k, err := m.peers.learn(a, dead, time.Now())
+	reports, err := m.peers.learn(reply, dead, time.Now())
 	m.mu.Unlock()
 	if err != nil {
 		m.log.Error().Err(err).Str("control", vm).Msg("summary of the other VMs could not be decoded; keeping the previous one")
 		return
 	}
-	m.learnSpent(k.Spent)
+	m.learnSpent(reports.Spent)
 	if m.local.Learn != nil {
-		m.local.Learn(k)
+		m.local.Learn(reports)
 	}
 }
 
@@ -310,11 +310,11 @@
 	return out, out != (forward.Orphan{})
 }
 
-func (m *Member) recordAnswer(vm string, a *HeartbeatReply) {
+func (m *Member) recordAnswer(vm string, reply *HeartbeatReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if a.Observer {
+	if reply.Observer {
 		m.observers[vm] = now
 	} else {
 		m.lastAnswers[vm] = now
@@ -324,7 +324,7 @@
 		delete(m.loggedSilent, vm)
 		m.log.Info().Str("control", vm).Msg("control VM answers again")
 	}
-	for _, c := range a.Controls {
+	for _, c := range reply.Controls {
 		m.learnedControls[c] = now
 	}
 }
--- a/internal/cluster/observer.go
+++ b/internal/cluster/observer.go
@@ -46,11 +46,11 @@
 // serve replies to a heartbeat with the ids of the voters. A voter whose seeds have all
 // been replaced may know only this VM; it becomes known here by its own heartbeats.
 func (o *Observer) serve(_ context.Context, from string, body []byte) (any, error) {
-	var n Heartbeat
-	if err := codec.Unmarshal(body, &n); err != nil {
+	var heartbeat Heartbeat
+	if err := codec.Unmarshal(body, &heartbeat); err != nil {
 		return nil, err
 	}
-	if n.Control {
+	if heartbeat.Control {
 		o.recordVoter(from)
 	}
 	return HeartbeatReply{Observer: true, Controls: o.Controls()}, nil
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -97,9 +97,9 @@
 
 // useReport returns the report of engine use between heartbeats, without Suspected.
 func (m *Member) useReport() UseReport {
-	t := m.fullUseReport()
-	t.Suspected, t.SuspectedUnchanged = nil, true
-	return t
+	report := m.fullUseReport()
+	report.Suspected, report.SuspectedUnchanged = nil, true
+	return report
 }
 
 // fullUseReport returns the report of engine use for heartbeats, with Suspected.
@@ -108,15 +108,15 @@
 		return UseReport{}
 	}
 	seq, lastGrant := m.placing.nextReport()
-	t := UseReport{Incarnation: m.incarnation, Seq: seq, LastGrant: lastGrant, Use: m.local.Use()}
-	if m.local.Opinion != nil {
-		o := m.local.Opinion()
-		t.Avoid, t.Suspected, t.Alive = o.Avoid, o.Suspected, o.Alive
+	report := UseReport{Incarnation: m.incarnation, Seq: seq, LastGrant: lastGrant, Use: m.local.Use()}
+	if m.local.BackendReport != nil {
+		o := m.local.BackendReport()
+		report.Avoid, report.Suspected, report.Alive = o.Avoid, o.Suspected, o.Alive
 	}
-	if m.local.Paces != nil {
-		t.Paces = m.local.Paces()
+	if m.local.EngineTimings != nil {
+		report.EngineTimings = m.local.EngineTimings()
 	}
-	return t
+	return report
 }
 
 // Place implements forward.Placer. It calls abandon every placeRetryInterval while the
@@ -124,10 +124,10 @@
 func (m *Member) Place(ctx context.Context, st scheduler.Stream, abandon func() bool) (scheduler.Answer, bool) {
 	decided, end := m.placing.wait(st.ID)
 	defer end()
-	a := PlaceRequest{Stream: st}
+	request := PlaceRequest{Stream: st}
 	for retry := false; ; retry = true {
-		a.DueMS, a.DeadlineMS = time.Until(st.Due).Milliseconds(), time.Until(st.Deadline).Milliseconds()
-		p, ok := m.requestPlace(ctx, &a, retry)
+		request.DueMS, request.DeadlineMS = time.Until(st.Due).Milliseconds(), time.Until(st.Deadline).Milliseconds()
+		p, ok := m.requestPlace(ctx, &request, retry)
 		if !ok || p.Outcome != scheduler.Waiting {
 			return p, ok
 		}
@@ -151,19 +151,19 @@
 //
 // Only the first request for a stream carries this VM's use of engines, because hundreds
 // of streams may wait and repeat their requests.
-func (m *Member) requestPlace(ctx context.Context, a *PlaceRequest, retry bool) (scheduler.Answer, bool) {
+func (m *Member) requestPlace(ctx context.Context, request *PlaceRequest, retry bool) (scheduler.Answer, bool) {
 	for range placeAttempts {
 		vm := m.scheduler()
 		if vm == "" || ctx.Err() != nil {
 			break
 		}
-		a.Report = UseReport{}
+		request.Report = UseReport{}
 		if !retry {
-			a.Report = m.useReport()
+			request.Report = m.useReport()
 		}
 		callCtx, cancel := context.WithTimeout(ctx, placeTimeout)
 		var p scheduler.Answer
-		err := m.t.Call(callCtx, vm, peer.KindPlace, a, &p)
+		err := m.t.Call(callCtx, vm, peer.KindPlace, request, &p)
 		cancel()
 		if err == nil {
 			return p, true
--- a/internal/cluster/scheduler_service.go
+++ b/internal/cluster/scheduler_service.go
@@ -25,11 +25,11 @@
 	Seq         uint64                     `cbor:"2,keyasint"` // grows with each report
 	Use         map[string]placement.Usage `cbor:"3,keyasint,omitempty"`
 	// LastGrant is the number of the last grant that Use includes.
-	LastGrant uint64                            `cbor:"4,keyasint,omitempty"`
-	Avoid     []string                          `cbor:"5,keyasint,omitempty"` // servers that the router itself found unusable
-	Paces     map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"` // by service
-	Suspected []string                          `cbor:"7,keyasint,omitempty"` // servers suspected with their zone or by peer reports
-	Alive     []string                          `cbor:"8,keyasint,omitempty"` // servers that have just answered the router
+	LastGrant     uint64                            `cbor:"4,keyasint,omitempty"`
+	Avoid         []string                          `cbor:"5,keyasint,omitempty"` // servers that the router itself found unusable
+	EngineTimings map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"` // by service
+	Suspected     []string                          `cbor:"7,keyasint,omitempty"` // servers suspected with their zone or by peer reports
+	Alive         []string                          `cbor:"8,keyasint,omitempty"` // servers that have just answered the router
 	// SuspectedUnchanged reports that Suspected is omitted and the same as in the last
 	// report. After the loss of a zone, Suspected names all engines there, and it would be
 	// sent with each stream, since a router reports its use with each one.
@@ -97,27 +97,27 @@
 
 // receiveReport applies a router's report and schedules. A report that arrives after a
 // later one is ignored.
-func (c *schedulerService) receiveReport(from string, t *UseReport) {
+func (c *schedulerService) receiveReport(from string, report *UseReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recordReport(from, t)
+	c.recordReport(from, report)
 	c.decideAll()
 }
 
 // recordReport needs c.mu.
-func (c *schedulerService) recordReport(from string, t *UseReport) {
-	if t.Incarnation == 0 {
+func (c *schedulerService) recordReport(from string, report *UseReport) {
+	if report.Incarnation == 0 {
 		return // from a control process, which sends no streams
 	}
 	last := c.lastReports[from]
-	if last.Incarnation == t.Incarnation && t.Seq < last.Seq {
+	if last.Incarnation == report.Incarnation && report.Seq < last.Seq {
 		return
 	}
-	if t.SuspectedUnchanged && last.Incarnation == t.Incarnation {
-		t.Suspected = last.Suspected
+	if report.SuspectedUnchanged && last.Incarnation == report.Incarnation {
+		report.Suspected = last.Suspected
 	}
-	c.lastReports[from] = UseReport{Incarnation: t.Incarnation, Seq: t.Seq, Suspected: t.Suspected}
-	c.scheduler.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.LastGrant, Avoid: t.Avoid, Suspected: t.Suspected, Alive: t.Alive, EngineTimings: t.Paces}, time.Now())
+	c.lastReports[from] = UseReport{Incarnation: report.Incarnation, Seq: report.Seq, Suspected: report.Suspected}
+	c.scheduler.ReceiveReport(from, scheduler.Report{Usage: report.Use, LastGrant: report.LastGrant, Avoid: report.Avoid, Suspected: report.Suspected, Alive: report.Alive, EngineTimings: report.EngineTimings}, time.Now())
 }
 
 // memoryAndTimings returns the services without memory for backup copies, and the mean
@@ -137,26 +137,26 @@
 }
 
 func (c *schedulerService) servePlace(_ context.Context, from string, body []byte) (any, error) {
-	var a PlaceRequest
-	if err := codec.Unmarshal(body, &a); err != nil {
+	var request PlaceRequest
+	if err := codec.Unmarshal(body, &request); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recordReport(from, &a.Report)
-	now, st := time.Now(), a.Stream
+	c.recordReport(from, &request.Report)
+	now, st := time.Now(), request.Stream
 	st.VM = from
-	st.Due, st.Deadline = now.Add(time.Duration(a.DueMS)*time.Millisecond), now.Add(time.Duration(a.DeadlineMS)*time.Millisecond)
+	st.Due, st.Deadline = now.Add(time.Duration(request.DueMS)*time.Millisecond), now.Add(time.Duration(request.DeadlineMS)*time.Millisecond)
 	c.scheduler.Enqueue(st, now)
 	return c.decide(st.ID), nil
 }
 
 func (c *schedulerService) serveUseReport(_ context.Context, from string, body []byte) (any, error) {
-	var t UseReport
-	if err := codec.Unmarshal(body, &t); err != nil {
+	var report UseReport
+	if err := codec.Unmarshal(body, &report); err != nil {
 		return nil, err
 	}
-	c.receiveReport(from, &t)
+	c.receiveReport(from, &report)
 	return nil, nil
 }
 
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -52,7 +52,7 @@
 	LowMemory []string `cbor:"4,keyasint,omitempty"`
 	// EngineTimings holds the means over all VMs, by service. A VM that has just started or
 	// has few streams has measured none itself.
-	Paces map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
+	EngineTimings map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
 	// RoutersDigest is the digest of the ids of all VMs that accept callers.
 	RoutersDigest uint64 `cbor:"5,keyasint,omitempty"`
 }
@@ -86,7 +86,7 @@
 		return s, nil
 	}
 	summary := Summary{}
-	summary.LowMemory, summary.Paces = h.scheduling.memoryAndTimings()
+	summary.LowMemory, summary.EngineTimings = h.scheduling.memoryAndTimings()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, err := h.buildSummary(&summary, time.Now())
@@ -144,13 +144,13 @@
 }
 
 // addTo adds to a reply what its receiver requested and does not hold.
-func (s *encodedSummary) addTo(a *HeartbeatReply, from string, n *Heartbeat) {
-	a.EncodedSummary, a.OwnUse = s.encoded, s.useByVM[from]
-	if n.WantUse {
-		a.EncodedUse = s.encodedUse
+func (s *encodedSummary) addTo(reply *HeartbeatReply, from string, heartbeat *Heartbeat) {
+	reply.EncodedSummary, reply.OwnUse = s.encoded, s.useByVM[from]
+	if heartbeat.WantUse {
+		reply.EncodedUse = s.encodedUse
 	}
-	if n.RoutersDigest != s.routersDigest {
-		a.Routers = s.routers
+	if heartbeat.RoutersDigest != s.routersDigest {
+		reply.Routers = s.routers
 	}
 }
 
@@ -181,34 +181,34 @@
 
 // learn applies a reply and returns the resulting reports of the other VMs. own are the
 // servers that this VM itself reported dead.
-func (o *peerState) learn(a *HeartbeatReply, own []string, now time.Time) (PeerReports, error) {
-	var k PeerReports
-	if err := codec.Unmarshal(a.EncodedSummary, &k.Summary); err != nil {
-		return k, err
+func (o *peerState) learn(reply *HeartbeatReply, own []string, now time.Time) (PeerReports, error) {
+	var reports PeerReports
+	if err := codec.Unmarshal(reply.EncodedSummary, &reports.Summary); err != nil {
+		return reports, err
 	}
-	if len(a.EncodedUse) > 0 {
+	if len(reply.EncodedUse) > 0 {
 		use := map[string]placement.Usage{}
-		if err := codec.Unmarshal(a.EncodedUse, &use); err != nil {
-			return k, err
+		if err := codec.Unmarshal(reply.EncodedUse, &use); err != nil {
+			return reports, err
 		}
 		o.use, o.useUpdatedAt = use, now
-		for id, u := range a.OwnUse {
+		for id, u := range reply.OwnUse {
 			if _, ok := use[id]; ok {
 				use[id] = use[id].Add(u.Negated())
 			}
 		}
 	}
-	if k.RoutersDigest != o.routersDigest && len(a.Routers) > 0 {
-		o.routers, o.routersDigest = a.Routers, k.RoutersDigest
+	if reports.RoutersDigest != o.routersDigest && len(reply.Routers) > 0 {
+		o.routers, o.routersDigest = reply.Routers, reports.RoutersDigest
 	}
-	k.Routers, k.Spent = o.routers, a.Spent
-	k.Use = maps.Clone(o.use)
-	if k.Use == nil {
-		k.Use = map[string]placement.Usage{}
+	reports.Routers, reports.Spent = o.routers, reply.Spent
+	reports.Use = maps.Clone(o.use)
+	if reports.Use == nil {
+		reports.Use = map[string]placement.Usage{}
 	}
-	for id, calls := range k.Calls {
-		k.Use[id] = placement.Usage{Requests: calls - a.OwnUse[id].Requests}
+	for id, calls := range reports.Calls {
+		reports.Use[id] = placement.Usage{Requests: calls - reply.OwnUse[id].Requests}
 	}
-	k.Dead = slices.DeleteFunc(k.Dead, func(id string) bool { return slices.Contains(own, id) })
-	return k, nil
+	reports.Dead = slices.DeleteFunc(reports.Dead, func(id string) bool { return slices.Contains(own, id) })
+	return reports, nil
 }
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -51,43 +51,45 @@
 	var o peerState
 	now := f.hub.summary.builtAt
 	a, _ := f.serve(t, 1, f.heartbeat(t, 1, true, 0))
-	k, err := o.learn(&a, nil, now)
+	reports, err := o.learn(&a, nil, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := k.Use["call"].Requests; got != 2 {
+	if got := reports.Use["call"].Requests; got != 2 {
 		t.Errorf("got %d calls, want the 2 of the other routers", got)
 	}
-	if got := k.Use[f.engines[1].ID]; got.Requests != 0 || got.Tokens != 9000 {
+	if got := reports.Use[f.engines[1].ID]; got.Requests != 0 || got.Tokens != 9000 {
 		t.Errorf("got %+v on the engine with its own stream and another's copy, want the copy only", got)
 	}
-	if len(k.Routers) != 3 {
-		t.Errorf("got routers %v, want 3", k.Routers)
+	if len(reports.Routers) != 3 {
+		t.Errorf("got routers %v, want 3", reports.Routers)
 	}
 	b, _ := f.serve(t, 1, f.heartbeat(t, 1, false, o.routersDigest))
 	if len(b.Routers) > 0 || len(b.EncodedUse) > 0 {
 		t.Errorf("got routers %v and %d bytes of use again, want none", b.Routers, len(b.EncodedUse))
 	}
-	if k, err = o.learn(&b, nil, now); err != nil || len(k.Routers) != 3 || k.Use[f.engines[1].ID].Tokens != 9000 {
-		t.Errorf("got %+v, error %v, want the former routers and use", k, err)
+	if reports, err = o.learn(&b, nil, now); err != nil || len(reports.Routers) != 3 || reports.Use[f.engines[1].ID].Tokens != 9000 {
+		t.Errorf("got %+v, error %v, want the former routers and use", reports, err)
 	}
 }
 
 // A router that shuts down needs to know how long streams take, even if it has had none.
 // It must receive the engine timings that the other routers measured.
-func TestPacesReachAllRouters(t *testing.T) { synctest.Test(t, testEngineTimingsReachAllRouters) }
+func TestEngineTimingsReachAllRouters(t *testing.T) {
+	synctest.Test(t, testEngineTimingsReachAllRouters)
+}
 
 func testEngineTimingsReachAllRouters(t *testing.T) {
 	f := newLoadedHub(t, 3, 4)
 	timing := scheduler.EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
-	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, Paces: map[string]scheduler.EngineTiming{"models": timing}})
+	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, EngineTimings: map[string]scheduler.EngineTiming{"models": timing}})
 	f.hub.mu.Lock()
 	f.hub.summary = nil
 	f.hub.mu.Unlock()
 	var o peerState
 	a, _ := f.serve(t, 1, f.heartbeat(t, 1, false, 0))
-	k, err := o.learn(&a, nil, time.Now())
-	if err != nil || k.Paces["models"] != timing {
-		t.Errorf("got engine timings %+v, error %v; want those that the other router reported", k.Paces, err)
+	reports, err := o.learn(&a, nil, time.Now())
+	if err != nil || reports.EngineTimings["models"] != timing {
+		t.Errorf("got engine timings %+v, error %v; want those that the other router reported", reports.EngineTimings, err)
 	}
 }
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -183,19 +183,19 @@
 func (w *rolloutWatcher) observe(s *memberSession, r *rollout.Record, now time.Time) rollout.View {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k := w.watched[r.Service]
-	if k == nil || k.judge.Number() != r.Number {
-		k = &watchedRollout{judge: rollout.NewJudge(w.c.o.Rollouts, r.Number), orderedAt: w.eventTime(r.OrderedMS, now), stepMS: -1}
-		w.watched[r.Service] = k
+	watched := w.watched[r.Service]
+	if watched == nil || watched.judge.Number() != r.Number {
+		watched = &watchedRollout{judge: rollout.NewJudge(w.c.o.Rollouts, r.Number), orderedAt: w.eventTime(r.OrderedMS, now), stepMS: -1}
+		w.watched[r.Service] = watched
 	}
-	if k.stepMS != r.StepMS {
-		k.stepAt, k.stepMS, k.inForce = w.eventTime(r.StepMS, now), r.StepMS, false
+	if watched.stepMS != r.StepMS {
+		watched.stepAt, watched.stepMS, watched.inForce = w.eventTime(r.StepMS, now), r.StepMS, false
 	}
-	if r.Phase == rollout.Moving && !k.inForce && !k.confirming && w.c.IsLeader() {
-		k.confirming = true
-		go w.confirmInForce(s, k, k.stepMS)
+	if r.Phase == rollout.Moving && !watched.inForce && !watched.confirming && w.c.IsLeader() {
+		watched.confirming = true
+		go w.confirmInForce(s, watched, watched.stepMS)
 	}
-	v := rollout.View{Elapsed: now.Sub(k.orderedAt), Step: now.Sub(k.stepAt), InForce: k.inForce}
+	v := rollout.View{Elapsed: now.Sub(watched.orderedAt), Step: now.Sub(watched.stepAt), InForce: watched.inForce}
 	v.TargetServers, v.FormerServers = w.c.countVersions(r)
 	return v
 }
@@ -211,7 +211,7 @@
 }
 
 // confirmInForce waits until the step is in force on every router.
-func (w *rolloutWatcher) confirmInForce(s *memberSession, k *watchedRollout, stepMS int64) {
+func (w *rolloutWatcher) confirmInForce(s *memberSession, watched *watchedRollout, stepMS int64) {
 	ctx, cancel := context.WithTimeout(w.c.ctx, 2*Lease)
 	defer cancel()
 	version := uint64(0)
@@ -219,8 +219,8 @@
 	err := control.WaitInForce(ctx, s.client, control.RolloutsStateMachine, version)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k.confirming = false
-	k.inForce = err == nil && k.stepMS == stepMS
+	watched.confirming = false
+	watched.inForce = err == nil && watched.stepMS == stepMS
 }
 
 // countVersions counts the listed servers of a roll-out's service that are not draining:
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -56,7 +56,7 @@
 	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.backendList, cluster.Local{
 		Zone: o.Zone, Endpoint: o.Endpoint, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.suspectContents.TakeNewDeaths,
 		Dead: r.fleet.RecentlyDead, Runs: r.resumableRuns, Spent: r.retryUsage, Learn: r.applyPeerReports, LearnSpent: r.applyPeerRetryUsage,
-		Opinion: r.fleet.Report, Paces: r.engineTimings, Rollouts: r.recorder.Reports, Urgent: func() bool { return r.rollouts.Load().Urgent() },
+		BackendReport: r.fleet.Report, EngineTimings: r.engineTimings, Rollouts: r.recorder.Reports, Urgent: func() bool { return r.rollouts.Load().Urgent() },
 	}, o.Log)
 	r.feed = control.NewFeed(control.FeedOptions{
 		Self: o.ID, Voters: r.member.Controls, Transport: r.network, Lease: Lease, Log: o.Log,
@@ -161,14 +161,14 @@
 	r.member.NotifyNow()
 }
 
-func (r *Router) applyPeerReports(k cluster.PeerReports) {
-	r.fleet.SetPeerUse(k.Use)
-	r.fleet.PeerReportedDead(k.Dead)
-	r.suspectContents.AddPeerDeaths(k.Deaths)
-	r.handler.SetVMs(len(k.Routers))
-	r.handler.SetCopiesDisabled(k.LowMemory)
-	r.handler.SetPaces(k.Paces)
-	r.fleet.SetRouters(r.o.ID, k.Routers)
+func (r *Router) applyPeerReports(reports cluster.PeerReports) {
+	r.fleet.SetPeerUse(reports.Use)
+	r.fleet.PeerReportedDead(reports.Dead)
+	r.suspectContents.AddPeerDeaths(reports.Deaths)
+	r.handler.SetVMs(len(reports.Routers))
+	r.handler.SetCopiesDisabled(reports.LowMemory)
+	r.handler.SetPaces(reports.EngineTimings)
+	r.fleet.SetRouters(r.o.ID, reports.Routers)
 }
 
 // resumableRuns returns the streams in flight that another router could resume. The
