--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -117,12 +117,12 @@
 		_ = n
 		q.Leave(it, true, start)
 	}
-	t.Error("300 lookups started before the summary")
+	t.Error("300 lookups started before the summary, want it among the first 300 starts")
 }
 
 // A request that cannot start in time must be refused at entry with a retry time, and
 // callers that are refused together must get different times.
-func TestEarlyRefusalTellsWhenToComeBack(t *testing.T) {
+func TestEarlyRefusalHasRetryAfter(t *testing.T) {
 	q := newQueue(2) // 800 cost units a second
 	for range 20 {
 		enter(t, q, item("a", Short, 300), start)
@@ -259,7 +259,7 @@
 			"next": func(*rapid.T) { q.Next(now) },
 			"leave": func(r *rapid.T) {
 				if len(items) > 0 {
-					q.Leave(rapid.SampledFrom(items).Draw(r, "item"), rapid.Bool().Draw(r, "whole"), now)
+					q.Leave(rapid.SampledFrom(items).Draw(r, "item"), rapid.Bool().Draw(r, "completed"), now)
 				}
 			},
 			"time": func(*rapid.T) { now = now.Add(300 * time.Millisecond) },
