--- a/internal/consensus/applier.go
+++ b/internal/consensus/applier.go
@@ -44,10 +44,10 @@
 // applier applies committed entries in its own goroutine. A slow command or a large
 // snapshot therefore does not delay heartbeats.
 type applier struct {
-	sm      StateMachine
-	store   *storage
-	compact func(meta SnapshotMeta, data []byte) // the protocol loop sets the term
-	fail    func(error)
+	sm           StateMachine
+	store        *storage
+	saveSnapshot func(meta SnapshotMeta, data []byte) // called after a snapshot was taken; meta.Term is not set yet
+	fail         func(error)
 
 	mu             sync.Mutex
 	queue          []applyItem
@@ -93,11 +93,11 @@
 		items := a.queue
 		a.queue = nil
 		a.mu.Unlock()
-		for _, w := range items {
+		for _, item := range items {
 			if ctx.Err() != nil {
 				return
 			}
-			a.applyOne(w)
+			a.applyOne(item)
 		}
 		a.backlog.Add(-int64(len(items)))
 		a.notifyWaiters()
@@ -105,23 +105,23 @@
 	}
 }
 
-func (a *applier) applyOne(w applyItem) {
-	if w.install != nil {
-		a.install(*w.install)
+func (a *applier) applyOne(item applyItem) {
+	if item.install != nil {
+		a.install(*item.install)
 		return
 	}
 	var out outcome
-	if command, ok := a.reassembler.add(w.entry); ok {
+	if command, ok := a.reassembler.add(item.entry); ok {
 		out.reply, out.err = a.sm.Apply(command)
 	}
-	if w.entry.Kind == EntryConfig {
-		a.config = decodeConfig(w.entry.Data)
+	if item.entry.Kind == EntryConfig {
+		a.config = decodeConfig(item.entry.Data)
 	}
-	a.applied.Store(w.entry.Index)
+	a.applied.Store(item.entry.Index)
 	a.entriesSinceSnapshot++
-	a.bytesSinceSnapshot += len(w.entry.Data)
-	if w.waiter != nil {
-		w.waiter <- out // buffered
+	a.bytesSinceSnapshot += len(item.entry.Data)
+	if item.waiter != nil {
+		item.waiter <- out // buffered
 	}
 }
 
@@ -145,7 +145,8 @@
 	a.appliedChanged = make(chan struct{})
 }
 
-// wait returns once the entry index is applied, ctx ends, or closed ends (ErrClosed).
+// wait returns nil once the entry at index is applied. It returns the error of ctx if ctx
+// ends first, and ErrClosed if closed ends first.
 func (a *applier) wait(ctx, closed context.Context, index uint64) error {
 	for {
 		a.mu.Lock()
@@ -174,5 +175,5 @@
 		return
 	}
 	a.entriesSinceSnapshot, a.bytesSinceSnapshot = 0, 0
-	a.compact(SnapshotMeta{Index: a.applied.Load(), Config: a.config}, data)
+	a.saveSnapshot(SnapshotMeta{Index: a.applied.Load(), Config: a.config}, data)
 }
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -106,7 +106,7 @@
 	InFlightBytes    int // size of the appends without a reply
 }
 
-// NewCore returns a follower that starts from the state s. It panics where the
+// NewCore returns a follower that starts from the state s. It panics if the
 // commit index of s lies beyond its last entry.
 func NewCore(o Options, s State) *Core {
 	c := &Core{
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -91,7 +91,7 @@
 	for _, id := range leader.core.Config().Voters {
 		m := s.members[id]
 		if m == nil || m.applied != leader.applied || fmt.Sprint(m.state) != fmt.Sprint(leader.state) {
-			s.fail("member %s has not the same state as leader %s", id, leader.id)
+			s.fail("state of member %s differs from that of leader %s, want the same state", id, leader.id)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	s.heal()
 	s.run(20 * stepsPerTick)
 	if now := s.waitForLeader(); now.core.term != term {
-		s.fail("the returning member deposed the leader: want term %d, got %d", term, now.core.term)
+		s.fail("the returning member deposed the leader: the term changed from %d to %d, want no change", term, now.core.term)
 	}
 	s.converge()
 	s.checkHistory()
@@ -271,7 +271,7 @@
 	s.run(10 * simElectionTicks * stepsPerTick) // the unreachable follower's log is up to date
 	s.runTraffic(20 * simElectionTicks * stepsPerTick)
 	if now := s.waitForLeader(); now.id != leader.id || now.core.term != term {
-		s.fail("a follower that cannot receive deposed the leader: want term %d, got %d", term, now.core.term)
+		s.fail("a follower that cannot receive deposed the leader: the term changed from %d to %d, want no change", term, now.core.term)
 	}
 	s.heal()
 	for _, id := range s.ids() {
@@ -408,9 +408,9 @@
 	}
 }
 
-// BenchmarkPacket encodes and decodes a message to a follower with 16 entries of 256
-// bytes.
-func BenchmarkPacket(b *testing.B) {
+// BenchmarkMessageBatch encodes and decodes a message to a follower with 16 entries of
+// 256 bytes.
+func BenchmarkMessageBatch(b *testing.B) {
 	m := Message{Kind: AppendRequest, From: "vm1/aaaaaaaaaa", To: "vm2/bbbbbbbbbb", Term: 9, Index: 1 << 20, LogTerm: 9, Commit: 1 << 20}
 	for i := range uint64(16) {
 		m.Entries = append(m.Entries, Entry{Index: m.Index + 1 + i, Term: 9, Kind: EntryCommand, Data: make([]byte, 256)})
@@ -421,8 +421,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		var p messageBatch
-		if err := codec.Unmarshal(data, &p); err != nil {
+		var batch messageBatch
+		if err := codec.Unmarshal(data, &batch); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/consensus/links.go
+++ b/internal/consensus/links.go
@@ -102,14 +102,14 @@
 }
 
 func (n *Node) serveMessages(_ context.Context, from string, body []byte) (any, error) {
-	var p messageBatch
-	if err := codec.Unmarshal(body, &p); err != nil {
+	var batch messageBatch
+	if err := codec.Unmarshal(body, &batch); err != nil {
 		return nil, err
 	}
-	if p.Group == "" || p.Group != n.groupID() {
+	if batch.Group == "" || batch.Group != n.groupID() {
 		return nil, errNotMember
 	}
-	for _, m := range p.Messages {
+	for _, m := range batch.Messages {
 		if m.From.VM() != from {
 			return nil, fmt.Errorf("consensus: message of member %s received from VM %s", m.From, from)
 		}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -164,7 +164,7 @@
 		ID: n.store.identity.ID, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, HeartbeatTicks: heartbeatTicks, Rand: mathrand.IntN,
 	}, state)
 	n.applier = newApplier(n.o.StateMachine, n.store, state.Applied, n.core.log.configUpTo(state.Applied))
-	n.applier.compact, n.applier.fail = n.saveSnapshot, n.fail
+	n.applier.saveSnapshot, n.applier.fail = n.saveSnapshot, n.fail
 	// A single voter has no leader to wait for.
 	config := n.core.Config()
 	n.eagerElection = n.eagerElection || len(config.Voters) == 1 && config.IsVoter(n.store.identity.ID)
@@ -276,7 +276,7 @@
 
 func (n *Node) logRole(before, now Status) {
 	n.o.Log.Info().Str("role", now.Role.String()).Str("before", before.Role.String()).Uint64("term", now.Term).
-		Str("leader_before", before.Leader.VM()).Uint64("last", now.Last).Uint64("commit", now.Commit).Msg("role in the control group")
+		Str("leader_before", before.Leader.VM()).Uint64("last", now.Last).Uint64("commit", now.Commit).Msg("role in the control group changed")
 }
 
 func (n *Node) logStepDown() {
@@ -303,16 +303,16 @@
 		items = append(items, applyItem{install: rd.Snapshot})
 	}
 	for _, e := range rd.Committed {
-		w := applyItem{entry: e}
+		item := applyItem{entry: e}
 		if p, ok := n.pendingProposals[e.Index]; ok {
 			delete(n.pendingProposals, e.Index)
 			if p.term == e.Term {
-				w.waiter = p.done
+				item.waiter = p.done
 			} else {
 				p.done <- outcome{err: ErrOutcomeUnknown}
 			}
 		}
-		items = append(items, w)
+		items = append(items, item)
 	}
 	n.applier.enqueue(items)
 }
--- a/internal/consensus/pieces_test.go
+++ b/internal/consensus/pieces_test.go
@@ -74,7 +74,7 @@
 func TestNoSnapshotWithinACommand(t *testing.T) {
 	a := newApplier(&lastCommand{}, nil, 0, Config{})
 	var taken []uint64
-	a.compact = func(meta SnapshotMeta, _ []byte) { taken = append(taken, meta.Index) }
+	a.saveSnapshot = func(meta SnapshotMeta, _ []byte) { taken = append(taken, meta.Index) }
 	for index, kind := range []EntryKind{EntryPiece, EntryPiece, EntryCommand} {
 		a.applyOne(applyItem{entry: Entry{Index: uint64(index + 1), Term: 1, Kind: kind, Data: make([]byte, snapshotBytes)}})
 		a.maybeSnapshot()
--- a/internal/consensus/raftlog.go
+++ b/internal/consensus/raftlog.go
@@ -10,7 +10,7 @@
 	configs   []configAt
 }
 
-// configAt is the membership that takes effect with the entry index.
+// configAt is the membership that takes effect with the entry at index.
 type configAt struct {
 	index  uint64
 	config Config
@@ -79,7 +79,7 @@
 // config returns the latest membership in the log, committed or not.
 func (l *raftLog) config() configAt { return l.configs[len(l.configs)-1] }
 
-// configUpTo returns the membership after the entry index.
+// configUpTo returns the membership after the entry at index.
 func (l *raftLog) configUpTo(index uint64) Config {
 	out := l.configs[0].config
 	for _, c := range l.configs {
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -9,7 +9,7 @@
 	round uint64
 }
 
-// Read is a confirmed read. A state that includes the entry Index includes everything
+// Read is a confirmed read. A state that includes the entry at Index includes everything
 // that was committed when the read was requested.
 type Read struct {
 	ID    uint64
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -160,7 +160,8 @@
 }
 
 // propagateCommit sends the commit index at once to a member that replied after the
-// majority. Otherwise watchers on that member would wait for the next heartbeat.
+// majority. Otherwise the VMs that poll that member would get the change only after the
+// next heartbeat.
 func (c *Core) propagateCommit(id MemberID, p *progress) {
 	if c.role == Leader && !c.heartbeatDue && p.next > c.log.last() && p.commitSent < min(p.match, c.commit) {
 		c.sendHeartbeat(id, p)
--- a/internal/consensus/requests.go
+++ b/internal/consensus/requests.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// WaitApplied returns once the state machine has applied the entry index.
+// WaitApplied returns once the state machine has applied the entry at index.
 func (n *Node) WaitApplied(ctx context.Context, index uint64) error {
 	select {
 	case <-n.running:
--- a/internal/consensus/simcheck_test.go
+++ b/internal/consensus/simcheck_test.go
@@ -6,7 +6,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkInvariants checks the properties that must hold at each step.
+// checkInvariants checks the safety properties of Raft, which must hold at each step.
 func (s *sim) checkInvariants() {
 	for _, id := range s.ids() {
 		m := s.members[id]
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -46,7 +46,7 @@
 	Commit uint64   `cbor:"3,keyasint,omitempty"`
 }
 
-// SnapshotMeta identifies the state after the entry Index was applied.
+// SnapshotMeta identifies the state after the entry at Index was applied.
 type SnapshotMeta struct {
 	Index  uint64 `cbor:"1,keyasint"`
 	Term   uint64 `cbor:"2,keyasint"`
