--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,4 +1,4 @@
-// Package wal stores the consensus group's log and snapshots on a VM's disk.
+// Package wal stores the control group's log and snapshots on a VM's disk.
 //
 // Append returns only after the file is synced and, for a new file, its directory too.
 // Otherwise a crash could lose a vote or an acknowledged entry. Every append is one
