--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -14,7 +14,7 @@
 			membership.EndpointsFor(vms, noneAvoided, membership.EndpointQuery{Workspace: "w", Zone: "z1", Caller: "c"})
 		}
 	})
-	b.Run("watches", func(b *testing.B) {
+	b.Run("probe-targets", func(b *testing.B) {
 		for range b.N {
 			membership.ProbeTargets(vms[0].ID, vms)
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -106,8 +106,8 @@
 	evictionShare = 1.0 / 3
 	// minEvictionLimit is the least number of evictions allowed within a minute. In the
 	// smallest systems the false eviction of a paused VM must not delay the eviction of a
-	// VM that dies right after it. maxDeadShare still prevents that two VMs of three are
-	// dead at once.
+	// VM that dies right after it. maxDeadShare still prevents two VMs of three from
+	// being dead at once.
 	minEvictionLimit = 2
 	// maxDeadShare is the share of all VMs that may be dead at once. Beyond it, further
 	// evictions only move load onto the remaining VMs.
--- a/internal/membership/state_machine.go
+++ b/internal/membership/state_machine.go
@@ -237,8 +237,8 @@
 // most five keepers.
 const maxFormationSize = 5
 
-// change is what watchers get. A new watcher gets the whole history, which is small and
-// rarely changes. Views are sorted from oldest to newest.
+// change is what the VMs that follow the list receive. A VM without a version receives the
+// complete history, which is small and rarely changes. Views are sorted from oldest to newest.
 type change struct {
 	Views    []View `cbor:"1,keyasint"`
 	FormedAt uint64 `cbor:"2,keyasint"`
