--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -50,7 +50,7 @@
 		{"engine that ignores fences, later", fleet.MayOrder(false, fleet.TakeoverDelay), true},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: got %v", c.name, c.got)
+			t.Errorf("%s: got allowed %v, want the opposite", c.name, c.got)
 		}
 	}
 	if fleet.TakeoverDelay < fleet.SendWindow*11/10 {
--- a/internal/fleet/state_machine.go
+++ b/internal/fleet/state_machine.go
@@ -112,7 +112,8 @@
 // Orders returns a copy of the pending orders.
 func (p *StateMachine) Orders() []Order { return slices.Clone(p.s.Orders) }
 
-// Changes returns the encoded copies of all engines. It ignores the version of the watcher.
+// Changes returns the encoded copies of all engines. It ignores the version that the
+// receiving VM has.
 func (p *StateMachine) Changes(uint64) []byte {
 	out, err := codec.Marshal(p.s.Served)
 	if err != nil {
