--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -130,7 +130,7 @@
 			}
 		}
 		if w.Code != step.status || coded.Code != step.code || w.Header().Get("ETag") != step.etag {
-			t.Errorf("%s: got status %d, code %d, ETag %s: %s", step.name, w.Code, coded.Code, w.Header().Get("ETag"), w.Body)
+			t.Errorf("%s: got status %d, code %d, ETag %s, want those of the step; body: %s", step.name, w.Code, coded.Code, w.Header().Get("ETag"), w.Body)
 		}
 	}
 	if len(s.inForce.asked) != 1 || s.inForce.asked[0] != 2 {
