--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -198,9 +198,9 @@
 	}
 }
 
-// idle reports whether this VM opened the connection, has sent nothing on it for idleTimeout
-// and waits for no reply. Without the check, each of 330 VMs would keep and ping a connection to
-// every VM to which it has ever sent a message.
+// idle reports whether this VM opened the connection, has sent nothing on it for
+// idleTimeout and waits for no reply. Without the check, each of 330 VMs would keep and ping
+// a connection to every VM to which it has ever sent a message.
 func (c *conn) idle() bool {
 	unused := time.Since(time.Unix(0, c.lastSent.Load()))
 	c.mu.Lock()
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -28,15 +28,15 @@
 const (
 	kindFragment        Kind = 1  // part of a large frame
 	KindJournal         Kind = 20 // journal writes and promises, in batches for one keeper
-	KindPromise         Kind = 21
-	KindFollow          Kind = 22
+	KindPromise         Kind = 21 // asks a keeper to refuse writes of earlier epochs of a journal
+	KindFollow          Kind = 22 // reads a journal on the VM that owns it
 	KindAdopt           Kind = 23 // planned takeover
 	KindControl         Kind = 40 // proposes commands to the control group
-	KindWatch           Kind = 41
-	KindQuery           Kind = 42
+	KindWatch           Kind = 41 // long poll for changes of the replicated state
+	KindQuery           Kind = 42 // reads the operators' lists on a control VM
 	KindPiece           Kind = 43 // requests part of a value that is too large for one reply
 	KindRaft            Kind = 60
-	KindProbe           Kind = 80
+	KindProbe           Kind = 80 // checks whether a VM answers, directly or through another VM
 	KindHeartbeat       Kind = 81 // sent by routers to control VMs several times a second
 	KindFindOrphan      Kind = 82 // asks where the backup copy of a stream is
 	KindRetrySpending   Kind = 83 // reports spent retry budget to control VMs
--- a/internal/peer/network_test.go
+++ b/internal/peer/network_test.go
@@ -78,7 +78,7 @@
 		} {
 			var remote *peer.RemoteError
 			if err := call(p.a, vm, peer.KindFollow, what, nil); !errors.As(err, &remote) || remote.Code != int(code) {
-				t.Errorf("handler outcome %s on VM %s: got error %v", what, vm, err)
+				t.Errorf("handler outcome %s on VM %s: got error %v, want a RemoteError with the code of the outcome", what, vm, err)
 			}
 		}
 		var reply string
@@ -254,6 +254,6 @@
 	text := strings.Repeat("0123456789", 500_000)
 	var got string
 	if err := call(p.a, "b", peer.KindExplain, text, &got); err != nil || got != text {
-		t.Errorf("got %d bytes of %d, error %v", len(got), len(text), err)
+		t.Errorf("got a reply of %d bytes, want the text of %d bytes; error %v", len(got), len(text), err)
 	}
 }
--- a/internal/peer/peertest/peertest_test.go
+++ b/internal/peer/peertest/peertest_test.go
@@ -38,9 +38,9 @@
 			fails  bool
 			served int
 		}{
-			{"sound", func() {}, 0, false, 1},
+			{"no fault", func() {}, 0, false, 1},
 			{"delayed", func() { n.SetDelay(time.Millisecond, time.Millisecond) }, 2 * time.Millisecond, false, 2},
-			{"deaf caller", func() { n.CutInbound("a") }, time.Second, true, 3},
+			{"caller without inbound messages", func() { n.CutInbound("a") }, time.Second, true, 3},
 			{"cut", func() { n.HealAll(); n.Isolate("a") }, time.Second, true, 3},
 			{"paused", func() { n.HealAll(); n.Pause("b") }, time.Second, true, 3},
 			{"resumed", func() { n.Resume("b") }, 2 * time.Millisecond, false, 4},
--- a/internal/peer/send_queue.go
+++ b/internal/peer/send_queue.go
@@ -9,9 +9,10 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/codec"
 )
 
-// The failure: a frame of several megabytes is sent over a link that needs seconds for it,
-// because a journal is installed or another value has grown. Heartbeats to the same VM wait
-// for the frame, and the VM takes their leader for lost.
+// This file answers overload of a link by large frames. A frame of several megabytes is
+// sent over a link that needs seconds for it, because a journal is installed or another
+// value has grown. Heartbeats to the same VM wait for the frame, and the VM considers
+// their sender lost.
 //
 // Large frames are therefore sent in fragments, and other frames are sent between them.
 
