--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -158,8 +158,8 @@
 	return errors.As(target, &t) && t.Code == e.Code
 }
 
-// From returns the Error in err's chain, or else an Error with the code Internal and the
-// text of err.
+// From returns the Error in err's chain. If there is none, it returns an Error with the code
+// Internal and the text of err.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
