--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -49,7 +49,7 @@
 	failures      int
 	ejectedUntil  time.Time
 	lastEjection  time.Duration
-	down          bool // ejected or on probation for failures
+	down          bool // ejected for failures, or probing after such an ejection
 	slow          bool
 	probeInFlight bool
 }
@@ -104,10 +104,10 @@
 			slowCount++
 		}
 	}
-	trusted := float64(slowCount) <= maxSlowShare*float64(len(p.all))
+	plausible := float64(slowCount) <= maxSlowShare*float64(len(p.all))
 	for _, i := range p.all {
 		s := t.engines[i]
-		s.health.slow = trusted && s.looksSlow(p)
+		s.health.slow = plausible && s.looksSlow(p)
 	}
 }
 
--- a/internal/routing/hints.go
+++ b/internal/routing/hints.go
@@ -13,8 +13,8 @@
 	maxHolders = 4 // per prefix; a hotter prefix is soon cached by most engines
 
 	// BlockTokens is the distance in tokens between the digests that are looked
-	// up. Engines publish one every engine.CacheBlock tokens. A cached prefix of
-	// fewer than 128 tokens saves less than the cost of 16 generated tokens, and
+	// up. Engines publish one every engine.CacheBlockTokens tokens. A cached prefix
+	// of fewer than 128 tokens saves less than the cost of 16 generated tokens, and
 	// eight times as many digests would cost 10 us per decision instead of 2.
 	BlockTokens = 8 * engine.CacheBlockTokens
 
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -98,15 +98,15 @@
 		if !s.usable(now) || s.suspects > 0 || s.health.probeInFlight {
 			continue
 		}
-		neighbours := s.neighbours()
+		others := s.requests()
 		if s.health.state(now) == stateProbing {
-			neighbours += 1 << 19 // after an outage all engines may be on probation
+			others += 1 << 19 // chosen after healthy engines; after an outage all may be probing
 		}
 		if slices.Contains(q.Avoid, s.Name) {
-			neighbours += 1 << 20
+			others += 1 << 20
 		}
-		if neighbours < fewest {
-			best, fewest = i, neighbours
+		if others < fewest {
+			best, fewest = i, others
 		}
 	}
 	if best < 0 {
@@ -115,7 +115,9 @@
 	return t.place(best, q, 0, now), true
 }
 
-func (s *server) neighbours() int { return max(s.inflight, s.running) }
+// requests returns the number of requests on the engine: those of this router, or
+// those of all routers by the last report if they are more.
+func (s *server) requests() int { return max(s.inflight, s.reportedRequests) }
 
 // bestHolder returns the engine with the longest cached prefix of the query and the
 // length of that prefix in tokens, if the prefill it saves outweighs the engine's
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -261,7 +261,7 @@
 	}
 }
 
-// After an outage of all engines every engine is on probation. A suspect must be
+// After an outage of all engines every engine is probing. A suspect must be
 // placed nevertheless, or its accepted answer is never resumed.
 func TestSuspectIsPlacedAfterOutageOfAllEngines(t *testing.T) {
 	tab := newTable("z0", 2, 1, 1)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -24,25 +24,25 @@
 
 type server struct {
 	Spec
-	gone            bool // no longer in the list of SetServers
-	leaving         bool // reportsLeaving or listedLeaving
-	reportsLeaving  bool // according to the server's own report
-	listedLeaving   bool // according to the platform's list
-	inflight        int
-	limit           int     // of this router's requests in flight
-	work            float64 // this router's outstanding work
-	history         workHistory
-	othersWork      float64 // work of other routers at reportedAt
-	ownWorkAtReport float64 // this router's outstanding work at reportedAt
-	reportedAt      time.Time
-	running         int
-	stepMS          float64 // smoothed; 0 if unknown
-	suspects        int
-	health          health
-	pools           []*pool
-	zone            *zoneHealth
-	cacheSeq        uint64
-	hintsGen        uint16
+	gone             bool // no longer in the list of SetServers
+	leaving          bool // reportsLeaving or listedLeaving
+	reportsLeaving   bool // according to the server's own report
+	listedLeaving    bool // according to the platform's list
+	inflight         int
+	limit            int     // of this router's requests in flight
+	work             float64 // this router's outstanding work
+	history          workHistory
+	othersWork       float64 // work of other routers at reportedAt
+	ownWorkAtReport  float64 // this router's outstanding work at reportedAt
+	reportedAt       time.Time
+	reportedRequests int     // running and queued, of all routers, in the last report
+	stepMS           float64 // smoothed; 0 if unknown
+	suspects         int     // requests with suspect content in flight
+	health           health
+	pools            []*pool
+	zone             *zoneHealth
+	cacheSeq         uint64
+	hintsGen         uint16
 }
 
 type pool struct {
@@ -296,8 +296,9 @@
 // averages over about five reports.
 const stepSmoothing = 0.2
 
-// ApplyReport applies a backend server's load report, which is load.AgeMS old at now. A
-// report older than the last one applied is ignored.
+// ApplyReport applies a backend server's load report. now is the time at which it was
+// received, load.AgeMS milliseconds after it was made. A report older than the last one applied is
+// ignored.
 func (t *Table) ApplyReport(i int, load *engine.Load, now time.Time) {
 	s := t.engines[i]
 	at := now.Add(-time.Duration(load.AgeMS) * time.Millisecond)
@@ -305,7 +306,7 @@
 		return
 	}
 	s.reportedAt = at
-	s.running = load.Running + load.Queued
+	s.reportedRequests = load.Running + load.Queued
 	s.reportsLeaving = load.Leaving
 	s.leaving = s.listedLeaving || s.reportsLeaving
 	s.ownWorkAtReport = s.history.workAt(at)
