--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -21,8 +21,8 @@
 	slots int // concurrency granted to this VM
 	inUse int
 
-	left        plan.Amount // granted to no VM, by the last grant
-	outstanding plan.Amount
+	left        plan.Amount // not granted to any VM, as of the last grant
+	outstanding plan.Amount // granted to any VM and not yet spent, as of the last grant
 	slotsLeft   int
 	// The allowance was lowered below what is committed in the ledger.
 	overTokens, overRequests, overSlots bool
--- a/internal/quota/core.go
+++ b/internal/quota/core.go
@@ -82,14 +82,16 @@
 	Counts       Counts
 }
 
-// Counts are totals since the Core was created.
+// Counts are totals since the Core was created. Overruns counts requests that used
+// more tokens than they had reserved.
 type Counts struct {
 	Reserved, Refused, Messages, LostIncarnations, Overruns int64
 }
 
-// NewCore returns the state of a new incarnation of a VM, which holds no grants.
-func NewCore(vm, incarnation string) *Core {
-	return &Core{vm: vm, process: incarnation, accounts: map[string]*account{}, tickets: map[string]*Ticket{}}
+// NewCore returns the state of a VM that holds no grants. process names the router
+// process and is part of the incarnation that the ledger sees.
+func NewCore(vm, process string) *Core {
+	return &Core{vm: vm, process: process, accounts: map[string]*account{}, tickets: map[string]*Ticket{}}
 }
 
 // Reserve reserves the cost of a request, refuses it with a coded error, or queues
@@ -164,8 +166,8 @@
 	close(t.done)
 }
 
-// denial returns why the ledger cannot grant a request, by its last grant, or nil
-// if it may.
+// denial returns the error for a request that the ledger cannot grant now, judged by
+// its last grant. It returns nil if the ledger may be able to grant the request.
 func (a *account) denial(now time.Time, t *Ticket) error {
 	have := a.available(now).Plus(a.left)
 	untilEnd := max(a.windowEnd.Sub(now), time.Millisecond)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -25,16 +25,16 @@
 	loseReplies int
 }
 
-func (l *lossyGroup) Propose(ctx context.Context, part control.StateMachineID, cmd []byte) ([]byte, error) {
+func (l *lossyGroup) Propose(ctx context.Context, id control.StateMachineID, cmd []byte) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable {
 		return nil, errors.New("no leader")
 	}
-	reply, err := l.LocalClient.Propose(ctx, part, cmd)
+	reply, err := l.LocalClient.Propose(ctx, id, cmd)
 	if l.loseReplies > 0 {
 		l.loseReplies--
-		return nil, errors.New("answer lost")
+		return nil, errors.New("reply lost")
 	}
 	return reply, err
 }
@@ -48,18 +48,18 @@
 func newTestQuota(t *testing.T) (*Quota, *lossyGroup, func() plan.Usage, plan.Allowance) {
 	t.Helper()
 	a := allowance(1000, 4, time.Hour)
-	registry, machine := plan.NewRegistry(), control.NewReplicatedState()
+	registry, state := plan.NewRegistry(), control.NewReplicatedState()
 	registry.Do(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
 	registry.Do(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
 	ledger := plan.NewLedger(registry, func(err error) { t.Error(err) })
-	machine.Register(control.LedgerStateMachine, ledger)
-	group := &lossyGroup{LocalClient: control.NewLocalClient(machine)}
+	state.Register(control.LedgerStateMachine, ledger)
+	group := &lossyGroup{LocalClient: control.NewLocalClient(state)}
 	q := New("vm1", "a", group, new(expvar.Map), zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go q.Run(ctx)
 	use := func() (u plan.Usage) {
-		machine.Read(control.LedgerStateMachine, func(control.StateMachine) { u = ledger.Usage("hot") })
+		state.Read(control.LedgerStateMachine, func(control.StateMachine) { u = ledger.Usage("hot") })
 		return u
 	}
 	return q, group, use, a
