--- a/internal/plan/fuzz_test.go
+++ b/internal/plan/fuzz_test.go
@@ -25,15 +25,15 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := plan.NewRegistry()
-		apply(t, b, setAllowance(allowance("gold", 1000), 0))
-		apply(t, b, setCustomer("hot", "gold", 0, "k"))
-		l := plan.NewLedger(b, func(error) {})
-		b.Apply(1000, data)
+		registry := plan.NewRegistry()
+		apply(t, registry, setAllowance(allowance("gold", 1000), 0))
+		apply(t, registry, setCustomer("hot", "gold", 0, "k"))
+		ledger := plan.NewLedger(registry, func(error) {})
+		registry.Apply(1000, data)
 		for now := range int64(3) {
-			l.Apply(1000+now, data)
+			ledger.Apply(1000+now, data)
 		}
-		u := l.Usage("hot")
+		u := ledger.Usage("hot")
 		if u.Spent.Plus(u.Outstanding).Tokens > 1000 || u.Spent.Plus(u.Outstanding).Requests > 1000 || u.Slots > 10 {
 			t.Errorf("granted %+v, want at most 1000 tokens, 1000 requests and 10 slots", u)
 		}
--- a/internal/plan/registry.go
+++ b/internal/plan/registry.go
@@ -133,7 +133,7 @@
 		reply.fail(err)
 		return reply
 	}
-	diff, changed := r.execute(c, r.version+1)
+	diff, changed := r.changeRow(c, r.version+1)
 	if !changed {
 		return reply
 	}
@@ -198,7 +198,7 @@
 
 // execute changes the row and returns the differences. If the new row equals the
 // current one, it reports false and the row keeps its version.
-func (r *Registry) execute(c Command, version uint64) ([]string, bool) {
+func (r *Registry) changeRow(c Command, version uint64) ([]string, bool) {
 	switch c.Action {
 	case SetCustomer:
 		before, ok := r.customers[c.Name]
--- a/internal/plan/registry_test.go
+++ b/internal/plan/registry_test.go
@@ -47,20 +47,20 @@
 
 // apply applies a command in its encoding, as the control group does with a
 // committed entry.
-func apply(t interface{ Fatal(...any) }, b *plan.Registry, c plan.Command) plan.Reply {
+func apply(t interface{ Fatal(...any) }, registry *plan.Registry, c plan.Command) plan.Reply {
 	data, err := cbor.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var r plan.Reply
-	if err := cbor.Unmarshal(b.Apply(1000, data), &r); err != nil {
+	if err := cbor.Unmarshal(registry.Apply(1000, data), &r); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func restore(t interface{ Fatal(...any) }, b *plan.Registry) *plan.Registry {
-	data, err := b.Snapshot()
+func restore(t interface{ Fatal(...any) }, registry *plan.Registry) *plan.Registry {
+	data, err := registry.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,9 +72,9 @@
 }
 
 func TestRefusedCommands(t *testing.T) {
-	b := plan.NewRegistry()
-	apply(t, b, setAllowance(allowance("gold", 100), 0))
-	apply(t, b, setCustomer("coop", "gold", 0, "k1"))
+	registry := plan.NewRegistry()
+	apply(t, registry, setAllowance(allowance("gold", 100), 0))
+	apply(t, registry, setCustomer("coop", "gold", 0, "k1"))
 	with := func(change func(a *plan.Allowance)) plan.Command {
 		a := allowance("gold", 100)
 		change(a)
@@ -103,13 +103,13 @@
 		"no share":            {with(func(a *plan.Allowance) { a.Share = 0 }), result.InvalidPlan, "share"},
 		"empty model":         {with(func(a *plan.Allowance) { a.Models = []string{""} }), result.InvalidPlan, "models[0]"},
 	} {
-		r := apply(t, b, tc.c)
+		r := apply(t, registry, tc.c)
 		if r.Code != tc.want || !strings.Contains(r.Message, tc.wantText) {
 			t.Errorf("%s: got %d %q, want %d with %q", name, r.Code, r.Message, tc.want, tc.wantText)
 		}
 	}
-	if b.Version() != 2 {
-		t.Errorf("the lists have version %d after refused commands, want 2", b.Version())
+	if registry.Version() != 2 {
+		t.Errorf("the lists have version %d after refused commands, want 2", registry.Version())
 	}
 }
 
@@ -119,33 +119,33 @@
 // new leader, which restored its state from a snapshot. The operator must get the
 // first reply, not a conflict with the operator's own change.
 func TestRacingOperatorsAndResendAfterLeaderChange(t *testing.T) {
-	b := plan.NewRegistry()
-	apply(t, b, setAllowance(allowance("gold", 100), 0))
+	registry := plan.NewRegistry()
+	apply(t, registry, setAllowance(allowance("gold", 100), 0))
 	first, second := setAllowance(allowance("gold", 200), 1), setAllowance(allowance("gold", 300), 1)
 	first.IdempotencyKey, first.Who, second.IdempotencyKey = "edit-1", "ann", "edit-2"
-	won := apply(t, b, first)
-	lost := apply(t, b, second)
+	won := apply(t, registry, first)
+	lost := apply(t, registry, second)
 	if won.Code != 0 || won.Version != 2 || lost.Code != result.VersionConflict || lost.Version != 2 {
 		t.Fatalf("accepted change got %+v, want version 2; the other got %+v, want a conflict with version 2", won, lost)
 	}
-	b = restore(t, b)
-	apply(t, b, setAllowance(allowance("gold", 400), 2))
+	registry = restore(t, registry)
+	apply(t, registry, setAllowance(allowance("gold", 400), 2))
 	first.Who = "ann's other terminal"
-	if again := apply(t, b, first); again != won {
+	if again := apply(t, registry, first); again != won {
 		t.Errorf("repeated command got %+v, want its first reply %+v", again, won)
 	}
-	if again := apply(t, b, second); again != lost {
+	if again := apply(t, registry, second); again != lost {
 		t.Errorf("repeated conflicting command got %+v, want its first reply %+v", again, lost)
 	}
 	other := setAllowance(allowance("gold", 500), 3)
 	other.IdempotencyKey = "edit-1"
-	if r := apply(t, b, other); r.Code != result.KeyReused {
+	if r := apply(t, registry, other); r.Code != result.KeyReused {
 		t.Errorf("another command with the same Idempotency-Key got %+v, want KeyReused", r)
 	}
-	if row, _ := b.Allowance("gold"); row.TokensPerWindow != 400 || row.Version != 3 {
+	if row, _ := registry.Allowance("gold"); row.TokensPerWindow != 400 || row.Version != 3 {
 		t.Errorf("row is %+v, want 400 tokens per window in version 3", row)
 	}
-	h := b.History(false, "gold")
+	h := registry.History(false, "gold")
 	if len(h) != 3 || h[1].Who != "ann" || !slices.Equal(h[1].Diff, []string{"tokens_per_window: 100 -> 200"}) {
 		t.Errorf("history is %+v, want 3 changes, the second one by ann from 100 to 200 tokens", h)
 	}
@@ -157,23 +157,23 @@
 // current lists.
 func TestRegistryRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := plan.NewRegistry()
+		registry := plan.NewRegistry()
 		views := []*plan.View{plan.NewView(), plan.NewView(), plan.NewView()}
 		var deltas [][]byte
 		highest := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			c := drawCommand(t, b)
-			before := b.Version()
-			r := apply(t, b, c)
+			c := drawCommand(t, registry)
+			before := registry.Version()
+			r := apply(t, registry, c)
 			if r.Code == 0 && r.Version != 0 {
 				row := fmt.Sprint(c.Action == plan.SetCustomer, c.Name)
-				if r.Version < highest[row] || b.Version() < before {
+				if r.Version < highest[row] || registry.Version() < before {
 					t.Fatalf("the version of row %s decreased from %d to %d", row, highest[row], r.Version)
 				}
 				highest[row] = r.Version
 			}
 			v := views[rapid.IntRange(0, len(views)-1).Draw(t, "vm")]
-			deltas = append(deltas, b.Changes(v.Version()))
+			deltas = append(deltas, registry.Changes(v.Version()))
 			applied := v.Version()
 			if err := v.Apply(deltas[rapid.IntRange(0, len(deltas)-1).Draw(t, "delivered")]); err != nil && !errors.Is(err, plan.ErrGap) {
 				t.Fatal(err)
@@ -182,22 +182,22 @@
 				t.Fatalf("the VM's lists decreased from version %d to %d", applied, v.Version())
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				b = restore(t, b)
+				registry = restore(t, registry)
 			}
 		}
 		for _, v := range views {
-			if err := v.Apply(b.Changes(v.Version())); err != nil {
+			if err := v.Apply(registry.Changes(v.Version())); err != nil {
 				t.Fatal(err)
 			}
-			sameLists(t, b, v)
+			sameLists(t, registry, v)
 		}
 	})
 }
 
-func drawCommand(t *rapid.T, b *plan.Registry) plan.Command {
+func drawCommand(t *rapid.T, registry *plan.Registry) plan.Command {
 	name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
-	row, _ := b.Allowance(name)
-	customer, _ := b.Customer(name)
+	row, _ := registry.Allowance(name)
+	customer, _ := registry.Customer(name)
 	version := func(current uint64) uint64 {
 		return current + uint64(rapid.IntRange(0, 5).Draw(t, "off")/5)
 	}
@@ -214,16 +214,16 @@
 	return setCustomer(name, planName, version(customer.Version), key)
 }
 
-func sameLists(t *rapid.T, b *plan.Registry, v *plan.View) {
+func sameLists(t *rapid.T, registry *plan.Registry, v *plan.View) {
 	var customers []plan.Customer
 	var allowances []plan.Allowance
-	for _, row := range b.Customers() {
+	for _, row := range registry.Customers() {
 		customers = append(customers, row.Customer)
 	}
-	for _, row := range b.Allowances() {
+	for _, row := range registry.Allowances() {
 		allowances = append(allowances, row.Allowance)
 	}
-	if want := plan.NewDirectory(b.Version(), customers, allowances); !reflect.DeepEqual(v.Directory(), want) {
+	if want := plan.NewDirectory(registry.Version(), customers, allowances); !reflect.DeepEqual(v.Directory(), want) {
 		t.Fatalf("the VM applies %+v, want the lists %+v", v.Directory(), want)
 	}
 }
