--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -151,12 +151,12 @@
 	if h.draining.Load() {
 		return nil, result.New(result.ShuttingDown)
 	}
-	f, err := h.openShared(ctx, req.ID, func(ctx context.Context) (location, error) { return h.adopt(ctx, req.ID) })
+	found, err := h.openShared(ctx, req.ID, func(ctx context.Context) (location, error) { return h.adopt(ctx, req.ID) })
 	if err != nil {
 		return nil, err
 	}
-	if f.run == nil {
-		return adoptReply{Owner: f.owner}, nil
+	if found.run == nil {
+		return adoptReply{Owner: found.owner}, nil
 	}
 	return adoptReply{Owner: h.cfg.VM}, nil
 }
@@ -168,9 +168,9 @@
 		if err != nil {
 			return location{}, err
 		}
-		f, err := o.takeOver(ctx, replies.MaxEpoch)
+		found, err := o.takeOver(ctx, replies.MaxEpoch)
 		if !errors.Is(err, generation.ErrDeposed) {
-			return f, err
+			return found, err
 		}
 		if backOff(ctx, try) != nil {
 			break
--- a/internal/relay/drive.go
+++ b/internal/relay/drive.go
@@ -170,7 +170,7 @@
 	if r.stats.Attempts > 1 {
 		r.stats.ExtraPrefill += max(0, r.owner.Request.PromptTokens()+a.from-choice.Cached)
 	}
-	r.log.Debug().Str("engine", choice.Backend.Name).Int("attempt", id.Number).Int("from", a.from).Msg("attempt")
+	r.log.Debug().Str("engine", choice.Backend.Name).Int("attempt", id.Number).Int("from", a.from).Msg("attempt started")
 	return a
 }
 
--- a/internal/relay/maintenance.go
+++ b/internal/relay/maintenance.go
@@ -21,7 +21,7 @@
 	// continue the answer.
 	abdicateAfter = 3 * writeTimeout
 
-	touchesPerKeep        = 4                // touches within AbandonKeep
+	touchesPerKeep        = 4                // touches within Limits.AbandonedRetention
 	maxTouchInterval      = 10 * time.Second // also bounds the detection of a partition while no token arrives
 	maxConcurrentReplaces = 16               // concurrent moves of journals after a change of the list of VMs
 )
@@ -37,7 +37,7 @@
 		views := h.members.Views()
 		if newest := views[0].Version; newest != version {
 			version = newest
-			h.setFloor(views[len(views)-1].Version)
+			h.setMinVersion(views[len(views)-1].Version)
 		}
 		for _, run := range h.owned() {
 			h.maybeReplace(run, views, slots)
@@ -54,7 +54,7 @@
 	}
 }
 
-func (h *Hub) setFloor(oldest uint64) {
+func (h *Hub) setMinVersion(oldest uint64) {
 	h.keeperMu.Lock()
 	defer h.keeperMu.Unlock()
 	h.keeper.SetMinVersion(oldest)
@@ -101,8 +101,8 @@
 	}
 	oldest := views[len(views)-1].Version
 	expiring := len(views) > 1 && r.owner.Epoch.Version <= oldest
-	groups := generation.KeeperSets(r.owner.Request.ID, views[:1])
-	if generation.SameKeepers(r.owner.KeeperSet().Keepers, groups[0].Keepers) && !expiring {
+	sets := generation.KeeperSets(r.owner.Request.ID, views[:1])
+	if generation.SameKeepers(r.owner.KeeperSet().Keepers, sets[0].Keepers) && !expiring {
 		r.seenVersion = views[0].Version
 		return false
 	}
@@ -157,7 +157,7 @@
 }
 
 func (r *Run) replaced(o *opener, epoch generation.Epoch, replies *generation.Replies) {
-	err := r.update(func() error { return r.owner.MoveTo(epoch, o.groups[0], replies) })
+	err := r.update(func() error { return r.owner.MoveTo(epoch, o.keeperSets[0], replies) })
 	if err != nil {
 		r.stop(err)
 		return
@@ -165,7 +165,7 @@
 	r.mu.Lock()
 	r.seenVersion = o.newest.Version
 	r.mu.Unlock()
-	r.targets.Store(r.hub.replicator.targets(r, o.groups[0].Keepers))
+	r.targets.Store(r.hub.replicator.targets(r, o.keeperSets[0].Keepers))
 	r.hub.metrics.Add("replacements", 1)
 	r.hub.replicator.mark(r)
 }
--- a/internal/relay/open.go
+++ b/internal/relay/open.go
@@ -32,9 +32,9 @@
 
 func (h *Hub) open(ctx context.Context, req generation.Request, resuming bool) (location, error) {
 	for try := range openAttempts {
-		f, err := h.openOnce(ctx, req, resuming, try)
+		found, err := h.openOnce(ctx, req, resuming, try)
 		if !errors.Is(err, generation.ErrDeposed) && !errors.Is(err, errContended) {
-			return f, err
+			return found, err
 		}
 		h.metrics.Add("open_retries", 1)
 		if backOff(ctx, try) != nil {
@@ -67,16 +67,16 @@
 // opener holds the state of one proposal: the keeper sets of the request and the
 // list of VMs from which they are derived.
 type opener struct {
-	h      *Hub
-	req    generation.Request
-	groups []generation.KeeperSet
-	newest generation.Membership
-	resume bool
+	h          *Hub
+	req        generation.Request
+	keeperSets []generation.KeeperSet
+	newest     generation.Membership
+	resume     bool
 }
 
 func (h *Hub) opener(req generation.Request, resuming bool) *opener {
 	views := h.members.Views()
-	return &opener{h: h, req: req, groups: generation.KeeperSets(req.ID, views), newest: views[0], resume: resuming}
+	return &opener{h: h, req: req, keeperSets: generation.KeeperSets(req.ID, views), newest: views[0], resume: resuming}
 }
 
 // nextEpoch returns an epoch that is higher than seen and that this VM has never used
@@ -163,7 +163,7 @@
 // generation.
 func (o *opener) becomeOwner(ctx context.Context, epoch generation.Epoch, replies *generation.Replies, best generation.PromiseReply) (location, error) {
 	h := o.h
-	run := newRun(h, generation.NewOwner(o.req, epoch, o.groups[0], replies, best.Journal))
+	run := newRun(h, generation.NewOwner(o.req, epoch, o.keeperSets[0], replies, best.Journal))
 	run.source = best.Source
 	if best.Source != nil {
 		run.owner.PinVersion(best.Source.Version)
@@ -183,7 +183,7 @@
 		return location{}, err
 	}
 	if !best.Found {
-		h.note(o.req.ID, explain.Accepted, fmt.Sprintf("a majority of %d keepers holds it, epoch %s", len(o.groups[0].Keepers), epoch))
+		h.note(o.req.ID, explain.Accepted, fmt.Sprintf("a majority of %d keepers holds it, epoch %s", len(o.keeperSets[0].Keepers), epoch))
 	}
 	h.mu.Lock()
 	h.runs[o.req.ID] = run
@@ -223,7 +223,7 @@
 			answers <- answer{k, reply, err}
 		}()
 	}
-	replies := generation.NewReplies(o.groups, o.newest)
+	replies := generation.NewReplies(o.keeperSets, o.newest)
 	replies.CallerHasNoTokens = !o.resume
 	refused := false
 	var grace <-chan time.Time
@@ -238,7 +238,7 @@
 			replies.Add(a.keeper, a.reply)
 			refused = refused || !a.reply.OK
 		}
-		if refused && replies.Answered() || replies.Ready() && (o.resume || len(o.groups) == 1) {
+		if refused && replies.Answered() || replies.Ready() && (o.resume || len(o.keeperSets) == 1) {
 			break
 		}
 		if replies.Ready() && grace == nil {
@@ -274,7 +274,7 @@
 func (o *opener) keepers() []generation.KeeperID {
 	var out []generation.KeeperID
 	seen := map[generation.KeeperID]bool{}
-	for _, g := range o.groups {
+	for _, g := range o.keeperSets {
 		for _, k := range g.Keepers {
 			if !seen[k] {
 				seen[k] = true
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -67,7 +67,7 @@
 			}
 			c.finishOn(s.other(owner))
 		}, []int{full}},
-		"caller gone, and back in time for the journal": {func(s *system, _ *caller) {
+		"caller gone while the keepers still hold the journal": {func(s *system, _ *caller) {
 			s.engines[0].Slow(100)
 			s.engines[1].Slow(100)
 			time.Sleep(callerKeep + 2*time.Second)
--- a/internal/relay/recover_test.go
+++ b/internal/relay/recover_test.go
@@ -242,7 +242,7 @@
 
 // Every engine dies at the 50th token of an answer, and one restarts after half a
 // minute. The request was accepted, and it waits for an engine instead of failing. The
-// answer resumes within the longest probation (30 s) of the restarted engine.
+// answer resumes within the longest ejection (30 s) of the restarted engine.
 func TestAcceptedRequestOutlivesAnOutageOfAllEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, nil)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -87,9 +87,9 @@
 func (r *Run) keepers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	group := r.owner.KeeperSet()
-	out := make([]string, 0, len(group.Keepers))
-	for _, k := range group.Keepers {
+	set := r.owner.KeeperSet()
+	out := make([]string, 0, len(set.Keepers))
+	for _, k := range set.Keepers {
 		out = append(out, k.VM)
 	}
 	return out
