--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -10,7 +10,7 @@
 
 func benchOwner(b *testing.B) (*Owner, []*Keeper, KeeperSet) {
 	b.Helper()
-	group := KeeperSet{NewestVersion: 1}
+	keeperSet := KeeperSet{NewestVersion: 1}
 	replies := NewReplies(nil, Membership{})
 	epoch := Epoch{Version: 1, Round: 1, VM: "vm1#abcdefgh"}
 	var keepers []*Keeper
@@ -18,10 +18,10 @@
 		id := KeeperID{vm, "life"}
 		k := NewKeeper(id.Incarnation, DefaultLimits(time.Minute))
 		replies.Add(id, k.Promise(Promise{ID: journalID, Epoch: epoch, Incarnation: id.Incarnation}, time.Time{}))
-		group.Keepers = append(group.Keepers, id)
+		keeperSet.Keepers = append(keeperSet.Keepers, id)
 		keepers = append(keepers, k)
 	}
-	return NewOwner(Request{ID: journalID, Prompt: "unit 7 log"}, epoch, group, replies, Journal{}), keepers, group
+	return NewOwner(Request{ID: journalID, Prompt: "unit 7 log"}, epoch, keeperSet, replies, Journal{}), keepers, keeperSet
 }
 
 // BenchmarkAppendAndReplicate measures one token from the engine to its release:
@@ -32,18 +32,18 @@
 	b.ReportAllocs()
 	var o *Owner
 	var keepers []*Keeper
-	var group KeeperSet
+	var keeperSet KeeperSet
 	var attempt AttemptID
 	tokens, texts := []int32{7}, []string{" t7"}
 	for i := range b.N {
 		if i%length == 0 {
-			o, keepers, group = benchOwner(b)
+			o, keepers, keeperSet = benchOwner(b)
 			attempt, _ = o.BeginAttempt()
 		}
 		if err := o.Append(attempt.Number, Span{From: i % length, Tokens: tokens, Texts: texts}, "", Usage{}); err != nil {
 			b.Fatal(err)
 		}
-		for k, id := range group.Keepers {
+		for k, id := range keeperSet.Keepers {
 			w, _ := o.NextWrite(id.VM, 512)
 			if err := o.Ack(id.VM, keepers[k].Write(w, now)); err != nil {
 				b.Fatal(err)
--- a/internal/generation/keeper.go
+++ b/internal/generation/keeper.go
@@ -242,8 +242,8 @@
 
 // mayInstall reports whether an installation may be accepted: there is a valid
 // promise for its epoch, or the record already holds the journal of that epoch.
-func (r *record) mayInstall(epoch Epoch, now time.Time, use time.Duration) bool {
-	return r.accepted == epoch || (r.promised == epoch && now.Sub(r.promisedAt) < use)
+func (r *record) mayInstall(epoch Epoch, now time.Time, validity time.Duration) bool {
+	return r.accepted == epoch || (r.promised == epoch && now.Sub(r.promisedAt) < validity)
 }
 
 // install replaces the complete journal, unless the same epoch has already
--- a/internal/generation/owner.go
+++ b/internal/generation/owner.go
@@ -42,8 +42,8 @@
 	promised     bool   // accepts an installation
 	confirmTouch uint64 // promised becomes true once this touch is confirmed; 0: none pending
 	installed    bool
-	held         int
-	source       int
+	held         int // number of tokens
+	source       int // Source.Number that the keeper holds
 	finished     bool
 	touch        uint64
 }
@@ -116,8 +116,7 @@
 
 // PinVersion records the model version that generates the answer, with or before
 // its first token. Every later attempt, also that of another owner, runs this
-// version. Otherwise an answer could contain tokens of two model
-// versions.
+// version. Otherwise an answer could contain tokens of two model versions.
 func (o *Owner) PinVersion(version string) {
 	if version == "" {
 		return
--- a/internal/generation/placement.go
+++ b/internal/generation/placement.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Replication factors of a journal (design section 4). Five keepers tolerate the
-// simultaneous loss of any two VMs, or of a zone. With fewer than five VMs a journal
-// has three keepers, and with fewer than three VMs it has one.
+// Replication factors of a journal. Five keepers tolerate the simultaneous loss of any
+// two VMs, or of a zone. With fewer than five VMs a journal has three keepers, and with
+// fewer than three VMs it has one.
 const (
 	MaxKeepers           = 5
 	MinReplicatedKeepers = 3
--- a/internal/generation/replies_test.go
+++ b/internal/generation/replies_test.go
@@ -25,11 +25,11 @@
 		return m
 	}
 	for _, tc := range []struct {
-		name    string
-		fresh   bool
-		settled bool
-		newest  generation.Membership
-		want    bool
+		name     string
+		noTokens bool
+		migrated bool
+		newest   generation.Membership
+		want     bool
 	}{
 		{"new request, dead by the list", true, false, list("c", "d", "e"), true},
 		{"new request, not yet known dead, set long superseded", true, true, list(), true},
@@ -40,9 +40,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := generation.NewReplies([]generation.KeeperSet{
-				{Keepers: present, NewestVersion: 9}, {Keepers: old, NewestVersion: 5, Migrated: tc.settled},
+				{Keepers: present, NewestVersion: 9}, {Keepers: old, NewestVersion: 5, Migrated: tc.migrated},
 			}, tc.newest)
-			r.CallerHasNoTokens = tc.fresh
+			r.CallerHasNoTokens = tc.noTokens
 			for _, k := range present {
 				r.Add(k, generation.PromiseReply{OK: true})
 			}
