--- a/internal/call/idempotency.go
+++ b/internal/call/idempotency.go
@@ -29,14 +29,14 @@
 	return IdempotencyRule{Method: f[0], Path: f[1], Idempotent: f[2] == "idempotent"}, nil
 }
 
-func (m *IdempotencyRule) matches(method, path string) bool {
-	if m.Method != method {
+func (r *IdempotencyRule) matches(method, path string) bool {
+	if r.Method != method {
 		return false
 	}
-	if prefix, ok := strings.CutSuffix(m.Path, "*"); ok {
+	if prefix, ok := strings.CutSuffix(r.Path, "*"); ok {
 		return strings.HasPrefix(path, prefix)
 	}
-	return m.Path == path
+	return r.Path == path
 }
 
 // Idempotent reports whether a call may be repeated. The first matching rule
--- a/internal/call/snapshot.go
+++ b/internal/call/snapshot.go
@@ -22,7 +22,7 @@
 type hourRecord struct {
 	StartMS int64         `cbor:"1,keyasint"`
 	Digests []byte        `cbor:"2,keyasint"` // 8 bytes each, sorted
-	Of      []countRecord `cbor:"3,keyasint"`
+	Counts  []countRecord `cbor:"3,keyasint"`
 }
 
 type countRecord struct {
@@ -56,9 +56,9 @@
 		out.Digests = binary.BigEndian.AppendUint64(out.Digests, d)
 	}
 	for w, n := range h.byWorkspace {
-		out.Of = append(out.Of, countRecord{w, n})
+		out.Counts = append(out.Counts, countRecord{w, n})
 	}
-	slices.SortFunc(out.Of, func(a, b countRecord) int {
+	slices.SortFunc(out.Counts, func(a, b countRecord) int {
 		if a.Workspace < b.Workspace {
 			return -1
 		}
@@ -95,7 +95,7 @@
 	for b := r.Digests; len(b) > 0; b = b[8:] {
 		h.sorted = append(h.sorted, binary.BigEndian.Uint64(b))
 	}
-	for _, c := range r.Of {
+	for _, c := range r.Counts {
 		h.byWorkspace[c.Workspace] = c.Keys
 		m.byWorkspace[c.Workspace] += c.Keys
 		m.total += c.Keys
--- a/internal/call/state_machine_test.go
+++ b/internal/call/state_machine_test.go
@@ -88,25 +88,25 @@
 // A UUIDv7 key that has expired from the used keys must still be refused: its own
 // time is too old by then. A key from a clock far ahead must be refused at once,
 // because its time would still be accepted after the key has expired.
-func TestStampedKeyStaysRefusedForEver(t *testing.T) {
+func TestExpiredUUIDv7KeyStaysRefused(t *testing.T) {
 	l := call.DefaultLimits()
 	g := newGroup(t, l)
-	stamped := func(ms int64) string {
+	uuidV7Key := func(ms int64) string {
 		h := fmt.Sprintf("%012x", ms)
 		return h[:8] + "-" + h[8:] + "-7abc-8def-0123456789ab"
 	}
-	key := stamped(startMS + 60_000)
+	key := uuidV7Key(startMS + 60_000)
 	g.want("claim", g.claim("coop", key, "vm1"), call.Permitted, call.Granted)
 	for range 4 {
 		g.pass(11 * time.Hour)
 		g.want("late resend", g.claim("coop", key, "vm2"), call.KeyExpired, 0)
 	}
-	g.want("from the future", g.claim("coop", stamped(g.now+3_600_000), "vm1"), call.KeyInFuture, 0)
+	g.want("from the future", g.claim("coop", uuidV7Key(g.now+3_600_000), "vm1"), call.KeyInFuture, 0)
 }
 
 // The wall clock of a new leader is two days ahead. This must not expire the used
 // keys at once: a resend must be refused or answered and must not run.
-func TestLeapOfTheGroupsClockForgetsNothing(t *testing.T) {
+func TestClockJumpExpiresNoKey(t *testing.T) {
 	g := newGroup(t, call.DefaultLimits())
 	g.claim("coop", "k", "vm1")
 	g.now += (48 * time.Hour).Milliseconds()
@@ -165,11 +165,11 @@
 func TestIdempotencyRules(t *testing.T) {
 	var rules []call.IdempotencyRule
 	for _, s := range []string{"POST /search* idempotent", "PUT /counter once"} {
-		m, err := call.ParseIdempotencyRule(s)
+		rule, err := call.ParseIdempotencyRule(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		rules = append(rules, m)
+		rules = append(rules, rule)
 	}
 	for _, c := range []struct {
 		method, path string
