--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -17,7 +17,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/call"
 )
 
-// Timeouts and size limits of the client. Services are a few milliseconds away.
+// Timeouts and size limits of the client. The latency to services is a few
+// milliseconds.
 const (
 	dialTimeout    = 500 * time.Millisecond
 	maxIdlePerHost = 64
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -202,7 +202,7 @@
 		first := outcome(ds[0].Once(t.Context(), booking(key, body)))
 		again := outcome(ds[1].Once(t.Context(), booking(key, body)))
 		if first != again {
-			t.Fatalf("%s: first answer %q, resend %q", key, first, again)
+			t.Fatalf("%s: got answer %q and %q for the resend, want equal ones", key, first, again)
 		}
 		verify(t, key, first, s.count(key)+spare.count(key))
 		seen[first]++
--- a/internal/service/conn.go
+++ b/internal/service/conn.go
@@ -12,7 +12,7 @@
 
 var (
 	errAbandoned  = errors.New("service: call abandoned before its first byte")
-	errSecondDial = errors.New("service: second connection refused for a non-idempotent call")
+	errSecondDial = errors.New("service: a non-idempotent call may not open a second connection")
 )
 
 // Dial implements Sender.
--- a/internal/service/history_test.go
+++ b/internal/service/history_test.go
@@ -119,19 +119,19 @@
 	return f.plan.Control[f.next-1]
 }
 
-func (f *faultyControl) Propose(ctx context.Context, part control.StateMachineID, cmd []byte) ([]byte, error) {
+func (f *faultyControl) Propose(ctx context.Context, id control.StateMachineID, cmd []byte) ([]byte, error) {
 	time.Sleep(2 * time.Millisecond)
 	switch f.fault() {
 	case controlReplyLost:
-		_, _ = f.LocalClient.Propose(ctx, part, cmd)
+		_, _ = f.LocalClient.Propose(ctx, id, cmd)
 		return nil, errControl
 	case controlUnavailable:
 		return nil, errControl
 	case controlLate:
-		time.AfterFunc(3*time.Second, func() { _, _ = f.LocalClient.Propose(ctx, part, cmd) })
+		time.AfterFunc(3*time.Second, func() { _, _ = f.LocalClient.Propose(ctx, id, cmd) })
 		return nil, errControl
 	default:
-		return f.LocalClient.Propose(ctx, part, cmd)
+		return f.LocalClient.Propose(ctx, id, cmd)
 	}
 }
 
