--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -13,7 +13,7 @@
 
 // startControl creates the VM's control components: the replicated state, the client of
 // the control group and the feed of state changes that every VM follows. None of them
-// runs yet. The start functions that follow register their state machines on n.machine
+// runs yet. The start functions that follow register their state machines on n.state
 // and their callbacks on n.feed, and may start work that waits on n.control. After that
 // runControl replays the log into the registered state machines and joins the group.
 func (n *Node) startControl() {
@@ -23,14 +23,14 @@
 			voters = append(voters, vm.ID)
 		}
 	}
-	n.machine = control.NewReplicatedState()
+	n.state = control.NewReplicatedState()
 	n.feed = control.NewFeed(control.FeedOptions{
 		Self: n.s.Self.ID, Voters: control.FixedVMs(voters), Transport: n.network, Lease: n.s.FreshnessTTL, Log: n.log,
 	})
 	if n.s.Self.HasRole(settings.RoleControl) {
 		n.group = control.NewGroup(control.GroupOptions{
 			VM: n.s.Self.ID, Voters: voters, Dir: filepath.Join(n.s.DataDir, "control"), Transport: n.network,
-			State: n.machine, Lease: n.s.FreshnessTTL, Log: n.log, OnFailure: n.fail,
+			State: n.state, Lease: n.s.FreshnessTTL, Log: n.log, OnFailure: n.fail,
 		})
 	}
 	n.remote = n.feed.Client(n.group)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -154,7 +154,7 @@
 // startFleet registers the state of the orders, and subscribes to the models that engines
 // serve.
 func (n *Node) startFleet() {
-	n.machine.Register(control.FleetStateMachine, fleet.NewStateMachine())
+	n.state.Register(control.FleetStateMachine, fleet.NewStateMachine())
 	n.backends = &backends{configured: n.s.Backends, platform: n.members.platform, log: n.log}
 	n.backends.indexServices(n.s.Backends)
 	n.feed.OnChange(control.FleetStateMachine, n.backends.apply)
@@ -175,9 +175,9 @@
 }
 
 func (n *Node) ordersUnderWay() (out []fleet.Order) {
-	n.machine.Read(control.FleetStateMachine, func(p control.StateMachine) {
-		if part, ok := p.(*fleet.StateMachine); ok {
-			out = part.Orders()
+	n.state.Read(control.FleetStateMachine, func(s control.StateMachine) {
+		if fleetState, ok := s.(*fleet.StateMachine); ok {
+			out = fleetState.Orders()
 		}
 	})
 	return out
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -39,8 +39,8 @@
 	failingSince map[string]time.Time // by VM that this one probes: since when its probes fail
 	changed      chan struct{}
 
-	learnedAt        map[uint64]time.Time // by version: when this VM learned of it
-	settledCheckedAt time.Time            // when Settled of the views was last computed
+	learnedAt         map[uint64]time.Time // by version: when this VM learned of it
+	migratedCheckedAt time.Time            // when Migrated of the views was last computed
 }
 
 func newMembers(self, incarnation string, vms []settings.VM, p *inventory.Reader, log zerolog.Logger) *members {
@@ -98,40 +98,40 @@
 func (m *members) Views() []generation.Membership {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if time.Since(m.settledCheckedAt) >= settledCheckInterval {
-		m.markSettled()
+	if time.Since(m.migratedCheckedAt) >= migratedCheckInterval {
+		m.updateMigrated()
 	}
 	return m.views
 }
 
-// A version of the list is settled once every VM that admits requests has learned of the
-// next one, which takes at most a freshness lease, and owners have moved their journals,
-// which takes a tick of 100 ms and some messages. A longer time would refuse new requests
-// when a third VM is lost soon after two others were replaced.
+// The journals of a version of the list are migrated once every VM that admits requests has
+// learned of the next version, which takes at most a freshness lease, and owners have moved
+// their journals, which takes a tick of 100 ms and some messages. With a longer time, new
+// requests would be refused when a third VM is lost soon after two others were replaced.
 const (
-	journalMoveTime      = 1 * time.Second
-	settledCheckInterval = 250 * time.Millisecond
+	journalMoveTime       = 1 * time.Second
+	migratedCheckInterval = 250 * time.Millisecond
 )
 
 // updateLearnedAt records when this VM learned of each version. The age of the versions
 // that a VM gets at its start follows from the group's timestamps. The caller must hold
 // m.mu.
 func (m *members) updateLearnedAt() {
-	learnt := map[uint64]time.Time{}
+	learnedAt := map[uint64]time.Time{}
 	newest := m.history.Current()
 	for _, v := range m.history.Views() {
 		at, ok := m.learnedAt[v.Version]
 		if !ok {
 			at = time.Now().Add(-time.Duration(newest.AtMS-v.AtMS) * time.Millisecond)
 		}
-		learnt[v.Version] = at
+		learnedAt[v.Version] = at
 	}
-	m.learnedAt = learnt
+	m.learnedAt = learnedAt
 }
 
-// markSettled updates Settled of the views. The caller must hold m.mu.
-func (m *members) markSettled() {
-	m.settledCheckedAt = time.Now()
+// markSettled updates Migrated of the views. The caller must hold m.mu.
+func (m *members) updateMigrated() {
+	m.migratedCheckedAt = time.Now()
 	views := slices.Clone(m.views)
 	for i := 1; i < len(views); i++ {
 		superseded := m.learnedAt[views[i-1].Version]
@@ -162,7 +162,7 @@
 		views = append(views, candidates(v))
 	}
 	m.views = views
-	m.markSettled()
+	m.updateMigrated()
 }
 
 // candidates returns the VMs that may hold journals. A dead VM may still hold some. It
@@ -194,16 +194,16 @@
 	if fails && time.Since(since) >= suspectAfter {
 		return false
 	}
-	present := m.history.Current()
-	vm, ok := present.Find(id)
+	view := m.history.Current()
+	vm, ok := view.Find(id)
 	return !ok || vm.State != membership.Dead
 }
 
 // Gone implements service.Incarnations. An incarnation is gone if another one has replaced
 // it, or if it is dead because VMs of several zones could not reach it.
 func (m *members) Gone(id, incarnation string) bool {
-	present := m.currentView()
-	vm, ok := present.Find(id)
+	view := m.currentView()
+	vm, ok := view.Find(id)
 	return ok && (vm.Incarnation != incarnation || vm.State == membership.Dead)
 }
 
@@ -218,7 +218,7 @@
 // followMembers registers the list of VMs with the replicated state and subscribes to it.
 // startControl must have run.
 func (n *Node) followMembers() {
-	n.machine.Register(control.MembersStateMachine, membership.NewStateMachine())
+	n.state.Register(control.MembersStateMachine, membership.NewStateMachine())
 	n.feed.OnChange(control.MembersStateMachine, n.members.apply)
 	n.metrics.Set("members", expvar.Func(func() any { return n.members.status() }))
 }
@@ -230,7 +230,7 @@
 	n.members.cancel = cancel
 	go n.members.platform.Run(ctx)
 	go n.keepJoined(ctx)
-	go n.watchMembers(ctx)
+	go n.probeMembers(ctx)
 	n.runFleet(ctx)
 }
 
@@ -269,8 +269,8 @@
 
 // evicted reports whether the list marks this incarnation as dead.
 func (m *members) evicted() bool {
-	present := m.currentView()
-	vm, ok := present.Find(m.self)
+	view := m.currentView()
+	vm, ok := view.Find(m.self)
 	return ok && vm.Incarnation == m.incarnation && vm.State == membership.Dead
 }
 
@@ -338,7 +338,7 @@
 	return out
 }
 
-// Entry implements gateway.Entrances.
+// Entry implements gateway.Endpoints.
 func (m *members) Entry(q membership.EndpointQuery) ([]string, uint64) {
 	view := m.currentView()
 	if len(view.VMs) == 0 {
--- a/internal/node/settle_test.go
+++ b/internal/node/migrated_test.go
@@ -14,18 +14,19 @@
 
 // Guards against new requests that are refused for too long after VMs were replaced. Two VMs
 // are replaced, and a third may die five seconds later. By then every VM has learned of the
-// replacements and moved its journals, so all older lists must be settled, and new requests
-// need not wait for the third VM. One second after the replacements no older list may be.
-func TestOlderListsSettleAfterTheLease(t *testing.T) {
+// replacements and moved its journals, so all older lists must be marked as migrated, and new
+// requests need not wait for the third VM. One second after the replacements no older list
+// may be marked.
+func TestOlderListsAreMigratedAfterTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		part := membership.NewStateMachine()
+		machine := membership.NewStateMachine()
 		m := newMembers("vm1", "a", nil, inventory.NewReader("", zerolog.Nop()), zerolog.Nop())
 		m.lease = 3 * time.Second
 		join := func(id, incarnation string) {
-			part.Execute(time.Now().UnixMilli(), &membership.Command{Join: &membership.Join{
+			machine.Execute(time.Now().UnixMilli(), &membership.Command{Join: &membership.Join{
 				VM: membership.VM{ID: id, Incarnation: incarnation, Zone: "z" + id, Router: true}, Expected: 5,
 			}})
-			m.apply(part.Changes(m.currentView().Version))
+			m.apply(machine.Changes(m.currentView().Version))
 		}
 		for i := range 5 {
 			join(fmt.Sprint("vm", i+1), "a")
@@ -36,7 +37,7 @@
 		time.Sleep(time.Minute)
 		join("vm2", "b")
 		join("vm3", "b")
-		settled := func() (n int) {
+		migrated := func() (n int) {
 			for _, v := range m.Views() {
 				if v.Migrated {
 					n++
@@ -46,12 +47,12 @@
 		}
 		older := len(m.Views()) - 1
 		time.Sleep(time.Second)
-		if got := settled(); got != 0 {
-			t.Errorf("%d of %d older lists settled after 1 s, want none: a VM may admit by them", got, older)
+		if got := migrated(); got != 0 {
+			t.Errorf("%d of %d older lists are marked as migrated after 1 s, want none: a VM may still admit by them", got, older)
 		}
 		time.Sleep(4 * time.Second)
-		if got := settled(); got != older {
-			t.Errorf("%d of %d older lists settled after 5 s, want all", got, older)
+		if got := migrated(); got != older {
+			t.Errorf("%d of %d older lists are marked as migrated after 5 s, want all", got, older)
 		}
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 	explain     *explain.Ring
 
 	network     *peer.Network
-	machine     *control.ReplicatedState
+	state       *control.ReplicatedState
 	control     control.Client
 	remote      *control.RemoteClient // the same client as control, with its concrete type
 	feed        *control.Feed
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -83,7 +83,7 @@
 	if err := n.control.Barrier(ctx); err != nil {
 		return out, err
 	}
-	n.machine.Read(control.PlansStateMachine, func(registry control.StateMachine) { out = registry.(*plan.Registry).Ask(q, n.plans.ledger) })
+	n.state.Read(control.PlansStateMachine, func(registry control.StateMachine) { out = registry.(*plan.Registry).Ask(q, n.plans.ledger) })
 	return out, nil
 }
 
--- a/internal/node/plans.go
+++ b/internal/node/plans.go
@@ -72,8 +72,8 @@
 func (n *Node) startPlans() {
 	registry := plan.NewRegistry()
 	ledger := plan.NewLedger(registry, n.reportLedgerFault)
-	n.machine.Register(control.PlansStateMachine, registry)
-	n.machine.Register(control.LedgerStateMachine, ledger)
+	n.state.Register(control.PlansStateMachine, registry)
+	n.state.Register(control.LedgerStateMachine, ledger)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.plans = &plans{
 		fresh: n.fresh, ledger: ledger, log: n.log, view: plan.NewView(), cancel: cancel,
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -48,18 +48,18 @@
 	return r, err
 }
 
-// watchMembers probes the VMs that membership.Watches assigns to this one.
-func (n *Node) watchMembers(ctx context.Context) {
+// probeMembers probes the VMs that membership.ProbeTargets assigns to this one.
+func (n *Node) probeMembers(ctx context.Context) {
 	var version uint64
-	var watched []membership.VM
+	var targets []membership.VM
 	for timer.Sleep(ctx, probeInterval+rand.N(probeJitter)) == nil {
 		view := n.members.currentView()
 		if view.Version != version {
-			version, watched = view.Version, membership.ProbeTargets(n.s.Self.ID, view.VMs)
-			n.members.retainFailing(watched)
+			version, targets = view.Version, membership.ProbeTargets(n.s.Self.ID, view.VMs)
+			n.members.retainFailing(targets)
 		}
 		var wg sync.WaitGroup
-		for _, vm := range watched {
+		for _, vm := range targets {
 			wg.Go(func() { n.check(ctx, vm, view.VMs) })
 		}
 		wg.Wait()
@@ -84,7 +84,7 @@
 		VM: vm.ID, Incarnation: vm.Incarnation, Observer: n.s.Self.ID, Absent: known && !listed,
 	}})
 	if err != nil {
-		n.log.Debug().Err(err).Str("suspect", vm.ID).Msg("suspicion not committed")
+		n.log.Debug().Err(err).Str("suspect", vm.ID).Msg("suspicion could not be committed; it is proposed again if the next probe fails")
 	}
 }
 
@@ -133,12 +133,12 @@
 	return time.Since(since)
 }
 
-// retainFailing drops the failures of VMs that this one no longer watches.
-func (m *members) retainFailing(watched []membership.VM) {
+// retainFailing drops the failures of VMs that this one no longer probes.
+func (m *members) retainFailing(targets []membership.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	kept := map[string]time.Time{}
-	for _, vm := range watched {
+	for _, vm := range targets {
 		if since, ok := m.failingSince[vm.ID]; ok {
 			kept[vm.ID] = since
 		}
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -14,14 +14,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// parseMarkings returns the markings of calls by service. The settings are validated
-// before, so every marking parses.
-func parseMarkings(backends []settings.Backend) map[string][]call.IdempotencyRule {
+// parseMarkings returns the idempotency rules by service. The settings were validated
+// before, so every rule parses.
+func parseIdempotencyRules(backends []settings.Backend) map[string][]call.IdempotencyRule {
 	out := map[string][]call.IdempotencyRule{}
 	for _, b := range backends {
 		for _, text := range b.IdempotencyRules {
-			if m, err := call.ParseIdempotencyRule(text); err == nil {
-				out[b.Service] = append(out[b.Service], m)
+			if rule, err := call.ParseIdempotencyRule(text); err == nil {
+				out[b.Service] = append(out[b.Service], rule)
 			}
 		}
 	}
@@ -31,10 +31,10 @@
 // startServices registers the claims of calls with the replicated state and creates the
 // dispatcher of calls.
 func (n *Node) startServices() {
-	n.machine.Register(control.CallsStateMachine, call.NewStateMachine(call.DefaultLimits()))
+	n.state.Register(control.CallsStateMachine, call.NewStateMachine(call.DefaultLimits()))
 	n.services = service.NewDispatcher(
 		service.Config{
-			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, IdempotencyRules: parseMarkings(n.s.Backends),
+			VM: n.s.Self.ID, Incarnation: n.incarnation, Zone: n.s.Self.Zone, IdempotencyRules: parseIdempotencyRules(n.s.Backends),
 		},
 		service.Deps{
 			Control: n.control, Sender: service.NewClient(), Backends: n.backends, Incarnations: n.members,
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("another VM answered %q, error %v; want code 4003", again, err)
 	}
 	if runs := s.Services[0].Runs("k"); runs != 1 {
-		t.Errorf("booking ran %d times, want 1; %d retries were told that it runs", runs, answers["running"])
+		t.Errorf("booking ran %d times, want 1; %d retries got code 3011", runs, answers["running"])
 	}
 }
 
