--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway serves callers over HTTP: generations as Server-Sent Events
-// or one JSON answer, with resume by Last-Event-ID.
+// Package gateway serves callers over HTTP: generations as Server-Sent Events or one JSON
+// answer, with resume by Last-Event-ID, calls of plain services, and the addresses that
+// callers should use.
 package gateway
 
 import (
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -6,7 +6,7 @@
 // call usually takes less than a second, so 4,096 at once allow some thousand calls a second.
 const (
 	maxCalls     = 4096
-	maxCallBytes = 256 << 20 // sum of request bodies; an answer has at most MaxAnswerBytes
+	maxCallBytes = 256 << 20 // sum of request bodies; an answer has at most service.MaxAnswerBytes
 )
 
 func newInFlight() *admission.InFlight { return admission.NewInFlight(maxCalls, maxCallBytes) }
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -29,7 +29,7 @@
 // CallQuota charges a call to its plan before the call runs.
 type CallQuota interface {
 	// ReserveCall reserves quota for a call, or refuses with a coded error. settle must be
-	// called once and tells whether the call has used the reservation.
+	// called once; used reports whether the call has used the reservation.
 	ReserveCall(ctx context.Context, c Caller, key string) (settle func(used bool), err error)
 }
 
--- a/internal/gateway/sse.go
+++ b/internal/gateway/sse.go
@@ -96,8 +96,8 @@
 	return s.write(m)
 }
 
-// heartbeat writes a comment. It prevents that the caller's own timeout of a few seconds
-// fires while an answer is resumed.
+// heartbeat writes a comment. It prevents the caller's own timeout of a few seconds from
+// firing while an answer is resumed.
 func (s *stream) heartbeat() error {
 	m := &sse.Message{}
 	m.AppendComment("waiting")
