--- a/internal/client/operator.go
+++ b/internal/client/operator.go
@@ -223,7 +223,7 @@
 		return decodeError(resp)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		return fmt.Errorf("client: %s: %w", addr, err)
+		return fmt.Errorf("client: response of %s could not be decoded: %w", addr, err)
 	}
 	return nil
 }
