--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -41,7 +41,7 @@
 	ctx, span := g.tracer.Start(traceContext(r, key), "entry", key)
 	defer span.End()
 	if err := g.serveCompletion(ctx, w, r, key); err != nil {
-		g.log.Info().Str("request_id", key).Int("code", int(result.CodeOf(err))).Msg("request refused")
+		g.log.Info().Str("request_id", key).Int("code", int(result.CodeOf(err))).Msg("request refused or failed")
 		resulthttp.Write(w, key, err)
 	}
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -36,7 +36,7 @@
 	history      membership.History
 	views        []generation.Membership // of the history, newest first
 	formed       bool
-	failingSince map[string]time.Time // by VM that this one probes: since when its probes fail
+	failingSince map[string]time.Time // by VM: when the probes of this VM to it began to fail
 	changed      chan struct{}
 
 	learnedAt         map[uint64]time.Time // by version: when this VM learned of it
@@ -129,7 +129,7 @@
 	m.learnedAt = learnedAt
 }
 
-// markSettled updates Migrated of the views. The caller must hold m.mu.
+// updateMigrated updates Migrated of the views. The caller must hold m.mu.
 func (m *members) updateMigrated() {
 	m.migratedCheckedAt = time.Now()
 	views := slices.Clone(m.views)
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -12,7 +12,7 @@
 
 // Constants of polling. A router polls only the engines that it uses (at most
 // routing.SubsetSize for each pool), and both kinds of polls have a byte budget. Control
-// traffic therefore stays under 11 KB/s for each node, whatever the size of the system.
+// traffic therefore stays under 11 KB/s for each VM, whatever the size of the system.
 // Sizes are those of the protocol's JSON with its HTTP headers.
 const (
 	pollInterval        = 1 * time.Second        // the shortest interval; the budget may make it longer
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -14,7 +14,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/settings"
 )
 
-// parseMarkings returns the idempotency rules by service. The settings were validated
+// parseIdempotencyRules returns the idempotency rules by service. The settings were validated
 // before, so every rule parses.
 func parseIdempotencyRules(backends []settings.Backend) map[string][]call.IdempotencyRule {
 	out := map[string][]call.IdempotencyRule{}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -24,7 +24,7 @@
 	}
 	errs := []error{n.hub.Drain(ctx)}
 	close(n.handedOver)
-	n.log.Info().Msg("running generations handed over to other VMs")
+	n.log.Info().Msg("handover of running generations ended; callers are asked to reconnect")
 	for _, s := range n.servers {
 		errs = append(errs, s.Shutdown(ctx))
 	}
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -53,7 +53,7 @@
 		"owner killed": {func(s *system, c *caller) {
 			s.kill(s.owner("k"))
 			c.finishOn(s.other())
-		}, []int{full}}, // settled by the hub that is closed; a crashed process settles nothing, which counts as in full
+		}, []int{full}}, // settled when the hub is closed; a crashed process settles nothing, and the ledger then counts the full amount
 		"owner paused and deposed": {func(s *system, c *caller) {
 			paused := s.owner("k")
 			s.net.Pause(paused)
