--- a/internal/generation/model_test.go
+++ b/internal/generation/model_test.go
@@ -130,16 +130,16 @@
 }
 
 // requestPromises asks every keeper of every retained set for a promise.
-func (c *modelCluster) requestPromises(h *modelRouter) {
-	views := c.knownViews(h.p)
-	h.sets = KeeperSets(journalID, views)
-	h.replies = NewReplies(h.sets, views[0])
-	h.requestedAt = c.now
-	h.p.round++
-	h.epoch = Epoch{Version: views[0].Version, Round: h.p.round, VM: h.p.VM + "#" + h.p.Incarnation}
+func (c *modelCluster) requestPromises(router *modelRouter) {
+	views := c.knownViews(router.p)
+	router.sets = KeeperSets(journalID, views)
+	router.replies = NewReplies(router.sets, views[0])
+	router.requestedAt = c.now
+	router.p.round++
+	router.epoch = Epoch{Version: views[0].Version, Round: router.p.round, VM: router.p.VM + "#" + router.p.Incarnation}
 	asked := map[KeeperID]bool{}
-	replies, epoch := h.replies, h.epoch
-	for _, g := range h.sets {
+	replies, epoch := router.replies, router.epoch
+	for _, g := range router.sets {
 		for _, k := range g.Keepers {
 			if asked[k] {
 				continue
@@ -149,10 +149,10 @@
 			m.handle = func(p *process) {
 				reply := p.keeper.Promise(Promise{ID: journalID, Epoch: epoch, Incarnation: k.Incarnation}, c.now)
 				m.onReply = func() {
-					h.p.round = max(h.p.round, reply.Promised.Round)
-					if replies == h.replies && c.now.Sub(h.requestedAt) < replyTimeout {
+					router.p.round = max(router.p.round, reply.Promised.Round)
+					if replies == router.replies && c.now.Sub(router.requestedAt) < replyTimeout {
 						replies.Add(k, reply)
-						c.open(h)
+						c.open(router)
 					}
 				}
 			}
@@ -163,32 +163,32 @@
 
 // open continues once the needed promises have arrived. The journal found must
 // contain every token that any owner has ever released.
-func (c *modelCluster) open(h *modelRouter) {
-	if h.replies == nil || !h.replies.Ready() {
+func (c *modelCluster) open(router *modelRouter) {
+	if router.replies == nil || !router.replies.Ready() {
 		return
 	}
-	replies := h.replies
-	h.replies = nil
+	replies := router.replies
+	router.replies = nil
 	best, _ := replies.Best()
-	if h.owner != nil {
-		if h.owner.MoveTo(h.epoch, h.sets[0], replies) != nil {
+	if router.owner != nil {
+		if router.owner.MoveTo(router.epoch, router.sets[0], replies) != nil {
 			return
 		}
-		best.Journal = *h.owner.Journal()
+		best.Journal = *router.owner.Journal()
 	}
 	if best.Journal.Len() < len(c.released) || !slices.Equal(best.Journal.Tokens[:len(c.released)], c.released) {
-		c.t.Fatalf("epoch %v: journal found has tokens %v, want prefix %v, which was released", h.epoch, best.Journal.Tokens, c.released)
+		c.t.Fatalf("epoch %v: journal found has tokens %v, want prefix %v, which was released", router.epoch, best.Journal.Tokens, c.released)
 	}
-	if h.owner == nil {
-		h.owner = NewOwner(Request{ID: journalID}, h.epoch, h.sets[0], replies, best.Journal)
+	if router.owner == nil {
+		router.owner = NewOwner(Request{ID: journalID}, router.epoch, router.sets[0], replies, best.Journal)
 	}
 }
 
 func (c *modelCluster) pickRouter() *modelRouter {
 	var out []*modelRouter
-	for _, h := range c.routers {
-		if !h.p.dead {
-			out = append(out, h)
+	for _, router := range c.routers {
+		if !router.p.dead {
+			out = append(out, router)
 		}
 	}
 	if len(out) == 0 {
@@ -197,12 +197,12 @@
 	return out[c.pick("owner", len(out))]
 }
 
-func (c *modelCluster) write(h *modelRouter) {
-	if h.owner == nil {
+func (c *modelCluster) write(router *modelRouter) {
+	if router.owner == nil {
 		return
 	}
-	for _, k := range h.owner.KeeperSet().Keepers {
-		w, ok := h.owner.NextWrite(k.VM, 2)
+	for _, k := range router.owner.KeeperSet().Keepers {
+		w, ok := router.owner.NextWrite(k.VM, 2)
 		if !ok {
 			continue
 		}
@@ -210,18 +210,18 @@
 		m := &message{to: k, sent: c.now}
 		m.handle = func(p *process) {
 			reply := p.keeper.Write(w, c.now)
-			m.onReply = func() { c.ack(h, k, reply) }
+			m.onReply = func() { c.ack(router, k, reply) }
 		}
 		c.inFlight = append(c.inFlight, m)
 	}
 }
 
-func (c *modelCluster) ack(h *modelRouter, k KeeperID, reply WriteReply) {
-	err := h.owner.Ack(k.VM, reply)
+func (c *modelCluster) ack(router *modelRouter, k KeeperID, reply WriteReply) {
+	err := router.owner.Ack(k.VM, reply)
 	if _, broken := err.(*InvariantError); broken {
 		c.t.Fatal(err)
 	}
-	o := h.owner
+	o := router.owner
 	for i, token := range o.Journal().Tokens[:o.Released()] {
 		if i < len(c.released) && c.released[i] != token {
 			c.t.Fatalf("epoch %v: released %d as token %d, want %d, which was released before", o.Epoch, token, i, c.released[i])
@@ -273,9 +273,9 @@
 		c := newCluster(t)
 		actions := map[string]func(*rapid.T){
 			"open": func(*rapid.T) {
-				h := &modelRouter{p: c.pickLive()}
-				c.routers = append(c.routers, h)
-				c.requestPromises(h)
+				router := &modelRouter{p: c.pickLive()}
+				c.routers = append(c.routers, router)
+				c.requestPromises(router)
 			},
 			"write":   func(*rapid.T) { c.write(c.pickRouter()) },
 			"repeat":  func(*rapid.T) { c.deliver(false) },
@@ -307,14 +307,14 @@
 // generate appends a unique token, which exposes a splice of two owners' answers
 // at its first index.
 func (c *modelCluster) generate() {
-	h := c.pickRouter()
-	if h.owner == nil {
+	router := c.pickRouter()
+	if router.owner == nil {
 		c.t.Skip("journal is not open")
 	}
 	c.token++
-	n, from := h.owner.BeginAttempt()
-	_ = h.owner.Append(n.Number, Span{From: from, Tokens: []int32{c.token}, Texts: []string{"t"}}, "", Usage{})
-	c.write(h)
+	n, from := router.owner.BeginAttempt()
+	_ = router.owner.Append(n.Number, Span{From: from, Tokens: []int32{c.token}, Texts: []string{"t"}}, "", Usage{})
+	c.write(router)
 }
 
 // deliverInOrder delivers up to 20 messages in order and without faults.
@@ -391,11 +391,11 @@
 		c.t.Skip("list is up to date")
 	}
 	p.version = len(c.views) - 1
-	for _, h := range c.routers {
-		if h.p != p || h.owner == nil || h.owner.Deposed() {
+	for _, router := range c.routers {
+		if router.p != p || router.owner == nil || router.owner.Deposed() {
 			continue
 		}
-		h.owner.BeginSeal()
-		c.requestPromises(h)
+		router.owner.BeginSeal()
+		c.requestPromises(router)
 	}
 }
--- a/internal/generation/owner_test.go
+++ b/internal/generation/owner_test.go
@@ -18,33 +18,33 @@
 }
 
 func newThreeKeepers(t *testing.T) *threeKeepers {
-	tr := &threeKeepers{t: t, keepers: map[string]*Keeper{}, keeperSet: KeeperSet{NewestVersion: 1}, now: time.Unix(0, 0)}
+	set := &threeKeepers{t: t, keepers: map[string]*Keeper{}, keeperSet: KeeperSet{NewestVersion: 1}, now: time.Unix(0, 0)}
 	for _, vm := range []string{"a", "b", "c"} {
-		tr.keepers[vm] = NewKeeper("1", testLimits)
-		tr.keeperSet.Keepers = append(tr.keeperSet.Keepers, KeeperID{vm, "1"})
+		set.keepers[vm] = NewKeeper("1", testLimits)
+		set.keeperSet.Keepers = append(set.keeperSet.Keepers, KeeperID{vm, "1"})
 	}
-	return tr
+	return set
 }
 
-func (tr *threeKeepers) open(round uint64, vms ...string) *Owner {
-	tr.t.Helper()
+func (set *threeKeepers) open(round uint64, vms ...string) *Owner {
+	set.t.Helper()
 	epoch := Epoch{Version: 1, Round: round, VM: fmt.Sprint("owner", round)}
-	replies := NewReplies([]KeeperSet{tr.keeperSet}, Membership{})
+	replies := NewReplies([]KeeperSet{set.keeperSet}, Membership{})
 	for _, vm := range vms {
-		replies.Add(KeeperID{vm, "1"}, tr.keepers[vm].Promise(Promise{ID: journalID, Epoch: epoch, Incarnation: "1"}, tr.now))
+		replies.Add(KeeperID{vm, "1"}, set.keepers[vm].Promise(Promise{ID: journalID, Epoch: epoch, Incarnation: "1"}, set.now))
 	}
 	if !replies.Ready() {
-		tr.t.Fatalf("round %d: promises are not ready, want a majority", round)
+		set.t.Fatalf("round %d: promises are not ready, want a majority", round)
 	}
 	best, _ := replies.Best()
-	return NewOwner(Request{ID: journalID}, epoch, tr.keeperSet, replies, best.Journal)
+	return NewOwner(Request{ID: journalID}, epoch, set.keeperSet, replies, best.Journal)
 }
 
-func (tr *threeKeepers) write(o *Owner, vms ...string) error {
+func (set *threeKeepers) write(o *Owner, vms ...string) error {
 	var errs []error
 	for _, vm := range vms {
 		for w, ok := o.NextWrite(vm, 10); ok; w, ok = o.NextWrite(vm, 10) {
-			reply := tr.keepers[vm].Write(w, tr.now)
+			reply := set.keepers[vm].Write(w, set.now)
 			errs = append(errs, o.Ack(vm, reply))
 			if !reply.OK() {
 				break
@@ -65,24 +65,24 @@
 // not install on the keeper that still remembers: because of its higher epoch,
 // that journal would win the next takeover and change the caller's token.
 func TestForgottenPromiseIsNotUsed(t *testing.T) {
-	tr := newThreeKeepers(t)
-	paused := tr.open(2, "a", "b", "c")
+	set := newThreeKeepers(t)
+	paused := set.open(2, "a", "b", "c")
 	for _, passed := range []time.Duration{testLimits.PromiseRetention, testLimits.EpochRetention} {
-		tr.now = tr.now.Add(passed)
-		tr.keepers["b"].Sweep(tr.now)
-		tr.keepers["c"].Sweep(tr.now)
+		set.now = set.now.Add(passed)
+		set.keepers["b"].Sweep(set.now)
+		set.keepers["c"].Sweep(set.now)
 	}
-	other := tr.open(1, "b", "c")
+	other := set.open(1, "b", "c")
 	generateToken(other, 7)
-	if err := tr.write(other, "b", "c"); err != nil || other.Released() != 1 {
+	if err := set.write(other, "b", "c"); err != nil || other.Released() != 1 {
 		t.Fatalf("the other owner released %d tokens with error %v, want 1 and no error", other.Released(), err)
 	}
 	generateToken(paused, 8)
-	_ = tr.write(paused, "a", "b", "c")
+	_ = set.write(paused, "a", "b", "c")
 	if paused.Released() != 0 || paused.Accepted() {
 		t.Errorf("the paused owner released %d tokens or was accepted, want 0 and not accepted", paused.Released())
 	}
-	if next := tr.open(3, "a", "b"); next.Journal().Len() != 1 || next.Journal().Tokens[0] != 7 {
+	if next := set.open(3, "a", "b"); next.Journal().Len() != 1 || next.Journal().Tokens[0] != 7 {
 		t.Errorf("the next owner found tokens %v, want 7, which was released", next.Journal().Tokens)
 	}
 }
@@ -93,25 +93,25 @@
 // takeover that reaches the keeper with the old answer would resume that answer,
 // and the caller's tokens would change.
 func TestNewAnswerHasHigherEpochThanForgottenOne(t *testing.T) {
-	tr := newThreeKeepers(t)
-	old := tr.open(5, "a", "b")
+	set := newThreeKeepers(t)
+	old := set.open(5, "a", "b")
 	generateToken(old, 7)
-	_ = tr.write(old, "a", "b")
-	tr.now = tr.now.Add(testLimits.AbandonedRetention)
-	tr.keepers["b"].Sweep(tr.now)
+	_ = set.write(old, "a", "b")
+	set.now = set.now.Add(testLimits.AbandonedRetention)
+	set.keepers["b"].Sweep(set.now)
 	lower := Promise{ID: journalID, Epoch: Epoch{1, 4, "owner4"}, Incarnation: "1", IfAbsent: true}
-	if reply := tr.keepers["b"].Promise(lower, tr.now); reply.OK || reply.Promised.Round != 5 {
+	if reply := set.keepers["b"].Promise(lower, set.now); reply.OK || reply.Promised.Round != 5 {
 		t.Errorf("promise of a lower epoch after a forgotten journal: got %+v, want refusal with round 5", reply)
 	}
-	again := tr.open(6, "b", "c")
+	again := set.open(6, "b", "c")
 	generateToken(again, 8)
-	_ = tr.write(again, "b", "c")
+	_ = set.write(again, "b", "c")
 	generateToken(old, 9)
-	_ = tr.write(old, "a", "b", "c")
+	_ = set.write(old, "a", "b", "c")
 	if old.Released() != 1 || again.Released() != 1 {
 		t.Errorf("got %d released tokens of the old answer and %d of the new one, want 1 and 1", old.Released(), again.Released())
 	}
-	if next := tr.open(7, "a", "c"); next.Journal().Tokens[0] != 8 {
+	if next := set.open(7, "a", "c"); next.Journal().Tokens[0] != 8 {
 		t.Errorf("the next owner found tokens %v, want 8, which was released", next.Journal().Tokens)
 	}
 }
@@ -119,18 +119,18 @@
 // A keeper that was unreachable when the journal was opened comes back. It may get
 // the journal only by a promise after which a majority has confirmed the epoch.
 func TestLateKeeperIsReserved(t *testing.T) {
-	tr := newThreeKeepers(t)
-	o := tr.open(1, "a", "b")
+	set := newThreeKeepers(t)
+	o := set.open(1, "a", "b")
 	generateToken(o, 7)
 	if _, ok := o.NextWrite("c", 10); ok {
 		t.Error("a keeper was asked for a promise before a majority accepted the owner")
 	}
-	_ = tr.write(o, "a", "b", "c")
-	if held := tr.keepers["c"].Promise(Promise{ID: journalID, Peek: true, Epoch: Epoch{Version: 1}}, tr.now).Found; held {
+	_ = set.write(o, "a", "b", "c")
+	if held := set.keepers["c"].Promise(Promise{ID: journalID, Peek: true, Epoch: Epoch{Version: 1}}, set.now).Found; held {
 		t.Error("the late keeper holds the journal before a majority confirmed the epoch")
 	}
-	_ = tr.write(o, "a", "b", "c")
-	if held := tr.keepers["c"].Promise(Promise{ID: journalID, Peek: true, Epoch: Epoch{Version: 1}}, tr.now).Found; !held {
+	_ = set.write(o, "a", "b", "c")
+	if held := set.keepers["c"].Promise(Promise{ID: journalID, Peek: true, Epoch: Epoch{Version: 1}}, set.now).Found; !held {
 		t.Error("the late keeper does not hold the journal after a majority confirmed the epoch")
 	}
 }
--- a/internal/relay/attach.go
+++ b/internal/relay/attach.go
@@ -91,8 +91,8 @@
 	return id, n - overlap
 }
 
-func (r *Run) onAttached(id generation.AttemptID, label engine.Attempt, e engine.Event) error {
-	if e.Attempt != label {
+func (r *Run) onAttached(id generation.AttemptID, attemptID engine.Attempt, e engine.Event) error {
+	if e.Attempt != attemptID {
 		r.hub.metrics.Add("events_foreign", 1)
 		return errForeignEvent
 	}
--- a/internal/relay/drive.go
+++ b/internal/relay/drive.go
@@ -175,7 +175,7 @@
 }
 
 // newAttempt builds an attempt that continues the journal. It needs r.mu.
-func (r *Run) newAttempt(choice Choice, label engine.Attempt) *attempt {
+func (r *Run) newAttempt(choice Choice, attemptID engine.Attempt) *attempt {
 	req := &r.owner.Request
 	j := r.owner.Journal()
 	priority := req.Priority
@@ -186,7 +186,7 @@
 		choice: choice, from: j.Len(), stream: r.hub.recovery.begin(choice.Backend.Name),
 		suspect: r.hub.recovery.standing(req.ContentDigest()) == recovery.Suspect,
 		completion: engine.Completion{
-			Attempt: label, Model: req.Model, Version: r.owner.Version(), Adapter: req.Adapter,
+			Attempt: attemptID, Model: req.Model, Version: r.owner.Version(), Adapter: req.Adapter,
 			Prompt: req.Prompt, PromptIDs: req.PromptIDs, Generated: slices.Clone(j.Tokens),
 			MaxTokens: req.MaxTokens, Priority: priority, Stream: true,
 			DetachMS: r.hub.cfg.DetachKeep.Milliseconds(),
