--- a/internal/plan/registry.go
+++ b/internal/plan/registry.go
@@ -69,7 +69,7 @@
 		reply.fail(result.Newf(result.MalformedBody, "command: %v", err))
 		return encode(reply)
 	}
-	return encode(r.Do(nowMS, c))
+	return encode(r.Execute(nowMS, c))
 }
 
 func encode(v any) []byte {
@@ -88,11 +88,11 @@
 	r.Code, r.Message = coded.Code, coded.Message
 }
 
-// Do executes a command once per Idempotency-Key. An operator whose reply was lost
+// Execute applies a command once per Idempotency-Key. An operator whose reply was lost
 // sends the command again, perhaps to another VM after a change of leader. The
 // operator must get the first reply rather than a conflict with the operator's own
 // change.
-func (r *Registry) Do(nowMS int64, c Command) Reply {
+func (r *Registry) Execute(nowMS int64, c Command) Reply {
 	digest, err := c.digest()
 	if err != nil {
 		reply := Reply{ListsVersion: r.version}
@@ -133,7 +133,7 @@
 		reply.fail(err)
 		return reply
 	}
-	diff, changed := r.execute(c, r.version+1)
+	diff, changed := r.changeRow(c, r.version+1)
 	if !changed {
 		return reply
 	}
@@ -198,7 +198,7 @@
 
 // execute changes the row and returns the differences. If the new row equals the
 // current one, it reports false and the row keeps its version.
-func (r *Registry) execute(c Command, version uint64) ([]string, bool) {
+func (r *Registry) changeRow(c Command, version uint64) ([]string, bool) {
 	switch c.Action {
 	case SetCustomer:
 		before, ok := r.customers[c.Name]
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -53,7 +53,7 @@
 		"owner killed": {func(s *system, c *caller) {
 			s.kill(s.owner("k"))
 			c.finishOn(s.other())
-		}, []int{full}}, // settled by the hub that is closed; a crashed process settles nothing, which counts as in full
+		}, []int{full}}, // settled when the hub is closed; a crashed process settles nothing, and the ledger then counts the full amount
 		"owner paused and deposed": {func(s *system, c *caller) {
 			paused := s.owner("k")
 			s.net.Pause(paused)
@@ -67,7 +67,7 @@
 			}
 			c.finishOn(s.other(owner))
 		}, []int{full}},
-		"caller gone, and back in time for the journal": {func(s *system, _ *caller) {
+		"caller gone while the keepers still hold the journal": {func(s *system, _ *caller) {
 			s.engines[0].Slow(100)
 			s.engines[1].Slow(100)
 			time.Sleep(callerKeep + 2*time.Second)
