--- a/internal/recovery/content_test.go
+++ b/internal/recovery/content_test.go
@@ -15,14 +15,14 @@
 	ended := 0
 	for at := time.Duration(0); at < 10*time.Minute; at += 500 * time.Millisecond {
 		now := start.Add(at)
-		if _, held := c.Quarantined(7, now); held {
+		if _, quarantined := c.Quarantined(7, now); quarantined {
 			continue
 		}
 		ended++
 		c.ServerDied(7, fmt.Sprint("server", ended), now)
 	}
 	if ended != 4 || !c.MustAbort(7) {
-		t.Errorf("%d servers ended, want 4, and runs in flight aborted", ended)
+		t.Errorf("got %d servers ended, want 4 and an abort of the runs in flight", ended)
 	}
 }
 
@@ -33,21 +33,21 @@
 	c := NewSuspectContents()
 	now := time.Unix(1000, 0)
 	c.ServerDied(7, "a", now)
-	if _, held := c.Quarantined(7, now); held {
-		t.Error("quarantined after one death")
+	if _, quarantined := c.Quarantined(7, now); quarantined {
+		t.Error("got a quarantine after one death, want none")
 	}
 	c.ServerDied(7, "a", now)
-	if _, held := c.Quarantined(7, now); held {
-		t.Error("quarantined after two reports of the same death")
+	if _, quarantined := c.Quarantined(7, now); quarantined {
+		t.Error("got a quarantine after two reports of the same death, want none")
 	}
 	c.ServerDied(7, "b", now)
-	until, held := c.Quarantined(7, now.Add(time.Second))
-	if !held || until.Sub(now) != 3*time.Second || c.MustAbort(7) {
-		t.Errorf("quarantined %t for %v, want a quarantine of 3s without abort", held, until.Sub(now))
+	until, quarantined := c.Quarantined(7, now.Add(time.Second))
+	if !quarantined || until.Sub(now) != 3*time.Second || c.MustAbort(7) {
+		t.Errorf("got quarantined %t for %v, want a quarantine of 3s without abort", quarantined, until.Sub(now))
 	}
 	c.Succeeded(7)
-	if _, held := c.Quarantined(7, now.Add(time.Second)); held {
-		t.Error("quarantined although it succeeded")
+	if _, quarantined := c.Quarantined(7, now.Add(time.Second)); quarantined {
+		t.Error("got a quarantine after a success, want none")
 	}
 }
 
--- a/internal/recovery/detector.go
+++ b/internal/recovery/detector.go
@@ -190,8 +190,8 @@
 	return min(d.policy.Ceiling, max(d.policy.Floor, usual))
 }
 
-// firstBound returns the bound of a stream without a first token. A stream on an engine
-// that is alive is queued, so it gets at least minQueuedWait.
+// firstBound returns the bound of a stream without a first token. On an engine that is
+// alive the stream is queued, so its bound is at least minQueuedWait.
 func (w *engineStats) firstBound(base time.Duration, alive bool) time.Duration {
 	usual := time.Duration(queuedFactor * w.firstToken * float64(time.Second))
 	if alive {
--- a/internal/recovery/poison.go
+++ b/internal/recovery/poison.go
@@ -170,6 +170,8 @@
 	}
 }
 
+// expire makes room when the record is full. It drops the expired suspects or, if there
+// are none, the one with the oldest last death.
 func (p *PoisonSuspicion) expire(now time.Time) {
 	if len(p.byDigest) < maxSuspects {
 		return
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -220,28 +220,28 @@
 // harmless ones pass that point on other engines and are cleared. The bad one takes down a
 // second engine and is then refused until the suspicion expires, also under new ids.
 func TestPoisonIsRefusedAfterTwoEngines(t *testing.T) {
-	b := NewPoisonSuspicion()
+	p := NewPoisonSuspicion()
 	const bad = 7
-	b.recordDeaths("e1", start, 1, 2, 3, 4, 5, 6, bad)
+	p.recordDeaths("e1", start, 1, 2, 3, 4, 5, 6, bad)
 	for d := uint64(1); d <= bad; d++ {
-		if got := b.Standing(d, start); got != Suspect {
+		if got := p.Standing(d, start); got != Suspect {
 			t.Fatalf("request %d after one death: got standing %v, want Suspect", d, got)
 		}
 	}
 	later := start.Add(10 * time.Second)
 	for d := uint64(1); d < bad; d++ {
-		if !b.NoteProgress(d, clearingTokens) || b.Standing(d, later) != Innocent {
+		if !p.NoteProgress(d, clearingTokens) || p.Standing(d, later) != Innocent {
 			t.Errorf("request %d ran past the point of the death and was not cleared", d)
 		}
 	}
-	b.recordDeaths("e2", later, bad)
-	if got := b.Standing(bad, later); got != Poison {
+	p.recordDeaths("e2", later, bad)
+	if got := p.Standing(bad, later); got != Poison {
 		t.Fatalf("after two engines: got standing %v, want Poison", got)
 	}
-	if b.NoteProgress(bad, 1000) {
+	if p.NoteProgress(bad, 1000) {
 		t.Error("a late event cleared a poison request")
 	}
-	if got := b.Standing(bad, later.Add(suspicionTTL+time.Second)); got != Innocent {
+	if got := p.Standing(bad, later.Add(suspicionTTL+time.Second)); got != Innocent {
 		t.Errorf("after suspicionTTL: got standing %v, want Innocent", got)
 	}
 }
@@ -249,9 +249,9 @@
 // Guards against the refusal of a long answer under which two engines die in a row. It ran
 // for minutes on the second engine, so it cannot be what killed both.
 func TestSecondDeathAfterProgressIsNotPoison(t *testing.T) {
-	b := NewPoisonSuspicion()
-	b.EngineDied(Death{Digest: 1, Engine: "e1", At: start}, 500)
-	if got := b.EngineDied(Death{Digest: 1, Engine: "e2", At: start.Add(time.Minute)}, 300); got != Suspect {
+	p := NewPoisonSuspicion()
+	p.EngineDied(Death{Digest: 1, Engine: "e1", At: start}, 500)
+	if got := p.EngineDied(Death{Digest: 1, Engine: "e2", At: start.Add(time.Minute)}, 300); got != Suspect {
 		t.Errorf("got standing %v, want Suspect", got)
 	}
 }
@@ -259,13 +259,13 @@
 // Guards against refusals after the loss of a zone: eight engines die within two seconds,
 // and some streams had just been moved from one of them to another.
 func TestCommonCauseIsNotPoison(t *testing.T) {
-	b := NewPoisonSuspicion()
+	p := NewPoisonSuspicion()
 	for n := range 8 {
 		at := start.Add(time.Duration(n) * 200 * time.Millisecond)
-		b.recordDeaths([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[n], at, uint64(n), uint64(n+1))
+		p.recordDeaths([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[n], at, uint64(n), uint64(n+1))
 	}
 	for d := range uint64(9) {
-		if got := b.Standing(d, start.Add(2*time.Second)); got == Poison {
+		if got := p.Standing(d, start.Add(2*time.Second)); got == Poison {
 			t.Errorf("got Poison for request %d after the loss of a zone, want Innocent or Suspect", d)
 		}
 	}
@@ -274,23 +274,23 @@
 // Guards against a poison request that passes for a common cause: the same content is sent
 // under several ids at once and takes down one engine each. It ran on all of them.
 func TestPoisonUnderSeveralIDsIsFound(t *testing.T) {
-	b := NewPoisonSuspicion()
+	p := NewPoisonSuspicion()
 	for n := range 4 {
-		b.recordDeaths([]string{"a", "b", "c", "d"}[n], start.Add(time.Duration(n)*100*time.Millisecond), 7, uint64(100+n))
+		p.recordDeaths([]string{"a", "b", "c", "d"}[n], start.Add(time.Duration(n)*100*time.Millisecond), 7, uint64(100+n))
 	}
-	if got := b.Standing(7, start.Add(time.Second)); got != Poison {
+	if got := p.Standing(7, start.Add(time.Second)); got != Poison {
 		t.Errorf("got standing %v for the common request, want Poison", got)
 	}
-	if got := b.Standing(101, start.Add(time.Second)); got != Innocent {
+	if got := p.Standing(101, start.Add(time.Second)); got != Innocent {
 		t.Errorf("got standing %v for a request beside it, want Innocent", got)
 	}
 }
 
 func TestPoisonSuspicionIsBounded(t *testing.T) {
-	b := NewPoisonSuspicion()
+	p := NewPoisonSuspicion()
 	for n := range maxSuspects + 20 {
-		b.add(Death{Digest: uint64(n), Engine: "e", At: start.Add(time.Duration(n) * time.Millisecond)}, 0)
-		if len(b.byDigest) > maxSuspects {
+		p.add(Death{Digest: uint64(n), Engine: "e", At: start.Add(time.Duration(n) * time.Millisecond)}, 0)
+		if len(p.byDigest) > maxSuspects {
 			t.Fatal("more than maxSuspects requests are recorded")
 		}
 	}
