--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -64,7 +64,7 @@
 	br          *bufio.Reader
 	key         string
 	reused      bool
-	idleUntil   time.Time  // end of reuse
+	idleUntil   time.Time  // after it the connection is not reused
 	bodyWritten chan error // result of a body write that runs beside the response; nil: none
 }
 
--- a/internal/upstream/fleet.go
+++ b/internal/upstream/fleet.go
@@ -250,7 +250,8 @@
 	return servers, out
 }
 
-// usable needs f.mu.
+// usable returns the servers of a service that are on the version that v selects and not
+// in skip. In a trial these are only the first servers by id. It needs f.mu.
 func (f *Fleet) usable(service string, v rollout.Versions, skip map[string]bool) []*Server {
 	version := f.inUse.version(service, v)
 	var out []*Server
@@ -270,6 +271,8 @@
 	return out
 }
 
+// useOf returns the use of a server by this VM and the others, with at least as many
+// requests as the server reported within reportedLoadTTL. It needs f.mu.
 func (f *Fleet) useOf(s *Server, now time.Time) placement.Usage {
 	use := s.use.Add(f.peerUse[s.ID])
 	if now.Sub(s.reportedAt) < reportedLoadTTL {
@@ -294,6 +297,8 @@
 	return sum / float64(n)
 }
 
+// slowness returns the factor by which a latency exceeds the usual one; 1: it does not by
+// slowRatio or more, or the usual latency is not known.
 func slowness(latency, usual float64) float64 {
 	if usual == 0 || latency < slowRatio*usual {
 		return 1
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -13,14 +13,15 @@
 	f.backOff(s)
 }
 
-// backOff needs f.mu.
+// backOff makes a server avoided for a time that doubles with each fault in a row. It
+// needs f.mu.
 func (f *Fleet) backOff(s *Server) {
 	d := min(minAvoid<<min(s.faultsInRow, 8), maxAvoid)
 	s.faultsInRow++
 	f.avoidFor(s, d)
 }
 
-// avoidFor needs f.mu.
+// avoidFor makes a server avoided for at least d. It needs f.mu.
 func (f *Fleet) avoidFor(s *Server, d time.Duration) {
 	if until := f.now().Add(d); until.After(s.avoidUntil) {
 		s.avoidUntil = until
@@ -90,7 +91,7 @@
 	return n
 }
 
-// signalSuspicion needs f.mu.
+// signalSuspicion closes the channel that Suspected returned. It needs f.mu.
 func (f *Fleet) signalSuspicion(s *Server) {
 	close(s.suspicion)
 	s.suspicion = make(chan struct{})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -92,11 +92,12 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// maxResponseBytes bounds the response to a request of this system's own.
+// maxResponseBytes bounds the response to a request that Do sends.
 const maxResponseBytes = 4 << 20
 
-// Do sends a request of this system's own on a new connection and reads the complete
-// response. An idle connection may have failed silently while the server is alive.
+// Do sends a request that this system itself makes, such as a probe, and reads the
+// complete response. It opens a new connection, since an idle one may have failed silently
+// while the server is alive.
 func (p *Pool) Do(ctx context.Context, key, addr string, r *Request) (*http.Response, []byte, error) {
 	c, err := p.Get(ctx, key, addr, true)
 	if err != nil {
