--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -152,7 +152,7 @@
 	requests map[string]int
 	sent     int
 	rows     map[rowKey]*Counts
-	open     map[uint64]pendingRequest
+	pending  map[uint64]pendingRequest
 }
 
 // pendingRequest is a request that was sent to a server and has no answer yet.
@@ -166,7 +166,7 @@
 type Ticket struct {
 	service string
 	number  uint64
-	run     uint64
+	id      uint64
 }
 
 // Recorder records a router's observations of the roll-outs under way. It is safe for
@@ -176,7 +176,7 @@
 
 	mu       sync.Mutex
 	services map[string]*observedRollout
-	runs     uint64
+	lastID   uint64
 }
 
 // NewRecorder returns an empty Recorder.
@@ -193,7 +193,7 @@
 	for service, number := range underWay {
 		if r.services[service] == nil {
 			r.services[service] = &observedRollout{
-				number: number, requests: map[string]int{}, rows: map[rowKey]*Counts{}, open: map[uint64]pendingRequest{},
+				number: number, requests: map[string]int{}, rows: map[rowKey]*Counts{}, pending: map[uint64]pendingRequest{},
 			}
 		}
 	}
@@ -244,9 +244,9 @@
 	if w == nil {
 		return Ticket{}
 	}
-	r.runs++
-	w.open[r.runs] = pendingRequest{keyOf(Cell{Route: route}, c, server), r.now()}
-	return Ticket{service, c.Number, r.runs}
+	r.lastID++
+	w.pending[r.lastID] = pendingRequest{keyOf(Cell{Route: route}, c, server), r.now()}
+	return Ticket{service, c.Number, r.lastID}
 }
 
 func keyOf(cell Cell, c Choice, server string) rowKey {
@@ -272,7 +272,7 @@
 func (r *Recorder) Drop(t Ticket) { r.close(t, func(*observedRollout, pendingRequest) {}) }
 
 func (r *Recorder) close(t Ticket, note func(*observedRollout, pendingRequest)) {
-	if t.run == 0 {
+	if t.id == 0 {
 		return
 	}
 	r.mu.Lock()
@@ -281,8 +281,8 @@
 	if w == nil {
 		return
 	}
-	if run, ok := w.open[t.run]; ok {
-		delete(w.open, t.run)
+	if run, ok := w.pending[t.id]; ok {
+		delete(w.pending, t.id)
 		note(w, run)
 	}
 }
@@ -327,7 +327,7 @@
 	for k, c := range w.rows {
 		out[k] = Counts{Answers: c.Answers, Failures: c.Failures, Times: maps.Clone(c.Times)}
 	}
-	for _, run := range w.open {
+	for _, run := range w.pending {
 		c := out[run.key]
 		if c.Waiting == nil {
 			c.Waiting = map[uint8]int{}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -154,8 +154,8 @@
 
 // TrialServers returns how many servers take the requests of a trial. Each of them gets as
 // much load as a server of the former version.
-func TrialServers(part float64, others int) int {
-	return max(minTrialServers, int(math.Ceil(part*float64(others))))
+func TrialServers(share float64, others int) int {
+	return max(minTrialServers, int(math.Ceil(share*float64(others))))
 }
 
 // Choice is the destination of one request.
@@ -204,15 +204,15 @@
 	if r.From != "" {
 		return Versions{Only: r.From}
 	}
-	orElse := ""
+	fallback := ""
 	if !r.Phase.Over() {
-		orElse = r.To
+		fallback = r.To
 	}
 	except := slices.Clone(r.Barred)
 	if !slices.Contains(except, r.To) {
 		except = append(except, r.To)
 	}
-	return Versions{Except: except, Fallback: orElse}
+	return Versions{Except: except, Fallback: fallback}
 }
 
 // Former returns the restriction for a request that must not run on the new version, for
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -12,7 +12,7 @@
 
 var simRuns = flag.Int("rollout.runs", 5, "simulated roll-outs of each kind of version")
 
-var simReasons = flag.Bool("rollout.reasons", false, "print why")
+var simReasons = flag.Bool("rollout.reasons", false, "print the reasons of wrong outcomes")
 
 // simRoute is a route with its requests.
 type simRoute struct {
@@ -59,11 +59,11 @@
 
 func simVersions() []simVersion {
 	out := []simVersion{{name: "good", route: -1}}
-	for _, part := range []float64{0.05, 0.2, 0.5, 1} {
-		out = append(out, simVersion{name: fmt.Sprintf("fails %.0f%%", 100*part), failShare: part, route: -1, hardToDetect: part < 0.2})
+	for _, share := range []float64{0.05, 0.2, 0.5, 1} {
+		out = append(out, simVersion{name: fmt.Sprintf("fails %.0f%%", 100*share), failShare: share, route: -1, hardToDetect: share < 0.2})
 	}
-	for _, times := range []float64{2, 4, 8} {
-		out = append(out, simVersion{name: fmt.Sprintf("slow x%.0f", times), slowShare: 0.6, slowFactor: times, route: -1, hardToDetect: times < 4})
+	for _, factor := range []float64{2, 4, 8} {
+		out = append(out, simVersion{name: fmt.Sprintf("slow x%.0f", factor), slowShare: 0.6, slowFactor: factor, route: -1, hardToDetect: factor < 4})
 	}
 	return append(out,
 		simVersion{name: "fails 40% late", failShare: 0.4, badFromShare: 0.4, route: -1},
@@ -93,10 +93,10 @@
 
 const (
 	simTick         = 20 * time.Millisecond
-	simReport       = 400 * time.Millisecond // until a report reaches the control VM
-	simUrgent       = 150 * time.Millisecond // the same while nearly all requests go to the new version
-	simApply        = 150 * time.Millisecond // until routers apply a step
-	simStart        = 1200 * time.Millisecond
+	simReport       = 400 * time.Millisecond  // until a report reaches the control VM
+	simUrgent       = 150 * time.Millisecond  // the same while nearly all requests go to the new version
+	simApply        = 150 * time.Millisecond  // until routers apply a step
+	simStart        = 1200 * time.Millisecond // until the servers of the new version are listed
 	rollbackAfter   = 5 * time.Second
 	badAnswersBound = 50
 	simSeed         = 7
@@ -170,7 +170,7 @@
 		}
 		s.deliver(t)
 		if !s.record.Phase.Over() && t%(200*time.Millisecond) == 0 {
-			s.look(j, t)
+			s.evaluate(j, t)
 		}
 	}
 	s.out.phase, s.out.reason = s.record.Phase, s.record.Reason
@@ -179,7 +179,7 @@
 	return s.out
 }
 
-func (s *sim) look(j decider, t time.Duration) {
+func (s *sim) evaluate(j decider, t time.Duration) {
 	sums := s.withWaiting(t)
 	v := View{Elapsed: t, Step: t - s.stepAt, InForce: s.applyAt < 0, FormerServers: s.kind.servers}
 	if t >= simStart {
@@ -274,19 +274,19 @@
 	if !hit || !late || !loaded {
 		return 1
 	}
-	times := 1.0
+	factor := 1.0
 	failed := s.rng.Float64() < v.failShare
 	slow := s.rng.Float64() < v.slowShare
 	a.failed = a.failed || failed
 	if slow {
-		times = v.slowFactor
+		factor = v.slowFactor
 	}
 	if failed || slow {
 		if s.bad++; s.bad == badAnswersBound {
 			s.badAt = t
 		}
 	}
-	return times
+	return factor
 }
 
 // deliver brings answers to the control VM.
@@ -374,14 +374,14 @@
 }
 
 // simResult counts the outcomes of many roll-outs.
-type simResult struct{ runs, completed, reverted, exceeded, intime int }
+type simResult struct{ runs, completed, reverted, exceeded, inTime int }
 
 // String returns a line of the table in docs/design/rollouts.md.
 func (r simResult) String() string {
-	return fmt.Sprintf("completed in time %d, reverted %d, got too much %d of %d", r.intime, r.reverted, r.exceeded, r.runs)
+	return fmt.Sprintf("completed in time %d, reverted %d, got too much %d of %d", r.inTime, r.reverted, r.exceeded, r.runs)
 }
 
-func play(k simKind, v simVersion, disturbances bool, runs int, make func() decider) simResult {
+func simulate(k simKind, v simVersion, disturbances bool, runs int, make func() decider) simResult {
 	var out simResult
 	for i := range runs {
 		rng := rand.New(rand.NewPCG(simSeed, uint64(i)))
@@ -392,7 +392,7 @@
 		case Completed:
 			out.completed++
 			if o.at <= d {
-				out.intime++
+				out.inTime++
 			}
 		case Reverted:
 			out.reverted++
@@ -418,14 +418,14 @@
 	for _, disturbances := range []bool{false, true} {
 		for _, v := range simVersions() {
 			for _, k := range simKinds {
-				t.Run(fmt.Sprintf("%s/%s/troubles %v", v.name, k.name, disturbances), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s/disturbances %v", v.name, k.name, disturbances), func(t *testing.T) {
 					t.Parallel()
-					judge := play(k, v, disturbances, runs, func() decider { return NewJudge(DefaultLimits, 1) })
-					steps := play(k, v, disturbances, runs, func() decider { return &fixedSteps{} })
+					judge := simulate(k, v, disturbances, runs, func() decider { return NewJudge(DefaultLimits, 1) })
+					steps := simulate(k, v, disturbances, runs, func() decider { return &fixedSteps{} })
 					t.Logf("judge %v; fixed steps %v", judge, steps)
 					switch {
-					case v.good() && k.name == "calls" && judge.intime < judge.runs*8/10:
-						t.Errorf("got a good version completed in time in %d of %d runs, want at least 80%%", judge.intime, judge.runs)
+					case v.good() && k.name == "calls" && judge.inTime < judge.runs*8/10:
+						t.Errorf("got a good version completed in time in %d of %d runs, want at least 80%%", judge.inTime, judge.runs)
 					case !v.good() && !v.hardToDetect && judge.completed+judge.exceeded > 0:
 						t.Errorf("got a bad version completed %d times and over its limit %d times, want 0 of both", judge.completed, judge.exceeded)
 					}
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -13,13 +13,13 @@
 var toV2 = Order{Service: "desk", To: "v2", Duration: 12 * time.Second}
 
 // apply executes a command as the log does.
-func apply(t interface{ Fatal(...any) }, p *StateMachine, atMS int64, c Command) Reply {
+func apply(t interface{ Fatal(...any) }, m *StateMachine, atMS int64, c Command) Reply {
 	data, err := codec.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out Reply
-	if err := codec.Unmarshal(p.Apply(atMS, data), &out); err != nil {
+	if err := codec.Unmarshal(m.Apply(atMS, data), &out); err != nil {
 		t.Fatal(err)
 	}
 	return out
@@ -53,14 +53,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := NewStateMachine()
+			m := NewStateMachine()
 			for _, c := range tt.before {
-				if r := apply(t, p, 0, c); r.Outcome != Accepted {
+				if r := apply(t, m, 0, c); r.Outcome != Accepted {
 					t.Fatalf("preceding command: got %+v, want outcome Accepted", r)
 				}
 			}
-			if r := apply(t, p, tt.atMS, Command{Order: &tt.order}); r.Outcome != tt.want || r.Record.Phase != tt.phase {
-				t.Errorf("outcome %d, record %+v", r.Outcome, r.Record)
+			if r := apply(t, m, tt.atMS, Command{Order: &tt.order}); r.Outcome != tt.want || r.Record.Phase != tt.phase {
+				t.Errorf("got outcome %d, record %+v, want the outcome and the phase of the test case", r.Outcome, r.Record)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 		next   Phase
 		want   Outcome
 	}{
-		{"on", nil, 1, Switching, Accepted},
+		{"next phase", nil, 1, Switching, Accepted},
 		{"new shares", nil, 1, Trial, Accepted},
 		{"past the switch", nil, 1, Completed, Outdated},
 		{"back", []Phase{Switching}, 1, Trial, Outdated},
@@ -87,13 +87,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := NewStateMachine()
-			apply(t, p, 0, Command{Order: &toV2})
+			m := NewStateMachine()
+			apply(t, m, 0, Command{Order: &toV2})
 			for _, phase := range tt.before {
-				apply(t, p, 0, stepTo(1, phase))
+				apply(t, m, 0, stepTo(1, phase))
 			}
-			if r := apply(t, p, 0, stepTo(tt.number, tt.next)); r.Outcome != tt.want {
-				t.Errorf("outcome %d, record %+v", r.Outcome, r.Record)
+			if r := apply(t, m, 0, stepTo(tt.number, tt.next)); r.Outcome != tt.want {
+				t.Errorf("got outcome %d, record %+v, want the outcome of the test case", r.Outcome, r.Record)
 			}
 		})
 	}
@@ -104,33 +104,33 @@
 // the others, a roll-out never goes back to an earlier phase, and an outcome stays.
 func TestAnyLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, now := NewStateMachine(), int64(0)
+		m, now := NewStateMachine(), int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
 			now += rapid.Int64Range(0, 20_000).Draw(t, "later")
 			c := drawCommand(t)
-			before, known := p.Record("desk")
-			version := p.Version()
+			before, known := m.Record("desk")
+			version := m.Version()
 			restored := NewStateMachine()
-			data, err := p.Snapshot()
+			data, err := m.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
 			if err := restored.Restore(data); err != nil {
 				t.Fatal(err)
 			}
-			r := apply(t, p, now, c)
+			r := apply(t, m, now, c)
 			if again := apply(t, restored, now, c); !reflect.DeepEqual(again, r) {
 				t.Fatalf("got reply %+v, and %+v after a restore, want them equal", r, again)
 			}
-			after, _ := p.Record("desk")
+			after, _ := m.Record("desk")
 			changed := !reflect.DeepEqual(before, after)
 			switch {
-			case (p.Version() > version) != changed || p.Version() < version:
-				t.Fatalf("got version %d after %d with changed %v, want it to grow exactly with a change", p.Version(), version, changed)
+			case (m.Version() > version) != changed || m.Version() < version:
+				t.Fatalf("got version %d after %d with changed %v, want it to grow exactly with a change", m.Version(), version, changed)
 			case known && before.Number == after.Number && before.Phase.Over() && changed:
-				t.Fatalf("record %+v with an outcome became %+v", before, after)
+				t.Fatalf("record %+v with an outcome became %+v, want it unchanged", before, after)
 			case known && before.Number == after.Number && after.Phase < before.Phase:
-				t.Fatalf("the phase went from %v back to %v", before.Phase, after.Phase)
+				t.Fatalf("the phase went from %v back to %v, want no earlier phase", before.Phase, after.Phase)
 			}
 		}
 	})
@@ -152,9 +152,9 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, cmd []byte) {
-		p := NewStateMachine()
+		m := NewStateMachine()
 		var r Reply
-		if err := codec.Unmarshal(p.Apply(1, cmd), &r); err != nil || r.Outcome == 0 {
+		if err := codec.Unmarshal(m.Apply(1, cmd), &r); err != nil || r.Outcome == 0 {
 			t.Errorf("got reply %+v and error %v, want a reply with an outcome", r, err)
 		}
 	})
