--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -13,8 +13,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Line is one log line of a VM. Fields holds all fields but those of time, level, VM and
-// message.
+// Line is one log line of a VM. Fields holds all fields except the time, the level, the VM
+// and the message.
 type Line struct {
 	At      time.Time
 	VM      string
@@ -146,7 +146,7 @@
 			code := result.Lookup(result.Code(l.number("code")))
 			return fmt.Sprintf("refused with %d %s (%s) after %d arrivals at servers%s", code.Code, code.Name, code.Message, l.number("sends"), s.lossBefore(i))
 		case "stream broken off":
-			return fmt.Sprintf("broken off behind event %d (%s)%s", l.number("last_event"), l.text("reason"), s.lossBefore(i))
+			return fmt.Sprintf("broken off after event %d (%s)%s", l.number("last_event"), l.text("reason"), s.lossBefore(i))
 		case "stream went on", "stream began", "call sent":
 			return "served" + s.lossBefore(i+1)
 		}
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -10,8 +10,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-// Summary counts all routed requests in collected logs by outcome: those that completed
-// in time, and the others by the reason for their failure or delay.
+// Summary counts all routed requests in collected logs by outcome. Requests that did not
+// complete in time are counted by the reason for their failure or delay.
 type Summary struct {
 	Streams, Calls []Row
 	// RecomputedTokens is the number of prompt tokens that were prefilled again after a
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -24,8 +24,8 @@
 	// accepts is held. A caller that is refused early can still be served in time
 	// elsewhere.
 	maxHoldShare = 0.125
-	// minRetryAfter and maxRetryAfter bound the wait that a refused caller is told. A
-	// server's queue moves within some tens of ms; a lost server is replaced in seconds.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal. A server's
+	// queue moves within some tens of ms; a lost server is replaced in seconds.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 	// maxSends bounds the sends of one request, however they end.
--- a/internal/forward/call_test.go
+++ b/internal/forward/call_test.go
@@ -103,7 +103,7 @@
 			t.Errorf("got status %d, Retry-After %q, want 503 with a Retry-After", a.status, a.header.Get("Retry-After"))
 		}
 		if f.totalRuns("r1") != 0 || time.Since(began) > 40*time.Millisecond {
-			t.Errorf("%d runs, refused after %v, want no run and a refusal within 40 ms", f.totalRuns("r1"), time.Since(began))
+			t.Errorf("got %d runs and a refusal after %v, want no run and a refusal within 40 ms", f.totalRuns("r1"), time.Since(began))
 		}
 	})
 }
--- a/internal/forward/decisions_test.go
+++ b/internal/forward/decisions_test.go
@@ -12,14 +12,14 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/result"
 )
 
-func TestRecord(t *testing.T) {
+func TestSendHistory(t *testing.T) {
 	tests := []struct {
 		name       string
 		repeatable bool
 		attempts   int
 		sends      []sendOutcome
 		maySend    bool
-		repeat     bool
+		isRetry    bool
 		refusal    result.Code // of a refusal for lack of servers
 	}{
 		{"fresh", false, 1, nil, true, false, result.BackendsFull},
@@ -38,7 +38,7 @@
 			for _, s := range tt.sends {
 				h.Add(s)
 			}
-			if h.MaySend() != tt.maySend || h.IsRetry() != tt.repeat || h.FinalCode(result.BackendsFull) != tt.refusal {
+			if h.MaySend() != tt.maySend || h.IsRetry() != tt.isRetry || h.FinalCode(result.BackendsFull) != tt.refusal {
 				t.Errorf("got may send %t, retry %t, final code %d; want the values of the table", h.MaySend(), h.IsRetry(), h.FinalCode(result.BackendsFull))
 			}
 		})
@@ -240,7 +240,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := SilenceLimitsFor(pause, tt.begun).decide(tt.s); got != tt.want {
-				t.Errorf("action %d, want %d", got, tt.want)
+				t.Errorf("got action %d, want %d", got, tt.want)
 			}
 		})
 	}
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -57,8 +57,8 @@
 	started bool
 }
 
-// accept decides about an event. pass: it is forwarded; otherwise it is dropped, since
-// the caller has it. ok is false if an event before it is missing.
+// accept decides about an event. If pass is false, the event is dropped, since the caller
+// has it. ok is false if an event before it is missing.
 func (s *sequence) accept(e event) (pass, ok bool) {
 	switch {
 	case !e.hasID, !s.started:
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -23,7 +23,7 @@
 	noFault     fault = iota
 	faultDial         // no connection
 	faultBroken       // the connection broke, or carried no valid answer
-	faultSlow         // the wait was ended; there may be time for another server
+	faultSlow         // no answer within the maximum wait; there may be time for another server
 )
 
 // String implements fmt.Stringer.
--- a/internal/forward/explain_test.go
+++ b/internal/forward/explain_test.go
@@ -49,7 +49,7 @@
 		servers func() []*routedengine.Server
 		failure func(f *fixture, request string)
 		want    []string // in the cause
-		around  string   // in a line about a server
+		nearby  string   // in a line about a server
 	}{
 		{
 			"a stream that broke",
@@ -60,7 +60,7 @@
 				f.servers[0].Set(routedengine.Unresponsive)
 				<-a.done
 			},
-			[]string{"broken off behind event", "its run on i0 was lost: engine does not answer"},
+			[]string{"broken off after event", "its run on i0 was lost: engine does not answer"},
 			"server judged dead",
 		},
 		{
@@ -106,12 +106,12 @@
 						t.Errorf("got cause %q, want it to contain %q", s.Cause, want)
 					}
 				}
-				found := tt.around == ""
+				found := tt.nearby == ""
 				for _, l := range s.Nearby {
-					found = found || l.Message == tt.around
+					found = found || l.Message == tt.nearby
 				}
 				if !found {
-					t.Errorf("got no line %q among %v, want one", tt.around, s.Nearby)
+					t.Errorf("got no line %q among %v, want one", tt.nearby, s.Nearby)
 				}
 			})
 		})
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -35,7 +35,7 @@
 	orphans          map[uint64]forward.Copy // copies that another router has reported, by identity
 	placer           forward.Placer          // nil: the router chooses engines itself
 	state            atomic.Pointer[rollout.State]
-	book             *rollout.Recorder
+	recorder         *rollout.Recorder
 	closing          bool          // the router is shutting down
 	shutdownTimeLeft time.Duration // until the router stops; 0: it is not shutting down
 }
@@ -94,7 +94,7 @@
 	f.fleet.Apply(upstream.List{Backends: f.net.Backends(), AsOf: time.Now()})
 	f.table.Store(testRoutes())
 	f.state.Store(&rollout.State{})
-	f.book = rollout.NewRecorder(time.Now)
+	f.recorder = rollout.NewRecorder(time.Now)
 	ready := make(chan struct{})
 	close(ready)
 	f.newHandler(ready)
@@ -108,7 +108,7 @@
 		Routes: f.table.Load, ListsReady: ready, RetryAllowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
 		Log: f.log, RoutineLog: f.log, Metrics: metrics.NewSet(), SuspectContents: forward.NewSuspectContents(), Closing: func() bool { return f.closing },
 		CannotFinish: f.cannotFinish, FindOrphan: f.findOrphan, Placer: f.placer,
-		Rollouts: &forward.Rollouts{State: f.state.Load, Book: f.book},
+		Rollouts: &forward.Rollouts{State: f.state.Load, Book: f.recorder},
 	})
 }
 
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -30,14 +30,14 @@
 // startupMaxWaitShare bounds the same wait to a part of the caller's deadline.
 const startupMaxWaitShare = 0.2
 
-// noRouteListRetryAfter is when a VM without a route list expects to have one. It polls
-// for the list every few hundred milliseconds.
+// noRouteListRetryAfter is the Retry-After of a VM without a route list. It polls for the
+// list every few hundred milliseconds.
 const noRouteListRetryAfter = 300 * time.Millisecond
 
 // Bounds of the requests in flight and of writes.
 const (
-	// maxHeldRequests are what arrives within some seconds at the highest rate that a
-	// small VM can carry.
+	// maxHeldRequests is the number of requests that arrive within some seconds at the
+	// highest rate that a small VM can carry.
 	maxHeldRequests = 4096
 	// maxHeldBytes bounds the bodies in memory to a quarter of a VM of 128 MB.
 	maxHeldBytes = 32 << 20
@@ -49,7 +49,8 @@
 	finalWriteTimeout = 100 * time.Millisecond
 )
 
-// otherRouterRetryAfter is when a caller that this VM cannot take may try another one.
+// otherRouterRetryAfter is the Retry-After for a caller that this VM cannot serve. Another
+// VM may serve it at once.
 const otherRouterRetryAfter = 50 * time.Millisecond
 
 // Options are the dependencies and settings of a Handler.
@@ -64,7 +65,7 @@
 	ListsReady     <-chan struct{}
 	RetryAllowance RetryAllowance
 	Log            zerolog.Logger
-	// RoutineLog receives the lines about what succeeded. It may drop lines under load.
+	// RoutineLog receives the lines about successful work. It may drop lines under load.
 	RoutineLog zerolog.Logger
 	// Metrics is the set in which the counters are registered.
 	Metrics         *metrics.Set
@@ -263,11 +264,11 @@
 		return
 	default:
 	}
-	hold := startupMaxWait
+	maxWait := startupMaxWait
 	if c, err := h.opts.Wire.ReadCaller(r.Header); err == nil && c.Deadline > 0 {
-		hold = min(hold, time.Duration(startupMaxWaitShare*float64(c.Deadline)))
+		maxWait = min(maxWait, time.Duration(startupMaxWaitShare*float64(c.Deadline)))
 	}
-	t := time.NewTimer(hold)
+	t := time.NewTimer(maxWait)
 	defer t.Stop()
 	select {
 	case <-h.opts.ListsReady:
@@ -334,12 +335,14 @@
 	}
 	q.outbound = upstream.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: endToEnd(r.Header), Body: body}
 	q.digest = digest(rawPath(r), q.workspace, body)
-	if until, held := h.opts.SuspectContents.Quarantined(q.digest); held {
+	if until, quarantined := h.opts.SuspectContents.Quarantined(q.digest); quarantined {
 		return result.New(result.ContentHeldBack).WithRetryAfter(time.Until(until))
 	}
 	return nil
 }
 
+// authorize sets the workspace that owns the caller's key. Without a valid key only public
+// routes are allowed, and all are if the route list defines no keys.
 func (q *request) authorize(table *routes.Table) error {
 	if !table.List.Keyed {
 		return nil
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -20,8 +20,8 @@
 	// reached; this VM then chooses by its own view. abandon is called from time to time.
 	// Once it reports that further waiting is of no use, the outcome is Waiting.
 	Place(ctx context.Context, st scheduler.Stream, abandon func() bool) (scheduler.Answer, bool)
-	// Took tells the scheduler that a grant is settled: it is counted in this VM's use
-	// now, or was not needed.
+	// Took reports to the scheduler that a grant is settled. Either this VM's use includes
+	// it, or it was not needed.
 	Took(number uint64)
 	// Refresh updates the list of backend servers.
 	Refresh(ctx context.Context)
@@ -43,11 +43,12 @@
 // engineChoice is the engine of a stream's next run, or the reason why there is none.
 type engineChoice struct {
 	server *upstream.Server
-	from   *Copy
+	from   *Copy // the copy to resume from; nil: none
 	// grant is valid if granted is set; otherwise this VM chose the engine.
 	grant   scheduler.Answer
 	granted bool
-	// reason is set if there is no engine. final: another request is of no use.
+	// reason is set if there is no engine. final is set if another request for one is of
+	// no use.
 	reason   result.Code
 	final    bool
 	tryAgain bool // another engine must be requested at once
@@ -214,10 +215,10 @@
 	t.paces[service] = p
 }
 
-func (t *paceTracker) setAllVMs(told map[string]scheduler.EngineTiming) {
+func (t *paceTracker) setAllVMs(paces map[string]scheduler.EngineTiming) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.allVMs = told
+	t.allVMs = paces
 }
 
 // pace returns what all VMs observed, or what this VM did if nothing was reported yet.
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -127,7 +127,8 @@
 		Dur("list_age", time.Since(h.opts.Fleet.AsOf())).Msg("stream placed")
 }
 
-// readAnswer runs beside relay, which must not block on the engine alone.
+// readAnswer reads the head and the events of the engine's answer into r.results. It runs
+// in its own goroutine, because relay also waits for timers and signals.
 func (r *run) readAnswer(h *Handler) {
 	defer close(r.results)
 	resp, a, err := h.readHead(r.st.q, r.conn)
@@ -164,7 +165,7 @@
 	}
 }
 
-// step waits for the next occurrence that concerns the run and handles it. It reports
+// step waits for the next result, timer or signal of the run and handles it. It reports
 // whether the run has ended.
 func (r *run) step(backupCheck <-chan time.Time) (runEnd, bool) {
 	select {
@@ -294,7 +295,7 @@
 	pass, ok := st.seq.accept(e)
 	if !ok {
 		st.h.opts.Log.Warn().Str("request", st.q.RequestID).Str("engine", r.server.ID).Uint64("event", e.id).
-			Uint64("expected", st.seq.last+1).Msg("events missing")
+			Uint64("expected", st.seq.last+1).Msg("events are missing from the stream; ending the run on this engine")
 		return endBroken, true
 	}
 	if !pass {
--- a/internal/forward/send_history.go
+++ b/internal/forward/send_history.go
@@ -18,11 +18,11 @@
 }
 
 // SendHistory records the sends of one request. It alone decides whether the
-// request may be sent again, and what its caller is told about whether it ran.
+// request may be sent again, and whether its refusal states that it did not run.
 //
 // Without it a broken connection looks the same whether or not the request had
-// left this VM. A vote could then be cast twice, or be refused as "not run"
-// although it was counted.
+// left this VM. A request that must run once could then run twice, or be refused
+// as "not run" although it ran.
 type SendHistory struct {
 	repeatable   bool
 	maxAttempts  int
@@ -58,7 +58,7 @@
 // may already have received the request.
 func (h *SendHistory) IsRetry() bool { return h.arrivals > 0 }
 
-// Ran returns what a caller may be told about whether its request ran.
+// Ran returns what a refusal may state about whether the request ran.
 func (h *SendHistory) Ran() result.Ran {
 	if h.possibleRuns > 0 {
 		return result.RanUnknown
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -53,8 +53,8 @@
 	recentlyHeard = 120 * time.Millisecond
 )
 
-// SilenceLimitsFor derives the limits from a route's pause objective. begun: the caller
-// was sent a part of the answer.
+// SilenceLimitsFor derives the limits from a route's pause objective. begun is set if the
+// caller was sent a part of the answer.
 func SilenceLimitsFor(pause time.Duration, begun bool) SilenceLimits {
 	if pause <= 0 {
 		pause = defaultPauseObjective
--- a/internal/forward/prepare_test.go
+++ b/internal/forward/startup_test.go
@@ -9,9 +9,9 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/forward"
 )
 
-// newWithoutLists returns a router that has just started and has no route list. prepare
-// gives it one.
-func newWithoutLists(t *testing.T) (f *fixture, prepare func()) {
+// newWithoutLists returns a router that has just started and has no route list.
+// provideLists gives it one.
+func newWithoutLists(t *testing.T) (f *fixture, provideLists func()) {
 	f = newFixture(t, voteServer("a"))
 	table := f.table.Load()
 	f.table.Store(nil)
@@ -27,11 +27,11 @@
 // its only retry before the route list arrives; it must be held and served.
 func TestRequestWaitsForListsAtStartup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, prepare := newWithoutLists(t)
+		f, provideLists := newWithoutLists(t)
 		defer f.shutDown()
 		a := f.send("POST", "/vote/1", "r1", "yes", forward.HeaderDeadline, "3000")
 		time.Sleep(300 * time.Millisecond)
-		prepare()
+		provideLists()
 		<-a.done
 		if a.status != http.StatusOK {
 			t.Errorf("got status %d, want 200", a.status)
@@ -40,7 +40,7 @@
 }
 
 // Guards against a long hold while the lists are missing. After a fifth of its deadline, or
-// 0.6 s, a caller must be told that nothing ran and when to retry.
+// 0.6 s, a caller must be refused as not run, with a Retry-After.
 func TestStartupWaitIsBounded(t *testing.T) {
 	for deadline, most := range map[string]time.Duration{"600": 120 * time.Millisecond, "25000": 600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/forward/versions.go
+++ b/internal/forward/versions.go
@@ -11,8 +11,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// Rollouts gives a Handler the state of the roll-outs, and the Book in which it records
-// its observations of them.
+// Rollouts gives a Handler the state of the roll-outs, and the Recorder of its
+// observations of them.
 type Rollouts struct {
 	State func() *rollout.State
 	Book  *rollout.Recorder
@@ -56,22 +56,22 @@
 
 // trackAnswer begins to track a server's answer to a request that is about to be sent.
 func (h *Handler) trackAnswer(q *request, s *upstream.Server) rollout.Ticket {
-	book := h.opts.Rollouts.Book
-	book.Sent(q.service.Name, q.versionChoice)
-	return book.Begin(q.service.Name, q.route.Name, q.versionChoice, s.ID)
+	recorder := h.opts.Rollouts.Book
+	recorder.Sent(q.service.Name, q.versionChoice)
+	return recorder.Begin(q.service.Name, q.route.Name, q.versionChoice, s.ID)
 }
 
 // noteAnswer records the result of a call for the roll-out. A server that was too slow
 // counts with the time that it was given.
 func (h *Handler) noteAnswer(t rollout.Ticket, q *request, s *upstream.Server, r *reply) {
-	book := h.opts.Rollouts.Book
+	recorder := h.opts.Rollouts.Book
 	switch {
 	case r.outcome == sendAnswered:
-		book.End(t, isFailure(r.resp), h.opts.Fleet.Cold(s))
+		recorder.End(t, isFailure(r.resp), h.opts.Fleet.Cold(s))
 	case r.fault == faultSlow, errors.Is(q.ctx.Err(), context.DeadlineExceeded):
-		book.End(t, false, h.opts.Fleet.Cold(s))
+		recorder.End(t, false, h.opts.Fleet.Cold(s))
 	default:
-		book.Drop(t)
+		recorder.Drop(t)
 	}
 }
 
@@ -81,9 +81,9 @@
 // trackFirstEvent begins to track the run's first event. A run that resumes after an
 // event, or from a copy, has less to prefill and is not tracked.
 func (r *run) trackFirstEvent() {
-	q, book := r.st.q, r.st.h.opts.Rollouts.Book
+	q, recorder := r.st.q, r.st.h.opts.Rollouts.Book
 	if !r.fromStart || r.from != nil {
-		book.Sent(q.service.Name, q.versionChoice)
+		recorder.Sent(q.service.Name, q.versionChoice)
 		return
 	}
 	r.ticket = r.st.h.trackAnswer(q, r.server)
--- a/internal/forward/versions_test.go
+++ b/internal/forward/versions_test.go
@@ -29,7 +29,7 @@
 		Order: rollout.Order{Service: service, To: "v2", Duration: time.Minute}, Number: uint64(len(service)), Phase: phase, DefaultShare: share,
 	}
 	f.state.Store(&next)
-	f.book.Watch(next.UnderWay())
+	f.recorder.Watch(next.UnderWay())
 }
 
 // runsOnVersion counts the runs on the servers of a version.
@@ -163,7 +163,7 @@
 		f.setRollout("votes", rollout.Trial, 0.5)
 		f.sendCalls("/tally/1", 60)
 		l := rollout.NewLedger()
-		l.Note(1, f.book.Reports(), time.Now())
+		l.Note(1, f.recorder.Reports(), time.Now())
 		e := l.Sum("votes", uint64(len("votes")), time.Now())
 		cell := rollout.Cell{Route: "tally"}
 		answered := 0
@@ -189,7 +189,7 @@
 		a := f.send("POST", "/s/1", "r1", "log")
 		time.Sleep(4 * time.Second)
 		l := rollout.NewLedger()
-		l.Note(1, f.book.Reports(), time.Now())
+		l.Note(1, f.recorder.Reports(), time.Now())
 		e := l.Sum("models", uint64(len("models")), time.Now())
 		if c := e.Target[rollout.Cell{Route: "summary", Measure: rollout.Pace}]["i1"]; c.Answers != 1 {
 			t.Errorf("got observations %+v after four seconds, want one pace of i1", e.Target)
