--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("%q: got %v, want a *settings.Error", text, err)
 		}
 		if err == nil && (s.Self.ID == "" || len(s.Self.Roles) == 0) {
-			t.Errorf("%q: accepted without id or roles", text)
+			t.Errorf("%q: got settings without id or roles, want both or an error", text)
 		}
 	})
 }
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -38,7 +38,7 @@
 	TargetVoters int64    // control: number of voters that the control group maintains
 	Grace        time.Duration
 	Endpoint     string // router: ip:port of the listener for callers
-	Operators    string
+	Operators    string // ip:port of the listener for operators
 	Tokens       struct{ Operator, Peer string }
 	Platform     string // base URL of the platform's list of backend servers
 	Backends     []RoutedBackend
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -65,15 +65,15 @@
 	Zone             string
 	Models           []string // engines
 	Service          string   // plain services: the service it belongs to
-	Fences           bool     // rejects requests with an outdated fencing token
+	Fences           bool     // rejects requests with an outdated fencing number
 	IdempotencyRules []string // plain services: "POST /path idempotent" or "PUT /path once"
 }
 
 // Settings is the validated configuration of one VM.
 type Settings struct {
 	Self          VM
-	Operators     string
-	DataDir       string
+	Operators     string // ip:port of the listener for operators
+	DataDir       string // folder of the stored data; required with the control role
 	OperatorToken string
 	PeerToken     string
 	PlatformURL   string
@@ -81,9 +81,9 @@
 	Backends      []Backend
 	Objective     Objective
 	FreshnessTTL  time.Duration
-	CallerKeep    time.Duration
+	CallerKeep    time.Duration // how long a run continues without a reader
 	DrainTimeout  time.Duration
-	EntryTTL      time.Duration
+	EntryTTL      time.Duration // how long callers may keep an answer with the addresses of routers
 	MaxBodyBytes  int64
 	LogLevel      string
 	LogFormat     string
@@ -130,8 +130,8 @@
 	}, nil
 }
 
-// Load reads the file over the default and validates the result. It returns all invalid
-// settings joined, each an *Error.
+// Load reads and validates a file. Settings that it omits have the values of Default. Load
+// returns all errors joined, each an *Error.
 func Load(path string) (*Settings, error) {
 	s, err := Default()
 	if err != nil {
