--- a/internal/routedlocal/badinput_test.go
+++ b/internal/routedlocal/badinput_test.go
@@ -14,9 +14,9 @@
 
 // sendRaw sends text on a new connection and returns the status of the answer, or 0 if
 // the connection was closed without an answer.
-func sendRaw(t *testing.T, front, text string) int {
+func sendRaw(t *testing.T, addr, text string) int {
 	t.Helper()
-	c, err := net.Dial("tcp", front)
+	c, err := net.Dial("tcp", addr)
 	check(t, err)
 	defer c.Close()
 	check(t, c.SetDeadline(time.Now().Add(testTimeout)))
@@ -36,7 +36,7 @@
 	s, ctx := start(t)
 	check(t, s.PutStreamRoute(ctx, 1, "/a/"))
 	check(t, s.Ready(ctx))
-	front := s.CallerAddresses[0]
+	addr := s.CallerAddresses[0]
 	head := "POST /a/1 HTTP/1.1\r\nHost: " + Host + "\r\n" + forward.HeaderRequestID + ": bad\r\n"
 	tests := []struct {
 		name, text string
@@ -55,7 +55,7 @@
 	}
 	done := make(chan StreamResult, 1)
 	go func() {
-		got, err := Stream(ctx, front, "/a/1", "good", 0, nil)
+		got, err := Stream(ctx, addr, "/a/1", "good", 0, nil)
 		if err != nil {
 			t.Error(err)
 		}
@@ -63,7 +63,7 @@
 	}()
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := sendRaw(t, front, tt.text); got != tt.status {
+			if got := sendRaw(t, addr, tt.text); got != tt.status {
 				t.Errorf("got status %d, want %d", got, tt.status)
 			}
 		})
--- a/internal/routedlocal/calls.go
+++ b/internal/routedlocal/calls.go
@@ -53,8 +53,8 @@
 }
 
 // Call sends one call and returns its status.
-func Call(ctx context.Context, front, path, id string) (status int, err error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+front+path, http.NoBody)
+func Call(ctx context.Context, addr, path, id string) (status int, err error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, http.NoBody)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/routedlocal/operators_test.go
+++ b/internal/routedlocal/operators_test.go
@@ -23,8 +23,8 @@
 	testOperators(t, ctx, s, s.Controls[0])
 }
 
-// Runs the same checks against a control process without a disk, which stores nothing
-// itself.
+// Guards against the same failures at a control process without a disk, which stores
+// nothing itself.
 func TestOperatorsAtAnObserver(t *testing.T) {
 	s, ctx := start(t)
 	o, err := s.StartObserver()
--- a/internal/routedlocal/system.go
+++ b/internal/routedlocal/system.go
@@ -151,16 +151,16 @@
 	})
 }
 
-func (s *System) startRouter(id, front string, seeds []string) error {
+func (s *System) startRouter(id, callerAddr string, seeds []string) error {
 	r, err := routed.StartRouter(routed.RouterOptions{
-		Common: common(id, seeds), Endpoint: front, Wire: forward.NewPlainWire(),
+		Common: common(id, seeds), Endpoint: callerAddr, Wire: forward.NewPlainWire(),
 		RetryAllowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
 		Drain:          routed.DrainTimes{Grace: 4 * time.Second, EntryTTL: 300 * time.Millisecond},
 	})
 	if err != nil {
 		return err
 	}
-	s.Routers, s.CallerAddresses = append(s.Routers, r), append(s.CallerAddresses, front)
+	s.Routers, s.CallerAddresses = append(s.Routers, r), append(s.CallerAddresses, callerAddr)
 	return nil
 }
 
@@ -284,8 +284,8 @@
 
 // Stream requests a stream from a router and reads it to its end. If after is above 0,
 // the stream starts after that event. seen, if not nil, is called with each event's id.
-func Stream(ctx context.Context, front, path, id string, after int, seen func(n int)) (StreamResult, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+front+path, strings.NewReader("log "+path))
+func Stream(ctx context.Context, addr, path, id string, after int, seen func(n int)) (StreamResult, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, strings.NewReader("log "+path))
 	if err != nil {
 		return StreamResult{}, err
 	}
--- a/internal/routedlocal/system_test.go
+++ b/internal/routedlocal/system_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Guards the whole path over real connections. A caller's stream survives the loss of
+// Covers the complete path over real connections. A caller's stream survives the loss of
 // its engine's zone. After the loss of the control group's leader, the next route list
 // comes into force on every router. A stream whose router dies resumes at another router
 // after the last event.
@@ -52,9 +52,9 @@
 	}
 	check(t, s.StopLeader())
 	check(t, s.PutStreamRoute(ctx, 2, "/b/"))
-	for _, front := range s.CallerAddresses {
+	for _, addr := range s.CallerAddresses {
 		for {
-			got, err := Stream(ctx, front, "/b/1", "r2"+front, 0, nil)
+			got, err := Stream(ctx, addr, "/b/1", "r2"+addr, 0, nil)
 			if err == nil && got.Complete {
 				break
 			}
@@ -62,7 +62,7 @@
 				t.Fatal("route list 2 is not in force before the deadline")
 			}
 		}
-		if _, err := Stream(ctx, front, "/a/1", "r3", 0, nil); err == nil {
+		if _, err := Stream(ctx, addr, "/a/1", "r3", 0, nil); err == nil {
 			t.Error("removed route is still served, want an error")
 		}
 	}
