--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -259,12 +259,12 @@
 // End records the server's answer, or its first event. The duration is not compared if the
 // server is cold, that is, has just started.
 func (r *Recorder) End(t Ticket, failed, cold bool) {
-	r.close(t, func(w *observedRollout, run pendingRequest) {
-		took := r.now().Sub(run.began)
+	r.close(t, func(w *observedRollout, request pendingRequest) {
+		took := r.now().Sub(request.began)
 		if cold {
 			took = 0
 		}
-		w.row(run.key).note(failed, took)
+		w.row(request.key).note(failed, took)
 	})
 }
 
@@ -281,9 +281,9 @@
 	if w == nil {
 		return
 	}
-	if run, ok := w.pending[t.id]; ok {
+	if request, ok := w.pending[t.id]; ok {
 		delete(w.pending, t.id)
-		note(w, run)
+		note(w, request)
 	}
 }
 
@@ -327,13 +327,13 @@
 	for k, c := range w.rows {
 		out[k] = Counts{Answers: c.Answers, Failures: c.Failures, Times: maps.Clone(c.Times)}
 	}
-	for _, run := range w.pending {
-		c := out[run.key]
+	for _, request := range w.pending {
+		c := out[request.key]
 		if c.Waiting == nil {
 			c.Waiting = map[uint8]int{}
 		}
-		c.Waiting[bucketOf(now.Sub(run.began))]++
-		out[run.key] = c
+		c.Waiting[bucketOf(now.Sub(request.began))]++
+		out[request.key] = c
 	}
 	return out
 }
