--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -108,7 +108,7 @@
 		Routes: f.table.Load, ListsReady: ready, RetryAllowance: forward.RetryAllowance{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
 		Log: f.log, RoutineLog: f.log, Metrics: metrics.NewSet(), SuspectContents: forward.NewSuspectContents(), Closing: func() bool { return f.closing },
 		CannotFinish: f.cannotFinish, FindOrphan: f.findOrphan, Placer: f.placer,
-		Rollouts: &forward.Rollouts{State: f.state.Load, Book: f.recorder},
+		Rollouts: &forward.Rollouts{State: f.state.Load, Recorder: f.recorder},
 	})
 }
 
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -282,7 +282,7 @@
 		return endBroken, true
 	}
 	r.reply.body, r.outcome = body, sendAnswered
-	r.st.h.opts.Rollouts.Book.End(r.ticket, isFailure(r.reply.resp), false)
+	r.st.h.opts.Rollouts.Recorder.End(r.ticket, isFailure(r.reply.resp), false)
 	r.st.h.opts.Fleet.Failed(r.server)
 	return endPlainAnswer, true
 }
@@ -329,7 +329,7 @@
 	}
 	fleet := r.st.h.opts.Fleet
 	r.firstEventAt = time.Now()
-	r.st.h.opts.Rollouts.Book.End(r.ticket, false, fleet.Cold(r.server))
+	r.st.h.opts.Rollouts.Recorder.End(r.ticket, false, fleet.Cold(r.server))
 	if r.granted && r.fromStart {
 		r.st.h.paces.notePrompt(r.st.q.service.Name, r.use.PendingPrompt, r.firstEventAt.Sub(r.sentAt))
 	}
@@ -383,7 +383,7 @@
 // closes, which keeps it from working beside the next run.
 func (r *run) close(end runEnd) {
 	fleet := r.st.h.opts.Fleet
-	r.st.h.opts.Rollouts.Book.Drop(r.ticket)
+	r.st.h.opts.Rollouts.Recorder.Drop(r.ticket)
 	fleet.Release(r.server, r.use)
 	if r.backup.current.engine != nil {
 		fleet.Release(r.backup.current.engine, r.backupUse)
--- a/internal/forward/versions.go
+++ b/internal/forward/versions.go
@@ -14,21 +14,21 @@
 // Rollouts gives a Handler the state of the roll-outs, and the Recorder of its
 // observations of them.
 type Rollouts struct {
-	State func() *rollout.State
-	Book  *rollout.Recorder
+	State    func() *rollout.State
+	Recorder *rollout.Recorder
 }
 
 // NewRollouts returns a Rollouts without any roll-out.
 func NewRollouts() *Rollouts {
 	none := &rollout.State{}
-	return &Rollouts{State: func() *rollout.State { return none }, Book: rollout.NewRecorder(time.Now)}
+	return &Rollouts{State: func() *rollout.State { return none }, Recorder: rollout.NewRecorder(time.Now)}
 }
 
 // chooseVersion chooses the version that a new request goes to.
 func (h *Handler) chooseVersion(q *request) {
 	r := h.opts.Rollouts
 	q.versionChoice = r.State().Choose(q.service.Name, q.route.Name, rand.Float64())
-	r.Book.Request(q.service.Name, q.route.Name, q.versionChoice)
+	r.Recorder.Request(q.service.Name, q.route.Name, q.versionChoice)
 }
 
 // recheckVersion chooses the version again if the roll-out has advanced since, or if the
@@ -56,7 +56,7 @@
 
 // trackAnswer begins to track a server's answer to a request that is about to be sent.
 func (h *Handler) trackAnswer(q *request, s *upstream.Server) rollout.Ticket {
-	recorder := h.opts.Rollouts.Book
+	recorder := h.opts.Rollouts.Recorder
 	recorder.Sent(q.service.Name, q.versionChoice)
 	return recorder.Begin(q.service.Name, q.route.Name, q.versionChoice, s.ID)
 }
@@ -64,7 +64,7 @@
 // noteAnswer records the result of a call for the roll-out. A server that was too slow
 // counts with the time that it was given.
 func (h *Handler) noteAnswer(t rollout.Ticket, q *request, s *upstream.Server, r *reply) {
-	recorder := h.opts.Rollouts.Book
+	recorder := h.opts.Rollouts.Recorder
 	switch {
 	case r.outcome == sendAnswered:
 		recorder.End(t, isFailure(r.resp), h.opts.Fleet.Cold(s))
@@ -81,7 +81,7 @@
 // trackFirstEvent begins to track the run's first event. A run that resumes after an
 // event, or from a copy, has less to prefill and is not tracked.
 func (r *run) trackFirstEvent() {
-	q, recorder := r.st.q, r.st.h.opts.Rollouts.Book
+	q, recorder := r.st.q, r.st.h.opts.Rollouts.Recorder
 	if !r.fromStart || r.from != nil {
 		recorder.Sent(q.service.Name, q.versionChoice)
 		return
@@ -96,5 +96,5 @@
 	if !r.fromStart || r.from != nil || fleet.Cold(r.server) {
 		return
 	}
-	r.st.h.opts.Rollouts.Book.Pace(q.service.Name, q.route.Name, q.versionChoice, r.server.ID, time.Since(r.firstEventAt)/time.Duration(r.forwarded-1))
+	r.st.h.opts.Rollouts.Recorder.Pace(q.service.Name, q.route.Name, q.versionChoice, r.server.ID, time.Since(r.firstEventAt)/time.Duration(r.forwarded-1))
 }
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -67,7 +67,7 @@
 		Zone: o.Zone, Wire: o.Wire, Pool: pool, Fleet: r.fleet, Routes: r.table.Load, ListsReady: r.listsReady,
 		RetryAllowance: o.RetryAllowance, Log: o.Log, RoutineLog: o.RoutineLog, Metrics: o.Metrics, SuspectContents: r.suspectContents, Closing: r.drain.started,
 		Placer: r.member, FindOrphan: r.member.FindOrphan, ReportRetries: r.member.NotifyRetry, CannotFinish: r.drain.cannotFinish,
-		Rollouts: &forward.Rollouts{State: r.rollouts.Load, Book: r.recorder},
+		Rollouts: &forward.Rollouts{State: r.rollouts.Load, Recorder: r.recorder},
 	})
 	if err := r.serve(); err != nil {
 		r.cancel()
