--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -170,9 +170,9 @@
 }
 
 // Guards against late retries that use up the budget. The allowance suffices for three
-// quarters of the lost streams, and a quarter of these has no copy. Granted in the order
-// of losses, a quarter of all streams is broken off. If late retries have to yield, few
-// of the streams that can still be served in time are.
+// quarters of the lost streams, and a quarter of these has no copy. If retries were granted
+// in the order of losses, a quarter of all streams would be broken off. By urgency, few of
+// the streams that can still be served in time are broken off.
 func TestBudgetPrefersInTimeRetries(t *testing.T) {
 	inTime := func(ignoreUrgency bool) float64 {
 		sim := newBudgetSim(67, true)
--- a/internal/forward/explain_test.go
+++ b/internal/forward/explain_test.go
@@ -49,7 +49,7 @@
 		servers func() []*routedengine.Server
 		failure func(f *fixture, request string)
 		want    []string // in the cause
-		nearby  string   // in a line about a server
+		nearby  string   // message of a line about a server; empty: none is expected
 	}{
 		{
 			"a stream that broke",
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -92,7 +92,7 @@
 		f.setPlacer(d)
 		f.send(http.MethodPost, "/s/x", "q1", "unit 12").requireCompleteStream(t, 100)
 		if len(f.servers[1].Runs()) != 1 || len(f.servers[0].Runs()) != 0 {
-			t.Error("the stream did not run on the granted engine only")
+			t.Error("the stream did not run on the granted engine only, want one run there and none elsewhere")
 		}
 	})
 }
@@ -124,7 +124,7 @@
 					t.Errorf("got status %d, Retry-After %q after %v, want 503 and the Retry-After of the table within 10 ms", a.status, a.header.Get("Retry-After"), time.Since(began))
 				}
 				if n := f.totalRuns("q1"); n != 0 {
-					t.Errorf("refused as not run, but ran %d times", n)
+					t.Errorf("refused as not run, but ran %d times, want none", n)
 				}
 			})
 		})
