--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -122,7 +122,7 @@
 
 // A request that cannot start in time must be refused at entry with a retry time, and
 // callers that are refused together must get different times.
-func TestEarlyRefusalTellsWhenToComeBack(t *testing.T) {
+func TestEarlyRefusalHasRetryAfter(t *testing.T) {
 	q := newQueue(2) // 800 cost units a second
 	for range 20 {
 		enter(t, q, item("a", Short, 300), start)
--- a/internal/call/state_machine_test.go
+++ b/internal/call/state_machine_test.go
@@ -88,7 +88,7 @@
 // A UUIDv7 key that has expired from the used keys must still be refused: its own
 // time is too old by then. A key from a clock far ahead must be refused at once,
 // because its time would still be accepted after the key has expired.
-func TestStampedKeyStaysRefusedForEver(t *testing.T) {
+func TestExpiredUUIDv7KeyStaysRefused(t *testing.T) {
 	l := call.DefaultLimits()
 	g := newGroup(t, l)
 	stamped := func(ms int64) string {
@@ -106,7 +106,7 @@
 
 // The wall clock of a new leader is two days ahead. This must not expire the used
 // keys at once: a resend must be refused or answered and must not run.
-func TestLeapOfTheGroupsClockForgetsNothing(t *testing.T) {
+func TestClockJumpExpiresNoKey(t *testing.T) {
 	g := newGroup(t, call.DefaultLimits())
 	g.claim("coop", "k", "vm1")
 	g.now += (48 * time.Hour).Milliseconds()
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -34,8 +34,8 @@
 	Spent    func() map[string]forward.RetryUsage
 	// Opinion returns this VM's view of the backend servers, and Paces the pace that it
 	// observed for each service.
-	Opinion func() upstream.Report
-	Paces   func() map[string]scheduler.EngineTiming
+	BackendReport func() upstream.Report
+	EngineTimings func() map[string]scheduler.EngineTiming
 	// Learn takes the reports of the other VMs, and LearnSpent what all of them spent of
 	// the retry budgets, by service.
 	Learn      func(PeerReports)
--- a/internal/cluster/place.go
+++ b/internal/cluster/place.go
@@ -109,12 +109,12 @@
 	}
 	seq, lastGrant := m.placing.nextReport()
 	t := UseReport{Incarnation: m.incarnation, Seq: seq, LastGrant: lastGrant, Use: m.local.Use()}
-	if m.local.Opinion != nil {
-		o := m.local.Opinion()
+	if m.local.BackendReport != nil {
+		o := m.local.BackendReport()
 		t.Avoid, t.Suspected, t.Alive = o.Avoid, o.Suspected, o.Alive
 	}
-	if m.local.Paces != nil {
-		t.Paces = m.local.Paces()
+	if m.local.EngineTimings != nil {
+		t.EngineTimings = m.local.EngineTimings()
 	}
 	return t
 }
--- a/internal/cluster/scheduler_service.go
+++ b/internal/cluster/scheduler_service.go
@@ -25,11 +25,11 @@
 	Seq         uint64                     `cbor:"2,keyasint"` // grows with each report
 	Use         map[string]placement.Usage `cbor:"3,keyasint,omitempty"`
 	// LastGrant is the number of the last grant that Use includes.
-	LastGrant uint64                            `cbor:"4,keyasint,omitempty"`
-	Avoid     []string                          `cbor:"5,keyasint,omitempty"` // servers that the router itself found unusable
-	Paces     map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"` // by service
-	Suspected []string                          `cbor:"7,keyasint,omitempty"` // servers suspected with their zone or by peer reports
-	Alive     []string                          `cbor:"8,keyasint,omitempty"` // servers that have just answered the router
+	LastGrant     uint64                            `cbor:"4,keyasint,omitempty"`
+	Avoid         []string                          `cbor:"5,keyasint,omitempty"` // servers that the router itself found unusable
+	EngineTimings map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"` // by service
+	Suspected     []string                          `cbor:"7,keyasint,omitempty"` // servers suspected with their zone or by peer reports
+	Alive         []string                          `cbor:"8,keyasint,omitempty"` // servers that have just answered the router
 	// SuspectedUnchanged reports that Suspected is omitted and the same as in the last
 	// report. After the loss of a zone it names all engines there, and a router reports
 	// its use with each stream.
@@ -117,7 +117,7 @@
 		t.Suspected = last.Suspected
 	}
 	c.lastReports[from] = UseReport{Incarnation: t.Incarnation, Seq: t.Seq, Suspected: t.Suspected}
-	c.scheduler.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.LastGrant, Avoid: t.Avoid, Suspected: t.Suspected, Alive: t.Alive, EngineTimings: t.Paces}, time.Now())
+	c.scheduler.ReceiveReport(from, scheduler.Report{Usage: t.Use, LastGrant: t.LastGrant, Avoid: t.Avoid, Suspected: t.Suspected, Alive: t.Alive, EngineTimings: t.EngineTimings}, time.Now())
 }
 
 // memoryAndPaces returns the services without memory for backup copies, and the known
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -52,7 +52,7 @@
 	LowMemory []string `cbor:"4,keyasint,omitempty"`
 	// Paces are those of the services' engines. A VM that has just started or has few
 	// streams has observed none itself.
-	Paces map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
+	EngineTimings map[string]scheduler.EngineTiming `cbor:"6,keyasint,omitempty"`
 	// RoutersDigest is the digest of the ids of all VMs that accept callers.
 	RoutersDigest uint64 `cbor:"5,keyasint,omitempty"`
 }
@@ -86,7 +86,7 @@
 		return s, nil
 	}
 	summary := Summary{}
-	summary.LowMemory, summary.Paces = h.scheduling.memoryAndPaces()
+	summary.LowMemory, summary.EngineTimings = h.scheduling.memoryAndPaces()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, err := h.buildSummary(&summary, time.Now())
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -75,19 +75,19 @@
 
 // A router that shuts down needs to know how long streams take, even if it has had none.
 // It must receive the paces that the other routers observed.
-func TestPacesReachAllRouters(t *testing.T) { synctest.Test(t, testPacesReachAllRouters) }
+func TestEngineTimingsReachAllRouters(t *testing.T) { synctest.Test(t, testPacesReachAllRouters) }
 
 func testPacesReachAllRouters(t *testing.T) {
 	f := newLoadedHub(t, 3, 4)
 	pace := scheduler.EngineTiming{PrefillPerToken: 125 * time.Microsecond, RunDuration: 5 * time.Second, EventsPerRun: 140}
-	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, Paces: map[string]scheduler.EngineTiming{"models": pace}})
+	f.hub.scheduling.receiveReport(f.routers[0], &UseReport{Incarnation: 1, Seq: 99, EngineTimings: map[string]scheduler.EngineTiming{"models": pace}})
 	f.hub.mu.Lock()
 	f.hub.summary = nil
 	f.hub.mu.Unlock()
 	var o peerState
 	a, _ := f.serve(t, 1, f.heartbeat(t, 1, false, 0))
 	k, err := o.learn(&a, nil, time.Now())
-	if err != nil || k.Paces["models"] != pace {
-		t.Errorf("got paces %+v, error %v", k.Paces, err)
+	if err != nil || k.EngineTimings["models"] != pace {
+		t.Errorf("got paces %+v, error %v", k.EngineTimings, err)
 	}
 }
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -410,7 +410,7 @@
 
 // BenchmarkPacket encodes and decodes a message to a follower with 16 entries of 256
 // bytes.
-func BenchmarkPacket(b *testing.B) {
+func BenchmarkMessageBatch(b *testing.B) {
 	m := Message{Kind: AppendRequest, From: "vm1/aaaaaaaaaa", To: "vm2/bbbbbbbbbb", Term: 9, Index: 1 << 20, LogTerm: 9, Commit: 1 << 20}
 	for i := range uint64(16) {
 		m.Entries = append(m.Entries, Entry{Index: m.Index + 1 + i, Term: 9, Kind: EntryCommand, Data: make([]byte, 256)})
--- a/internal/control/feed_test.go
+++ b/internal/control/feed_test.go
@@ -16,7 +16,7 @@
 // voters that the router prefers fail, and the other voters acknowledge a change. One of
 // the failed voters holds the router's poll, and the next two would hold it as well. The
 // router must not wait for them one after the other.
-func TestFollowerPassesLostVoters(t *testing.T) {
+func TestChangeIsInForceDespiteLostVoters(t *testing.T) {
 	voters := []string{"vm1", "vm2", "vm3", "vm4", "vm5", "vm6", "vm7"}
 	for _, test := range []struct {
 		name   string
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -149,7 +149,7 @@
 				began := time.Now()
 				switch how.loss {
 				case "handed over":
-					c.vms[leader].group.HandOver(t.Context())
+					c.vms[leader].group.TransferLeadership(t.Context())
 					c.vms[leader].kill(c.fabric)
 				case "dead":
 					c.vms[leader].kill(c.fabric)
@@ -171,7 +171,7 @@
 // One control VM, the leader or another, goes silent. The VMs that polled it must turn to
 // another voter before their lease ends. No VM that reaches the majority may have to refuse
 // requests because of it.
-func TestNoLeaseLapsesWithOneControlVM(t *testing.T) {
+func TestNoLeaseExpiresWhenOneControlVMIsSilent(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		for range 10 {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -92,7 +92,7 @@
 
 // HandOver transfers the leadership before a planned shutdown, which spares the other
 // members the election timeout.
-func (g *Group) HandOver(ctx context.Context) {
+func (g *Group) TransferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	g.node.TransferLeadership(ctx)
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -28,11 +28,11 @@
 
 // VM is one VM in the platform's list.
 type VM struct {
-	ID      string `json:"id"`
-	Zone    string `json:"zone"`
-	Peer    string `json:"peer"`    // ip:port
-	Callers string `json:"callers"` // ip:port
-	Leaving bool   `json:"leaving"`
+	ID       string `json:"id"`
+	Zone     string `json:"zone"`
+	Peer     string `json:"peer"`    // ip:port
+	Endpoint string `json:"callers"` // ip:port
+	Leaving  bool   `json:"leaving"`
 }
 
 // Backend is one backend server in the platform's list. For a server that the settings define,
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -76,7 +76,7 @@
 // not have to wait for an election timeout.
 func (n *Node) leaveControl(ctx context.Context) {
 	if n.group != nil {
-		n.group.HandOver(ctx)
+		n.group.TransferLeadership(ctx)
 	}
 }
 
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -50,7 +50,7 @@
 	complete("before")
 	leavingEngine, leavingVM := s.Engines[0], s.Nodes[2].Self()
 	p.Set(inventory.List{
-		VMs:      []inventory.VM{{ID: leavingVM.ID, Zone: leavingVM.Zone, Callers: leavingVM.Endpoint, Leaving: true}},
+		VMs:      []inventory.VM{{ID: leavingVM.ID, Zone: leavingVM.Zone, Endpoint: leavingVM.Endpoint, Leaving: true}},
 		Backends: []inventory.Backend{{Name: "engine1", Leaving: true}},
 	})
 	began := time.Now()
--- a/internal/node/settle_test.go
+++ b/internal/node/settle_test.go
@@ -16,7 +16,7 @@
 // are replaced, and a third may die five seconds later. By then every VM has learned of the
 // replacements and moved its journals, so all older lists must be settled, and new requests
 // need not wait for the third VM. One second after the replacements no older list may be.
-func TestOlderListsSettleAfterTheLease(t *testing.T) {
+func TestOlderListsAreMigratedAfterTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := membership.NewStateMachine()
 		m := newMembers("vm1", "a", nil, inventory.NewReader("", zerolog.Nop()), zerolog.Nop())
--- a/internal/operator/lists.go
+++ b/internal/operator/lists.go
@@ -23,7 +23,7 @@
 }
 
 // PlanAnswer is the answer with one row of the list of plans, and the usage of its workspace.
-type PlanAnswer struct {
+type PlanRow struct {
 	plan.CustomerRow
 	Use plan.Usage `json:"use"`
 }
@@ -109,7 +109,7 @@
 		return err
 	case len(answer.Customers) == 1:
 		w.Header().Set("ETag", etag(answer.Customers[0].Version))
-		return writeJSON(w, http.StatusOK, PlanAnswer{answer.Customers[0], answer.Usage})
+		return writeJSON(w, http.StatusOK, PlanRow{answer.Customers[0], answer.Usage})
 	case len(answer.Allowances) == 1:
 		w.Header().Set("ETag", etag(answer.Allowances[0].Version))
 		return writeJSON(w, http.StatusOK, answer.Allowances[0])
@@ -137,7 +137,7 @@
 
 // ChangeAnswer is the answer to a change of a row. InForce is true if the request waited until
 // the change was in force.
-type ChangeAnswer struct {
+type ChangeResult struct {
 	Name         string `json:"name"`
 	Version      uint64 `json:"version"` // of the row; 0: the row was removed
 	ListsVersion uint64 `json:"lists_version"`
@@ -198,7 +198,7 @@
 func (a *API) answerChange(w http.ResponseWriter, r *http.Request, c plan.Command, reply plan.Reply) error {
 	a.Log.Info().Str("who", c.Who).Str("what", c.Action.String()).Str("name", c.Name).
 		Uint64("version", reply.Version).Msg("row of a list changed")
-	out := ChangeAnswer{Name: c.Name, Version: reply.Version, ListsVersion: reply.ListsVersion}
+	out := ChangeResult{Name: c.Name, Version: reply.Version, ListsVersion: reply.ListsVersion}
 	if err := a.waitInForce(r, reply.ListsVersion); err != nil {
 		return result.From(err).WithRan(result.RanYes)
 	}
--- a/internal/placement/call_test.go
+++ b/internal/placement/call_test.go
@@ -10,7 +10,7 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/virtualtime"
 )
 
-func TestServer(t *testing.T) {
+func TestChooseServer(t *testing.T) {
 	const call = 60 * time.Millisecond
 	tests := []struct {
 		name string
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestEngine(t *testing.T) {
+func TestChooseEngine(t *testing.T) {
 	need := Need{Prompt: 8000, Output: 1000}
 	tests := []struct {
 		name string
--- a/internal/plan/ledger.go
+++ b/internal/plan/ledger.go
@@ -89,12 +89,12 @@
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return encode(SyncReply{Status: SyncRefused, Message: err.Error()})
 	}
-	return l.Do(nowMS, s)
+	return l.Execute(nowMS, s)
 }
 
 // Do applies a router's message and returns the encoded SyncReply. A repeated
 // message is not applied again and gets its first reply.
-func (l *Ledger) Do(nowMS int64, s Sync) []byte {
+func (l *Ledger) Execute(nowMS int64, s Sync) []byte {
 	l.sweep(nowMS)
 	inc, status := l.admit(nowMS, s)
 	if status != SyncOK {
--- a/internal/plan/registry.go
+++ b/internal/plan/registry.go
@@ -69,7 +69,7 @@
 		reply.fail(result.Newf(result.MalformedBody, "command: %v", err))
 		return encode(reply)
 	}
-	return encode(r.Do(nowMS, c))
+	return encode(r.Execute(nowMS, c))
 }
 
 func encode(v any) []byte {
@@ -92,7 +92,7 @@
 // sends the command again, perhaps to another VM after a change of leader. The
 // operator must get the first reply rather than a conflict with the operator's own
 // change.
-func (r *Registry) Do(nowMS int64, c Command) Reply {
+func (r *Registry) Execute(nowMS int64, c Command) Reply {
 	digest, err := c.digest()
 	if err != nil {
 		reply := Reply{ListsVersion: r.version}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -49,8 +49,8 @@
 	t.Helper()
 	a := allowance(1000, 4, time.Hour)
 	registry, machine := plan.NewRegistry(), control.NewReplicatedState()
-	registry.Do(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
-	registry.Do(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
+	registry.Execute(0, plan.Command{Action: plan.SetAllowance, Name: "p", Allowance: &a, Create: true})
+	registry.Execute(0, plan.Command{Action: plan.SetCustomer, Name: "hot", Customer: &plan.Customer{Workspace: "hot", Plan: "p"}, Create: true})
 	ledger := plan.NewLedger(registry, func(err error) { t.Error(err) })
 	machine.Register(control.LedgerStateMachine, ledger)
 	group := &lossyGroup{LocalClient: control.NewLocalClient(machine)}
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -98,7 +98,7 @@
 }
 
 func (w *simulation) execute(c plan.Command) {
-	if r := w.registry.Do(w.Now().UnixMilli(), c); r.Err() != nil {
+	if r := w.registry.Execute(w.Now().UnixMilli(), c); r.Err() != nil {
 		w.fail("%v", r.Err())
 	}
 }
--- a/internal/routed/control.go
+++ b/internal/routed/control.go
@@ -231,7 +231,7 @@
 // Shutdown transfers the leadership to another voter and stops the process.
 func (c *Control) Shutdown() {
 	if g := c.group(); g != nil {
-		g.HandOver(c.ctx)
+		g.TransferLeadership(c.ctx)
 	}
 	c.Close()
 }
--- a/internal/routed/router.go
+++ b/internal/routed/router.go
@@ -56,7 +56,7 @@
 	r.member = cluster.NewMember(o.ID, r.network, o.Seeds, r.backendList, cluster.Local{
 		Zone: o.Zone, Endpoint: o.Endpoint, Ready: r.Ready, Use: r.fleet.OwnUse, Deaths: r.suspectContents.TakeNewDeaths,
 		Dead: r.fleet.RecentlyDead, Runs: r.resumableRuns, Spent: r.retryUsage, Learn: r.applyPeerReports, LearnSpent: r.applyPeerRetryUsage,
-		Opinion: r.fleet.Report, Paces: r.paces, Rollouts: r.recorder.Reports, Urgent: func() bool { return r.rollouts.Load().Urgent() },
+		BackendReport: r.fleet.Report, EngineTimings: r.paces, Rollouts: r.recorder.Reports, Urgent: func() bool { return r.rollouts.Load().Urgent() },
 	}, o.Log)
 	r.feed = control.NewFeed(control.FeedOptions{
 		Self: o.ID, Voters: r.member.Controls, Transport: r.network, Lease: Lease, Log: o.Log,
@@ -167,7 +167,7 @@
 	r.suspectContents.AddPeerDeaths(k.Deaths)
 	r.handler.SetVMs(len(k.Routers))
 	r.handler.SetCopiesDisabled(k.LowMemory)
-	r.handler.SetPaces(k.Paces)
+	r.handler.SetPaces(k.EngineTimings)
 	r.fleet.SetRouters(r.o.ID, k.Routers)
 }
 
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -80,7 +80,7 @@
 // The properties of an engine are measured, not configured: engines four times as fast or
 // slow, or with a fifth or five times the memory, serve a load that fills them equally
 // well.
-func TestEnginesOfAnyPaceAndSize(t *testing.T) {
+func TestEnginesOfAnySpeedAndSize(t *testing.T) {
 	tests := []struct {
 		name     string
 		pace     float64
@@ -140,7 +140,7 @@
 	return out
 }
 
-func TestEngineReadsOnePromptAtATime(t *testing.T) {
+func TestEnginePrefillsOnePromptAtATime(t *testing.T) {
 	s, now := newTestScheduler(1), time.Unix(0, 0)
 	for _, id := range []string{"1", "2", "3", "4"} {
 		s.Enqueue(stream(id, now), now)
