--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -127,7 +127,8 @@
 		Dur("list_age", time.Since(h.opts.Fleet.AsOf())).Msg("stream placed")
 }
 
-// readAnswer runs beside relay, which must not block on the engine alone.
+// readAnswer reads the head and the events of the engine's answer into r.results. It runs
+// in its own goroutine, because relay also waits for timers and signals.
 func (r *run) readAnswer(h *Handler) {
 	defer close(r.results)
 	resp, a, err := h.readHead(r.st.q, r.conn)
@@ -164,7 +165,7 @@
 	}
 }
 
-// step waits for the next occurrence that concerns the run and handles it. It reports
+// step waits for the next result, timer or signal of the run and handles it. It reports
 // whether the run has ended.
 func (r *run) step(backupCheck <-chan time.Time) (runEnd, bool) {
 	select {
@@ -281,7 +282,7 @@
 		return endBroken, true
 	}
 	r.reply.body, r.outcome = body, sendAnswered
-	r.st.h.opts.Rollouts.Book.End(r.ticket, isFailure(r.reply.resp), false)
+	r.st.h.opts.Rollouts.Recorder.End(r.ticket, isFailure(r.reply.resp), false)
 	r.st.h.opts.Fleet.Failed(r.server)
 	return endPlainAnswer, true
 }
@@ -294,7 +295,7 @@
 	pass, ok := st.seq.accept(e)
 	if !ok {
 		st.h.opts.Log.Warn().Str("request", st.q.RequestID).Str("engine", r.server.ID).Uint64("event", e.id).
-			Uint64("expected", st.seq.last+1).Msg("events missing")
+			Uint64("expected", st.seq.last+1).Msg("events are missing from the stream; ending the run on this engine")
 		return endBroken, true
 	}
 	if !pass {
@@ -328,7 +329,7 @@
 	}
 	fleet := r.st.h.opts.Fleet
 	r.firstEventAt = time.Now()
-	r.st.h.opts.Rollouts.Book.End(r.ticket, false, fleet.Cold(r.server))
+	r.st.h.opts.Rollouts.Recorder.End(r.ticket, false, fleet.Cold(r.server))
 	if r.granted && r.fromStart {
 		r.st.h.paces.notePrompt(r.st.q.service.Name, r.use.PendingPrompt, r.firstEventAt.Sub(r.sentAt))
 	}
@@ -382,7 +383,7 @@
 // closes, which keeps it from working beside the next run.
 func (r *run) close(end runEnd) {
 	fleet := r.st.h.opts.Fleet
-	r.st.h.opts.Rollouts.Book.Drop(r.ticket)
+	r.st.h.opts.Rollouts.Recorder.Drop(r.ticket)
 	fleet.Release(r.server, r.use)
 	if r.backup.current.engine != nil {
 		fleet.Release(r.backup.current.engine, r.backupUse)
