--- a/internal/call/state_machine.go
+++ b/internal/call/state_machine.go
@@ -46,8 +46,10 @@
 	}
 }
 
-// Version returns a constant 0. Claims are looked up and not watched, so a call on
-// one VM causes no work on the others.
+// Version implements control.StateMachine. It always returns 0: the control group sends a
+// state machine's changes to all VMs when its version increases, and no VM follows the
+// claims. A VM looks up a claim when it needs it, and a call on one VM causes no work on
+// the others.
 func (p *StateMachine) Version() uint64 { return 0 }
 
 // Changes implements control.StateMachine. It returns nil; see Version.
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -155,7 +155,9 @@
 	})
 }
 
-// Each router receives the use of all other routers without its own.
+// Guards against a router that counts its own requests twice. Control VMs report the use of
+// each engine by all routers together, and a router must subtract its own part. Here the
+// routers r0, r1 and r2 have 1, 2 and 4 requests on one engine.
 func TestUseOfOtherRouters(t *testing.T) {
 	inBubble(t, func(t *testing.T, ctx context.Context, n *peertest.Net) {
 		for _, id := range controls {
--- a/internal/cluster/list.go
+++ b/internal/cluster/list.go
@@ -89,8 +89,8 @@
 	h.keepsHistory = true
 }
 
-// Update replaces the list by rows that were read age ago, unless the current list was
-// read later.
+// Update replaces the list by rows. The parameter age is the time since these rows were
+// read from the platform. Update does nothing if the current list was read later.
 func (h *ListReplica) Update(rows []upstream.Backend, age time.Duration) {
 	rows = slices.Clone(rows)
 	slices.SortStableFunc(rows, compareID)
@@ -101,8 +101,9 @@
 
 func compareID(a, b upstream.Backend) int { return strings.Compare(a.ID, b.ID) }
 
-// Confirm records that the list with this digest was still the platform's list age ago.
-// It does nothing if the current list has another digest.
+// Confirm records that the platform's list was read and had the given digest. The
+// parameter age is the time since that read. Confirm updates the read time of the current
+// list if that list has the same digest and was read earlier; otherwise it does nothing.
 func (h *ListReplica) Confirm(digest uint64, age time.Duration) {
 	h.mu.Lock()
 	same := h.hasList && h.digest == digest
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,5 @@
 // Package codec encodes messages between VMs and data on disk as CBOR. It is separate from
-// the transport, which keeps packages without I/O independent of sockets.
+// the transport: a package without I/O can import codec and does not depend on sockets.
 package codec
 
 import "github.com/fxamacker/cbor/v2"
--- a/internal/control/hedged_poll.go
+++ b/internal/control/hedged_poll.go
@@ -28,8 +28,11 @@
 	// hedgeInterval is the delay before a further voter is polled. A confirmation takes
 	// a round trip to the leader and one from the leader to its followers.
 	hedgeInterval = 150 * time.Millisecond
-	// refusalDelay replaces hedgeInterval after a refusal. A voter that refuses is
-	// usually starting or shutting down, and all VMs that poll it turn to other voters.
+	// refusalDelay is the delay before a further voter is polled after a voter has
+	// refused. It is shorter than hedgeInterval because no answer of the refusing voter
+	// is left to wait for. It is not zero because such a voter is usually starting or
+	// shutting down: all VMs that poll it then turn to the other voters, and the delay
+	// keeps each VM from polling several of them at once.
 	refusalDelay = 10 * time.Millisecond
 )
 
--- a/internal/control/remote_client.go
+++ b/internal/control/remote_client.go
@@ -135,7 +135,7 @@
 func (r *RemoteClient) proposeAs(ctx context.Context, id string, smID StateMachineID, cmd []byte) ([]byte, error) {
 	q := request{Op: opPropose, StateMachine: smID, ID: id, Body: cmd}
 	if len(cmd) > maxCommandBytes {
-		return nil, result.Newf(result.BodyTooLarge, "command has %d bytes, at most %d are allowed", len(cmd), maxCommandBytes)
+		return nil, result.Newf(result.BodyTooLarge, "a command of %d bytes, at most %d", len(cmd), maxCommandBytes)
 	}
 	if len(cmd) > uploadPieceBytes {
 		packed, err := codec.Pack(cmd)
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -61,18 +61,19 @@
 	load engine.Load
 }
 
-// attempt is one run of a request on an engine.
+// attempt is the simulated generation of a request's answer, or of the rest of it, on one
+// engine. A request that is resumed or hedged has several attempts.
 type attempt struct {
 	r            *request
 	engine       *engineModel
-	tokensBefore int // tokens that earlier attempts delivered
-	generated    int
-	prefillLeft  int  // tokens
+	tokensBefore int  // tokens of earlier attempts, prefilled here after the prompt
+	generated    int  // tokens that this attempt has generated
+	prefillLeft  int  // tokens still to be prefilled
 	extra        bool // not the first attempt of the request
 	priority     int
 	done         bool
 	onToken      func(*attempt)
-	onReset      func(*attempt) // called if the engine dies with a reset
+	onReset      func(*attempt) // called if the engine dies and resets its connections; not called at a silent death
 }
 
 func (e *engineModel) submit(a *attempt) {
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -280,7 +280,9 @@
 	}
 }
 
-// attemptLost closes a failed or suspected attempt. Its run resumes on another engine.
+// attemptLost closes a failed or suspected attempt. A lost hedge has no further effect. If
+// the current attempt is lost, its hedge becomes the current attempt. Without a hedge the
+// run waits in the pacer to resume on another engine.
 func (s *system) attemptLost(l *routerAttempt, o routing.Outcome) {
 	u := l.run
 	if l.closed || u.ended {
--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -137,7 +137,7 @@
 // cause describes the last decision and the failure that led to it in one sentence.
 func (s *Explanation) cause() string {
 	if len(s.Lines) == 0 {
-		return "no line names this request: it did not reach a router, or it succeeded while the log rate limit left out routine lines"
+		return "no line names this request: it did not reach a router, or it went well while ordinary lines were left out"
 	}
 	for i := len(s.Lines) - 1; i >= 0; i-- {
 		l := s.Lines[i]
@@ -146,12 +146,12 @@
 			code := result.Lookup(result.Code(l.number("code")))
 			return fmt.Sprintf("refused with %d %s (%s) after %d arrivals at servers%s", code.Code, code.Name, code.Message, l.number("sends"), s.lossBefore(i))
 		case "stream broken off":
-			return fmt.Sprintf("broken off after event %d (%s)%s", l.number("last_event"), l.text("reason"), s.lossBefore(i))
+			return fmt.Sprintf("broken off behind event %d (%s)%s", l.number("last_event"), l.text("reason"), s.lossBefore(i))
 		case "stream went on", "stream began", "call sent":
 			return "served" + s.lossBefore(i+1)
 		}
 	}
-	return "in flight"
+	return "under way"
 }
 
 // lossBefore describes the last lost run or unsuccessful send before line i, or returns "".
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -28,17 +28,18 @@
 	First, Last time.Time
 }
 
-// Reasons of streams that were not refused, including those without a logged end.
+// Reasons of streams that were not refused, including those without a logged end. The
+// texts are part of the output of `amaranthshelf explain`.
 const (
-	completedInTime  = "complete and in time"
-	noEndLogged      = "in flight when its VM stopped"
-	restOnly         = "request for the rest of an answer"
+	completedInTime  = "whole and in time"
+	noEndLogged      = "under way when its VM ended"
+	restOnly         = "came for the rest of an answer"
 	lateQueued       = "first event late: waited for an engine"
-	lateRecomputed   = "first event late: its engine was lost during prefill"
-	latePrefill      = "first event late: slow prefill"
-	pausedCopy       = "paused too long: resumed from a copy"
-	pausedRecomputed = "paused too long: resumed with its prompt recomputed"
-	pausedNoResume   = "paused too long: while on one engine"
+	lateRecomputed   = "first event late: its engine was lost while it read the prompt"
+	latePrefill      = "first event late: the prompt was read slowly"
+	pausedCopy       = "paused too long: went on from a copy"
+	pausedRecomputed = "paused too long: its prompt was read again"
+	pausedNoResume   = "paused too long: on one engine"
 )
 
 // Summarize reads the log lines of any number of VMs. Lines that are not JSON are ignored.
@@ -152,7 +153,7 @@
 		return restOnly
 	}
 	if outcome := q.endLine.text("outcome"); outcome != "whole" {
-		return "incomplete: " + outcome
+		return "not whole: " + outcome
 	}
 	objective, pause := q.endLine.ms("objective"), q.endLine.ms("pause_objective")
 	switch first := q.endLine.ms("first_event"); {
@@ -190,11 +191,11 @@
 	case q.refusalCode != 0:
 		return fmt.Sprintf("%d %s", q.refusalCode, result.Lookup(q.refusalCode).Name)
 	case q.serverFailed:
-		return "server error"
+		return "the server's own failure"
 	case q.lastSend != "answered":
 		return "last send " + q.lastSend
 	case q.sends > 1:
-		return "answered after a retry"
+		return "answered after a further send"
 	}
 	return "answered"
 }
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -36,10 +36,10 @@
 		{pausedRecomputed, 8600, []string{placed, lost(3), again, `"message":"stream went on","from_copy":false`, ended("whole", 1400, 2400, 0)}},
 		{pausedCopy, 0, []string{placed, lost(3), fromCopy, `"message":"stream went on","from_copy":true`, ended("whole", 1400, 900, 0)}},
 		{pausedNoResume, 0, []string{placed, ended("whole", 1400, 2400, 0)}},
-		{"incomplete: deadline_too_soon", 0, []string{`"message":"gave up","code":3002`, ended("deadline_too_soon", 0, 0, 900)}},
+		{"not whole: deadline_too_soon", 0, []string{`"message":"gave up","code":3002`, ended("deadline_too_soon", 0, 0, 900)}},
 		{"answered", 0, []string{sent("answered", 200)}},
-		{"answered after a retry", 0, []string{sent("unknown", 0), sent("answered", 200)}},
-		{"server error", 0, []string{sent("answered", 500), sent("answered", 500)}},
+		{"answered after a further send", 0, []string{sent("unknown", 0), sent("answered", 200)}},
+		{"the server's own failure", 0, []string{sent("answered", 500), sent("answered", 500)}},
 		{"3002 deadline_too_soon", 0, []string{`"message":"gave up","code":3002`}},
 	}
 	for _, tt := range tests {
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -134,9 +134,10 @@
 
 // Guards against a budget that denies retries while much of it is left, and against VMs
 // that exceed it together. Zones of a large deployment die in turn: every three seconds a
-// third of the streams is lost within a second, and each of 67 VMs retries two or three.
-// A VM that estimated the retries of the others from seconds of its own retries would
-// break off streams that the allowance covers.
+// third of the streams is lost within a second. The losses spread over 67 VMs, each of
+// which retries only two or three streams. A VM that extrapolated the retries of all VMs
+// from so few of its own would often estimate too many, and would break off streams
+// although the allowance is not used up.
 func TestBudgetOfManyVMs(t *testing.T) {
 	tests := []struct {
 		name          string
--- a/internal/forward/explain_test.go
+++ b/internal/forward/explain_test.go
@@ -60,7 +60,7 @@
 				f.servers[0].Set(routedengine.Unresponsive)
 				<-a.done
 			},
-			[]string{"broken off after event", "its run on i0 was lost: engine does not answer"},
+			[]string{"broken off behind event", "its run on i0 was lost: engine does not answer"},
 			"server judged dead",
 		},
 		{
--- a/internal/forward/run_silence.go
+++ b/internal/forward/run_silence.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// silenceTimer wakes a run that has been silent for a while. It also detects that this
-// VM was stalled instead.
+// silenceTimer wakes a run that has received no event from its engine for a while. If the
+// timer itself fires much too late, this VM was stalled, and the silence is no sign of a
+// failure of the engine.
 type silenceTimer struct {
 	timer     *time.Timer
 	wait      time.Duration
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -103,7 +103,7 @@
 	code := refusals[d.Verdict]
 	name := result.Lookup(code).Name
 	a.metrics.Add("admission_refused_"+name, 1)
-	a.note(t.id, explain.Refused, fmt.Sprintf("%s: expected wait %s, retry after %s", name, d.Wait.Round(time.Millisecond), d.RetryAfter.Round(time.Millisecond)))
+	a.note(t.id, explain.Refused, fmt.Sprintf("%s: expected wait %s, come back in %s", name, d.Wait.Round(time.Millisecond), d.RetryAfter.Round(time.Millisecond)))
 	a.log.Debug().Str("request_id", t.id.Key).Str("workspace", t.id.Workspace).Str("reason", name).
 		Dur("wait", d.Wait).Dur("retry_after", d.RetryAfter).Msg("request refused at admission")
 	return result.New(code).WithRetryAfter(d.RetryAfter)
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -143,7 +143,7 @@
 	}
 	slices.Sort(out.Missing)
 	if len(out.Notes) == 0 {
-		return nil, result.Newf(result.NotFound, "no VM that answers holds a recent decision for this request")
+		return nil, result.Newf(result.NotFound, "no VM that answers has decided anything for this request of late")
 	}
 	slices.SortStableFunc(out.Notes, func(a, b explain.Note) int { return a.At.Compare(b.At) })
 	return out, nil
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -100,8 +100,9 @@
 	}
 }
 
-// round ends and sends orders if this VM leads the control group. On any other VM it only
-// discards the fencing number.
+// round records the end of pending orders that were carried out or have expired, and then
+// sends new orders to engines. Only the VM that leads the control group does this. On any
+// other VM, round discards the fencing number and returns.
 func (l *Leader) round(ctx context.Context) {
 	if !l.IsLeader() {
 		l.fence = 0
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -92,9 +92,9 @@
 }
 
 // After a zone is lost, nine VMs place two prompts each at the same moment, before any
-// knows of the others' choices. Without a rendezvous order all choose the engines that
-// look idle, and one engine prefills five prompts while others have none. With it, two
-// VMs rarely choose the same engine.
+// knows of the others' choices. Without a rendezvous order all choose the two engines that
+// look idle, and one of these gets eight prompts or more while others get none. With it,
+// two VMs rarely choose the same engine, and no engine gets more than three prompts.
 func TestVMsWithEqualReportsSpreadTheirPrompts(t *testing.T) {
 	var vms []string
 	for i := range 9 {
--- a/internal/plan/validate.go
+++ b/internal/plan/validate.go
@@ -48,7 +48,7 @@
 			return invalid("key_hashes[%d] must be a SHA-256 in 64 characters of 0-9 a-f", i)
 		}
 		if slices.Contains(c.KeyHashes[:i], h) {
-			return invalid("key_hashes[%d] is listed twice", i)
+			return invalid("key_hashes[%d] stands twice", i)
 		}
 	}
 	return nil
@@ -92,7 +92,7 @@
 			return invalid("%s[%d] %q must have %s", field, i, name, nameRule)
 		}
 		if slices.Contains(names[:i], name) {
-			return invalid("%s[%d] %q is listed twice", field, i, name)
+			return invalid("%s[%d] %q stands twice", field, i, name)
 		}
 	}
 	return nil
--- a/internal/relay/attach.go
+++ b/internal/relay/attach.go
@@ -33,7 +33,7 @@
 	}
 	r.source = nil
 	id, from := r.beginAttach(*src)
-	r.hub.note(r.Request().ID, explain.Resumed, fmt.Sprintf("attached to the stream on %s after %d tokens", src.Backend, from))
+	r.hub.note(r.Request().ID, explain.Resumed, fmt.Sprintf("attached to the stream on %s behind %d tokens", src.Backend, from))
 	span := r.hub.span(r.Request(), "attempt", attribute.String("engine", src.Backend), attribute.Int("from", from), attribute.Bool("attached", true))
 	actx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -16,9 +16,10 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// attempt is one attempt on one engine. A hedge is a second attempt that runs beside
-// the first. It may append only once it has become the current attempt, by delivering
-// the next token first.
+// attempt is one attempt to generate the rest of an answer on one engine. A hedge is a
+// second attempt that runs beside a silent one. Only the current attempt appends tokens
+// to the journal. A hedge becomes the current attempt when its first token arrives, unless
+// the other attempt has appended tokens since the hedge began; see claim.
 type attempt struct {
 	choice     Choice
 	completion engine.Completion
--- a/internal/relay/drive.go
+++ b/internal/relay/drive.go
@@ -123,7 +123,7 @@
 func (r *Run) notePlaced(c *Choice, q *Query) {
 	what, why := explain.Placed, fmt.Sprintf("on %s in %s", c.Backend.Name, c.Backend.Zone)
 	if q.Resume {
-		what, why = explain.Resumed, fmt.Sprintf("on %s in %s after %d tokens", c.Backend.Name, c.Backend.Zone, q.Tokens)
+		what, why = explain.Resumed, fmt.Sprintf("on %s in %s behind %d tokens", c.Backend.Name, c.Backend.Zone, q.Tokens)
 	}
 	if c.Cached > 0 {
 		why += fmt.Sprintf(", %d prompt tokens cached there", c.Cached)
--- a/internal/relay/open.go
+++ b/internal/relay/open.go
@@ -141,7 +141,7 @@
 		o.req = *best.Request
 	}
 	o.h.metrics.Add("takeovers", 1)
-	o.h.note(o.req.ID, explain.TakenOver, fmt.Sprintf("from %s after %d tokens, epoch %s", vmOf(seen.VM), best.Journal.Len(), epoch))
+	o.h.note(o.req.ID, explain.TakenOver, fmt.Sprintf("from %s behind %d tokens, epoch %s", vmOf(seen.VM), best.Journal.Len(), epoch))
 	return o.becomeOwner(ctx, epoch, replies, best)
 }
 
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -11,7 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Counts holds the answers of one kind.
+// Counts counts answers, and requests that still wait for one. In a Row it covers one
+// route, one measure and one server; sums cover several of them.
 type Counts struct {
 	Answers  int `cbor:"1,keyasint,omitempty"`
 	Failures int `cbor:"2,keyasint,omitempty"` // included in Answers
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -75,7 +75,8 @@
 	)
 }
 
-// decider decides on a roll-out.
+// decider decides on the steps of a simulated roll-out. The simulation runs once with a
+// Judge and once with fixedSteps, the baseline with which the Judge is compared.
 type decider interface {
 	Evaluate(r *Record, e *Evidence, v View) (Step, bool)
 }
--- a/internal/routed/operators.go
+++ b/internal/routed/operators.go
@@ -156,7 +156,7 @@
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&o); err != nil {
-		return result.Newf(result.InvalidRollout, "order could not be decoded: %v", err)
+		return result.Newf(result.InvalidRollout, "not readable: %v", err)
 	}
 	order := rollout.Order{Service: o.Service, To: o.To, Duration: time.Duration(o.DurationMS) * time.Millisecond}
 	if err := order.Validate(); err != nil {
--- a/internal/routed/rollouts.go
+++ b/internal/routed/rollouts.go
@@ -65,7 +65,7 @@
 	case err != nil:
 		return rollout.Record{}, err
 	case reply.Outcome == rollout.Busy:
-		return reply.Record, result.Newf(result.RolloutUnderWay, "another roll-out of the service is under way, to version %q", reply.Record.To)
+		return reply.Record, result.Newf(result.RolloutUnderWay, "version %q is being rolled out until then", reply.Record.To)
 	case reply.Outcome == rollout.Unreadable:
 		return reply.Record, result.New(result.InvalidRollout)
 	}
@@ -179,7 +179,9 @@
 	return w.watched[r.Service].judge
 }
 
-// observe updates the times of a roll-out, and returns its view for the judge.
+// observe records when a roll-out was ordered and when its current step began, and returns
+// the View that the judge evaluates. In the phase Moving, observe on the leader also starts
+// confirmInForce for the step, unless that runs already or the step is known to be in force.
 func (w *rolloutWatcher) observe(s *memberSession, r *rollout.Record, now time.Time) rollout.View {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/routes/parse.go
+++ b/internal/routes/parse.go
@@ -69,10 +69,10 @@
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&t); err != nil {
-		return nil, invalidList("list could not be decoded: %v", err)
+		return nil, invalidList("not readable: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return nil, invalidList("data after the end of the list")
+		return nil, invalidList("text behind the list")
 	}
 	l := &List{Version: t.Version, Keyed: len(t.Workspaces) > 0, Source: data}
 	l.Limits = Limits{
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -74,7 +74,8 @@
 	return -1
 }
 
-// compareDue orders the streams of one class: late ones by arrival, others by due time.
+// compareDue compares two streams of the same class. The earlier due time comes first. In
+// the class late the earlier arrival comes first, since no due time can be met there.
 func compareDue(a, b *waiter) int {
 	if a.class == late {
 		return a.enqueuedAt.Compare(b.enqueuedAt)
--- a/internal/service/claim.go
+++ b/internal/service/claim.go
@@ -208,7 +208,7 @@
 	case call.Full:
 		return result.New(result.ClaimsFull).WithRetryAfter(fullRetryAfter)
 	default:
-		return result.Newf(result.Internal, "control group returned unexpected verdict %d for a claim", r.Verdict)
+		return result.Newf(result.Internal, "unexpected verdict %d of a claim", r.Verdict)
 	}
 }
 
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -118,7 +118,7 @@
 	id, _ := url.PathUnescape(mux.Vars(r)["attempt"])
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil || from < 0 {
-		http.Error(w, "from must be a non-negative integer", http.StatusBadRequest)
+		http.Error(w, "from: a number", http.StatusBadRequest)
 		return
 	}
 	s.stream(w, func(on func(engine.Event) error) error {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -14,10 +14,10 @@
 
 var (
 	errDead       = Error.New("engine is dead")
-	errNotServed  = Error.New("model or adapter is not served")
-	errCancelled  = Error.New("run was cancelled")
+	errNotServed  = Error.New("not served")
+	errCancelled  = Error.New("cancelled")
 	errNoRun      = Error.New("no such run")
-	errStaleFence = Error.New("order has a stale fencing number")
+	errStaleFence = Error.New("order with an old fencing number")
 )
 
 type faults struct {
