--- a/cmd/amaranthshelfd/main.go
+++ b/cmd/amaranthshelfd/main.go
@@ -1,5 +1,9 @@
-// Command amaranthshelfd is the daemon that runs on each VM. It serves the roles that its
-// settings file names, or one process of the routed system.
+// Command amaranthshelfd is the daemon that runs on each VM. It runs in one of three modes:
+//   - by default, or with --config, it runs a VM with the roles that the settings give it:
+//     router, control or both;
+//   - with --routed, it runs one process of the routed system, which forwards requests to
+//     backend servers: a router or a control process;
+//   - with --managed, it runs such a process with the settings that the platform provides.
 package main
 
 import (
--- a/cmd/amaranthshelfd/soak_clients_test.go
+++ b/cmd/amaranthshelfd/soak_clients_test.go
@@ -22,7 +22,7 @@
 // Numbers and bounds of the soak's callers.
 const (
 	soakStreamCallers = 6 // concurrent callers of streams
-	soakVoteCallers   = 6
+	soakVoteCallers   = 6 // concurrent callers of votes
 	// maxStreamTries is far more than a caller needs during any fault of the plan.
 	maxStreamTries = 200
 	retryPause     = 60 * time.Millisecond
@@ -35,7 +35,9 @@
 	recoveryTimeout = 20 * time.Second
 )
 
-// vote is the answer that a caller received to one vote.
+// vote is the answer that a caller received to one vote. A vote is a non-idempotent request
+// to a vote server, a stand-in server of the service "desk". A repeated run would count it
+// twice. It has nothing to do with the votes of an election in the control group.
 type vote struct {
 	id     string
 	status int // 0: the connection ended without an answer
@@ -130,6 +132,7 @@
 	}
 }
 
+// vote sends one vote, or another call without retries, to a router.
 func (w *soakClients) vote(router, path, id string) vote {
 	v := vote{id: id}
 	resp, body, err := w.roundTrip(w.t.Context(), http.MethodPost, "http://"+router+path, id, "yes")
--- a/cmd/amaranthshelfd/soak_system_test.go
+++ b/cmd/amaranthshelfd/soak_system_test.go
@@ -42,7 +42,7 @@
 type soakSystem struct {
 	t         *testing.T
 	net       *routedengine.Net
-	servers   []*routedengine.Server // engines, then vote servers
+	servers   []*routedengine.Server // engines, then vote servers (service "desk")
 	proxies   []*faultProxy          // by index of the server
 	callers   []string               // callers' addresses of the routers
 	operators []string               // operators' addresses of the control processes
--- a/cmd/amaranthshelfd/soak_test.go
+++ b/cmd/amaranthshelfd/soak_test.go
@@ -147,7 +147,9 @@
 // servers die and stop answering; links to them are slow, cut in one direction and reset.
 // Faults come in series and overlap. The test checks:
 //   - callers receive complete streams, each event once;
-//   - no vote runs twice, and a vote that is reported as not run has not run;
+//   - no vote runs twice, and a vote that is reported as not run has not run. A vote is a
+//     non-idempotent request to the stand-in servers of the service "desk", the vote
+//     servers. It is no vote of an election in the control group;
 //   - the version of the route list that operators read never decreases;
 //   - an acknowledged roll-out gets one outcome, and a failing version receives no more
 //     votes than its share;
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -67,7 +67,7 @@
 
 // serve returns the reply to a heartbeat and its size in bytes.
 func (f *loadedHub) serve(tb testing.TB, router int, heartbeat []byte) (HeartbeatReply, int) {
-	out, err := f.hub.serve(context.Background(), f.routers[router], heartbeat)
+	out, err := f.hub.serveHeartbeat(context.Background(), f.routers[router], heartbeat)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/cluster/hub.go
+++ b/internal/cluster/hub.go
@@ -58,7 +58,7 @@
 func NewHub(t peer.Transport, list *ListReplica, controls func() []string, log zerolog.Logger) *Hub {
 	h := &Hub{list: list, controls: controls, vms: map[string]vmState{}, loggedSilent: map[string]bool{}, retrySpending: spendingTable{}, ledger: rollout.NewLedger(), log: log, scheduling: newSchedulerService(t, log)}
 	list.KeepHistory()
-	t.Handle(peer.KindHeartbeat, h.serve)
+	t.Handle(peer.KindHeartbeat, h.serveHeartbeat)
 	t.Handle(peer.KindBackendList, h.serveList)
 	t.Handle(peer.KindFindOrphan, h.serveOrphan)
 	t.Handle(peer.KindRetrySpending, h.serveSpent)
@@ -67,7 +67,7 @@
 	return h
 }
 
-func (h *Hub) serve(_ context.Context, from string, body []byte) (any, error) {
+func (h *Hub) serveHeartbeat(_ context.Context, from string, body []byte) (any, error) {
 	var heartbeat Heartbeat
 	if err := codec.Unmarshal(body, &heartbeat); err != nil {
 		return nil, err
--- a/internal/cluster/observer.go
+++ b/internal/cluster/observer.go
@@ -39,13 +39,15 @@
 // controls returns the ids of the control VMs known to this VM's own Member.
 func NewObserver(t peer.Transport, self string, controls func() []string) *Observer {
 	o := &Observer{self: self, controls: controls, voters: map[string]time.Time{}}
-	t.Handle(peer.KindHeartbeat, o.serve)
+	t.Handle(peer.KindHeartbeat, o.serveHeartbeat)
 	return o
 }
 
-// serve replies to a heartbeat with the ids of the voters. A voter whose seeds have all
-// been replaced may know only this VM; it becomes known here by its own heartbeats.
-func (o *Observer) serve(_ context.Context, from string, body []byte) (any, error) {
+// serveHeartbeat replies to a heartbeat with the ids of the known control VMs, and records
+// the sender if it is a voter. A voter whose seeds have all been replaced may know only this
+// VM, and no other VM may know the voter. Once its heartbeat has been recorded here, the
+// replies to other VMs name it, and they can reach it again.
+func (o *Observer) serveHeartbeat(_ context.Context, from string, body []byte) (any, error) {
 	var heartbeat Heartbeat
 	if err := codec.Unmarshal(body, &heartbeat); err != nil {
 		return nil, err
--- a/internal/control/large_command_test.go
+++ b/internal/control/large_command_test.go
@@ -161,7 +161,8 @@
 	return size
 }
 
-// Guards against a list that is sent uncompressed over the links to five followers.
+// Guards against a large command that is replicated uncompressed. The leader sends it to five
+// followers over a slow link, which would delay the commit.
 func TestLargeCommandIsPackedInTheLog(t *testing.T) {
 	text := strings.Repeat("a route like the one before. ", 30_000)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/forward/run_silence.go
+++ b/internal/forward/run_silence.go
@@ -23,8 +23,10 @@
 // firedLate reports whether the timer fired much later than it was set to.
 func (t *silenceTimer) firedLate() bool { return time.Since(t.startedAt)-t.wait >= maxTimerDelay }
 
-// onSilenceTimer reacts to a silence. If this VM was stalled, the silence is its own:
-// events wait in the socket buffers. Without this check every stream would move at once.
+// onSilenceTimer handles the expiry of the silence timer, and reports whether the run has
+// ended and how. If the timer fired late, this VM was stalled: the engine may have sent
+// events that this VM has not read yet. The run then gets stallReadTime to read them. If
+// that time were not granted, a stall of this VM would move all its streams to other engines.
 func (r *run) onSilenceTimer() (runEnd, bool) {
 	if r.silenceTimer.firedLate() {
 		r.lastHeard = time.Now()
@@ -36,7 +38,8 @@
 	return end, done
 }
 
-// handleSilence acts on a run that has brought nothing for a while.
+// handleSilence probes the engine or moves the stream to another one, as the duration of the
+// silence and the engine's last report demand. It reports whether the run has ended and how.
 func (r *run) handleSilence() (runEnd, bool) {
 	switch r.silenceLimits().decide(r.currentSilence()) {
 	case probeEngine:
@@ -61,7 +64,7 @@
 	return s
 }
 
-// nextSilenceCheck returns after which time the silence is checked again.
+// nextSilenceCheck returns the time until the next check of the silence.
 func (r *run) nextSilenceCheck() time.Duration {
 	p, silent := r.silenceLimits(), time.Since(r.lastHeard)
 	if p.MoveAfter > silent {
@@ -87,7 +90,7 @@
 	return r.probe.done
 }
 
-// handleProbe handles the result of a probe.
+// handleProbe handles the result of a probe, and reports whether the run has ended and how.
 func (r *run) handleProbe() (runEnd, bool) {
 	p := r.probe
 	r.probe = nil
@@ -128,7 +131,7 @@
 	r.missingReports = 0
 }
 
-// moveOff moves the stream off a live engine.
+// moveOff ends a run on a live engine; the stream then resumes on another engine.
 func (r *run) moveOff() runEnd {
 	if s := r.currentSilence(); s.engineLostRun() {
 		return r.lost("engine does not have the run")
@@ -138,10 +141,11 @@
 	return r.lost("silent too long on a live engine")
 }
 
-// Constants of a VM that was stalled itself.
+// Constants for the detection of a stall of this VM.
 const (
 	// maxTimerDelay is how late a timer may fire on a busy VM.
 	maxTimerDelay = 150 * time.Millisecond
-	// stallReadTime is the time to read what arrived during the stall.
+	// stallReadTime is the time that a run gets to read the events that arrived during a
+	// stall, before its silence is judged.
 	stallReadTime = 30 * time.Millisecond
 )
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -114,7 +114,7 @@
 	backends := l.Backends()
 	l.readInterval = max(roundInterval, time.Duration(len(backends))*stateBytes*time.Second/readBytesPerSecond)
 	l.readStates(ctx, l.due(backends))
-	busy := l.confirm(ctx, backends)
+	busy := l.endOrders(ctx, backends)
 	engines := make([]fleet.Engine, 0, len(backends))
 	for _, b := range backends {
 		engines = append(engines, l.plannerView(b))
@@ -148,10 +148,11 @@
 	return r, err
 }
 
-// confirm ends the orders whose outcome the engines' states show and those that have
-// expired, and records changes without an order. It returns the engines with a pending order
-// and the model of each order.
-func (l *Leader) confirm(ctx context.Context, backends []Backend) map[string]string {
+// endOrders ends each order that its engine's state shows as carried out. It also ends each
+// order that has expired, once revoke has made sure that the engine can no longer accept it.
+// Then it records the changes that engines made without an order. It returns the orders that
+// are still pending, as a map from engine to model.
+func (l *Leader) endOrders(ctx context.Context, backends []Backend) map[string]string {
 	busy := map[string]string{}
 	for _, o := range l.Orders() {
 		if _, ok := l.pendingSince[o.Engine]; !ok {
--- a/internal/placement/call_test.go
+++ b/internal/placement/call_test.go
@@ -45,14 +45,14 @@
 func TestCallsDoNotFollowStaleReports(t *testing.T) {
 	tests := []struct {
 		name           string
-		load           callLoad
+		load           callWorkload
 		most           time.Duration // upper bound of the mean wait
 		leastByReports time.Duration // lower bound of the mean wait if placed by old reports
 	}{
-		{"67 VMs, 7 servers, half used", callLoad{vms: 67, servers: 7, perSecond: 372, work: 60}, 2 * time.Millisecond, 40 * time.Millisecond},
-		{"67 VMs, 7 servers, four fifths used", callLoad{vms: 67, servers: 7, perSecond: 560, work: 60}, 15 * time.Millisecond, 200 * time.Millisecond},
-		{"87 VMs, 4 servers, three quarters used", callLoad{vms: 87, servers: 4, perSecond: 1200, work: 15}, 3500 * time.Microsecond, 60 * time.Millisecond},
-		{"9 VMs, 3 servers, two thirds used", callLoad{vms: 9, servers: 3, perSecond: 200, work: 60}, 5 * time.Millisecond, 6 * time.Millisecond},
+		{"67 VMs, 7 servers, half used", callWorkload{vms: 67, servers: 7, perSecond: 372, work: 60}, 2 * time.Millisecond, 40 * time.Millisecond},
+		{"67 VMs, 7 servers, four fifths used", callWorkload{vms: 67, servers: 7, perSecond: 560, work: 60}, 15 * time.Millisecond, 200 * time.Millisecond},
+		{"87 VMs, 4 servers, three quarters used", callWorkload{vms: 87, servers: 4, perSecond: 1200, work: 15}, 3500 * time.Microsecond, 60 * time.Millisecond},
+		{"9 VMs, 3 servers, two thirds used", callWorkload{vms: 9, servers: 3, perSecond: 200, work: 60}, 5 * time.Millisecond, 6 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -99,10 +99,12 @@
 	return best
 }
 
-// callLoad is a load of calls on servers with six slots in three zones.
-type callLoad struct {
+// callWorkload describes simulated traffic: how many VMs send calls to how many servers, at
+// which rate, and how long a call runs. A server has simSlots slots; VMs and servers are
+// spread over three zones.
+type callWorkload struct {
 	vms, servers int
-	perSecond    float64 // calls
+	perSecond    float64 // calls of all VMs together
 	work         float64 // mean duration of a call in ms
 }
 
@@ -113,7 +115,7 @@
 	linkDelay      = 2 * time.Millisecond
 )
 
-// callVM is what one VM knows.
+// callVM is what one VM knows about the servers and the reports of the other VMs.
 type callVM struct {
 	zone       string
 	known      []CallCandidate
@@ -135,20 +137,20 @@
 	waiting []func()
 }
 
-// callSim simulates one load.
+// callSim simulates one workload.
 type callSim struct {
-	load    callLoad
-	queue   *virtualtime.Queue
-	rng     *rand.Rand
-	vms     []*callVM
-	servers []*callServer
-	waited  time.Duration
-	calls   int
+	workload callWorkload
+	queue    *virtualtime.Queue
+	rng      *rand.Rand
+	vms      []*callVM
+	servers  []*callServer
+	waited   time.Duration
+	calls    int
 }
 
-// meanWait simulates the load and returns the mean time that a call waits for a slot.
-func (l callLoad) meanWait(place func(vm *callVM, rng *rand.Rand) int) time.Duration {
-	w := &callSim{load: l, queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2))}
+// meanWait simulates the workload and returns the mean time that a call waits for a slot.
+func (l callWorkload) meanWait(place func(vm *callVM, rng *rand.Rand) int) time.Duration {
+	w := &callSim{workload: l, queue: virtualtime.New(time.Unix(0, 0)), rng: rand.New(rand.NewPCG(1, 2))}
 	zones := []string{"a", "b", "c"}
 	for range l.servers {
 		w.servers = append(w.servers, &callServer{})
@@ -180,7 +182,7 @@
 }
 
 func (w *callSim) arrive(place func(vm *callVM, rng *rand.Rand) int) {
-	next := w.rng.ExpFloat64() / w.load.perSecond
+	next := w.rng.ExpFloat64() / w.workload.perSecond
 	w.queue.After(time.Duration(next*float64(time.Second)), func() { w.arrive(place) })
 	vm := w.vms[w.rng.IntN(len(w.vms))]
 	s := place(vm, w.rng)
@@ -207,7 +209,7 @@
 // a hundred.
 func (w *callSim) work() time.Duration {
 	const spread = 0.5
-	ms := w.load.work * math.Exp(spread*w.rng.NormFloat64()-spread*spread/2)
+	ms := w.workload.work * math.Exp(spread*w.rng.NormFloat64()-spread*spread/2)
 	if w.rng.IntN(100) == 0 {
 		ms *= 5
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -138,9 +138,9 @@
 // placed there. The rest is for runs that resume there.
 const copyMemoryShare = 0.85
 
-// ChooseBackupEngine returns the index of the engine that keeps the copy of a run in the
-// given zone; -1: none has room. It is in another zone than the run, since the engines of
-// a zone fail together.
+// ChooseBackupEngine returns the index of the engine that is to keep the backup copy of a
+// run; -1: no candidate is suitable. zone is the zone of the engine that executes the run.
+// The copy goes to another zone, since the engines of a zone fail together.
 func ChooseBackupEngine(all []Candidate, zone string, n Need, rng func(n int) int) int {
 	return cheapest(all, rng, func(c *Candidate) (float64, bool) {
 		room := float64(c.Usage.Tokens+n.Tokens()) <= copyMemoryShare*float64(c.KVTokens)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -140,13 +140,16 @@
 		case <-q.wakeup:
 		case <-ticker.C:
 		}
-		for q.exchange(ctx) {
+		for q.syncOnce(ctx) {
 		}
 	}
 }
 
-// exchange sends one message and reports whether another is urgent.
-func (q *Quota) exchange(ctx context.Context) bool {
+// syncOnce sends the next message to the ledger in the control group, if one is due, and
+// applies the reply. It reports whether the caller is to call it again at once. After a reply
+// this means that another message is urgent. After a failure it is true unless ctx has ended:
+// the same message is sent again, since the ledger may or may not have applied it.
+func (q *Quota) syncOnce(ctx context.Context) bool {
 	q.mu.Lock()
 	s, ok := q.core.Next(time.Now())
 	q.mu.Unlock()
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -215,10 +215,12 @@
 	}
 }
 
-// Guards against a request that crashes engine after engine, and against the refusal of the
-// harmless requests beside it. All requests on the first engine become suspects. The
-// harmless ones pass that point on other engines and are cleared. The bad one takes down a
-// second engine and is then refused until the suspicion expires, also under new ids.
+// Guards against a request that crashes one engine after another, and against the refusal of
+// harmless requests that ran beside it. Engine e1 dies while it runs seven requests, and all
+// of them become suspects. The harmless ones generate clearingTokens on other engines, which
+// is past the token at which e1 died, and are cleared. The bad one is running when engine e2
+// dies, and is refused until the suspicion expires. Requests are known by the digest of
+// their content, which makes a repeat under a new request id a suspect as well.
 func TestPoisonIsRefusedAfterTwoEngines(t *testing.T) {
 	p := NewPoisonSuspicion()
 	const bad = 7
@@ -231,7 +233,7 @@
 	later := start.Add(10 * time.Second)
 	for d := uint64(1); d < bad; d++ {
 		if !p.NoteProgress(d, clearingTokens) || p.Standing(d, later) != Innocent {
-			t.Errorf("request %d ran past the point of the death and was not cleared", d)
+			t.Errorf("request %d generated clearingTokens tokens on another engine and was not cleared", d)
 		}
 	}
 	p.recordDeaths("e2", later, bad)
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -314,7 +314,7 @@
 	var out []Report
 	for service, w := range r.services {
 		t := Report{Service: service, Number: w.number, Requests: maps.Clone(w.requests), Sent: w.sent}
-		for k, c := range w.withWaiting(r.now()) {
+		for k, c := range w.rowsWithPending(r.now()) {
 			t.Rows = append(t.Rows, Row{Cell: k.cell, Target: k.target, Server: k.server, Counts: c})
 		}
 		out = append(out, t)
@@ -322,8 +322,9 @@
 	return out
 }
 
-// withWaiting returns the rows including the requests that wait now.
-func (w *observedRollout) withWaiting(now time.Time) map[rowKey]Counts {
+// rowsWithPending returns a copy of the rows that also counts the requests without an answer
+// as waiting, by bucket of their age.
+func (w *observedRollout) rowsWithPending(now time.Time) map[rowKey]Counts {
 	out := make(map[rowKey]Counts, len(w.rows))
 	for k, c := range w.rows {
 		out[k] = Counts{Answers: c.Answers, Failures: c.Failures, Times: maps.Clone(c.Times)}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -182,16 +182,17 @@
 		return Choice{Versions: Versions{Only: r.To}}
 	}
 	if r.Phase == Reverted {
-		return Choice{Versions: r.former()}
+		return Choice{Versions: r.formerVersions()}
 	}
 	if draw < r.share(route) {
-		return Choice{Versions: r.target(), Number: r.Number, Target: true}
+		return Choice{Versions: r.targetVersions(), Number: r.Number, Target: true}
 	}
-	return Choice{Versions: r.former(), Number: r.Number}
+	return Choice{Versions: r.formerVersions(), Number: r.Number}
 }
 
-// target returns the restriction to the new version.
-func (r *Record) target() Versions {
+// targetVersions returns the restriction to the new version, and during the trial to a share
+// of its servers.
+func (r *Record) targetVersions() Versions {
 	v := Versions{Only: r.To}
 	if r.Phase == Trial {
 		v.ServerShare = r.DefaultShare
@@ -199,8 +200,10 @@
 	return v
 }
 
-// former returns the restriction to the version that the service had before the order.
-func (r *Record) former() Versions {
+// formerVersions returns the restriction to the version that ran before the order, From. If
+// From is empty, it allows any version except the new one and the barred ones. During the
+// roll-out the new version is then the fallback for a service without other servers.
+func (r *Record) formerVersions() Versions {
 	if r.From != "" {
 		return Versions{Only: r.From}
 	}
@@ -225,7 +228,7 @@
 	if r.Phase == Moving || r.Phase == Completed {
 		return Versions{Only: r.To}
 	}
-	return r.former()
+	return r.formerVersions()
 }
 
 // Fallback returns the choice for a request that must no longer run on the new version.
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -181,7 +181,7 @@
 }
 
 func (s *sim) evaluate(j decider, t time.Duration) {
-	sums := s.withWaiting(t)
+	sums := s.evidenceWithPending(t)
 	v := View{Elapsed: t, Step: t - s.stepAt, InForce: s.applyAt < 0, FormerServers: s.kind.servers}
 	if t >= simStart {
 		v.TargetServers = s.kind.servers
@@ -290,7 +290,7 @@
 	return factor
 }
 
-// deliver brings answers to the control VM.
+// deliver adds the answers whose reports have reached the control VM by time t to the sums.
 func (s *sim) deliver(t time.Duration) {
 	kept := s.queue[:0]
 	for _, a := range s.queue {
@@ -312,8 +312,11 @@
 	s.queue = kept
 }
 
-// withWaiting returns what a control VM sums up at each evaluation.
-func (s *sim) withWaiting(t time.Duration) *Evidence {
+// evidenceWithPending returns the evidence that the control VM has at time t: the sums of the
+// delivered answers, plus the requests whose answers are still in the queue. Each of these
+// counts as waiting, in the bucket of its age in the report that the control VM has by then.
+// Reports are on average simReport/2 old.
+func (s *sim) evidenceWithPending(t time.Duration) *Evidence {
 	out := NewEvidence()
 	out.Sent = s.sums.Sent
 	maps.Copy(out.Requests, s.sums.Requests)
--- a/internal/routed/control.go
+++ b/internal/routed/control.go
@@ -87,7 +87,7 @@
 	c.network.Handle(peer.KindPiece, c.values.Serve)
 	c.network.Handle(peer.KindRoutes, func(ctx context.Context, _ string, _ []byte) (any, error) { return c.serveRouteList(ctx) })
 	c.network.Handle(peer.KindRollout, func(ctx context.Context, _ string, body []byte) (any, error) { return c.serveRollout(ctx, body) })
-	c.memberRunner = &memberRunner{open: c.openMember}
+	c.memberRunner = &memberRunner{open: c.openSession}
 	c.registerGauges()
 	var err error
 	if c.peerServer, err = listenPeers(c.network, &o.Common); err != nil {
--- a/internal/routed/member.go
+++ b/internal/routed/member.go
@@ -54,8 +54,9 @@
 	m.session = s
 }
 
-// openMember opens c's member. failed receives a later failure of its log.
-func (c *Control) openMember(failed func(error)) (*memberSession, error) {
+// openSession opens the log of this process's member of the control group, with the state
+// that the log replays, and starts the member. It calls failed if the log fails later.
+func (c *Control) openSession(failed func(error)) (*memberSession, error) {
 	s := &memberSession{machine: control.NewReplicatedState(), routes: routes.NewStateMachine(), rollouts: rollout.NewStateMachine()}
 	s.machine.Register(control.RoutesStateMachine, s.routes)
 	s.machine.Register(control.RolloutsStateMachine, s.rollouts)
--- a/internal/routed/observer.go
+++ b/internal/routed/observer.go
@@ -52,7 +52,8 @@
 	return v, nil
 }
 
-// SetSeeds replaces the control addresses.
+// SetSeeds replaces the seeds: the addresses of control VMs from which this process learns
+// the other control VMs.
 func (v *Observer) SetSeeds(seeds []string) { v.member.SetSeeds(seeds) }
 
 // Endpoints implements ControlProcess.
@@ -68,7 +69,7 @@
 func (v *Observer) Routes(ctx context.Context) ([]byte, error) { return v.routeListReader.read(ctx) }
 
 // PutRollout implements ControlProcess. A voter that did not answer may have committed
-// the order. The next voter then acknowledges it as a repeated order.
+// the order. In that case the next voter acknowledges it as a repeated order.
 func (v *Observer) PutRollout(ctx context.Context, o rollout.Order) (rollout.Record, error) {
 	return v.requestRollout(ctx, rolloutRequest{Order: &o})
 }
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -37,7 +37,7 @@
 			}
 			s.health(now)
 			for _, id := range ids {
-				want := recount(s, id, now)
+				want := countSuspicions(s, id, now)
 				if got := *s.suspicionsOf(id); got.avoiding != want.avoiding || got.suspecting != want.suspecting {
 					t.Fatalf("counts of %s: got %+v, want %+v", id, got, want)
 				}
@@ -49,8 +49,8 @@
 	})
 }
 
-// recount sums the current reports of all VMs.
-func recount(s *Scheduler, id string, now time.Time) suspicionCounts {
+// countSuspicions counts the VMs whose current reports avoid or suspect an engine.
+func countSuspicions(s *Scheduler, id string, now time.Time) suspicionCounts {
 	var o suspicionCounts
 	for _, v := range s.vms {
 		if now.Sub(v.at) > reportTTL {
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// anyAccepts reports whether some engine may run the stream, now or later.
-func (r *round) anyAccepts(w *waiter) bool {
+// anyEngineAccepts reports whether some engine may run the stream, now or later.
+func (r *round) anyEngineAccepts(w *waiter) bool {
 	return slices.ContainsFunc(r.servers, func(e *server) bool { return r.accepts(e, w) })
 }
 
@@ -149,8 +149,9 @@
 	}
 }
 
-// fits reports whether an engine has memory for the stream's run. It rejects an engine so
-// slow that the stream would be late there, since another may be free soon.
+// fits reports whether an engine has memory for the stream's run. Unless the stream is late
+// already or all engines are slow, it rejects an engine so slow that the stream would be
+// late there, since another engine may be free soon.
 func (r *round) fits(e *server, w *waiter) bool {
 	share := maxMemoryShare
 	if w.class == late {
@@ -161,9 +162,11 @@
 	return w.KVTokens == 0 || float64(e.usage.Tokens+w.Need.Tokens()) <= memoryLimit(share, w)
 }
 
-// memoryLimit is how many tokens of an engine's memory may be taken once the stream runs
-// there. A run that by itself needs more than the share but not more than the engine has
-// gets an engine that is nearly empty. Otherwise it would wait until its deadline.
+// memoryLimit returns the most tokens that an engine's memory may hold once it runs the
+// stream. This is the given share of the memory, except for a run so large that it fits only
+// on a nearly empty engine: it may use the whole memory, provided that other runs and copies
+// take no more than nearlyEmptyShare. Without this exception a run that needs more than the
+// share would wait until its deadline.
 func memoryLimit(share float64, w *waiter) float64 {
 	kv := float64(w.KVTokens)
 	alone := min(kv, float64(w.Need.Tokens())+nearlyEmptyShare*kv)
@@ -178,8 +181,8 @@
 	// maxMemoryShare is the share of an engine's memory that copies and runs at their
 	// full length may take. Beyond it the engine preempts running streams.
 	maxMemoryShare = 0.96
-	// nearlyEmptyShare is the share of an engine's memory that others may occupy if a run
-	// needs the rest: a copy or a short run.
+	// nearlyEmptyShare is the share of an engine's memory that a copy or a short run may
+	// occupy beside a run that needs the rest.
 	nearlyEmptyShare = 0.1
 	// maxReserved is the number of servers that are kept free for streams that find no
 	// room.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -399,7 +399,7 @@
 	switch {
 	case e != nil:
 		s.grant(w, r, e, &d)
-	case !r.anyAccepts(w):
+	case !r.anyEngineAccepts(w):
 		d.Outcome = NoServer
 	case r.ahead >= maxWaiting || r.missesDeadline(w):
 		d.Outcome, d.RetryAfter = Refused, r.retryAfter(w, s.rng)
--- a/internal/service/claim.go
+++ b/internal/service/claim.go
@@ -110,7 +110,7 @@
 	if reply.State == call.Done && s == call.Done && reply.Answer != nil && reply.Answer.NoBody && !a.NoBody {
 		return a, nil // too large to be kept: only this caller gets the body
 	}
-	return cl.d.final(cl.c, &reply)
+	return cl.d.finalResult(cl.c, &reply)
 }
 
 // commit retries until the outcome is committed or finishTimeout expires. Without
@@ -149,10 +149,10 @@
 	defer cancel()
 	for pause := minPollInterval; ; pause = min(2*pause, maxPollInterval) {
 		if r.Verdict != call.Claimed || r.State.Final() {
-			return d.final(c, &r)
+			return d.finalResult(c, &r)
 		}
 		if sealed, ok := d.trySeal(ctx, c, &r); ok {
-			return d.final(c, &sealed)
+			return d.finalResult(c, &sealed)
 		}
 		if timer.Sleep(ctx, pause) != nil {
 			return nil, result.New(result.CallRunning).WithRetryAfter(retryAfter)
@@ -184,8 +184,9 @@
 	return reply, true
 }
 
-// final converts a reply to the result for the caller.
-func (d *Dispatcher) final(c *Call, r *call.Reply) (*call.Answer, error) {
+// finalResult converts the final reply to a claim to the result for the caller. It records a
+// reply that carries no answer in the request's explanation and in the metrics.
+func (d *Dispatcher) finalResult(c *Call, r *call.Reply) (*call.Answer, error) {
 	err := verdictError(r)
 	if err == nil {
 		return r.Answer, nil
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -197,9 +197,10 @@
 	return defaultIdle
 }
 
-// isIdle reports whether an idle connection is open and has nothing to read. A connection
-// that the server closed, or that holds an unexpected response, must not carry a request.
-func (c *Conn) isIdle() bool {
+// isReusable reports whether an idle connection can carry another request: it is open and
+// has nothing to read. A connection that the server closed, or that holds an unexpected
+// response, must not be used again.
+func (c *Conn) isReusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -68,7 +68,7 @@
 		c := list[len(list)-1]
 		p.idle[key] = list[:len(list)-1]
 		p.mu.Unlock()
-		if p.now().Before(c.idleUntil) && c.isIdle() {
+		if p.now().Before(c.idleUntil) && c.isReusable() {
 			c.reused = true
 			return c
 		}
