--- a/internal/cluster/observer.go
+++ b/internal/cluster/observer.go
@@ -45,8 +45,8 @@
 
 // serveHeartbeat replies to a heartbeat with the ids of the known control VMs, and records
 // the sender if it is a voter. A voter whose seeds have all been replaced may know only this
-// VM, and no other VM may know the voter. Once its heartbeat has been recorded here, the
-// replies to other VMs name it, and they can reach it again.
+// VM, and be unknown to the others. Once its heartbeat has been recorded here, the replies to
+// other VMs name it, and they can reach it again.
 func (o *Observer) serveHeartbeat(_ context.Context, from string, body []byte) (any, error) {
 	var heartbeat Heartbeat
 	if err := codec.Unmarshal(body, &heartbeat); err != nil {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -107,7 +107,8 @@
 	q.core.Settle(t, ran, tokens)
 }
 
-// Recall applies the allowances of d and returns grants of those that were lowered.
+// Recall applies the allowances of d. Workspaces whose allowance was lowered or removed
+// return the grants that are not in use with the next message.
 func (q *Quota) Recall(d *plan.Directory) {
 	q.mu.Lock()
 	q.core.Recall(func(workspace string) (plan.Allowance, bool) {
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -315,7 +315,7 @@
 // evidenceWithPending returns the evidence that the control VM has at time t: the sums of the
 // delivered answers, plus the requests whose answers are still in the queue. Each of these
 // counts as waiting, in the bucket of its age in the report that the control VM has by then.
-// Reports are on average simReport/2 old.
+// Reports take simReport/2 on average to arrive.
 func (s *sim) evidenceWithPending(t time.Duration) *Evidence {
 	out := NewEvidence()
 	out.Sent = s.sums.Sent
--- a/internal/service/claim.go
+++ b/internal/service/claim.go
@@ -184,8 +184,8 @@
 	return reply, true
 }
 
-// finalResult converts the final reply to a claim to the result for the caller. It records a
-// reply that carries no answer in the request's explanation and in the metrics.
+// finalResult converts the reply that decides a call to the result for the caller: the
+// answer or an error. It records an error in the request's explanation and in the metrics.
 func (d *Dispatcher) finalResult(c *Call, r *call.Reply) (*call.Answer, error) {
 	err := verdictError(r)
 	if err == nil {
