--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -24,8 +24,12 @@
 	// batchWindow collects polls for one confirmation. With 66 VMs at a voter, a
 	// confirmation for each poll would send the leader a hundred requests a second.
 	batchWindow = 250 * time.Millisecond
-	// urgentBatchWindow collects polls that report a new version, which an operator may
-	// be waiting for, or that need a lease after another voter did not answer.
+	// urgentBatchWindow is how long a voter still collects polls once its batch contains
+	// one that cannot wait for batchWindow. This is a poll by a VM that reports other
+	// versions than before, for which an operator may be waiting, or by a VM that needs a
+	// lease. A VM needs one if half of its lease has passed, or if another voter has
+	// refused its poll or not answered in time. The short window lets polls that arrive
+	// together share one confirmation.
 	urgentBatchWindow = 5 * time.Millisecond
 	// unconfirmedReplyDelay is how long a poll that needs a lease waits for the
 	// confirmation before it is answered with unconfirmed changes. It covers the usual
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -50,7 +50,10 @@
 	http *http.Client
 }
 
-// NewClient returns a Client.
+// NewClient returns a Client whose transport is set up for long streams from nearby engines.
+// It limits the time to connect to dialTimeout; only the context limits the time of a request.
+// It keeps up to maxIdleConnsPerHost idle connections to each engine for reuse. It requests
+// no compression and uses no proxy.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -64,9 +64,11 @@
 	ConfirmTimeout = 10 * time.Minute
 )
 
-// MayOrder reports whether a leader that has led for a duration may send an order to an
-// engine. At an engine that ignores fencing numbers, an earlier leader's order could
-// otherwise arrive after the new one and undo it.
+// MayOrder reports whether a leader may send an order to an engine. fences is whether the
+// engine checks fencing numbers, and led is how long the leader has led. An engine that
+// checks them refuses delayed orders of earlier leaders, so it may get an order at once. An
+// engine that ignores them gets none before TakeoverDelay has passed. Until then an order of
+// an earlier leader could arrive after the new one and undo it.
 func MayOrder(fences bool, led time.Duration) bool { return fences || led >= TakeoverDelay }
 
 // AcquireFence requests a new fencing number. The leader of the group does so when its term
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -134,9 +134,12 @@
 	return r
 }
 
-// hedgeDelay returns how long a call waits at one server before another is tried; 0: it
-// does not move. A call that queues at the least loaded server stays there. If it moved,
-// it would queue again elsewhere, and the first server would still run it for nothing.
+// hedgeDelay returns how long a call waits for the answer of one server before it is sent
+// to another. 0 means that it stays at the server until the request's deadline. A call
+// stays if it may not run once more, if its route has no objective, or if it has to queue
+// at the server (load above 1). The server is the least loaded candidate. If the call
+// moved, it would queue again elsewhere, and the first server would still run it for
+// nothing.
 func (h *Handler) hedgeDelay(q *request, load float64) time.Duration {
 	mayMove := q.history.repeatable && q.history.possibleRuns+1 < q.history.maxAttempts
 	if !mayMove || load > 1 || q.route.Objective <= 0 {
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -16,7 +16,8 @@
 	"github.com/amaranthshelf/amaranthshelf/internal/upstream"
 )
 
-// pauseObjective is the pause objective of the stream in testRoutes.
+// pauseObjective equals the PauseObjective of the stream route in testRoutes: the target for
+// the longest pause between two events.
 const pauseObjective = 700 * time.Millisecond
 
 // engineRunning returns the server that has a run of the request; nil: none has.
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -251,7 +251,8 @@
 	return allowance.Share
 }
 
-// note records a decision about a request in the explain ring.
+// note records a decision about a request for `amaranthshelf explain`. what is the kind of
+// decision, one of the constants of package explain; why is its reason as a text.
 func (n *Node) note(id generation.RequestID, what, why string) {
 	n.explain.Note(explain.Key{Workspace: id.Workspace, Request: id.Key},
 		explain.Note{At: time.Now(), VM: n.s.Self.ID, What: what, Why: why})
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -234,7 +234,11 @@
 	n.runFleet(ctx)
 }
 
-// Timings of joining.
+// Timings with which a VM joins the list of VMs that the control group keeps.
+// proposeTimeout bounds each proposal to the group. joinRetryDelay is the delay after a
+// failed attempt to join. joinCheckInterval is how often a VM checks whether the list
+// marks it as dead, besides the check at each change of the list. rejoinDelay is the
+// delay before it then joins again.
 const (
 	proposeTimeout    = 2 * time.Second
 	joinRetryDelay    = 200 * time.Millisecond
--- a/internal/plan/ledger.go
+++ b/internal/plan/ledger.go
@@ -31,7 +31,8 @@
 
 func (h *holding) outstanding() Amount { return h.Granted.Minus(h.Returned).Minus(h.Spent) }
 
-// account records one workspace's allowance in its current window.
+// account records how much of one workspace's allowance is granted in the current window,
+// and to which incarnations of routers.
 type account struct {
 	Window    uint64              `cbor:"1,keyasint"`
 	EndMS     int64               `cbor:"2,keyasint"`
@@ -40,7 +41,9 @@
 	Committed Amount              `cbor:"5,keyasint"` // Carried plus granted minus returned of each holding
 	Slots     int                 `cbor:"6,keyasint"`
 	Holdings  map[string]*holding `cbor:"7,keyasint"` // by incarnation
-	Broken    bool                `cbor:"8,keyasint,omitempty"`
+	// Broken is set when check finds that an invariant is violated. The account then gets
+	// no more grants until its next window opens.
+	Broken bool `cbor:"8,keyasint,omitempty"`
 }
 
 // incarnation is the ledger's record of a router process.
--- a/internal/relay/drive.go
+++ b/internal/relay/drive.go
@@ -194,8 +194,11 @@
 	}
 }
 
-// endCurrent settles the current attempt at its end and reports whether another one
-// is needed.
+// endCurrent settles the current attempt after it has ended. It reports the outcome to
+// the router, records a loss, and cancels the attempt on its engine if that may still be
+// running it. It returns true if another attempt has to continue the answer. It returns
+// false after a complete answer or a cancellation. It returns an error if the request
+// cannot be served: its adapter is not served, or engines keep rejecting it as invalid.
 func (r *Run) endCurrent(ctx context.Context, a *attempt) (bool, error) {
 	outcome := a.outcome(ctx)
 	a.choice.done(outcome)
--- a/internal/routed/operators.go
+++ b/internal/routed/operators.go
@@ -26,7 +26,8 @@
 	operatorCallTimeout = 5 * time.Second // includes a change of the control group's leader
 )
 
-// maxEntryAddresses is the maximum number of addresses in an entry answer.
+// maxEntryAddresses is the maximum number of router addresses in an entry answer, the
+// answer to GET /v1/entry. Callers ask there which routers they can send requests to.
 const maxEntryAddresses = 64
 
 // OperatorHandler serves operators, and callers that look up router addresses, with
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -24,7 +24,7 @@
 
 import "time"
 
-// Constants of the policy.
+// Constants of the choice of a backend server. Work is measured in prompt tokens; see Work.
 const (
 	// DecodeWeight is the cost of one generated token in prompt tokens. Engines
 	// prefill about 10,000 tokens/s and decode 1,000 to 2,000 tokens/s over the
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -39,7 +39,10 @@
 	suspectedAt time.Time
 }
 
-// suspicionsOf returns the counts of an engine, listed or not.
+// suspicionsOf returns the counts of an engine. If there are none yet, it creates them at
+// zero. It does so for an engine outside the list of backend servers too, since VMs may
+// report an engine before SetServers lists it, or after it has left the list. Its counts
+// are then right as soon as it is listed.
 func (s *Scheduler) suspicionsOf(id string) *suspicionCounts {
 	o := s.suspicions[id]
 	if o == nil {
--- a/internal/scheduler/memory.go
+++ b/internal/scheduler/memory.go
@@ -24,10 +24,12 @@
 	// copyMemoryShare is the share of the total memory up to which copies are made. The
 	// rest is for runs that resume all at once, and for unevenly loaded engines.
 	copyMemoryShare = 0.85
-	// orderedCopyMemoryShare is the same limit for copies that are ordered for runs in
-	// progress. Such a copy is renewed for as long as its run lasts, and every run
-	// without a copy asks for one again. With copyMemoryShare as the limit, ordered
-	// copies would take within seconds the memory that grants have spared.
+	// orderedCopyMemoryShare is the limit for copies that a router orders for runs in
+	// progress. copyMemoryShare is the limit for the copy that is planned when a stream
+	// is granted an engine. When memory is short, grants plan no copies, which leaves
+	// memory free for prompts. The runs that started without a copy keep asking for one,
+	// and an ordered copy is renewed for as long as its run lasts. If both kinds had the
+	// same limit, ordered copies would fill the free memory within seconds.
 	orderedCopyMemoryShare = 0.7
 )
 
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -83,7 +83,9 @@
 	return a.Due.Compare(b.Due)
 }
 
-// moveFirstInTimeToFront moves the first new stream that can be in time to the front.
+// moveFirstInTimeToFront moves the first new stream that can be in time before the
+// interrupted streams. order does this after each grant to an interrupted stream, so
+// interrupted streams get at most every other grant while such new streams wait.
 func moveFirstInTimeToFront(out []*waiter) {
 	i := slices.IndexFunc(out, func(w *waiter) bool { return w.class == inTime })
 	if i > 0 {
